--- a/crates/merlinreel/tests/sockets/main.rs
+++ b/crates/merlinreel/tests/sockets/main.rs
@@ -1,8 +1,11 @@
 //! The program as it runs: started by its configuration, spoken to over sockets.
 
+mod broken_answers;
 mod faults;
 mod mesh;
 mod operations;
+mod request_bodies;
+mod starts;
 mod stop;
 
 use merlinreel_testbed::*;
