--- a/crates/merlinreel/src/flow.rs
+++ b/crates/merlinreel/src/flow.rs
@@ -1,6 +1,6 @@
-//! A server's long answer on its way to the client: the server's body itself, pulled by the client's
-//! connection, so that at most the two connections' buffers are in memory whatever its length. The server's
-//! connection is told when it has ended whole (`true`), broke off or was dropped (`false`).
+//! A server's long answer on its way to the client: what was read of it, then the server's body itself, pulled by
+//! the client's connection, so that at most its beginning and the two connections' buffers are in memory whatever its
+//! length. The server's connection is told when it has ended whole (`true`), broke off or was dropped (`false`).
 
 use http_body_util::{Either, Full};
 use hyper::body::{Body, Bytes, Frame, Incoming, SizeHint};
@@ -12,6 +12,8 @@
 pub type Reply = Either<Full<Bytes>, Flow>;
 
 pub struct Flow {
+    /// What was read of it; taken first.
+    beginning: Option<Bytes>,
     body: Incoming,
     end: Option<oneshot::Sender<bool>>,
     /// What the client's side holds while the body flows, told and let go of at its end.
@@ -30,10 +32,10 @@
 }
 
 impl Flow {
-    /// The body, and where its end is told.
-    pub fn new(body: Incoming) -> (Flow, oneshot::Receiver<bool>) {
+    /// The beginning of a body and the rest of it, and where its end is told.
+    pub fn new(beginning: Bytes, body: Incoming) -> (Flow, oneshot::Receiver<bool>) {
         let (end, ended) = oneshot::channel();
-        (Flow { body, end: Some(end), held: None }, ended)
+        (Flow { beginning: Some(beginning), body, end: Some(end), held: None }, ended)
     }
 
     /// Keeps `held` until the body has ended or is dropped.
@@ -55,22 +57,33 @@
         mut self: Pin<&mut Self>,
         turn: &mut Context,
     ) -> Poll<Option<Result<Frame<Bytes>, Self::Error>>> {
+        if let Some(beginning) = self.beginning.take() {
+            return Poll::Ready(Some(Ok(Frame::data(beginning))));
+        }
         let frame = ready!(Pin::new(&mut self.body).poll_frame(turn));
         match &frame {
             None => self.tell(true),
             // Guards the client against taking a part for the whole: the error ends its answer short.
             Some(Err(_)) => self.tell(false),
+            // The client's connection asks no further where the length tells that this was the last.
+            Some(Ok(_)) if self.is_end_stream() => self.tell(true),
             Some(Ok(_)) => {}
         }
         Poll::Ready(frame)
     }
 
     fn is_end_stream(&self) -> bool {
-        self.body.is_end_stream()
+        self.beginning.is_none() && self.body.is_end_stream()
     }
 
     fn size_hint(&self) -> SizeHint {
-        self.body.size_hint()
+        let (beginning, rest) = (self.beginning.as_ref().map_or(0, Bytes::len) as u64, self.body.size_hint());
+        let mut whole = SizeHint::new();
+        whole.set_lower(beginning + rest.lower());
+        if let Some(upper) = rest.upper() {
+            whole.set_upper(beginning + upper);
+        }
+        whole
     }
 }
 
--- a/crates/merlinreel/src/servers.rs
+++ b/crates/merlinreel/src/servers.rs
@@ -1,6 +1,7 @@
 //! Trips to servers: the pool of connections, and one task for each of them. A connection carries one
 //! trip at a time; nothing is ever sent again by itself.
 
+mod answer;
 mod carrier;
 mod message;
 mod probe;
@@ -9,7 +10,7 @@
 
 pub use message::strip_hop_by_hop;
 
-use crate::answers::Room;
+use crate::answers::AnswerMemory;
 use crate::figures::Figures;
 use crate::limits::Limits;
 use crate::log;
@@ -94,7 +95,7 @@
     limits: Limits,
     zones: Vec<String>,
     loads_in_answers: bool,
-    room: Room,
+    memory: AnswerMemory,
     loads_in_probes: bool,
     probes: bool,
     names: HashMap<String, u32>,
@@ -117,7 +118,7 @@
             figures,
             zones: terms.wire.zones.clone(),
             loads_in_answers: terms.wire.loads_in_answers,
-            room: Room::new(&limits),
+            memory: AnswerMemory::new(&limits),
             loads_in_probes: terms.wire.loads_in_probes,
             probes: terms.servers.probes,
             names: HashMap::new(),
@@ -220,7 +221,7 @@
             address,
             limits: self.limits.clone(),
             loads: self.loads_in_answers,
-            room: self.room.clone(),
+            memory: self.memory.clone(),
             queue: self.queue.clone(),
             figures: self.figures.clone(),
         };
--- a/crates/merlinreel/src/servers/carrier.rs
+++ b/crates/merlinreel/src/servers/carrier.rs
@@ -1,19 +1,17 @@
 //! The task of one connection to a server: one trip at a time, and what each trip's end proves.
 
-use super::message::{Said, decode, encode, spoilt, wire_length};
+use super::answer::{Answer, receive};
+use super::message::{Said, decode, encode, wire_length};
 use super::{Errand, Order};
-use crate::answers::Room;
+use crate::answers::AnswerMemory;
 use crate::figures::{Figures, class_of};
-use crate::flow::Flow;
 use crate::limits::Limits;
 use crate::log;
 use crate::messages::{News, Queue, TripNews};
 use crate::stream::{Tallied, Tally};
 use http_body_util::Full;
-use hyper::StatusCode;
-use hyper::body::{Body, Bytes};
+use hyper::body::Bytes;
 use hyper::client::conn::http1::{Builder, Connection, SendRequest};
-use hyper::header::{CONTENT_LENGTH, TRANSFER_ENCODING};
 use hyper_util::rt::TokioIo;
 use merlinreel_core::Ending;
 use std::io::ErrorKind;
@@ -55,6 +53,14 @@
 /// Told when an answer that flows has ended: whole, or not.
 type Ended = tokio::sync::oneshot::Receiver<bool>;
 
+/// An attempt whose answer may go to the client.
+enum Answered {
+    /// Whole; the connection may carry another attempt, or ends.
+    Whole { said: Said, reusable: bool },
+    /// Long: its connection serves it alone until its end.
+    Flows { said: Said, ended: Ended },
+}
+
 /// A connection that is up.
 struct Up {
     sender: SendRequest<Full<Bytes>>,
@@ -70,7 +76,7 @@
     pub address: SocketAddr,
     pub limits: Limits,
     pub loads: bool,
-    pub room: Room,
+    pub memory: AnswerMemory,
     pub queue: Queue,
     pub figures: Arc<Figures>,
 }
@@ -96,8 +102,13 @@
             // Nothing of the job stays with a connection that rests.
             drop(errand);
             match said {
-                Ok((said, None)) => self.report(serial, started, said, true).await,
-                Ok((said, Some(ended))) => {
+                Ok(Answered::Whole { said, reusable }) => {
+                    self.report(serial, started, said, reusable).await;
+                    if !reusable {
+                        return;
+                    }
+                }
+                Ok(Answered::Flows { said, ended }) => {
                     self.report(serial, started, said, false).await;
                     // Guards the answer against a connection closed under it: kept and read until the client has
                     // all of it or has gone, then closed, as one client may read for minutes.
@@ -166,9 +177,8 @@
         Ok(Up { sender, connection: Box::pin(connection), sent, over: false })
     }
 
-    /// Makes the trip; where the answer flows, its end is told by what comes with it. On an error the connection
-    /// must be closed.
-    async fn carry(&mut self, up: &mut Up, errand: &Errand) -> Result<(Said, Option<Ended>), Ending> {
+    /// Makes the attempt. On an error the connection must be closed.
+    async fn carry(&mut self, up: &mut Up, errand: &Errand) -> Result<Answered, Ending> {
         // Asked of the clock itself: a timer may be a millisecond late.
         if errand.written_by() <= Instant::now() {
             return Err(Ending::Unsent);
@@ -176,10 +186,7 @@
         let request = encode(&errand.parcel, errand.until.saturating_duration_since(Instant::now()));
         let whole = up.sent.bytes() + wire_length(&request, errand.parcel.body.len());
         let Up { sender, connection, sent, over } = up;
-        let (most, small, loads, room) =
-            (self.limits.answer, self.limits.body, self.loads, self.room.clone());
-        let flowing = usize::try_from(self.limits.flowing).unwrap_or(usize::MAX);
-        let address = self.address;
+        let (memory, most, loads) = (self.memory.clone(), self.limits.flowing, self.loads);
         // Counted once its last byte is written: the class is the first part of the path.
         let attempted = {
             let figures = self.figures.clone();
@@ -187,32 +194,8 @@
             move || figures.attempted(&class)
         };
         let answer = async {
-            sender.ready().await.ok()?;
-            let (head, body) = sender.send_request(request).await.ok()?.into_parts();
-            // Guards long answers against being cut off or held back: a good one that may be longer than a
-            // connection's own room goes on at its head, as it comes.
-            let long = body.size_hint().upper().is_none_or(|length| length > small as u64);
-            // One whose end is the connection's close is a form of HTTP/1.1 too: it flows, and the close ends it.
-            // Guards against cutting it off under its server as spoilt, which loses the job.
-            let mixed =
-                head.headers.contains_key(TRANSFER_ENCODING) && head.headers.contains_key(CONTENT_LENGTH);
-            if head.status == StatusCode::OK && long && !mixed && body.size_hint().lower() <= flowing as u64 {
-                return Some((head, Err(body)));
-            }
-            if spoilt(&head, body.size_hint(), most) {
-                let (pieces, length) = (head.headers.contains_key(TRANSFER_ENCODING), body.size_hint());
-                log!(
-                    "server at {}: answer {} taken for spoilt: pieces {pieces}, length {:?} to {:?}",
-                    address,
-                    head.status.as_u16(),
-                    length.lower(),
-                    length.upper()
-                );
-                return None;
-            }
-            // The whole of it, before the client is answered.
-            let body = room.whole(body).await?;
-            Some((head, Ok(body)))
+            sender.ready().await?;
+            receive(sender.send_request(request).await?, &memory, most).await
         };
         let limit = sleep_until(errand.until.into());
         let written_by = sleep_until(errand.written_by().into());
@@ -227,17 +210,21 @@
                 // First, as what it reads is the answer: that saves a turn.
                 _ = connection.as_mut(), if !*over => *over = true,
                 answer = &mut answer => match answer {
-                    Some((head, Ok(body))) => {
+                    Ok(Answer { head, body, flow: None, framed }) => {
                         attempted();
                         sent.resting.store(true, Ordering::Relaxed);
-                        return Ok((decode(head, body, None, loads), None));
+                        let said = decode(head, body, None, loads);
+                        return Ok(Answered::Whole { said, reusable: framed });
                     }
-                    Some((head, Err(body))) => {
+                    Ok(Answer { head, body, flow: Some((flow, ended)), .. }) => {
                         attempted();
-                        let (flow, ended) = Flow::new(body);
-                        return Ok((decode(head, Bytes::new(), Some(Box::new(flow)), loads), Some(ended)));
+                        let said = decode(head, body, Some(Box::new(flow)), loads);
+                        return Ok(Answered::Flows { said, ended });
+                    }
+                    Err(error) => {
+                        log!("server at {}: no answer: {error}", self.address);
+                        break Ending::Dropped;
                     }
-                    None => break Ending::Dropped,
                 },
                 () = &mut limit => break Ending::Expired,
             }
--- a/crates/merlinreel/src/servers/message.rs
+++ b/crates/merlinreel/src/servers/message.rs
@@ -4,8 +4,8 @@
 use crate::flow::Flow;
 use crate::messages::{Delivery, Parcel};
 use http_body_util::Full;
-use hyper::body::{Bytes, SizeHint};
-use hyper::header::{CONNECTION, CONTENT_LENGTH, HeaderMap, HeaderName, HeaderValue, TRANSFER_ENCODING};
+use hyper::body::Bytes;
+use hyper::header::{CONNECTION, CONTENT_LENGTH, HeaderMap, HeaderName, HeaderValue};
 use hyper::http::response::Parts;
 use hyper::{Request, StatusCode};
 use merlinreel_core::{Ending, Load};
@@ -69,16 +69,6 @@
     }
 }
 
-/// Guards against an answer that is no whole one: one that ends with the connection may have been cut short, one
-/// with two lengths or a huge one is not made for this job, and one that turns to another protocol is none.
-pub fn spoilt(head: &Parts, length: SizeHint, most: usize) -> bool {
-    let pieces = head.headers.contains_key(TRANSFER_ENCODING);
-    head.status.is_informational()
-        || length.lower() > most as u64
-        || pieces && head.headers.contains_key(CONTENT_LENGTH)
-        || !pieces && length.exact().is_none()
-}
-
 /// A whole `body`, or a `flow` in its place.
 pub fn decode(mut head: Parts, body: Bytes, flow: Option<Box<Flow>>, loads: bool) -> Said {
     let turned_away = head.headers.get(TURNED_AWAY).is_some_and(|value| value == "1");
