--- a/crates/merlinreel/src/driver/desk.rs
+++ b/crates/merlinreel/src/driver/desk.rs
@@ -67,11 +67,17 @@
         }
     }
 
+    /// The client has gone: no attempt begins for it any more, also where attempts that have begun may not be
+    /// cancelled.
     pub fn forget_client(&mut self, job: u32) {
-        if let Some(held) = self.held(job) {
-            held.answer = None;
-            self.closed.push(job);
+        let Some(held) = self.held(job) else { return };
+        held.answer = None;
+        for (_, serial) in held.out.clone() {
+            if let Some(out) = self.trips.get(&serial) {
+                out.link.withdraw(serial);
+            }
         }
+        self.closed.push(job);
     }
 
     /// An index is free again once its job is answered and no trip is out.
--- a/crates/merlinreel/src/servers.rs
+++ b/crates/merlinreel/src/servers.rs
@@ -7,6 +7,7 @@
 mod probe;
 #[cfg(test)]
 mod tests;
+mod unasked;
 
 pub use message::strip_hop_by_hop;
 
@@ -24,6 +25,7 @@
 use std::time::{Duration, Instant};
 use tokio::sync::{OwnedSemaphorePermit, Semaphore, mpsc};
 use tokio::time::timeout;
+use unasked::UnaskedBytes;
 
 /// One trip to make.
 #[derive(Debug)]
@@ -46,7 +48,10 @@
 #[derive(Debug)]
 enum Order {
     Carry(Errand),
+    /// Closes the connection, whatever of the attempt was written.
     Abandon(u64),
+    /// The same, but only where nothing of the attempt was written yet.
+    Withdraw(u64),
 }
 
 /// The driver's hold on one connection; the connection closes once it is let go of.
@@ -61,6 +66,11 @@
     pub fn abandon(&self, serial: u64) {
         let _ = self.orders.try_send(Order::Abandon(serial));
     }
+
+    /// Keeps that attempt from beginning, if it has not yet: its client has gone.
+    pub fn withdraw(&self, serial: u64) {
+        let _ = self.orders.try_send(Order::Withdraw(serial));
+    }
 }
 
 struct Place {
@@ -82,11 +92,13 @@
         self.idle.clear();
     }
 
-    /// The newest idle connection that is settled, so that few are kept; else the oldest. Guards trips against
-    /// servers that end a connection behind an answer, where the end crosses the next trip.
-    fn take(&mut self, now: Instant, settled: Duration) -> Option<Link> {
-        let i = self.idle.iter().rposition(|(since, _)| now.duration_since(*since) >= settled).unwrap_or(0);
-        (i < self.idle.len()).then(|| self.idle.remove(i).1)
+    /// The newest idle connection that is settled, so that few are kept; else the oldest, unless `only_settled`.
+    /// Guards attempts against servers that end a connection behind an answer, where the end crosses the next attempt,
+    /// and against those that send a second answer.
+    fn take(&mut self, now: Instant, settled: Duration, only_settled: bool) -> Option<Link> {
+        let newest = self.idle.iter().rposition(|(since, _)| now.duration_since(*since) >= settled);
+        let oldest = (!only_settled && !self.idle.is_empty()).then_some(0);
+        newest.or(oldest).map(|i| self.idle.remove(i).1)
     }
 }
 
@@ -105,6 +117,7 @@
     slots: Arc<Semaphore>,
     queue: Queue,
     figures: Arc<Figures>,
+    unasked: Arc<UnaskedBytes>,
 }
 
 impl Servers {
@@ -116,6 +129,7 @@
     ) -> Servers {
         Servers {
             figures,
+            unasked: Arc::default(),
             zones: terms.wire.zones.clone(),
             loads_in_answers: terms.wire.loads_in_answers,
             memory: AnswerMemory::new(&limits),
@@ -202,7 +216,8 @@
     /// Starts a trip on an idle connection, else on a new one; none where all descriptors are taken.
     pub fn send(&mut self, server: u32, mut errand: Errand) -> Option<Link> {
         let place = self.places.get_mut(server as usize)?;
-        while let Some(link) = place.take(errand.started, self.limits.server_settled) {
+        let only_settled = self.unasked.seen();
+        while let Some(link) = place.take(errand.started, self.limits.server_settled, only_settled) {
             if link.address != place.address {
                 continue;
             }
@@ -224,6 +239,7 @@
             memory: self.memory.clone(),
             queue: self.queue.clone(),
             figures: self.figures.clone(),
+            unasked: self.unasked.clone(),
         };
         tokio::spawn(carrier.run(errand, slot));
         Some(Link { orders, address })
--- a/crates/merlinreel/src/servers/carrier.rs
+++ b/crates/merlinreel/src/servers/carrier.rs
@@ -2,6 +2,7 @@
 
 use super::answer::{Answer, receive};
 use super::message::{Said, decode, encode, wire_length};
+use super::unasked::{UnaskedBytes, is_unasked};
 use super::{Errand, Order};
 use crate::answers::AnswerMemory;
 use crate::figures::{Figures, class_of};
@@ -25,20 +26,30 @@
 use tokio::time::{sleep, sleep_until, timeout};
 
 /// Counts what the kernel took, as proof that a request's last byte was not written.
-#[derive(Default)]
 struct Sent {
     bytes: AtomicU64,
     /// The last answer is whole, and nothing was written since.
     resting: AtomicBool,
+    unasked: Arc<UnaskedBytes>,
 }
 
 impl Sent {
+    fn new(unasked: Arc<UnaskedBytes>) -> Sent {
+        Sent { bytes: AtomicU64::new(0), resting: AtomicBool::new(false), unasked }
+    }
+
     fn bytes(&self) -> u64 {
         self.bytes.load(Ordering::Relaxed)
     }
 }
 
 impl Tally for Sent {
+    fn read(&self, _: usize) {
+        if self.resting.load(Ordering::Relaxed) {
+            self.unasked.note();
+        }
+    }
+
     fn wrote(&self, bytes: usize) {
         self.bytes.fetch_add(bytes as u64, Ordering::Relaxed);
     }
@@ -79,6 +90,7 @@
     pub memory: AnswerMemory,
     pub queue: Queue,
     pub figures: Arc<Figures>,
+    pub unasked: Arc<UnaskedBytes>,
 }
 
 impl Carrier {
@@ -135,11 +147,13 @@
         }
     }
 
-    /// An order to give this trip up, or the driver's end.
-    async fn abandoned(&mut self, serial: u64) {
+    /// An order to give this attempt up, or the driver's end. One to withdraw it counts as long as it has not begun.
+    async fn abandoned(&mut self, serial: u64, begun: impl Fn() -> bool) {
         while let Some(order) = self.orders.recv().await {
-            if matches!(order, Order::Abandon(which) if which == serial) {
-                return;
+            match order {
+                Order::Abandon(which) if which == serial => return,
+                Order::Withdraw(which) if which == serial && !begun() => return,
+                _ => {}
             }
         }
     }
@@ -149,7 +163,7 @@
         let head = self.limits.head;
         let stream = tokio::select! {
             biased;
-            () = self.abandoned(errand.serial) => return Err(Ending::Unsent),
+            () = self.abandoned(errand.serial, || false) => return Err(Ending::Unsent),
             stream = timeout(within, TcpStream::connect(address)) => stream,
             () = sleep_until(errand.written_by().into()) => return Err(match errand.begins_by {
                 Some(_) => Ending::Unsent,
@@ -170,7 +184,7 @@
             }
         };
         let _ = stream.set_nodelay(true);
-        let sent = Arc::new(Sent::default());
+        let sent = Arc::new(Sent::new(self.unasked.clone()));
         let io = TokioIo::new(Tallied::new(stream, sent.clone()));
         let shaken = Builder::new().max_buf_size(head).handshake(io).await;
         let (sender, connection) = shaken.map_err(|_| Ending::NoConnection)?;
@@ -184,7 +198,8 @@
             return Err(Ending::Unsent);
         }
         let request = encode(&errand.parcel, errand.until.saturating_duration_since(Instant::now()));
-        let whole = up.sent.bytes() + wire_length(&request, errand.parcel.body.len());
+        let before = up.sent.bytes();
+        let whole = before + wire_length(&request, errand.parcel.body.len());
         let Up { sender, connection, sent, over } = up;
         let (memory, most, loads) = (self.memory.clone(), self.limits.flowing, self.loads);
         // Counted once its last byte is written: the class is the first part of the path.
@@ -203,12 +218,12 @@
         let ending = loop {
             tokio::select! {
                 biased;
-                () = self.abandoned(errand.serial) => break Ending::Revoked,
+                () = self.abandoned(errand.serial, || sent.bytes() > before) => break Ending::Revoked,
                 // Before anything more is written. Guards keyed jobs against a repeat that comes after its servers
                 // have forgotten the key, where the connection came up late or takes the request in parts.
                 () = &mut written_by, if sent.bytes() < whole => break Ending::Expired,
                 // First, as what it reads is the answer: that saves a turn.
-                _ = connection.as_mut(), if !*over => *over = true,
+                ended = connection.as_mut(), if !*over => *over = self.over(ended),
                 answer = &mut answer => match answer {
                     Ok(Answer { head, body, flow: None, framed }) => {
                         attempted();
@@ -247,6 +262,14 @@
         })
     }
 
+    /// A connection has ended, maybe for what its server sent behind an answer.
+    fn over(&self, ended: hyper::Result<()>) -> bool {
+        if ended.is_err_and(|error| is_unasked(&error)) {
+            self.unasked.note();
+        }
+        true
+    }
+
     /// Waits for the next trip, as long as the connection is good.
     async fn rest(&mut self, up: &mut Up) -> Option<Errand> {
         let idle = sleep(self.limits.server_idle);
@@ -254,10 +277,10 @@
         loop {
             tokio::select! {
                 biased;
-                _ = up.connection.as_mut(), if !up.over => up.over = true,
+                ended = up.connection.as_mut(), if !up.over => up.over = self.over(ended),
                 order = self.orders.recv(), if !up.over => match order? {
                     Order::Carry(errand) => return Some(errand),
-                    Order::Abandon(_) => {}
+                    Order::Abandon(_) | Order::Withdraw(_) => {}
                 },
                 () = &mut idle, if !up.over => up.over = true,
                 else => break,
--- a/crates/merlinreel/src/servers/tests.rs
+++ b/crates/merlinreel/src/servers/tests.rs
@@ -201,10 +201,12 @@
     assert_eq!(named("s-4", 2, false), [(0, Standing::Up)]);
 }
 
-#[test_case(&[40, 30, 1] => Some(30) ; "the newest that is settled")]
-#[test_case(&[3, 2, 1] => Some(3) ; "the oldest where none is")]
-#[test_case(&[] => None ; "none")]
-fn the_idle_connection_for_a_trip(idle: &[u64]) -> Option<u64> {
+#[test_case(&[40, 30, 1], false => Some(30) ; "the newest that is settled")]
+#[test_case(&[3, 2, 1], false => Some(3) ; "the oldest where none is")]
+#[test_case(&[], false => None ; "none")]
+#[test_case(&[40, 30, 1], true => Some(30) ; "the newest that is settled, once a server sent something unasked")]
+#[test_case(&[3, 2, 1], true => None ; "none that is not settled, once a server sent something unasked")]
+fn the_idle_connection_for_a_trip(idle: &[u64], only_settled: bool) -> Option<u64> {
     let now = Instant::now() + LONG;
     let link = |ms: &u64| {
         let address = SocketAddr::from(([127, 0, 0, 1], *ms as u16));
@@ -212,7 +214,7 @@
     };
     let address = SocketAddr::from(([127, 0, 0, 1], 9));
     let mut place = Place { entry: RosterEntry::default(), address, idle: idle.iter().map(link).collect() };
-    place.take(now, Duration::from_millis(25)).map(|link| link.address.port().into())
+    place.take(now, Duration::from_millis(25), only_settled).map(|link| link.address.port().into())
 }
 
 #[tokio::test]
@@ -251,6 +253,67 @@
     assert_eq!((end.serial, end.ending), (2, Ending::Fulfilled));
 }
 
+/// A server that has sent something unasked may do so again, some milliseconds late: an attempt that follows an answer
+/// at once goes by a new connection from then on, to whichever server.
+#[test_case(false ; "behind the answer")]
+#[test_case(true ; "once the connection rests")]
+#[tokio::test]
+async fn after_unasked_bytes_only_rested_connections_are_used(rests: bool) {
+    const SECOND: &str = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong";
+    let (listener, address) = listener().await;
+    let (mut servers, mut news) = servers(address, 8);
+    let (_first, mut stream) = begun(&listener, &mut servers, 1).await;
+    if rests {
+        done(&mut stream, &mut news).await;
+        stream.write_all(SECOND.as_bytes()).await.expect("written");
+    } else {
+        stream.write_all(format!("{GOOD}{SECOND}").as_bytes()).await.expect("written");
+        end(&mut news).await;
+    }
+    timeout(LONG, async {
+        while !servers.unasked.seen() {
+            tokio::task::yield_now().await;
+        }
+    })
+    .await
+    .expect("seen");
+    let (second, mut stream) = begun(&listener, &mut servers, 2).await;
+    done(&mut stream, &mut news).await;
+    servers.limits.server_settled = LONG;
+    servers.keep(0, second);
+    let _third = servers.send(0, errand(3, 1, LONG)).expect("a slot");
+    request(&mut accept(&listener).await).await;
+}
+
+/// Nothing is written for a client that has gone: its attempt's connection comes up late, and the attempt may not be
+/// cancelled once it has begun.
+#[tokio::test]
+async fn an_attempt_that_has_not_begun_is_withdrawn() {
+    let full = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
+    full.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).expect("a free port");
+    full.listen(0).expect("listens");
+    let address = full.local_addr().ok().and_then(|address| address.as_socket()).expect("bound");
+    // The one place of its queue is taken: further connections come up only once it is accepted.
+    let _place = std::net::TcpStream::connect(address).expect("the one place");
+    let (mut servers, mut news) = servers(address, 4);
+    servers.limits.connect = LONG;
+    let link = servers.send(0, errand(7, 1, LONG)).expect("a slot");
+    // An order for another attempt is none for this one.
+    link.withdraw(6);
+    link.withdraw(7);
+    assert_eq!(end(&mut news).await.ending, Ending::Unsent);
+}
+
+/// One that has begun goes on: where attempts may not be cancelled its server works for it.
+#[tokio::test]
+async fn an_attempt_that_has_begun_is_not_withdrawn() {
+    let (listener, address) = listener().await;
+    let (mut servers, mut news) = servers(address, 4);
+    let (link, mut stream) = begun(&listener, &mut servers, 5).await;
+    link.withdraw(5);
+    assert_eq!(done(&mut stream, &mut news).await.ending, Ending::Fulfilled);
+}
+
 #[test_case("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong" ; "a second copy")]
 #[test_case("noise" ; "noise")]
 #[tokio::test]
--- /dev/null
+++ b/crates/merlinreel/tests/sockets/gone_clients.rs
@@ -0,0 +1,73 @@
+//! Clients that close their connection while their request waits for its first attempt.
+
+use merlinreel_testbed::*;
+use socket2::{Domain, Socket, Type};
+use std::io::{BufRead, BufReader};
+use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::thread;
+use std::time::{Duration, Instant};
+use test_case::test_case;
+
+/// A server whose connections come up late: its queue holds one connection, which is taken, until that is accepted.
+fn server_with_a_full_queue() -> (TcpListener, TcpStream) {
+    let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
+    socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).expect("a free port");
+    socket.listen(0).expect("listens");
+    let listener = TcpListener::from(socket);
+    let address = listener.local_addr().expect("bound");
+    (listener, TcpStream::connect(address).expect("the one place"))
+}
+
+/// Waits until a connection to `address` is on its way, its first packet refused by the full queue. The kernel tries it
+/// again after a second.
+fn wait_for_connecting(address: SocketAddr) {
+    const SYN_SENT: &str = "02";
+    let port = format!(":{:04X}", address.port());
+    let connecting = |line: &str| {
+        let fields: Vec<&str> = line.split_whitespace().collect();
+        fields.len() > 3 && fields[2].ends_with(&port) && fields[3] == SYN_SENT
+    };
+    let begun = Instant::now();
+    while begun.elapsed() < PATIENCE {
+        let sockets = std::fs::read_to_string("/proc/net/tcp").expect("the kernel's table of sockets");
+        if sockets.lines().any(connecting) {
+            return;
+        }
+        thread::sleep(Duration::from_millis(1));
+    }
+    panic!("no connection to {address} is on its way");
+}
+
+/// The id of the first request on the next connection that brings any.
+fn next_request_id(listener: &TcpListener) -> String {
+    loop {
+        let (stream, _) = listener.accept().expect("a connection");
+        let mut lines = BufReader::new(stream).lines().map_while(Result::ok);
+        if let Some(id) = lines.find_map(|line| line.strip_prefix("x-txn: ").map(str::to_owned)) {
+            return id;
+        }
+    }
+}
+
+/// The attempt's connection is still coming up as its client goes: nothing is written on it, whether or not the
+/// settings let attempts be cancelled. Its connection would have come up before the second client's, which asked later.
+#[test_case(true ; "attempts may be cancelled")]
+#[test_case(false ; "attempts may not be cancelled")]
+fn no_attempt_begins_for_a_client_that_has_gone(may_cancel: bool) {
+    let (listener, place) = server_with_a_full_queue();
+    let address = listener.local_addr().expect("bound");
+    let mut config = config(&[listed("s-1", address, "up")]);
+    config["settings"]["policyLimits"]["mayCancel"] = may_cancel.into();
+    config["settings"]["policyLimits"]["connectTimeoutS"] = 20.into();
+    let program = Program::start(&config);
+    let mut goes = program.client();
+    goes.send(&job("pay", 1, 1, "4000m"));
+    wait_for_connecting(address);
+    drop(goes);
+    let mut stays = program.client();
+    let text = job("pay", 2, 1, "4000m");
+    stays.send(&text);
+    drop(place);
+    let id = next_request_id(&listener);
+    assert!(text.contains(&format!("X-Txn: {id}\r\n")), "{id} is the request of the client that has gone");
+}
--- a/crates/merlinreel/tests/sockets/main.rs
+++ b/crates/merlinreel/tests/sockets/main.rs
@@ -2,6 +2,7 @@
 
 mod broken_answers;
 mod faults;
+mod gone_clients;
 mod mesh;
 mod operations;
 mod request_bodies;
