--- a/crates/merlinreel/tests/sockets/gone_clients.rs
+++ b/crates/merlinreel/tests/sockets/gone_clients.rs
@@ -18,20 +18,21 @@
     (listener, TcpStream::connect(address).expect("the one place"))
 }
 
-/// Waits until a connection to `address` is on its way, its first packet refused by the full queue. The kernel tries it
-/// again after a second.
-fn wait_for_connecting(address: SocketAddr) {
+/// Waits until a connection to `address` is on its way, its first packet refused by the full queue, other than the one
+/// from `known`; returns where it comes from. The kernel tries each again a second after its first packet.
+fn wait_for_connecting(address: SocketAddr, known: Option<&str>) -> String {
     const SYN_SENT: &str = "02";
     let port = format!(":{:04X}", address.port());
-    let connecting = |line: &str| {
+    let from = |line: &str| {
         let fields: Vec<&str> = line.split_whitespace().collect();
-        fields.len() > 3 && fields[2].ends_with(&port) && fields[3] == SYN_SENT
+        let connecting = fields.len() > 3 && fields[2].ends_with(&port) && fields[3] == SYN_SENT;
+        (connecting && Some(fields[1]) != known).then(|| fields[1].to_owned())
     };
     let begun = Instant::now();
     while begun.elapsed() < PATIENCE {
         let sockets = std::fs::read_to_string("/proc/net/tcp").expect("the kernel's table of sockets");
-        if sockets.lines().any(connecting) {
-            return;
+        if let Some(from) = sockets.lines().find_map(from) {
+            return from;
         }
         thread::sleep(Duration::from_millis(1));
     }
@@ -62,11 +63,12 @@
     let program = Program::start(&config);
     let mut goes = program.client();
     goes.send(&job("pay", 1, 1, "4000m"));
-    wait_for_connecting(address);
+    let first = wait_for_connecting(address, None);
     drop(goes);
     let mut stays = program.client();
     let text = job("pay", 2, 1, "4000m");
     stays.send(&text);
+    wait_for_connecting(address, Some(&first));
     drop(place);
     let id = next_request_id(&listener);
     assert!(text.contains(&format!("X-Txn: {id}\r\n")), "{id} is the request of the client that has gone");
