--- a/crates/merlinreel/src/driver/desk.rs
+++ b/crates/merlinreel/src/driver/desk.rs
@@ -4,7 +4,7 @@
 use crate::log;
 use crate::messages::{Answer, Parcel, TripNews};
 use crate::peers::Post;
-use crate::servers::{Errand, Link, Servers};
+use crate::servers::{Attempt, Link, Servers};
 use merlinreel_core::*;
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -123,8 +123,8 @@
         held.trips += 1;
         let until = held.until.checked_sub(margin).unwrap_or(held.until);
         let begins_by = within.map(|within| now + within);
-        let errand = Errand { serial, parcel: held.parcel.clone(), started: now, until, begins_by };
-        let link = if until > now { self.servers.send(server, errand) } else { None };
+        let attempt = Attempt { serial, parcel: held.parcel.clone(), started: now, until, begins_by };
+        let link = if until > now { self.servers.send(server, attempt) } else { None };
         if let Some(link) = link {
             self.serial = serial;
             self.trips.insert(serial, Out { job, trip, server, link });
--- a/crates/merlinreel/src/servers.rs
+++ b/crates/merlinreel/src/servers.rs
@@ -2,12 +2,12 @@
 //! trip at a time; nothing is ever sent again by itself.
 
 mod answer;
-mod carrier;
 mod message;
 mod probe;
 #[cfg(test)]
 mod tests;
 mod unasked;
+mod upstream;
 
 pub use message::strip_hop_by_hop;
 
@@ -16,7 +16,6 @@
 use crate::limits::Limits;
 use crate::log;
 use crate::messages::{News, Parcel, Queue, RosterNews};
-use carrier::Carrier;
 use merlinreel_core::{ProbeAnswer, Roster, RosterEntry, Standing, mark};
 use probe::probe;
 use std::collections::HashMap;
@@ -26,10 +25,11 @@
 use tokio::sync::{OwnedSemaphorePermit, Semaphore, mpsc};
 use tokio::time::timeout;
 use unasked::UnaskedBytes;
+use upstream::UpstreamConnection;
 
-/// One trip to make.
+/// One attempt to make at a server.
 #[derive(Debug)]
-pub struct Errand {
+pub struct Attempt {
     pub serial: u64,
     pub parcel: Arc<Parcel>,
     pub started: Instant,
@@ -39,15 +39,15 @@
     pub begins_by: Option<Instant>,
 }
 
-impl Errand {
+impl Attempt {
     fn written_by(&self) -> Instant {
         self.begins_by.map_or(self.until, |at| at.min(self.until))
     }
 }
 
 #[derive(Debug)]
-enum Order {
-    Carry(Errand),
+enum Command {
+    Send(Attempt),
     /// Closes the connection, whatever of the attempt was written.
     Abandon(u64),
     /// The same, but only where nothing of the attempt was written yet.
@@ -57,19 +57,19 @@
 /// The driver's hold on one connection; the connection closes once it is let go of.
 #[derive(Debug)]
 pub struct Link {
-    orders: mpsc::Sender<Order>,
+    commands: mpsc::Sender<Command>,
     address: SocketAddr,
 }
 
 impl Link {
     /// Closes the connection of that trip, if it still carries it.
     pub fn abandon(&self, serial: u64) {
-        let _ = self.orders.try_send(Order::Abandon(serial));
+        let _ = self.commands.try_send(Command::Abandon(serial));
     }
 
     /// Keeps that attempt from beginning, if it has not yet: its client has gone.
     pub fn withdraw(&self, serial: u64) {
-        let _ = self.orders.try_send(Order::Withdraw(serial));
+        let _ = self.commands.try_send(Command::Withdraw(serial));
     }
 }
 
@@ -214,25 +214,25 @@
     }
 
     /// Starts a trip on an idle connection, else on a new one; none where all descriptors are taken.
-    pub fn send(&mut self, server: u32, mut errand: Errand) -> Option<Link> {
+    pub fn send(&mut self, server: u32, mut attempt: Attempt) -> Option<Link> {
         let place = self.places.get_mut(server as usize)?;
         let only_settled = self.unasked.seen();
-        while let Some(link) = place.take(errand.started, self.limits.server_settled, only_settled) {
+        while let Some(link) = place.take(attempt.started, self.limits.server_settled, only_settled) {
             if link.address != place.address {
                 continue;
             }
-            match link.orders.try_send(Order::Carry(errand)) {
+            match link.commands.try_send(Command::Send(attempt)) {
                 Ok(()) => return Some(link),
-                Err(mpsc::error::TrySendError::Closed(Order::Carry(back))) => errand = back,
+                Err(mpsc::error::TrySendError::Closed(Command::Send(back))) => attempt = back,
                 Err(_) => return None,
             }
         }
         let address = place.address;
         let slot = self.slot()?;
         // Room for a trip and for taking it back.
-        let (orders, received) = mpsc::channel(4);
-        let carrier = Carrier {
-            orders: received,
+        let (commands, received) = mpsc::channel(4);
+        let upstream = UpstreamConnection {
+            commands: received,
             address,
             limits: self.limits.clone(),
             loads: self.loads_in_answers,
@@ -241,8 +241,8 @@
             figures: self.figures.clone(),
             unasked: self.unasked.clone(),
         };
-        tokio::spawn(carrier.run(errand, slot));
-        Some(Link { orders, address })
+        tokio::spawn(upstream.run(attempt, slot));
+        Some(Link { commands, address })
     }
 
     /// With the last place taken the longest idle connection of the fullest pool is let go of, for the next.
@@ -265,7 +265,7 @@
         if let Some(place) =
             self.places.get_mut(server as usize).filter(|place| place.address == link.address)
         {
-            place.idle.retain(|(_, link)| !link.orders.is_closed());
+            place.idle.retain(|(_, link)| !link.commands.is_closed());
             place.idle.push((Instant::now(), link));
         }
     }
--- a/crates/merlinreel/src/servers/tests.rs
+++ b/crates/merlinreel/src/servers/tests.rs
@@ -25,9 +25,9 @@
     })
 }
 
-fn errand(serial: u64, body: usize, within: Duration) -> Errand {
+fn attempt(serial: u64, body: usize, within: Duration) -> Attempt {
     let started = Instant::now();
-    Errand { serial, parcel: parcel(body), started, until: started + within, begins_by: None }
+    Attempt { serial, parcel: parcel(body), started, until: started + within, begins_by: None }
 }
 
 /// The servers with one at that address.
@@ -77,7 +77,7 @@
 
 /// A trip that has reached the server.
 async fn begun(listener: &TcpListener, servers: &mut Servers, serial: u64) -> (Link, TcpStream) {
-    let link = servers.send(0, errand(serial, 1, LONG)).expect("a slot");
+    let link = servers.send(0, attempt(serial, 1, LONG)).expect("a slot");
     let mut stream = accept(listener).await;
     request(&mut stream).await;
     (link, stream)
@@ -143,7 +143,7 @@
     let (listener, address) = listener().await;
     drop(listener);
     let (mut servers, mut news) = servers(address, 4);
-    let _link = servers.send(0, errand(1, 1, LONG));
+    let _link = servers.send(0, attempt(1, 1, LONG));
     assert_eq!(end(&mut news).await.ending, Ending::NoConnection);
 }
 
@@ -156,7 +156,7 @@
     let (listener, address) = listener().await;
     let (mut servers, mut news) = servers(address, 4);
     let within = if closes { LONG } else { Duration::from_millis(300) };
-    let _link = servers.send(0, errand(1, body, within));
+    let _link = servers.send(0, attempt(1, body, within));
     let mut stream = accept(&listener).await;
     assert!(stream.read(&mut [0; 64]).await.expect("the beginning") > 0);
     if closes && body == 1 {
@@ -210,7 +210,7 @@
     let now = Instant::now() + LONG;
     let link = |ms: &u64| {
         let address = SocketAddr::from(([127, 0, 0, 1], *ms as u16));
-        (now - Duration::from_millis(*ms), Link { orders: mpsc::channel(1).0, address })
+        (now - Duration::from_millis(*ms), Link { commands: mpsc::channel(1).0, address })
     };
     let address = SocketAddr::from(([127, 0, 0, 1], 9));
     let mut place = Place { entry: RosterEntry::default(), address, idle: idle.iter().map(link).collect() };
@@ -221,7 +221,7 @@
 async fn one_trip_a_connection_and_idle_ones_first() {
     let (listener, address) = listener().await;
     let (mut servers, mut news) = servers(address, 4);
-    let links = [1, 2].map(|serial| servers.send(0, errand(serial, 1, LONG)).expect("a slot"));
+    let links = [1, 2].map(|serial| servers.send(0, attempt(serial, 1, LONG)).expect("a slot"));
     let mut one = accept(&listener).await;
     let mut two = accept(&listener).await;
     for stream in [&mut one, &mut two] {
@@ -229,7 +229,7 @@
         done(stream, &mut news).await;
     }
     links.into_iter().for_each(|link| servers.keep(0, link));
-    let _link = servers.send(0, errand(3, 1, LONG)).expect("an idle one");
+    let _link = servers.send(0, attempt(3, 1, LONG)).expect("an idle one");
     // None is settled: the oldest.
     let bytes = request(&mut one).await;
     assert_eq!(wire_length(&encode(&parcel(1), LONG), 1) as usize, bytes.len());
@@ -243,10 +243,10 @@
     done(&mut stream, &mut news).await;
     servers.keep(0, link);
     drop(stream);
-    while !servers.places[0].idle[0].1.orders.is_closed() {
+    while !servers.places[0].idle[0].1.commands.is_closed() {
         sleep(Duration::from_millis(1)).await;
     }
-    let _link = servers.send(0, errand(2, 1, LONG));
+    let _link = servers.send(0, attempt(2, 1, LONG));
     let mut stream = accept(&listener).await;
     request(&mut stream).await;
     let end = done(&mut stream, &mut news).await;
@@ -281,7 +281,7 @@
     done(&mut stream, &mut news).await;
     servers.limits.server_settled = LONG;
     servers.keep(0, second);
-    let _third = servers.send(0, errand(3, 1, LONG)).expect("a slot");
+    let _third = servers.send(0, attempt(3, 1, LONG)).expect("a slot");
     request(&mut accept(&listener).await).await;
 }
 
@@ -297,7 +297,7 @@
     let _place = std::net::TcpStream::connect(address).expect("the one place");
     let (mut servers, mut news) = servers(address, 4);
     servers.limits.connect = LONG;
-    let link = servers.send(0, errand(7, 1, LONG)).expect("a slot");
+    let link = servers.send(0, attempt(7, 1, LONG)).expect("a slot");
     // An order for another attempt is none for this one.
     link.withdraw(6);
     link.withdraw(7);
@@ -325,7 +325,7 @@
     servers.keep(0, link);
     // Not waited for: this limiter's poller has not told of it when the next trip begins.
     stream.try_write(more.as_bytes()).expect("written");
-    let _link = servers.send(0, errand(2, 1, LONG));
+    let _link = servers.send(0, attempt(2, 1, LONG));
     let mut other = accept(&listener).await;
     request(&mut other).await;
     let end = done(&mut other, &mut news).await;
@@ -367,8 +367,8 @@
     done(&mut stream, &mut news).await;
     let entry = RosterEntry { server: 1, ..RosterEntry::default() };
     servers.places.push(Place { entry, address, idle: vec![(Instant::now(), first)] });
-    let second = servers.send(0, errand(2, 1, LONG));
-    assert!(second.is_some() && servers.send(0, errand(3, 1, LONG)).is_none());
+    let second = servers.send(0, attempt(2, 1, LONG));
+    assert!(second.is_some() && servers.send(0, attempt(3, 1, LONG)).is_none());
     assert_eq!(timeout(LONG, stream.read(&mut [0; 8])).await.expect("closed").expect("in order"), 0);
 }
 
@@ -421,7 +421,7 @@
         HUGE => Some(Instant::now() + Duration::from_millis(50)),
         _ => Some(Instant::now()),
     };
-    let _link = servers.send(0, Errand { begins_by, ..errand(2, body, 3 * LONG) }).expect("a slot");
+    let _link = servers.send(0, Attempt { begins_by, ..attempt(2, body, 3 * LONG) }).expect("a slot");
     assert_eq!(end(&mut news).await.ending, Ending::Unsent);
     let mut read = Vec::new();
     if let Some(stream) = &mut server {
--- a/crates/merlinreel/src/servers/carrier.rs
+++ b/crates/merlinreel/src/servers/upstream.rs
@@ -1,9 +1,9 @@
-//! The task of one connection to a server: one trip at a time, and what each trip's end proves.
+//! The task of one connection to a server: one attempt at a time, and what each trip's end proves.
 
 use super::answer::{Answer, receive};
 use super::message::{Said, decode, encode, wire_length};
 use super::unasked::{UnaskedBytes, is_unasked};
-use super::{Errand, Order};
+use super::{Attempt, Command};
 use crate::answers::AnswerMemory;
 use crate::figures::{Figures, class_of};
 use crate::limits::Limits;
@@ -73,7 +73,7 @@
 }
 
 /// A connection that is up.
-struct Up {
+struct OpenConnection {
     sender: SendRequest<Full<Bytes>>,
     connection: Pin<Box<Wire>>,
     sent: Arc<Sent>,
@@ -81,9 +81,9 @@
     over: bool,
 }
 
-/// The task of one connection.
-pub struct Carrier {
-    pub orders: mpsc::Receiver<Order>,
+/// One connection to a server: its commands, and where its news go.
+pub struct UpstreamConnection {
+    pub commands: mpsc::Receiver<Command>,
     pub address: SocketAddr,
     pub limits: Limits,
     pub loads: bool,
@@ -93,26 +93,26 @@
     pub unasked: Arc<UnaskedBytes>,
 }
 
-impl Carrier {
-    pub async fn run(mut self, mut errand: Errand, _slot: OwnedSemaphorePermit) {
-        let mut up: Option<Up> = None;
+impl UpstreamConnection {
+    pub async fn run(mut self, mut attempt: Attempt, _slot: OwnedSemaphorePermit) {
+        let mut up: Option<OpenConnection> = None;
         loop {
-            let (serial, started) = (errand.serial, errand.started);
+            let (serial, started) = (attempt.serial, attempt.started);
             let mut open = match up.take() {
                 Some(open) => open,
-                None => match self.open(&errand).await {
+                None => match self.open(&attempt).await {
                     Ok(open) => open,
                     Err(ending) => return self.report(serial, started, Said::nothing(ending), false).await,
                 },
             };
             let before = open.sent.bytes();
-            let said = match self.carry(&mut open, &errand).await {
-                // The server closed while it was idle, and nothing of this trip was written: it starts anew.
+            let said = match self.exchange(&mut open, &attempt).await {
+                // The server closed while it was idle, and nothing of this attempt was written: it starts anew.
                 Err(Ending::TurnedAway) if before > 0 && open.sent.bytes() == before => continue,
                 said => said,
             };
-            // Nothing of the job stays with a connection that rests.
-            drop(errand);
+            // Nothing of the request stays with a connection that rests.
+            drop(attempt);
             match said {
                 Ok(Answered::Whole { said, reusable }) => {
                     self.report(serial, started, said, reusable).await;
@@ -134,38 +134,38 @@
                     return;
                 }
                 Err(ending) => {
-                    // Closed before anybody hears of it, and so before a next trip starts.
+                    // Closed before anybody hears of it, and so before a next attempt starts.
                     drop(open);
                     return self.report(serial, started, Said::nothing(ending), false).await;
                 }
             }
             let Some(next) = self.rest(&mut open).await else { return };
-            errand = next;
+            attempt = next;
             if !open.over {
                 up = Some(open);
             }
         }
     }
 
-    /// An order to give this attempt up, or the driver's end. One to withdraw it counts as long as it has not begun.
+    /// A command to give this attempt up, or the driver's end. One to withdraw it counts as long as it has not begun.
     async fn abandoned(&mut self, serial: u64, begun: impl Fn() -> bool) {
-        while let Some(order) = self.orders.recv().await {
-            match order {
-                Order::Abandon(which) if which == serial => return,
-                Order::Withdraw(which) if which == serial && !begun() => return,
+        while let Some(command) = self.commands.recv().await {
+            match command {
+                Command::Abandon(which) if which == serial => return,
+                Command::Withdraw(which) if which == serial && !begun() => return,
                 _ => {}
             }
         }
     }
 
-    async fn open(&mut self, errand: &Errand) -> Result<Up, Ending> {
+    async fn open(&mut self, attempt: &Attempt) -> Result<OpenConnection, Ending> {
         let (address, within) = (self.address, self.limits.connect);
         let head = self.limits.head;
         let stream = tokio::select! {
             biased;
-            () = self.abandoned(errand.serial, || false) => return Err(Ending::Unsent),
+            () = self.abandoned(attempt.serial, || false) => return Err(Ending::Unsent),
             stream = timeout(within, TcpStream::connect(address)) => stream,
-            () = sleep_until(errand.written_by().into()) => return Err(match errand.begins_by {
+            () = sleep_until(attempt.written_by().into()) => return Err(match attempt.begins_by {
                 Some(_) => Ending::Unsent,
                 None => Ending::NoConnection,
             }),
@@ -188,37 +188,37 @@
         let io = TokioIo::new(Tallied::new(stream, sent.clone()));
         let shaken = Builder::new().max_buf_size(head).handshake(io).await;
         let (sender, connection) = shaken.map_err(|_| Ending::NoConnection)?;
-        Ok(Up { sender, connection: Box::pin(connection), sent, over: false })
+        Ok(OpenConnection { sender, connection: Box::pin(connection), sent, over: false })
     }
 
     /// Makes the attempt. On an error the connection must be closed.
-    async fn carry(&mut self, up: &mut Up, errand: &Errand) -> Result<Answered, Ending> {
+    async fn exchange(&mut self, up: &mut OpenConnection, attempt: &Attempt) -> Result<Answered, Ending> {
         // Asked of the clock itself: a timer may be a millisecond late.
-        if errand.written_by() <= Instant::now() {
+        if attempt.written_by() <= Instant::now() {
             return Err(Ending::Unsent);
         }
-        let request = encode(&errand.parcel, errand.until.saturating_duration_since(Instant::now()));
+        let request = encode(&attempt.parcel, attempt.until.saturating_duration_since(Instant::now()));
         let before = up.sent.bytes();
-        let whole = before + wire_length(&request, errand.parcel.body.len());
-        let Up { sender, connection, sent, over } = up;
+        let whole = before + wire_length(&request, attempt.parcel.body.len());
+        let OpenConnection { sender, connection, sent, over } = up;
         let (memory, most, loads) = (self.memory.clone(), self.limits.flowing, self.loads);
         // Counted once its last byte is written: the class is the first part of the path.
         let attempted = {
             let figures = self.figures.clone();
-            let class = class_of(errand.parcel.uri.path()).to_owned();
+            let class = class_of(attempt.parcel.uri.path()).to_owned();
             move || figures.attempted(&class)
         };
         let answer = async {
             sender.ready().await?;
             receive(sender.send_request(request).await?, &memory, most).await
         };
-        let limit = sleep_until(errand.until.into());
-        let written_by = sleep_until(errand.written_by().into());
+        let limit = sleep_until(attempt.until.into());
+        let written_by = sleep_until(attempt.written_by().into());
         tokio::pin!(answer, limit, written_by);
         let ending = loop {
             tokio::select! {
                 biased;
-                () = self.abandoned(errand.serial, || sent.bytes() > before) => break Ending::Revoked,
+                () = self.abandoned(attempt.serial, || sent.bytes() > before) => break Ending::Revoked,
                 // Before anything more is written. Guards keyed jobs against a repeat that comes after its servers
                 // have forgotten the key, where the connection came up late or takes the request in parts.
                 () = &mut written_by, if sent.bytes() < whole => break Ending::Expired,
@@ -237,7 +237,8 @@
                         return Ok(Answered::Flows { said, ended });
                     }
                     Err(error) => {
-                        log!("server at {}: no answer: {error}", self.address);
+                        let part = if sent.bytes() < whole { "before" } else { "after" };
+                        log!("server at {}: connection broke {part} an attempt's last byte: {error}", self.address);
                         break Ending::Dropped;
                     }
                 },
@@ -249,13 +250,9 @@
         if !never_ran {
             attempted();
         }
-        if ending == Ending::Dropped {
-            let part = if never_ran { "before" } else { "after" };
-            log!("server at {}: connection broke {part} a trip's last byte", self.address);
-        }
         Err(match ending {
             // Guards a server that lives against being taken for a dead one, and for a cold one after that: it
-            // took the connection and would not have the trip.
+            // took the connection and would not have the attempt.
             Ending::Dropped if never_ran => Ending::TurnedAway,
             _ if never_ran => Ending::Unsent,
             ending => ending,
@@ -270,32 +267,32 @@
         true
     }
 
-    /// Waits for the next trip, as long as the connection is good.
-    async fn rest(&mut self, up: &mut Up) -> Option<Errand> {
+    /// Waits for the next attempt, as long as the connection is good.
+    async fn rest(&mut self, up: &mut OpenConnection) -> Option<Attempt> {
         let idle = sleep(self.limits.server_idle);
         tokio::pin!(idle);
         loop {
             tokio::select! {
                 biased;
                 ended = up.connection.as_mut(), if !up.over => up.over = self.over(ended),
-                order = self.orders.recv(), if !up.over => match order? {
-                    Order::Carry(errand) => return Some(errand),
-                    Order::Abandon(_) | Order::Withdraw(_) => {}
+                command = self.commands.recv(), if !up.over => match command? {
+                    Command::Send(attempt) => return Some(attempt),
+                    Command::Abandon(_) | Command::Withdraw(_) => {}
                 },
                 () = &mut idle, if !up.over => up.over = true,
                 else => break,
             }
         }
-        // A trip may have been ordered meanwhile: it goes by a new connection.
-        while let Ok(order) = self.orders.try_recv() {
-            if let Order::Carry(errand) = order {
-                return Some(errand);
+        // An attempt may have been ordered meanwhile: it goes by a new connection.
+        while let Ok(command) = self.commands.try_recv() {
+            if let Command::Send(attempt) = command {
+                return Some(attempt);
             }
         }
-        self.orders.close();
-        while let Some(order) = self.orders.recv().await {
-            if let Order::Carry(errand) = order {
-                self.report(errand.serial, errand.started, Said::nothing(Ending::Unsent), false).await;
+        self.commands.close();
+        while let Some(command) = self.commands.recv().await {
+            if let Command::Send(attempt) = command {
+                self.report(attempt.serial, attempt.started, Said::nothing(Ending::Unsent), false).await;
             }
         }
         None
