--- a/crates/merlinreel-testbed/src/client.rs
+++ b/crates/merlinreel-testbed/src/client.rs
@@ -1,10 +1,10 @@
 //! Clients: one that asks once, and one that keeps asking and records what it saw.
 
 use crate::PATIENCE;
-use crate::http::{Message, read};
+use crate::http::{Message, ReadError, read};
 use crate::record::{Record, What};
 use std::io::{self, BufReader, Write};
-use std::net::{SocketAddr, TcpStream};
+use std::net::{Shutdown, SocketAddr, TcpStream};
 use std::sync::atomic::{AtomicBool, AtomicU32, Ordering};
 use std::thread;
 use std::time::Duration;
@@ -32,7 +32,18 @@
 
     /// None where the connection ends without an answer.
     pub fn receive(&mut self) -> Option<Message> {
-        read(&mut self.from, 0).ok().flatten()
+        self.receive_or_error().ok().flatten()
+    }
+
+    /// Tells an answer that broke off from none; `None` where the connection ended before one.
+    pub fn receive_or_error(&mut self) -> Result<Option<Message>, ReadError> {
+        read(&mut self.from, 0)
+    }
+
+    /// Sends nothing more; answers still come.
+    pub fn finish_sending(&mut self) {
+        // Where the other side has closed already, there is nothing to end.
+        let _ = self.to.shutdown(Shutdown::Write);
     }
 
     pub fn call(&mut self, text: &str) -> Option<Message> {
--- a/crates/merlinreel-testbed/src/lib.rs
+++ b/crates/merlinreel-testbed/src/lib.rs
@@ -25,7 +25,7 @@
 pub use client::{Client, job, keep_asking};
 pub use config::{config, free_address, listed, roster};
 pub use field::Field;
-pub use http::Message;
+pub use http::{Message, ReadError};
 pub use process::Program;
 pub use record::{Entry, JobId, Record, What};
 pub use script::{Deed, Script};
