--- a/crates/merlinreel-testbed/src/lib.rs
+++ b/crates/merlinreel-testbed/src/lib.rs
@@ -29,7 +29,9 @@
 pub use process::Program;
 pub use record::{Entry, JobId, Record, What};
 pub use script::{Deed, Script};
-pub use standin::{React, StandIn, answer, discovery, fine, holding};
+pub use standin::{
+    BreakOff, BreakWhen, ConnectionEnd, React, StandIn, Trickle, answer, discovery, fine, holding,
+};
 pub use worker::{Worker, WorkerKind};
 
 use std::time::Duration;
