--- a/crates/merlinreel-testbed/src/standin.rs
+++ b/crates/merlinreel-testbed/src/standin.rs
@@ -12,8 +12,9 @@
 
 mod unread;
 
-/// How often a condition of another process is looked at.
-const LOOK_EVERY: Duration = Duration::from_millis(1);
+/// Between two looks at the kernel's table, doubled up to the longest: each look costs the machine milliseconds.
+const SHORTEST_PAUSE: Duration = Duration::from_millis(1);
+const LONGEST_PAUSE: Duration = Duration::from_millis(100);
 
 /// What a stand-in does with a request.
 pub enum React {
@@ -151,11 +152,17 @@
 /// Waits until the other side's process has read all that was written.
 fn wait_until_read(stream: &TcpStream) -> io::Result<()> {
     let begun = Instant::now();
+    let mut pause = SHORTEST_PAUSE;
+    let mut acknowledged = false;
     while begun.elapsed() < PATIENCE {
-        if unread::bytes(stream)? == 0 {
+        let unread = unread::look(stream)?;
+        // By an earlier look: within one, what leaves our queue may not be in theirs yet.
+        if acknowledged && unread.is_some_and(|unread| unread.received == 0) {
             return Ok(());
         }
-        thread::sleep(LOOK_EVERY);
+        acknowledged |= unread.is_some_and(|unread| unread.unacknowledged == 0);
+        thread::sleep(pause);
+        pause = (pause * 2).min(LONGEST_PAUSE);
     }
     Err(ErrorKind::TimedOut.into())
 }
--- a/crates/merlinreel-testbed/src/standin/tests.rs
+++ b/crates/merlinreel-testbed/src/standin/tests.rs
@@ -25,23 +25,36 @@
     stream.read(&mut [0]).map(|length| assert_eq!(length, 0)).err().map(|error| error.kind())
 }
 
+/// Nothing is on its way: a write to a connection of one machine with itself is there as it returns.
+fn unread_of(stream: &TcpStream) -> u64 {
+    let begun = Instant::now();
+    while begun.elapsed() < PATIENCE {
+        let found = unread::look(stream).expect("the kernel's table");
+        if let Some(unread) = found.filter(|unread| unread.unacknowledged == 0) {
+            return unread.received;
+        }
+    }
+    panic!("never acknowledged");
+}
+
 #[test]
 fn bytes_are_unread_until_the_other_side_reads_them() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let mut reader = TcpStream::connect(listener.local_addr().expect("bound")).expect("a connection");
     let (mut writer, _) = listener.accept().expect("a connection");
-    assert_eq!(unread::bytes(&writer).expect("the kernel's table"), 0);
+    assert_eq!(unread_of(&writer), 0);
     writer.write_all(&[0; 10]).expect("written");
-    assert_eq!(unread::bytes(&writer).expect("the kernel's table"), 10);
+    assert_eq!(unread_of(&writer), 10);
     reader.read_exact(&mut [0; 6]).expect("a part");
-    assert_eq!(unread::bytes(&writer).expect("the kernel's table"), 4);
+    assert_eq!(unread_of(&writer), 4);
     reader.read_exact(&mut [0; 4]).expect("the rest");
     wait_until_read(&writer).expect("all is read");
 }
 
 #[test]
 fn a_trickle_tells_who_closes_before_its_end() {
-    let trickle = Trickle { head: String::new(), piece: "x", every: LOOK_EVERY, pieces: usize::MAX };
+    let trickle =
+        Trickle { head: String::new(), piece: "x", every: Duration::from_millis(1), pieces: usize::MAX };
     let server = StandIn::start(move |_| React::Trickle(trickle.clone()));
     let mut stream = ask(&server);
     stream.read_exact(&mut [0; 2]).expect("two pieces");
--- a/crates/merlinreel-testbed/src/standin/unread.rs
+++ b/crates/merlinreel-testbed/src/standin/unread.rs
@@ -2,7 +2,7 @@
 //! only, as the test bed is.
 
 use std::fs::read_to_string;
-use std::io::{self, ErrorKind};
+use std::io;
 use std::net::{SocketAddr, TcpStream};
 
 const TABLE: &str = "/proc/net/tcp";
@@ -13,42 +13,36 @@
 const REMOTE: usize = 2;
 const QUEUES: usize = 4;
 
-/// A connection's bytes as one side's kernel has them.
-struct Queues {
-    /// Written by its process, not acknowledged by the other side.
-    sending: u64,
-    /// Acknowledged to the other side, not read by its process.
-    received: u64,
+/// A connection's bytes as the kernel had them at one look, which is not at one instant.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Unread {
+    /// Written at this end, not acknowledged by the other.
+    pub unacknowledged: u64,
+    /// Come to the other end, not read by its process.
+    pub received: u64,
 }
 
-/// Bytes that were written to this connection, IPv4 on loopback, and not read from its other end.
-pub fn bytes(stream: &TcpStream) -> io::Result<u64> {
-    let (local, peer) = (stream.local_addr()?, stream.peer_addr()?);
-    // In this order: what leaves our queue after the first look is in theirs at the second.
-    let sending = queues(local, peer)?.sending;
-    let received = queues(peer, local)?.received;
-    Ok(sending + received)
+/// Looks up an IPv4 connection of this machine with itself; none where an end of it is not in the table, which may
+/// miss one while others come and go.
+pub fn look(stream: &TcpStream) -> io::Result<Option<Unread>> {
+    let (local, peer) = (port_field(stream.local_addr()?), port_field(stream.peer_addr()?));
+    let table = read_to_string(TABLE)?;
+    let ends = (queues(&table, &local, &peer), queues(&table, &peer, &local));
+    let (Some((unacknowledged, _)), Some((_, received))) = ends else { return Ok(None) };
+    Ok(Some(Unread { unacknowledged, received }))
 }
 
-fn queues(local: SocketAddr, remote: SocketAddr) -> io::Result<Queues> {
-    let (local, remote) = (port_field(local), port_field(remote));
-    let table = read_to_string(TABLE)?;
-    let found = table.lines().map(|line| line.split_whitespace().collect::<Vec<_>>()).find(|fields| {
-        fields.len() > QUEUES && fields[LOCAL].ends_with(&local) && fields[REMOTE].ends_with(&remote)
-    });
-    let fields = found.ok_or(ErrorKind::NotConnected)?;
-    parse_queues(fields[QUEUES]).ok_or_else(|| io::Error::new(ErrorKind::InvalidData, fields[QUEUES]))
+/// The bytes of one end: not acknowledged to it, and not read from it.
+fn queues(table: &str, local: &str, remote: &str) -> Option<(u64, u64)> {
+    let rows = table.lines().map(|line| line.split_whitespace().collect::<Vec<_>>());
+    let mut rows = rows.filter(|fields| fields.len() > QUEUES);
+    let row = rows.find(|fields| fields[LOCAL].ends_with(local) && fields[REMOTE].ends_with(remote))?;
+    let (sending, received) = row[QUEUES].split_once(':')?;
+    let bytes = |field| u64::from_str_radix(field, HEXADECIMAL).ok();
+    Some((bytes(sending)?, bytes(received)?))
 }
 
 /// Both ends' ports name a connection of one loopback address.
 fn port_field(address: SocketAddr) -> String {
     format!(":{:04X}", address.port())
 }
-
-fn parse_queues(field: &str) -> Option<Queues> {
-    let (sending, received) = field.split_once(':')?;
-    Some(Queues {
-        sending: u64::from_str_radix(sending, HEXADECIMAL).ok()?,
-        received: u64::from_str_radix(received, HEXADECIMAL).ok()?,
-    })
-}
