--- a/crates/merlinreel-testbed/src/lib.rs
+++ b/crates/merlinreel-testbed/src/lib.rs
@@ -25,11 +25,13 @@
 pub use client::{Client, job, keep_asking};
 pub use config::{config, free_address, listed, roster};
 pub use field::Field;
-pub use http::Message;
+pub use http::{Message, ReadError};
 pub use process::Program;
 pub use record::{Entry, JobId, Record, What};
 pub use script::{Deed, Script};
-pub use standin::{React, StandIn, answer, discovery, fine, holding};
+pub use standin::{
+    BreakOff, BreakWhen, ConnectionEnd, React, StandIn, Trickle, answer, discovery, fine, holding,
+};
 pub use worker::{Worker, WorkerKind};
 
 use std::time::Duration;
