--- a/crates/merlinreel-core/src/decide.rs
+++ b/crates/merlinreel-core/src/decide.rs
@@ -902,7 +902,9 @@
     fn give_up(&mut self, now: Duration, job: u32, out: &mut dyn Writer) {
         let Some(open) = self.jobs[job as usize].as_mut().filter(|open| !open.done) else { return };
         let harmless = match (self.categories[open.job.category].repeats, open.ran) {
-            (_, None) | (Repeats::Replayable, _) | (Repeats::Referenced(Group::All, _), _) => true,
+            (_, None) | (Repeats::Replayable, _) => true,
+            // Guards the effect against clients told to come back once no server knows the key any more.
+            (Repeats::Referenced(Group::All, memory), Some((_, sent))) => now < sent + memory,
             (_, Some(_)) => false,
         };
         let account = &mut self.accounts[open.account];
