--- a/crates/merlinreel-mesh/src/error.rs
+++ b/crates/merlinreel-mesh/src/error.rs
@@ -55,10 +55,16 @@
     Own,
     #[error("its content makes no sense")]
     Content,
+    #[error("as many senders are remembered as there is room for; see the settings' number of limiters")]
+    SendersFull,
+    #[error(
+        "records are held of as many processes as there is room for; see the settings' number of limiters"
+    )]
+    OwnersFull,
 }
 
 impl Dropped {
-    pub const ALL: [Dropped; 9] = [
+    pub const ALL: [Dropped; 11] = [
         Dropped::Oversized,
         Dropped::Malformed,
         Dropped::OtherForm,
@@ -68,6 +74,8 @@
         Dropped::Clock,
         Dropped::Own,
         Dropped::Content,
+        Dropped::SendersFull,
+        Dropped::OwnersFull,
     ];
 
     /// Its name in figures.
@@ -82,6 +90,8 @@
             Dropped::Clock => "clock",
             Dropped::Own => "own",
             Dropped::Content => "content",
+            Dropped::SendersFull => "senders_full",
+            Dropped::OwnersFull => "owners_full",
         }
     }
 }
--- a/crates/merlinreel-mesh/src/lib.rs
+++ b/crates/merlinreel-mesh/src/lib.rs
@@ -4,6 +4,7 @@
 //! and budgets are in modules of their own. `docs/mesh.md` says why.
 
 mod budget;
+mod capacity;
 mod error;
 mod member;
 mod node;
@@ -12,8 +13,9 @@
 pub mod shell;
 mod wire;
 
+pub use capacity::Capacity;
 pub use error::{Dropped, MeshError, PublishError};
 pub use member::Member;
 pub use node::{Counts, Event, Node, Outgoing, Part};
-pub use records::{FLOOR_MEMORY, Held, Kind, MOST_KINDS, MOST_OWNERS, MOST_RECORD, View};
+pub use records::{FLOOR_MEMORY, Held, Kind, MOST_KINDS, MOST_RECORD, View};
 pub use seal::{Keys, LEAST_KEY, MOST_BYTES};
--- a/crates/merlinreel-mesh/src/node.rs
+++ b/crates/merlinreel-mesh/src/node.rs
@@ -7,6 +7,7 @@
 pub use part::{Counts, Event, Outgoing, Part};
 
 use crate::budget::{Budget, Weight};
+use crate::capacity::Capacity;
 use crate::error::{Dropped, PublishError};
 use crate::member::Member;
 use crate::records::{Kind, Lead, Records, Telling, View};
@@ -32,6 +33,8 @@
 /// How often seeds are asked while nobody else is known, and one process taken for dead while somebody is.
 const REJOIN: Duration = Duration::from_secs(1);
 const CALL_DEAD: Duration = Duration::from_secs(3);
+/// How often it is told, at most, that there is no room for another process.
+const TELL_NO_ROOM: Duration = Duration::from_secs(60);
 
 pub struct Node {
     foca: Foca<Member, PostcardCodec, ChaCha8Rng, NoCustomBroadcast>,
@@ -44,7 +47,10 @@
     budget: Budget,
     chance: ChaCha8Rng,
     seeds: Vec<SocketAddrV4>,
-    gone: Vec<SocketAddrV4>,
+    /// Taken for dead, the one that was so first in front.
+    gone: VecDeque<SocketAddrV4>,
+    capacity: Capacity,
+    no_room_told: Option<Duration>,
     compare_at: Duration,
     beat_at: Duration,
     rejoin_at: Duration,
@@ -78,12 +84,14 @@
             swim: AccumulatingRuntime::new(),
             timers: BTreeMap::new(),
             timer: 0,
-            records: Records::new(part.own),
-            seal: Seal::new(part.keys),
+            records: Records::new(part.own, part.capacity.owners),
+            seal: Seal::new(part.keys, part.capacity.senders),
             budget: Budget::new(part.bytes_a_second, part.bytes_at_once, now),
             chance,
             seeds: part.seeds.into_iter().filter(|at| *at != own).collect(),
-            gone: Vec::new(),
+            gone: VecDeque::new(),
+            capacity: part.capacity,
+            no_room_told: None,
             compare_at: now + jitter,
             beat_at: now,
             rejoin_at: now,
@@ -209,16 +217,38 @@
             Ok((from, message)) => {
                 self.counts.received += 1;
                 if let Err(why) = self.take(from, message, now) {
-                    self.drop_one(why);
+                    self.drop_one(why, now);
                 }
             }
-            Err(why) => self.drop_one(why),
+            Err(why) => self.drop_one(why, now),
         }
         self.drain(now);
     }
 
-    fn drop_one(&mut self, why: Dropped) {
+    fn drop_one(&mut self, why: Dropped, now: Duration) {
         *self.counts.dropped.entry(why.name()).or_default() += 1;
+        if matches!(why, Dropped::OwnersFull | Dropped::SendersFull) {
+            self.note_no_room(now);
+        }
+    }
+
+    fn note_no_room(&mut self, now: Duration) {
+        self.counts.no_room += 1;
+        if self.no_room_told.is_none_or(|told| now >= told + TELL_NO_ROOM) {
+            self.no_room_told = Some(now);
+            self.events.push_back(Event::NoRoom(self.counts.no_room));
+        }
+    }
+
+    /// Notes a process taken for dead, to be called again; beyond the bound the one noted first is let go of.
+    fn note_gone(&mut self, at: SocketAddrV4) {
+        if self.gone.contains(&at) {
+            return;
+        }
+        if self.gone.len() >= self.capacity.dead {
+            self.gone.pop_front();
+        }
+        self.gone.push_back(at);
     }
 
     fn take(&mut self, from: Member, message: Message, now: Duration) -> Result<(), Dropped> {
@@ -237,7 +267,8 @@
                             asked.push((stamp.at, incarnation, above));
                         }
                         Lead::Ours { above, .. } => told.push((stamp.at, above)),
-                        _ => {}
+                        Lead::NoRoom => self.note_no_room(now),
+                        Lead::Theirs { .. } | Lead::Level => {}
                     }
                 }
                 if !asked.is_empty() {
@@ -254,7 +285,7 @@
             Message::Tell { urgent, telling } => {
                 let at = telling.stamp.at;
                 let copy = urgent.then(|| telling.clone());
-                if self.records.take(telling, now) {
+                if self.records.take(telling, now)? {
                     self.events.push_back(Event::Records(at));
                     if let Some(copy) = copy {
                         self.spread(&copy, Some(from.at), now);
@@ -328,9 +359,7 @@
                     self.events.push_back(Event::Up(member));
                 }
                 OwnedNotification::MemberDown(member) => {
-                    if !self.gone.contains(&member.at) {
-                        self.gone.push(member.at);
-                    }
+                    self.note_gone(member.at);
                     self.events.push_back(Event::Down(member));
                 }
                 // Taken for dead, and back as the next incarnation.
--- a/crates/merlinreel-mesh/src/node/part.rs
+++ b/crates/merlinreel-mesh/src/node/part.rs
@@ -1,6 +1,7 @@
 //! What a node is started with, what it counts and tells, and the membership's own times.
 
 use super::MOST_CONTENT;
+use crate::capacity::Capacity;
 use crate::member::Member;
 use crate::seal::Keys;
 use std::collections::BTreeMap;
@@ -19,6 +20,8 @@
     /// Bytes that it may send a second, and at once.
     pub bytes_a_second: u32,
     pub bytes_at_once: u32,
+    /// Bounds of the lists of others.
+    pub capacity: Capacity,
 }
 
 /// Counts since the start, each event by its cause.
@@ -30,6 +33,8 @@
     pub received: u64,
     /// Not sent, as the budget was used up.
     pub held_back: u64,
+    /// Datagrams, and stamps in them, of processes beyond what there is room for.
+    pub no_room: u64,
 }
 
 /// A datagram to send, and to whom.
@@ -43,6 +48,8 @@
     Down(Member),
     /// New records are held of that process.
     Records(SocketAddrV4),
+    /// There was no room for another process, so many times since the start. Told once in a while.
+    NoRoom(u64),
 }
 
 /// How the membership probes, suspects and forgets.
--- a/crates/merlinreel-mesh/src/records.rs
+++ b/crates/merlinreel-mesh/src/records.rs
@@ -15,7 +15,7 @@
 pub use rows::{Kind, MOST_KINDS, MOST_RECORD, Stamp, Telling};
 pub use view::{Held, View};
 
-use crate::error::PublishError;
+use crate::error::{Dropped, PublishError};
 use crate::member::Member;
 use rows::Owner;
 use std::collections::BTreeMap;
@@ -25,8 +25,6 @@
 /// How long is remembered, beyond the last record, which incarnation and number of a process was seen. Guards against
 /// a copy that comes back from a process that was away that long.
 pub const FLOOR_MEMORY: Duration = Duration::from_secs(3600);
-/// Processes of which anything is held at once.
-pub const MOST_OWNERS: usize = 1024;
 /// A beat heard of late is taken for no older than this.
 const OLDEST: Duration = Duration::from_secs(6553);
 
@@ -35,6 +33,8 @@
 pub struct Records {
     own: Member,
     owners: BTreeMap<SocketAddrV4, Owner>,
+    /// Processes of which anything is held at once.
+    most_owners: usize,
     /// Where the next list of stamps begins, as one datagram may not hold all.
     turn: Option<SocketAddrV4>,
 }
@@ -48,11 +48,14 @@
     Theirs { incarnation: u64, above: u64 },
     /// There is more here than the other has, which holds up to this number.
     Ours { incarnation: u64, above: u64 },
+    /// Nothing is held of that process, and there is no room for another: it is not asked for.
+    NoRoom,
 }
 
 impl Records {
-    pub fn new(own: Member) -> Records {
-        let mut records = Records { own, owners: BTreeMap::new(), turn: None };
+    /// Holds this process's own records, and those of others up to `most_owners` processes in all.
+    pub fn new(own: Member, most_owners: usize) -> Records {
+        let mut records = Records { own, owners: BTreeMap::new(), most_owners, turn: None };
         records.owners.insert(own.at, Owner::new(own.incarnation, Duration::ZERO));
         records
     }
@@ -143,6 +146,9 @@
                 std::cmp::Ordering::Less => Lead::Ours { incarnation: self.own.incarnation, above: 0 },
             };
         }
+        if !self.has_room_for(stamp.at) {
+            return Lead::NoRoom;
+        }
         let Some(owner) = self.owners.get_mut(&stamp.at) else {
             return Lead::Theirs { incarnation: stamp.incarnation, above: 0 };
         };
@@ -166,19 +172,25 @@
         self.owners.get(&at)?.tell(at, above, now, most)
     }
 
-    /// Takes over what another told; whether anything was new.
-    pub fn take(&mut self, telling: Telling, now: Duration) -> bool {
+    /// Whether records of that process are held, or may be.
+    fn has_room_for(&self, at: SocketAddrV4) -> bool {
+        self.owners.len() < self.most_owners || self.owners.contains_key(&at)
+    }
+
+    /// Takes over what another told; whether anything was new. Where there is no room for another process, what is held
+    /// stays as it is.
+    pub fn take(&mut self, telling: Telling, now: Duration) -> Result<bool, Dropped> {
         let stamp = telling.stamp;
         if stamp.at == self.own.at {
             self.hear(&stamp, now);
-            return false;
+            return Ok(false);
         }
         let floor = self.owners.get(&stamp.at).map_or(0, |owner| owner.incarnation);
         if stamp.incarnation < floor || !telling.is_sound() {
-            return false;
+            return Ok(false);
         }
-        if !self.owners.contains_key(&stamp.at) && self.owners.len() >= MOST_OWNERS {
-            return false;
+        if !self.has_room_for(stamp.at) {
+            return Err(Dropped::OwnersFull);
         }
         // As old as the teller's last word of it: guards against copies that grow younger by being passed on.
         let as_of = now.saturating_sub(stamp.age());
@@ -187,7 +199,7 @@
             // Another life of that process: what it told before is over.
             *owner = Owner::new(stamp.incarnation, as_of);
         }
-        owner.take(telling, now)
+        Ok(owner.take(telling, now))
     }
 
     /// What is held, with its age.
--- a/crates/merlinreel-mesh/src/records/tests.rs
+++ b/crates/merlinreel-mesh/src/records/tests.rs
@@ -1,4 +1,5 @@
 use super::*;
+use crate::capacity::Capacity;
 use proptest::prelude::*;
 use serde::Deserialize;
 use test_case::test_case;
@@ -8,7 +9,7 @@
 }
 
 fn process(port: u16, incarnation: u64) -> Records {
-    Records::new(Member { at: at(port), incarnation })
+    Records::new(Member { at: at(port), incarnation }, Capacity::for_limiters(3).owners)
 }
 
 fn s(seconds: u64) -> Duration {
@@ -26,7 +27,7 @@
         };
         let Some(telling) = from.tell(at(of), above, now, 1000) else { return };
         let over = telling.stamp.top >= from.owners[&at(of)].top;
-        to.take(telling, now);
+        to.take(telling, now).expect("room");
         if over {
             return;
         }
@@ -48,7 +49,7 @@
     pass(&one, &mut two, 1, s(1));
     // Ten seconds later, at a process whose clock shows something else, from one that heard nothing since.
     let told = two.tell(at(1), 0, s(11), 1000).expect("room");
-    three.take(told, s(500));
+    three.take(told, s(500)).expect("room");
     assert_eq!(bodies(&three, 7, s(500)), [(1, b"a".to_vec(), 11)]);
     // Its owner's next beat, over the same way, makes it young again; without one it is let go of after its time.
     one.beat(s(12));
@@ -70,16 +71,17 @@
     one.publish(7, b"new".to_vec(), LIFE, s(1)).expect("short");
     pass(&one, &mut two, 1, s(1));
     let late = away.tell(at(1), 0, s(2), 1000).expect("room");
-    assert!(!two.take(late.clone(), s(2)));
+    assert_eq!(two.take(late.clone(), s(2)), Ok(false));
     assert_eq!(bodies(&two, 7, s(2))[0].1, b"new");
     // Nor once the newer one was let go of, nor against a later life of its owner.
     two.tidy(s(100));
-    assert!(!two.take(late.clone(), s(100)) && bodies(&two, 7, s(100)).is_empty());
+    assert_eq!(two.take(late.clone(), s(100)), Ok(false));
+    assert!(bodies(&two, 7, s(100)).is_empty());
     let mut again = process(1, 6);
     again.beat(s(100));
     again.publish(7, b"again".to_vec(), LIFE, s(0)).expect("short");
     pass(&again, &mut two, 1, s(101));
-    assert!(!two.take(late, s(102)));
+    assert_eq!(two.take(late, s(102)), Ok(false));
     assert_eq!(bodies(&two, 7, s(102))[0].1, b"again");
 }
 
@@ -143,7 +145,7 @@
     assert_eq!(two.owners[&at(1)].rows.len(), 10);
     for port in 10..300 {
         let other = process(port, 5);
-        two.take(other.tell(at(port), 0, s(0), 1000).expect("room"), s(0));
+        two.take(other.tell(at(port), 0, s(0), 1000).expect("room"), s(0)).expect("room");
     }
     let mut seen = std::collections::BTreeSet::new();
     for _ in 0..8 {
@@ -154,6 +156,43 @@
     assert_eq!(seen.len(), two.owners.len());
 }
 
+/// What `port` tells of itself, for another process to take.
+fn told_by(port: u16) -> Telling {
+    let mut one = process(port, 5);
+    one.publish(7, port.to_be_bytes().to_vec(), LIFE, s(0)).expect("short");
+    one.tell(at(port), 0, s(0), 1000).expect("room")
+}
+
+/// A process of a large fleet holds a record of each other one.
+#[test]
+fn a_large_fleet_is_held_whole() {
+    const LIMITERS: u16 = 2300;
+    let own = Member { at: at(1), incarnation: 5 };
+    let mut records = Records::new(own, Capacity::for_limiters(LIMITERS.into()).owners);
+    for port in 2..=LIMITERS {
+        assert_eq!(records.take(told_by(port), s(0)), Ok(true), "{port}");
+    }
+    assert_eq!(bodies(&records, 7, s(0)).len(), usize::from(LIMITERS) - 1);
+}
+
+/// One process too many is refused by name and not asked for; what is held stands and goes on, and once a place is
+/// free the newcomer gets it.
+#[test]
+fn a_process_beyond_the_bound_harms_nothing_that_is_held() {
+    let mut records = Records::new(Member { at: at(1), incarnation: 5 }, 3);
+    for port in [2, 3] {
+        assert_eq!(records.take(told_by(port), s(0)), Ok(true));
+    }
+    let held = bodies(&records, 7, s(0));
+    assert_eq!(records.take(told_by(4), s(0)), Err(Dropped::OwnersFull));
+    assert_eq!(records.hear(&told_by(4).stamp, s(0)), Lead::NoRoom);
+    assert_eq!(bodies(&records, 7, s(0)), held);
+    assert_eq!(records.hear(&told_by(3).stamp, s(0)), Lead::Level);
+    let later = FLOOR_MEMORY + LIFE;
+    records.tidy(later);
+    assert_eq!(records.take(told_by(4), later), Ok(true));
+}
+
 /// What three processes do to one another: 0 and 1 write and beat, all pass on what they hold, or lose it, or start
 /// again.
 #[derive(Clone, Copy, Debug)]
@@ -202,13 +241,13 @@
                     if let Some(told) = all[from].tell(at(of as u16), 0, now, 1000) {
                         held_back[to] = held_back[to].max(held_back[from]);
                         kept.push((now, told.clone()));
-                        all[to].take(told, now);
+                        all[to].take(told, now).expect("room");
                     }
                 }
                 Deed::Late { of, to } => {
                     if let Some((sent, told)) = kept.iter().find(|(_, told)| told.stamp.at == at(of as u16)) {
                         held_back[to] = held_back[to].max(now - *sent);
-                        all[to].take(told.clone(), now);
+                        all[to].take(told.clone(), now).expect("room");
                     }
                 }
                 Deed::Restart(who) => {
@@ -242,7 +281,7 @@
             for to in 0..3usize {
                 if to != usize::from(of) {
                     let told = all[usize::from(of)].tell(at(of), 0, end, 1000).expect("room");
-                    all[to].take(told, end);
+                    all[to].take(told, end).expect("room");
                     let held = all[to].view(end).raw(1).find(|held| held.owner.at == at(of));
                     prop_assert_eq!(held.map(|held| held.body.to_vec()), Some(vec![9, 255]));
                 }
--- a/crates/merlinreel-mesh/src/seal.rs
+++ b/crates/merlinreel-mesh/src/seal.rs
@@ -99,8 +99,9 @@
 }
 
 impl Seal {
-    pub fn new(keys: Keys) -> Seal {
-        Seal { keys, number: 0, repeats: Repeats::default() }
+    /// Signs and checks with these keys; repeats are known of so many senders.
+    pub fn new(keys: Keys, most_senders: usize) -> Seal {
+        Seal { keys, number: 0, repeats: Repeats::new(most_senders) }
     }
 
     /// Other keys from now on. What was seen stays seen.
@@ -150,9 +151,7 @@
         if head.sent.abs_diff(unix.as_secs()) > CLOCK_SLACK {
             return Err(Dropped::Clock);
         }
-        if !self.repeats.fresh(head.from, head.number, now) {
-            return Err(Dropped::Repeated);
-        }
+        self.repeats.note(head.from, head.number, now)?;
         Ok((head.from, content))
     }
 }
@@ -176,15 +175,16 @@
     }
 
     const UNIX: Duration = Duration::from_secs(1_790_000_100);
+    const SENDERS: usize = 8;
     const NOW: Duration = Duration::from_secs(50);
 
     fn sealed() -> Vec<u8> {
-        Seal::new(keys(&[1], 1)).close(member(1), at(2), UNIX, b"content")
+        Seal::new(keys(&[1], 1), SENDERS).close(member(1), at(2), UNIX, b"content")
     }
 
     #[test]
     fn what_was_signed_is_read_once() {
-        let (bytes, mut seal) = (sealed(), Seal::new(keys(&[1, 2], 2)));
+        let (bytes, mut seal) = (sealed(), Seal::new(keys(&[1, 2], 2), SENDERS));
         assert!(bytes.len() <= OVERHEAD + b"content".len(), "{}", bytes.len());
         assert_eq!(seal.open(member(2), NOW, UNIX, &bytes), Ok((member(1), &b"content"[..])));
         assert_eq!(seal.open(member(2), NOW, UNIX, &bytes), Err(Dropped::Repeated));
@@ -196,8 +196,8 @@
     #[test_case(&[2, 1], &[2], 2 => true ; "the old one is gone")]
     #[test_case(&[1], &[2], 2 => false ; "a process that was left out")]
     fn keys_rotate_with_an_overlap(receiver: &[u8], sender: &[u8], signs: u8) -> bool {
-        let bytes = Seal::new(keys(sender, signs)).close(member(1), at(2), UNIX, b"x");
-        Seal::new(keys(receiver, receiver[0])).open(member(2), NOW, UNIX, &bytes).is_ok()
+        let bytes = Seal::new(keys(sender, signs), SENDERS).close(member(1), at(2), UNIX, b"x");
+        Seal::new(keys(receiver, receiver[0]), SENDERS).open(member(2), NOW, UNIX, &bytes).is_ok()
     }
 
     #[test_case(|b| b.truncate(10) => Dropped::Malformed ; "truncated")]
@@ -209,7 +209,7 @@
     #[test_case(|b| *b.last_mut().expect("bytes") ^= 1 => Dropped::Forged ; "forged")]
     #[test_case(|b| b[4] ^= 1 => Dropped::Forged ; "another sender")]
     fn what_is_not_sound_changes_nothing(spoil: fn(&mut Vec<u8>)) -> Dropped {
-        let (sound, mut seal) = (sealed(), Seal::new(keys(&[1], 1)));
+        let (sound, mut seal) = (sealed(), Seal::new(keys(&[1], 1), SENDERS));
         let mut bytes = sound.clone();
         spoil(&mut bytes);
         let dropped = seal.open(member(2), NOW, UNIX, &bytes).expect_err("not sound");
@@ -222,7 +222,7 @@
     #[test_case(member(1), 0 => Dropped::Forged ; "sent back")]
     fn a_datagram_is_good_for_one_place_and_time(own: Member, later: u64) -> Dropped {
         let unix = UNIX + Duration::from_secs(later);
-        Seal::new(keys(&[1], 1)).open(own, NOW, unix, &sealed()).expect_err("not for it")
+        Seal::new(keys(&[1], 1), SENDERS).open(own, NOW, unix, &sealed()).expect_err("not for it")
     }
 
     proptest! {
@@ -232,7 +232,7 @@
             if formed && noise.len() > 2 {
                 noise[..2].copy_from_slice(&[FORM, 1]);
             }
-            prop_assert!(Seal::new(keys(&[1], 1)).open(member(2), NOW, UNIX, &noise).is_err());
+            prop_assert!(Seal::new(keys(&[1], 1), SENDERS).open(member(2), NOW, UNIX, &noise).is_err());
         }
 
         /// A sound datagram with any one byte changed is dropped.
@@ -241,7 +241,7 @@
             let mut bytes = sealed();
             let place = place.index(bytes.len());
             bytes[place] = bytes[place].wrapping_add(by);
-            prop_assert!(Seal::new(keys(&[1], 1)).open(member(2), NOW, UNIX, &bytes).is_err());
+            prop_assert!(Seal::new(keys(&[1], 1), SENDERS).open(member(2), NOW, UNIX, &bytes).is_err());
         }
     }
 }
--- a/crates/merlinreel-mesh/src/seal/repeats.rs
+++ b/crates/merlinreel-mesh/src/seal/repeats.rs
@@ -1,5 +1,6 @@
 //! Which datagrams were seen: for each sender's incarnation the greatest number, and which of the 128 up to it came.
 
+use crate::error::Dropped;
 use crate::member::Member;
 use std::collections::HashMap;
 use std::net::SocketAddrV4;
@@ -8,8 +9,6 @@
 /// A sender is remembered for so long after its last datagram: beyond the clocks' slack on both sides nothing that
 /// it sent before is taken anyway.
 const MEMORY: Duration = Duration::from_secs(300);
-/// Senders remembered at once; all of them hold a key. Bounds the memory.
-const SENDERS: usize = 4096;
 
 #[derive(Debug)]
 struct Seen {
@@ -20,20 +19,42 @@
     at: Duration,
 }
 
-#[derive(Debug, Default)]
+#[derive(Debug)]
 pub struct Repeats {
     seen: HashMap<SocketAddrV4, Seen>,
+    /// Senders remembered at once; all of them hold a key. Bounds the memory.
+    most_senders: usize,
+    /// Where there was no room: when one of those remembered may be let go of, at the earliest.
+    full_until: Duration,
 }
 
 impl Repeats {
-    /// Whether this number is new, which is noted. Of an incarnation before the last one nothing is new.
-    pub fn fresh(&mut self, from: Member, number: u64, now: Duration) -> bool {
-        if self.seen.len() >= SENDERS && !self.seen.contains_key(&from.at) {
+    /// Nothing seen yet, with room for so many senders.
+    pub fn new(most_senders: usize) -> Repeats {
+        Repeats { seen: HashMap::new(), most_senders, full_until: Duration::ZERO }
+    }
+
+    /// Notes this number where it is new. Of an incarnation before the last one nothing is new. Where there is no room
+    /// for another sender, those remembered stay.
+    pub fn note(&mut self, from: Member, number: u64, now: Duration) -> Result<(), Dropped> {
+        if !self.seen.contains_key(&from.at) && !self.makes_room(now) {
+            return Err(Dropped::SendersFull);
+        }
+        if self.is_new(from, number, now) { Ok(()) } else { Err(Dropped::Repeated) }
+    }
+
+    /// Whether there is room for another sender, once those silent for long are let go of. While none can be, they are
+    /// not looked through again: guards the processor against datagrams of many strangers.
+    fn makes_room(&mut self, now: Duration) -> bool {
+        if self.seen.len() >= self.most_senders && now >= self.full_until {
             self.seen.retain(|_, seen| now.saturating_sub(seen.at) < MEMORY);
-            if self.seen.len() >= SENDERS {
-                return false;
-            }
+            let oldest = self.seen.values().map(|seen| seen.at).min();
+            self.full_until = oldest.unwrap_or(now) + MEMORY;
         }
+        self.seen.len() < self.most_senders
+    }
+
+    fn is_new(&mut self, from: Member, number: u64, now: Duration) -> bool {
         let new = Seen { incarnation: from.incarnation, greatest: number, came: 1, at: now };
         let Some(seen) = self.seen.get_mut(&from.at) else {
             self.seen.insert(from.at, new);
@@ -66,6 +87,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
+    use crate::capacity::Capacity;
     use test_case::test_case;
 
     fn from(incarnation: u64) -> Member {
@@ -78,7 +100,38 @@
     #[test_case(&[(5, 1), (5, 500), (5, 1)] => vec![true, true, false] ; "a leap")]
     #[test_case(&[(5, 9), (6, 1), (5, 10), (6, 1)] => vec![true, true, false, false] ; "another life")]
     fn numbers_are_new_once(numbers: &[(u64, u64)]) -> Vec<bool> {
-        let mut repeats = Repeats::default();
-        numbers.iter().map(|&(life, number)| repeats.fresh(from(life), number, Duration::ZERO)).collect()
+        let mut repeats = Repeats::new(1);
+        let note = |&(life, number): &(u64, u64)| repeats.note(from(life), number, Duration::ZERO);
+        numbers.iter().map(note).map(|noted| noted.is_ok()).collect()
+    }
+    fn sender(number: usize) -> Member {
+        let at = SocketAddrV4::new((number as u32).to_be_bytes().into(), 9);
+        Member { at, incarnation: 5 }
+    }
+
+    /// A fleet of that size is all remembered, and a repeat of any sender is still seen.
+    #[test_case(1 ; "one limiter named")]
+    #[test_case(2300 ; "a large fleet")]
+    fn a_whole_fleet_is_remembered(limiters: usize) {
+        let capacity = Capacity::for_limiters(limiters);
+        let mut repeats = Repeats::new(capacity.senders);
+        for round in [Ok(()), Err(Dropped::Repeated)] {
+            let noted = (0..capacity.senders).map(|one| repeats.note(sender(one), 1, Duration::ZERO));
+            assert!({ noted }.all(|noted| noted == round));
+        }
+    }
+
+    /// One sender too many is refused by name; those remembered stay, and once they were silent for long there is room.
+    #[test]
+    fn a_sender_beyond_the_bound_is_refused_and_harms_nobody() {
+        let mut repeats = Repeats::new(3);
+        for one in 0..3 {
+            assert_eq!(repeats.note(sender(one), 1, Duration::from_secs(one as u64)), Ok(()));
+        }
+        let late = Duration::from_secs(3);
+        assert_eq!(repeats.note(sender(3), 1, late), Err(Dropped::SendersFull));
+        assert_eq!(repeats.note(sender(0), 1, late), Err(Dropped::Repeated));
+        assert_eq!(repeats.note(sender(2), 2, late), Ok(()));
+        assert_eq!(repeats.note(sender(3), 1, late + MEMORY), Ok(()));
     }
 }
--- a/crates/merlinreel-mesh/tests/village.rs
+++ b/crates/merlinreel-mesh/tests/village.rs
@@ -1,6 +1,6 @@
 //! Many nodes over a network of chance, on a clock of the test's own: the same each run.
 
-use merlinreel_mesh::{Counts, Keys, Member, Node, Part};
+use merlinreel_mesh::{Capacity, Counts, Event, Keys, Member, Node, Part};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::collections::BTreeMap;
@@ -42,6 +42,7 @@
         seed: i as u64 + life * 1000,
         bytes_a_second: 8000,
         bytes_at_once: 32_000,
+        capacity: Capacity::for_limiters(50),
     }
 }
 
@@ -232,6 +233,27 @@
     assert!(village.all_know(0, 1) && village.all_know(9, 9));
 }
 
+/// A process with room for fewer than there are: it holds on to those it has, counts the others, and tells of them no
+/// more often than once a minute.
+#[test]
+fn a_process_without_room_for_all_goes_on_with_those_it_has() {
+    let mut village = Village::new(8, 6, lossy(0));
+    let capacity = Capacity { owners: 4, senders: 8, dead: 4 };
+    village.nodes[0] = Some(Node::new(Part { capacity, ..part(0, 0) }, ahead(0), UNIX));
+    let held = |village: &Village| (1..8).filter(|&of| village.known(of)[0].is_some()).collect::<Vec<_>>();
+    (1..8).for_each(|i| village.publish(i, i as u32, false));
+    village.run(s(15));
+    let before = held(&village);
+    assert_eq!(before.len(), 3, "and its own");
+    village.run(s(60));
+    assert_eq!(held(&village), before);
+    assert!((1..8).all(|i| village.members(i) == 7), "the others miss nobody");
+    let node = village.nodes[0].as_mut().expect("runs");
+    assert!(node.counts().no_room > 10, "{}", node.counts().no_room);
+    let told = std::iter::from_fn(|| node.event()).filter(|event| matches!(event, Event::NoRoom(_))).count();
+    assert!((1..=2).contains(&told), "{told}");
+}
+
 /// One direction only: what a process sends arrives nowhere, though it hears all.
 #[test]
 fn who_is_not_heard_counts_as_dead() {
--- a/crates/merlinreel/src/config.rs
+++ b/crates/merlinreel/src/config.rs
@@ -211,7 +211,7 @@
             (None, None) => None,
             (given, _) => Some(address("ops", given, "PROXY_OPS")?),
         },
-        mesh: file.mesh,
+        mesh: file.mesh.map(|ground| Ground { limiters: terms.peers.limiters as usize, ..ground }),
         peer_listen: file.peer_listen,
         peers: file.peers,
         seed,
@@ -284,6 +284,21 @@
         assert_eq!(station.unknown, ["peer", "limits.memory"]);
     }
 
+    /// Peers' addresses, and what the mesh holds of others, follow the settings' number of limiters.
+    #[test_case(1 ; "alone")]
+    #[test_case(2300 ; "a large fleet")]
+    fn lists_of_limiters_follow_the_settings(limiters: u16) {
+        let mut file: serde_json::Value = serde_json::from_str(GOOD).expect("sound");
+        let address = |i: u16| format!("127.0.{}.{}:9000", i >> 8, i & 0xff);
+        file["settings"]["balancers"] = limiters.into();
+        file["peers"] = (0..limiters).map(address).collect();
+        file["peer_listen"] = address(0).into();
+        file["mesh"] = serde_json::json!({"listen": "127.0.0.1:1", "keys": []});
+        let station = parse(&file.to_string(), |_| None).expect("sound");
+        assert_eq!(station.peers.len(), usize::from(limiters));
+        assert_eq!(station.mesh.map(|ground| ground.limiters), Some(usize::from(limiters)));
+    }
+
     #[test]
     fn the_environment_stands_in_for_what_the_file_leaves_out() {
         let text = GOOD.replace(r#""listen":"127.0.0.1:0","#, "");
--- a/crates/merlinreel/src/mesh.rs
+++ b/crates/merlinreel/src/mesh.rs
@@ -3,7 +3,7 @@
 
 use crate::log;
 use merlinreel_mesh::shell::{self, Mesh, unix_now};
-use merlinreel_mesh::{Event, Keys, Kind, Member, MeshError, Part};
+use merlinreel_mesh::{Capacity, Event, Keys, Kind, Member, MeshError, Part};
 use serde::{Deserialize, Serialize};
 use serde_json::{Value, json};
 use std::collections::HashMap;
@@ -41,6 +41,9 @@
     /// Bytes that may be sent a second, over four seconds at most.
     #[serde(default = "bytes_a_second")]
     pub bytes_a_second: u32,
+    /// Limiters that the settings name: what is held of others is bounded by it.
+    #[serde(skip)]
+    pub limiters: usize,
 }
 
 fn bytes_a_second() -> u32 {
@@ -94,12 +97,18 @@
             seed,
             bytes_a_second: ground.bytes_a_second,
             bytes_at_once: ground.bytes_a_second.saturating_mul(4),
+            capacity: Capacity::for_limiters(ground.limiters),
         };
         let (mesh, socket) = shell::open(part, ground.listen.into(), ground.routes.clone()).await?;
         let socket = tokio::spawn(socket.run(|event| match event {
             Event::Up(member) => log!("mesh: {member} takes part"),
             Event::Down(member) => log!("mesh: {member} has gone or is silent"),
             Event::Records(_) => {}
+            Event::NoRoom(times) => {
+                log!(
+                    "mesh: no room for another process, {times} times so far; is setting balancers too low?"
+                );
+            }
         }));
         let teller = mesh.clone();
         let telling = tokio::spawn(async move {
@@ -139,5 +148,6 @@
         .collect();
     json!({"own": mesh.own().at.to_string(), "others_alive": members.len(), "limiters": limiters,
         "unread": known.unread, "sent": counts.sent, "sent_bytes": counts.sent_bytes,
-        "received": counts.received, "held_back": counts.held_back, "dropped": counts.dropped})
+        "received": counts.received, "held_back": counts.held_back, "no_room": counts.no_room,
+        "dropped": counts.dropped})
 }
