--- a/crates/merlinreel-settings/src/lib.rs
+++ b/crates/merlinreel-settings/src/lib.rs
@@ -7,6 +7,10 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
+/// The most limiters that settings may name, far beyond any fleet. Each limiter keeps a few numbers of each other one, so
+/// a slip of the pen must not fill its memory at start.
+const MOST_LIMITERS: f64 = 65_536.0;
+
 /// Values by their path; unknown paths are skipped, absent ones read as nothing.
 #[derive(Debug, Default)]
 pub struct Paths(HashMap<String, String>);
@@ -224,8 +228,7 @@
 
 fn peers(paths: &Paths) -> Result<Peers, String> {
     let limiters = paths.number("balancers")?.max(1.0);
-    // As many as a message can name.
-    if limiters > 65536.0 {
+    if limiters > MOST_LIMITERS {
         return Err(format!("setting balancers: {limiters} is out of range"));
     }
     let rank = paths.number("rank")?;
--- a/crates/merlinreel-settings/src/tests.rs
+++ b/crates/merlinreel-settings/src/tests.rs
@@ -35,3 +35,12 @@
 fn a_faulty_setting_is_named(value: Value, complaint: &str) {
     assert_eq!(terms(value).err().as_deref(), Some(complaint));
 }
+
+#[test_case(1024, 1023 => Ok((1024, 1023)) ; "as many as is asked of any list")]
+#[test_case(2300, 2299 => Ok((2300, 2299)) ; "a large fleet")]
+#[test_case(65_536, 65_535 => Ok((65_536, 65_535)) ; "the most")]
+#[test_case(65_537, 0 => Err("setting balancers: 65537 is out of range".to_owned()) ; "beyond")]
+fn a_fleet_of_any_size_in_sight_is_taken(limiters: u32, rank: u32) -> Result<(u32, u32), String> {
+    let terms = terms(json!({"balancers": limiters, "rank": rank}))?;
+    Ok((terms.peers.limiters, terms.peers.me))
+}
