--- a/crates/merlinreel/src/limits.rs
+++ b/crates/merlinreel/src/limits.rs
@@ -36,7 +36,7 @@
     pub head: usize,
     /// Bytes of a long answer that goes on as it comes: beyond, it is not made for a job.
     pub flowing: u64,
-    /// Bytes of a roster's answer.
+    /// Bytes of a list of servers, as discovery's answer brings it.
     pub roster: usize,
     /// A connection to a server must be up within this.
     pub connect: Duration,
@@ -94,6 +94,11 @@
 /// bodies, a server's one of its own; two fifths of the connections are servers'.
 const CONNECTION_KB: usize = 64;
 
+/// Part of the memory that a list of servers may take as it comes, and the least that it may: thousands of servers on
+/// the smallest machine. Once read it takes about as much again in the tables that are kept of it.
+const LIST_PART: usize = 5;
+const LEAST_LIST: usize = 4 << 20;
+
 impl Limits {
     pub fn new(sockets: u32, memory_mb: u32, terms: &Terms) -> Result<Limits, RoomError> {
         // A fifth for clients' bodies, most of which are far smaller than they may be.
@@ -134,7 +139,7 @@
             head: 8 * 1024,
             // Answers of these days reach 32 MB; far more is a server's fault, and would hold a client for hours.
             flowing: 1 << 30,
-            roster: 4 * 1024 * 1024,
+            roster: (((memory_mb as usize) << 20) / LIST_PART).max(LEAST_LIST),
             connect: if connect.is_zero() { Duration::from_millis(250) } else { connect },
             // What is written to a connection that the server just closed is lost: far from that moment.
             server_idle: idle.mul_f64(0.6),
@@ -189,6 +194,16 @@
     use merlinreel_settings::Paths;
     use test_case::test_case;
 
+    /// Servers that a list may name, at the 220 bytes each that one takes where an agent indents its lists.
+    #[test_case(32 => true ; "a small machine, a thousand and more")]
+    #[test_case(192 => true ; "the usual, a hundred and sixty thousand")]
+    fn the_list_of_servers_has_room(memory_mb: u32) -> bool {
+        let terms =
+            Paths::from_json(&serde_json::json!({})).and_then(|paths| Terms::read(&paths)).expect("sound");
+        let limits = Limits::new(256, memory_mb, &terms).expect("room");
+        limits.roster >= 220 * if memory_mb < 192 { 1024 } else { 160_000 }
+    }
+
     #[test_case(1024, 192 ; "as scored")]
     #[test_case(64, 192 ; "few descriptors")]
     #[test_case(65536, 40 ; "little memory")]
@@ -208,6 +223,8 @@
             + limits.answers;
         assert!(buffers + (PROGRAM_MB << 20) <= (memory_mb as usize) << 20);
         assert!(limits.queue > 2 * connections);
+        // Never less than it was, nor than thousands of servers; and it leaves the memory to what is read of it.
+        assert!(limits.roster >= LEAST_LIST && limits.roster <= LEAST_LIST.max((memory_mb as usize) << 18));
         // What a page or a font takes.
         assert!(limits.answer >= 1 << 20);
     }
--- a/crates/merlinreel/src/roster.rs
+++ b/crates/merlinreel/src/roster.rs
@@ -1,17 +1,21 @@
 //! The roster: watches discovery, and decodes what it tells. Silence keeps the list.
 
+mod complaints;
+mod open_calls;
+
 use crate::limits::Limits;
 use crate::log;
 use crate::messages::{Listed, News, Queue, RosterNews};
-use http_body_util::{BodyExt, Empty, Limited};
-use hyper::body::Bytes;
+use complaints::Complaints;
+use http_body_util::{BodyExt, Empty};
+use hyper::body::{Body, Bytes, Incoming};
 use hyper::client::conn::http1::{SendRequest, handshake};
 use hyper::header::HOST;
 use hyper::{Request, StatusCode};
 use hyper_util::rt::TokioIo;
 use merlinreel_core::Standing;
+use open_calls::{OpenCalls, Progress};
 use serde::Deserialize;
-use std::collections::VecDeque;
 use std::net::SocketAddr;
 use std::time::Duration;
 use thiserror::Error;
@@ -33,8 +37,10 @@
     Broken(#[from] hyper::Error),
     #[error("discovery answers {0}; see its own log")]
     Status(StatusCode),
-    #[error("{0}; the agent's answer broke off, or is longer than any list may be")]
-    Body(String),
+    #[error(
+        "a list of more than {most} bytes, which is what limits.memory_mb leaves room for; give the limiter more"
+    )]
+    TooLong { most: usize },
     #[error("{0}; the agent's answer is no list")]
     Malformed(#[from] serde_json::Error),
     #[error("{0}")]
@@ -130,6 +136,7 @@
     discovery: SocketAddr,
     path: String,
     most: usize,
+    progress: &Progress,
 ) -> Result<RosterNews, RosterError> {
     let request = Request::get(path).header(HOST, discovery.to_string()).body(Empty::new())?;
     line.sender.ready().await?;
@@ -137,9 +144,27 @@
     if answer.status() != StatusCode::OK {
         return Err(RosterError::Status(answer.status()));
     }
-    let body = Limited::new(answer.into_body(), most).collect().await;
-    let body = body.map_err(|error| RosterError::Body(error.to_string()))?;
-    decode(&body.to_bytes())
+    let bytes = whole(answer.into_body(), most, progress).await?;
+    decode(&bytes)
+}
+
+/// All of a list's bytes, `most` at most; one that is told to be longer is not read.
+async fn whole(mut body: Incoming, most: usize, progress: &Progress) -> Result<Vec<u8>, RosterError> {
+    let told = body.size_hint().lower();
+    if told > most as u64 {
+        return Err(RosterError::TooLong { most });
+    }
+    // What is told comes, or the connection breaks: guards against a list held twice while its room grows.
+    let mut bytes = Vec::with_capacity(usize::try_from(told).unwrap_or(0));
+    while let Some(frame) = body.frame().await {
+        let Ok(piece) = frame?.into_data() else { continue };
+        if bytes.len() + piece.len() > most {
+            return Err(RosterError::TooLong { most });
+        }
+        bytes.extend_from_slice(&piece);
+        progress.reached(bytes.len());
+    }
+    Ok(bytes)
 }
 
 /// Watches without end, at the address that is told; where that changes, the open call is dropped and the
@@ -187,6 +212,16 @@
     }
 }
 
+/// How long discovery is left alone after a call that brought no list. One that was silent has taken its time already, and
+/// a list that is too long is not asked for again as often as it can be sent.
+fn pause_after(what: &RosterError, limits: &Limits) -> Duration {
+    match what {
+        RosterError::NoAnswer(_) => Duration::ZERO,
+        RosterError::TooLong { .. } => limits.watch,
+        _ => limits.watch_retry,
+    }
+}
+
 type Calls = JoinSet<Result<(Line, RosterNews), RosterError>>;
 
 /// What the first call brings that ends by itself, within the time after which the newest is silent. Calls that were ended
@@ -206,7 +241,7 @@
 
 /// Each call follows the last answer at once, as a watch lapses where it does not. Where a call fails or stays silent the
 /// list stands, and another is made on a connection of its own, beside those that are silent: the first answer of any
-/// counts and ends all others, so that none comes late. Guards the list against a discovery that is back and answers
+/// counts and ends all others, so that none comes late. Where there are too many, one gives way (see [`OpenCalls`]). Guards the list against a discovery that is back and answers
 /// while a call of the outage is waited for, and one that is slow against calls given up just short of their answer.
 async fn watch_at(
     discovery: SocketAddr,
@@ -219,7 +254,8 @@
     // Calls in a row that failed or were silent.
     let mut failed = 0;
     let mut calls = Calls::new();
-    let mut silent = VecDeque::new();
+    let mut open = OpenCalls::default();
+    let mut complaints = Complaints::default();
     loop {
         let call = Call::next(limits, version.is_some(), first.is_some(), failed);
         let path = match version {
@@ -227,41 +263,39 @@
             None => "/discovery/hosts".to_owned(),
         };
         let (rested, connect, most) = (line.take(), limits.connect, limits.roster);
-        silent.push_back(calls.spawn(async move {
+        let progress = Progress::default();
+        let told = progress.clone();
+        let task = calls.spawn(async move {
             let mut at = match rested {
                 Some(line) => line,
                 None => dial(discovery, connect).await?,
             };
-            let news = ask(&mut at, discovery, path, most).await?;
+            let news = ask(&mut at, discovery, path, most, &told).await?;
             Ok((at, news))
-        }));
-        silent.retain(|call| !call.is_finished());
-        if silent.len() > limits.watch_calls {
-            silent.pop_front().iter().for_each(AbortHandle::abort);
-        }
+        });
+        open.add(task, progress, limits.watch_calls, limits.watch);
         match answered(&mut calls, call.silent).await {
             Ok((at, news)) => {
                 calls.shutdown().await;
-                silent.clear();
+                open.clear();
                 line = Some(at);
                 version = Some(news.version);
                 if failed > 0 {
                     log!("roster: discovery answers again");
                 }
                 failed = 0;
+                complaints = Complaints::default();
                 if !news.servers.is_empty() || news.whole {
                     let _ = queue.send(News::Roster(news)).await;
                 }
                 let _ = first.take().map(|first| first.send(()));
             }
             Err(what) => {
-                if failed == 0 {
-                    log!("roster: {what}; the list stands");
-                }
                 failed = failed.saturating_add(1);
-                if !matches!(what, RosterError::NoAnswer(_)) {
-                    sleep(limits.watch_retry).await;
+                if complaints.tells(&what) {
+                    log!("roster: {what}; the list stands ({failed} calls in a row without one)");
                 }
+                sleep(pause_after(&what, limits)).await;
             }
         }
     }
