--- a/crates/merlinreel-core/src/decide/tests.rs
+++ b/crates/merlinreel-core/src/decide/tests.rs
@@ -1,3 +1,4 @@
+mod cold_servers;
 mod gathering;
 mod helpers;
 
