--- a/crates/merlinreel-mesh/src/node.rs
+++ b/crates/merlinreel-mesh/src/node.rs
@@ -183,6 +183,7 @@
         if self.beat_at <= now {
             self.beat_at = now + BEAT;
             self.records.beat(now);
+            self.records.note_alive(self.foca.iter_members().map(|member| *member.id()));
             self.records.tidy(now);
         }
         if self.rejoin_at <= now {
--- a/crates/merlinreel-mesh/src/records.rs
+++ b/crates/merlinreel-mesh/src/records.rs
@@ -98,6 +98,17 @@
         }
     }
 
+    /// These and no others live, as the membership holds. Records of those that do outlast their time.
+    pub fn note_alive(&mut self, members: impl Iterator<Item = Member>) {
+        self.owners.values_mut().for_each(|owner| owner.alive = false);
+        for member in members {
+            let owner = self.owners.get_mut(&member.at);
+            if let Some(owner) = owner.filter(|owner| owner.incarnation == member.incarnation) {
+                owner.alive = true;
+            }
+        }
+    }
+
     /// Lets go of what is over.
     pub fn tidy(&mut self, now: Duration) {
         let own = self.own.at;
--- a/crates/merlinreel-mesh/src/records/rows.rs
+++ b/crates/merlinreel-mesh/src/records/rows.rs
@@ -78,13 +78,23 @@
     beat_at: Duration,
     /// When all that is held up to `top` was last known to be its latest.
     pub confirmed: Duration,
+    /// The membership holds that this incarnation lives.
+    pub alive: bool,
     pub rows: BTreeMap<Kind, Row>,
 }
 
 impl Owner {
     /// Nothing yet, of a process last known to live at `as_of`.
     pub fn new(incarnation: u64, as_of: Duration) -> Owner {
-        Owner { incarnation, top: 0, beat: 0, beat_at: as_of, confirmed: as_of, rows: BTreeMap::new() }
+        Owner {
+            incarnation,
+            top: 0,
+            beat: 0,
+            beat_at: as_of,
+            confirmed: as_of,
+            alive: false,
+            rows: BTreeMap::new(),
+        }
     }
 
     /// The rows of this process's life before go on, numbered anew.
@@ -109,6 +119,12 @@
         Ok(Some(self.top))
     }
 
+    /// Whether a row is still good: its owner lives, or its last known beat is no older than the row's life. In a large
+    /// fleet beats come round in minutes, the membership's word in seconds; a row's age is told by beats alone.
+    pub fn is_good(&self, row: &Row, now: Duration) -> bool {
+        self.alive || now.saturating_sub(self.confirmed) <= Duration::from_secs(row.life_s.into())
+    }
+
     pub fn beat(&mut self, now: Duration) {
         self.beat += 1;
         (self.beat_at, self.confirmed) = (now, now);
@@ -180,8 +196,9 @@
 
     /// Lets go of rows whose time is over; whether the process must still be remembered.
     pub fn tidy(&mut self, now: Duration) -> bool {
-        let age = now.saturating_sub(self.confirmed);
-        self.rows.retain(|_, row| age <= Duration::from_secs(row.life_s.into()));
+        let mut rows = std::mem::take(&mut self.rows);
+        rows.retain(|_, row| self.is_good(row, now));
+        self.rows = rows;
         !self.rows.is_empty() || now.saturating_sub(self.beat_at) < FLOOR_MEMORY
     }
 }
--- a/crates/merlinreel-mesh/src/records/view.rs
+++ b/crates/merlinreel-mesh/src/records/view.rs
@@ -35,8 +35,7 @@
         self.owners.iter().filter_map(move |(&at, owner)| {
             let row = owner.rows.get(&kind).filter(|row| !row.body.is_empty())?;
             let age = now.saturating_sub(owner.confirmed);
-            let held = age <= Duration::from_secs(row.life_s.into());
-            held.then_some(Held {
+            owner.is_good(row, now).then_some(Held {
                 owner: Member { at, incarnation: owner.incarnation },
                 age,
                 number: row.number,
--- a/crates/merlinreel-mesh/tests/village.rs
+++ b/crates/merlinreel-mesh/tests/village.rs
@@ -233,6 +233,29 @@
     assert!(village.all_know(0, 1) && village.all_know(9, 9));
 }
 
+/// Records whose life is shorter than a beat takes to come round: they are held as long as their owners live, and let go of
+/// after it. Guards fleets of hundreds, where a list of stamps takes many datagrams, against losing sight of most.
+#[test]
+fn records_of_those_who_live_outlast_the_rounds() {
+    const SIZE: usize = 40;
+    let mut village = Village::new(SIZE, 8, lossy(1));
+    village.run(s(15));
+    let life = s(2);
+    for i in 0..SIZE {
+        let (now, body) = (ahead(i) + village.now, serde_json::to_vec(&(i as u32)).expect("a number"));
+        let node = village.nodes[i].as_mut().expect("runs");
+        node.publish(KIND, body, life, false, now).expect("short");
+    }
+    village.run(s(30));
+    for of in 0..SIZE {
+        assert!(village.all_know(of, of as u32), "{of}: {:?}", village.known(of));
+    }
+    village.nodes[3] = None;
+    village.run(s(30));
+    assert!(village.known(3).iter().all(Option::is_none), "it died");
+    assert!(village.all_know(4, 4));
+}
+
 /// A process with room for fewer than there are: it holds on to those it has, counts the others, and tells of them no
 /// more often than once a minute.
 #[test]
