--- a/crates/merlinreel/src/servers.rs
+++ b/crates/merlinreel/src/servers.rs
@@ -74,6 +74,7 @@
 }
 
 struct Place {
+    name: String,
     /// As it was listed last.
     entry: RosterEntry,
     address: SocketAddr,
@@ -111,6 +112,8 @@
     loads_in_probes: bool,
     probes: bool,
     names: HashMap<String, u32>,
+    /// By address, the server that took it last. It may be gone since.
+    addresses: HashMap<SocketAddr, u32>,
     places: Vec<Place>,
     /// Indices of servers that were forgotten.
     free: Vec<u32>,
@@ -136,6 +139,7 @@
             loads_in_probes: terms.wire.loads_in_probes,
             probes: terms.servers.probes,
             names: HashMap::new(),
+            addresses: HashMap::new(),
             places: Vec::new(),
             free: Vec::new(),
             slots: Arc::new(Semaphore::new(limits.servers)),
@@ -176,8 +180,9 @@
                     self.place(listed.name, entry, listed.address)
                 }
             };
+            self.take_address(entry.server, listed.address);
             let place = &mut self.places[entry.server as usize];
-            (place.entry, place.address) = (entry, listed.address);
+            place.entry = entry;
             if listed.standing != Standing::Up {
                 place.idle.clear();
             }
@@ -186,31 +191,59 @@
         Roster { whole: news.whole, restored, unavailable: false, entries }
     }
 
-    /// Guards against trips to a server that is gone, but not told so yet, where another took its address.
+    /// The server that stands at an address as far as is known.
+    fn standing_at(&self, address: SocketAddr) -> Option<u32> {
+        let server = *self.addresses.get(&address)?;
+        let place = &self.places[server as usize];
+        (place.address == address && place.stands()).then_some(server)
+    }
+
+    /// Guards against attempts at a server that is gone, but not told so yet, where another took its address.
     fn replace(&mut self, address: SocketAddr) -> Option<RosterEntry> {
-        let before = self.places.iter_mut().find(|place| place.address == address && place.stands())?;
-        before.leave();
-        Some(before.entry)
+        let before = self.standing_at(address)?;
+        let place = &mut self.places[before as usize];
+        place.leave();
+        Some(place.entry)
     }
 
     fn place(&mut self, name: String, entry: RosterEntry, address: SocketAddr) -> u32 {
         let server = self.free.pop().unwrap_or(self.places.len() as u32);
-        let place = Place { entry, address, idle: Vec::new() };
+        self.names.insert(name.clone(), server);
+        let place = Place { name, entry, address, idle: Vec::new() };
         match self.places.get_mut(server as usize) {
             Some(old) => *old = place,
             None => self.places.push(place),
         }
-        self.names.insert(name, server);
         server
     }
 
+    /// Notes where a server is, unless another that stands is known there.
+    fn take_address(&mut self, server: u32, address: SocketAddr) {
+        let before = std::mem::replace(&mut self.places[server as usize].address, address);
+        if before != address {
+            self.leave_address(server, before);
+        }
+        if self.standing_at(address).is_none() {
+            self.addresses.insert(address, server);
+        }
+    }
+
+    fn leave_address(&mut self, server: u32, address: SocketAddr) {
+        if self.addresses.get(&address) == Some(&server) {
+            self.addresses.remove(&address);
+        }
+    }
+
     /// Its index is free for another. Guards the memory against servers replaced without end.
     pub fn forget(&mut self, server: u32) {
-        self.names.retain(|_, index| *index != server);
-        if let Some(place) = self.places.get_mut(server as usize) {
-            place.leave();
-            self.free.push(server);
+        let Some(place) = self.places.get_mut(server as usize) else { return };
+        place.leave();
+        let (name, address) = (std::mem::take(&mut place.name), place.address);
+        if self.names.get(&name) == Some(&server) {
+            self.names.remove(&name);
         }
+        self.leave_address(server, address);
+        self.free.push(server);
     }
 
     /// Starts a trip on an idle connection, else on a new one; none where all descriptors are taken.
--- a/crates/merlinreel/src/servers/tests.rs
+++ b/crates/merlinreel/src/servers/tests.rs
@@ -201,6 +201,21 @@
     assert_eq!(named("s-4", 2, false), [(0, Standing::Up)]);
 }
 
+/// Nothing is kept of servers that are forgotten: neither their names nor their addresses.
+#[tokio::test]
+async fn servers_replaced_without_end_leave_nothing_behind() {
+    let (_, address) = listener().await;
+    let (mut servers, _news) = servers(address, 4);
+    for port in 1..500 {
+        let mut news = list(SocketAddr::from(([127, 0, 0, 9], port)), Standing::Up);
+        news.servers[0].name = format!("s-{port}");
+        let entries = servers.list(news, false).entries;
+        let before = 1 - entries[0].server;
+        servers.forget(before);
+    }
+    assert_eq!((servers.names.len(), servers.addresses.len(), servers.places.len()), (1, 1, 2));
+}
+
 #[test_case(&[40, 30, 1], false => Some(30) ; "the newest that is settled")]
 #[test_case(&[3, 2, 1], false => Some(3) ; "the oldest where none is")]
 #[test_case(&[], false => None ; "none")]
@@ -213,7 +228,8 @@
         (now - Duration::from_millis(*ms), Link { commands: mpsc::channel(1).0, address })
     };
     let address = SocketAddr::from(([127, 0, 0, 1], 9));
-    let mut place = Place { entry: RosterEntry::default(), address, idle: idle.iter().map(link).collect() };
+    let idle = idle.iter().map(link).collect();
+    let mut place = Place { name: String::new(), entry: RosterEntry::default(), address, idle };
     place.take(now, Duration::from_millis(25), only_settled).map(|link| link.address.port().into())
 }
 
@@ -366,7 +382,7 @@
     let (first, mut stream) = begun(&listener, &mut servers, 1).await;
     done(&mut stream, &mut news).await;
     let entry = RosterEntry { server: 1, ..RosterEntry::default() };
-    servers.places.push(Place { entry, address, idle: vec![(Instant::now(), first)] });
+    servers.places.push(Place { name: String::new(), entry, address, idle: vec![(Instant::now(), first)] });
     let second = servers.send(0, attempt(2, 1, LONG));
     assert!(second.is_some() && servers.send(0, attempt(3, 1, LONG)).is_none());
     assert_eq!(timeout(LONG, stream.read(&mut [0; 8])).await.expect("closed").expect("in order"), 0);
