--- a/crates/merlinreel/src/clients.rs
+++ b/crates/merlinreel/src/clients.rs
@@ -1,5 +1,6 @@
 //! Clients' connections: takes jobs in, hands them to the driver, and gives each one answer.
 
+mod framing;
 mod guest;
 mod hand;
 mod intake;
@@ -115,9 +116,11 @@
     async fn serve_on(self: &Arc<Door>, io: Wire, guest: &Arc<Guest>) -> Option<Wire> {
         let service = service_fn(|request| {
             let (door, guest) = (self.clone(), guest.clone());
+            // Asked here, not in the request's own turn: the next head may have been read by then.
+            let observed = guest.observed();
             async move {
                 let (class, up) = (class_of(request.uri().path()).to_owned(), request.uri().path() == "/up");
-                let mut answer = door.request(request, &guest).await;
+                let mut answer = door.request(request, observed, &guest).await;
                 let status = answer.status().as_u16();
                 match answer.body_mut() {
                     Either::Right(flow) => {
--- a/crates/merlinreel/src/clients/guest.rs
+++ b/crates/merlinreel/src/clients/guest.rs
@@ -1,5 +1,6 @@
 //! One client's connection: what it did last, and who gives way where places are short.
 
+use super::framing::ObservedHead;
 use super::line::Line;
 use crate::limits::Limits;
 use crate::messages::News;
@@ -19,6 +20,8 @@
     pub evicted: AtomicBool,
     /// The limiter's side has ended: nothing is read for a request any more.
     pub closing: AtomicBool,
+    /// The head that the HTTP library read last has a line of Content-Length.
+    content_length: AtomicBool,
     pub times: Mutex<Times>,
     pub close: Notify,
     /// A place in the queue for the news that the client has left; it can leave but once.
@@ -48,12 +51,24 @@
             requests: AtomicUsize::new(0),
             evicted: AtomicBool::new(false),
             closing: AtomicBool::new(false),
+            content_length: AtomicBool::new(false),
             times: Mutex::new(Times { idle: Instant::now(), heard: None, held_up: None }),
             close: Notify::new(),
             leaving: Mutex::new(Some(leaving)),
         }
     }
 
+    /// A head has gone to the HTTP library.
+    pub fn observe(&self, head: ObservedHead) {
+        self.content_length.store(head.content_length, Ordering::Relaxed);
+    }
+
+    /// What the head showed that the HTTP library read last. That is the head of a request only while the library hands
+    /// the request over: it may read the next one's right after.
+    pub fn observed(&self) -> ObservedHead {
+        ObservedHead { content_length: self.content_length.load(Ordering::Relaxed) }
+    }
+
     /// The request after this must be whole by then, or the connection closes. Guards the places against who
     /// never sends one, or never ends it.
     pub fn due(&self, limits: &Limits) -> Instant {
--- a/crates/merlinreel/src/clients/intake.rs
+++ b/crates/merlinreel/src/clients/intake.rs
@@ -1,6 +1,7 @@
 //! A request taken in: read whole, handed to the driver as a job, and answered.
 
 use super::Door;
+use super::framing::{self, ObservedHead};
 use super::guest::{Guest, lock};
 use super::hand::{Attending, Hand};
 use crate::decode::{TXN, decode, encode, last, respond};
@@ -19,9 +20,19 @@
 use tokio::time::timeout_at;
 
 impl Door {
-    pub(super) async fn request(&self, request: Request<Incoming>, guest: &Guest) -> Response<Reply> {
+    /// The answer to a request, whose head showed what is `observed`.
+    pub(super) async fn request(
+        &self,
+        request: Request<Incoming>,
+        observed: ObservedHead,
+        guest: &Guest,
+    ) -> Response<Reply> {
         // The client's time runs from its sending: this is the earliest that is known of it here.
         let sent = Instant::now();
+        if let Err(error) = framing::check(request.headers(), observed) {
+            log!("clients: {error}: 400");
+            return last(respond(StatusCode::BAD_REQUEST, format!("{error}\n"))).map(Either::Left);
+        }
         if request.uri().path() == "/up" {
             let status = if self.serves() { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
             // It rests again: else a stop would wait for the rest of a request.
--- a/crates/merlinreel/src/clients/line.rs
+++ b/crates/merlinreel/src/clients/line.rs
@@ -1,10 +1,13 @@
 //! A client's connection as a stream. It sees the client's end while a request of it is in hand, whatever was sent
 //! behind that request, and it is closed in one way: what was written goes out, the limiter's side ends, and what
-//! still comes is read and dropped for a while.
+//! still comes is read and dropped for a while. The HTTP library gets what it reads section by section, each up to a
+//! blank line, so that [`HeadScanner`] knows which head it has read last.
 
+use super::framing::HeadScanner;
 use super::guest::Guest;
 use crate::limits::Limits;
-use crate::stream::Tallied;
+use crate::stream::{Tallied, Tally};
+use bytes::{Buf, BytesMut};
 use std::io::{self, IoSlice};
 use std::pin::Pin;
 use std::sync::Arc;
@@ -21,8 +24,11 @@
 pub struct Line {
     stream: Tallied<Guest>,
     guest: Arc<Guest>,
-    /// Came while a request was in hand: read before the rest.
-    ahead: Vec<u8>,
+    scanner: HeadScanner,
+    /// Came behind a blank line in one read of the library, or while a request was in hand: read before the rest.
+    unread: BytesMut,
+    /// So many of the unread bytes the library had room for itself; only those beyond were read ahead.
+    had_room: usize,
     most_ahead: usize,
     /// More came than any client of the protocol sends behind a request: it is dropped, and nothing behind it is read.
     flooded: bool,
@@ -37,7 +43,9 @@
         Line {
             stream: Tallied::new(stream, guest.clone()),
             guest,
-            ahead: Vec::new(),
+            scanner: HeadScanner::default(),
+            unread: BytesMut::new(),
+            had_room: 0,
             most_ahead: limits.head,
             flooded: false,
             lingers: limits.client_lingers,
@@ -48,7 +56,7 @@
 
     /// Whether something came that nobody has read.
     pub fn waits(&self) -> bool {
-        !self.ahead.is_empty() || self.stream.waits()
+        !self.unread.is_empty() || self.stream.waits()
     }
 
     /// Reads ahead while a request is in hand. Guards servers against jobs of clients that have gone: the HTTP library
@@ -64,30 +72,63 @@
             if into.filled().is_empty() {
                 return Err(io::ErrorKind::UnexpectedEof.into());
             }
-            if self.flooded || self.ahead.len() + into.filled().len() > self.most_ahead {
+            let ahead = self.unread.len() - self.had_room + into.filled().len();
+            if self.flooded || ahead > self.most_ahead {
                 // Its answer tells the closing.
                 self.flooded = true;
                 self.guest.evicted.store(true, Ordering::Relaxed);
             } else {
-                self.ahead.extend_from_slice(into.filled());
+                self.unread.extend_from_slice(into.filled());
             }
         }
         Ok(())
     }
+
+    /// How many of these bytes, which the library reads next, lie in one section. Tells what the section's head showed
+    /// where it ends.
+    fn scan(&mut self, bytes: &[u8]) -> usize {
+        let section = self.scanner.scan(bytes);
+        if let Some(observed) = section.ended {
+            self.guest.observe(observed);
+        }
+        section.length
+    }
+
+    /// Hands over one section of the unread bytes. They count as heard where the kernel's would.
+    fn read_unread(&mut self, into: &mut ReadBuf) {
+        let mut unread = std::mem::take(&mut self.unread);
+        let room = unread.len().min(into.remaining());
+        let length = self.scan(&unread[..room]);
+        into.put_slice(&unread[..length]);
+        unread.advance(length);
+        self.unread = unread;
+        self.had_room = self.had_room.max(room) - length;
+        self.guest.read(length);
+    }
+
+    /// Keeps what the kernel gave beyond one section, from `before` on.
+    fn hold_back(&mut self, into: &mut ReadBuf, before: usize) {
+        let length = self.scan(&into.filled()[before..]);
+        self.unread.extend_from_slice(&into.filled()[before + length..]);
+        self.had_room = self.unread.len();
+        into.set_filled(before + length);
+    }
 }
 
 impl AsyncRead for Line {
+    /// At most one section.
     fn poll_read(mut self: Pin<&mut Self>, cx: &mut Context, into: &mut ReadBuf) -> Poll<io::Result<()>> {
-        if !self.ahead.is_empty() {
-            let length = self.ahead.len().min(into.remaining());
-            into.put_slice(&self.ahead[..length]);
-            self.ahead.drain(..length);
+        if !self.unread.is_empty() {
+            self.read_unread(into);
             return Poll::Ready(Ok(()));
         }
         if self.flooded && !self.guest.busy.load(Ordering::Relaxed) {
             return Poll::Ready(Ok(()));
         }
-        Pin::new(&mut self.stream).poll_read(cx, into)
+        let before = into.filled().len();
+        ready!(Pin::new(&mut self.stream).poll_read(cx, into))?;
+        self.hold_back(into, before);
+        Poll::Ready(Ok(()))
     }
 }
 
--- a/crates/merlinreel/src/clients/tests.rs
+++ b/crates/merlinreel/src/clients/tests.rs
@@ -334,3 +334,53 @@
     assert!(lock(&guest.times).heard.is_none());
     Ok(())
 }
+
+/// Two requests in one piece: the HTTP library gets one head a read, with what is known of that head, and what is held
+/// back counts as unread until then. Guards against a Content-Length that is taken for another request's, and against a
+/// close over a request that has left the kernel already.
+#[tokio::test]
+async fn the_library_reads_one_head_at_a_time() -> std::io::Result<()> {
+    use tokio::io::AsyncReadExt;
+    const FIRST: &[u8] = b"POST /a HTTP/1.1\r\nContent-Length: 4\r\n\r\n";
+    const SECOND: &[u8] = b"bodyPOST /b HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n";
+    const THIRD: &[u8] = b"0\r\n\r\n";
+    let (_client, stream) = came_with(&[FIRST, SECOND, THIRD].concat())?;
+    let guest = guest(2, 0.0, None);
+    let mut line = Line::new(stream, guest.clone(), &limits());
+    let mut into = [0; 8192];
+    for (section, content_length) in [(FIRST, true), (SECOND, false), (THIRD, false)] {
+        assert!(line.waits());
+        lock(&guest.times).heard = None;
+        let length = line.read(&mut into).await?;
+        assert_eq!(into[..length], *section);
+        assert_eq!(guest.observed().content_length, content_length);
+        assert!(lock(&guest.times).heard.is_some(), "what was held back is heard as it is read");
+    }
+    assert!(!line.waits());
+    Ok(())
+}
+
+/// What the library had room for is no flood, however short its reads are; as much again may come behind a request.
+#[test_case(8192, 8192 => false ; "as much as may come")]
+#[test_case(8192, 8193 => true ; "a byte more")]
+#[test_case(100, 8192 => false ; "less in the library's read")]
+#[test_case(100, 8193 => true ; "less in the library's read and a byte more")]
+#[tokio::test]
+async fn what_is_held_back_is_no_flood(first: usize, behind: usize) -> bool {
+    use std::io::Write;
+    use tokio::io::{AsyncReadExt, AsyncWriteExt};
+    let (mut client, stream) =
+        came_with(&[b"\r\n", vec![b'x'; first - 2].as_slice()].concat()).expect("a client");
+    let guest = guest(2, 0.0, None);
+    let mut line = Line::new(stream, guest.clone(), &limits());
+    let length = line.read(&mut [0; 8192]).await.expect("read");
+    assert_eq!(length, 2);
+    guest.busy.store(true, Ordering::Relaxed);
+    client.write_all(&vec![b'x'; behind]).expect("taken");
+    drop(client);
+    // Each turn looks ahead, until the client's end is seen.
+    while line.flush().await.is_ok() {
+        tokio::task::yield_now().await;
+    }
+    guest.evicted.load(Ordering::Relaxed)
+}
