--- a/crates/merlinreel/src/claims.rs
+++ b/crates/merlinreel/src/claims.rs
@@ -31,6 +31,11 @@
         self.bodies.clone().try_acquire_many_owned(u32::try_from(bytes).ok()?).ok()
     }
 
+    /// Makes a place of this limiter larger by that many bytes, if all bodies in hand leave so many.
+    pub fn grow(&self, place: &mut OwnedSemaphorePermit, bytes: usize) -> bool {
+        self.body(bytes).map(|more| place.merge(more)).is_some()
+    }
+
     /// Guards a job that is open against another under its id, which servers would take for a second copy of it.
     pub fn open(&self, id: &HeaderValue, body: Option<OwnedSemaphorePermit>) -> Option<Claim> {
         let fresh = self.ids.lock().unwrap_or_else(PoisonError::into_inner).insert(id.clone());
@@ -58,4 +63,14 @@
         drop(held);
         assert!(claims.open(&id, claims.body(8)).is_some());
     }
+    #[test]
+    fn a_place_grows_by_what_is_left_and_is_given_back_whole() {
+        let claims = Claims { ids: Arc::default(), bodies: Arc::new(Semaphore::new(8)) };
+        let mut place = claims.body(0).expect("free");
+        assert!(claims.grow(&mut place, 5) && claims.grow(&mut place, 3) && claims.grow(&mut place, 0));
+        assert!(!claims.grow(&mut place, 1) && claims.body(1).is_none());
+        assert_eq!(place.num_permits(), 8);
+        drop(place);
+        assert!(claims.body(8).is_some());
+    }
 }
--- a/crates/merlinreel/src/clients/intake.rs
+++ b/crates/merlinreel/src/clients/intake.rs
@@ -10,15 +10,43 @@
 use crate::messages::{Arrival, News, Parcel};
 use crate::servers::strip_hop_by_hop;
 use crate::stream::Tally;
-use http_body_util::{BodyExt, Either, Full, Limited};
+use http_body_util::{BodyExt, Either, Full};
 use hyper::body::{Body, Bytes, Incoming};
-use hyper::{Request, Response, StatusCode, Uri};
+use hyper::{Method, Request, Response, StatusCode, Uri};
 use merlinreel_core::Job;
 use std::sync::atomic::Ordering;
 use std::time::Instant;
-use tokio::sync::oneshot;
+use thiserror::Error;
+use tokio::sync::{OwnedSemaphorePermit, oneshot};
 use tokio::time::timeout_at;
 
+/// Why a body is not taken.
+#[derive(Debug, Error)]
+enum BodyError {
+    #[error("a body of {least} bytes or more is longer than {most}")]
+    TooLong { least: u64, most: usize },
+    #[error("too much in hand")]
+    NoRoom,
+    #[error("a repeatable category comes without a body")]
+    NotAllowed,
+    #[error(transparent)]
+    Broken(#[from] hyper::Error),
+}
+
+impl BodyError {
+    fn answer(&self) -> Response<Full<Bytes>> {
+        let status = match self {
+            BodyError::TooLong { .. } => {
+                log!("clients: {self}: 413");
+                return respond(StatusCode::PAYLOAD_TOO_LARGE, String::new());
+            }
+            BodyError::NoRoom => StatusCode::SERVICE_UNAVAILABLE,
+            BodyError::NotAllowed | BodyError::Broken(_) => StatusCode::BAD_REQUEST,
+        };
+        respond(status, format!("{self}\n"))
+    }
+}
+
 impl Door {
     /// The answer to a request, whose head showed what is `observed`.
     pub(super) async fn request(
@@ -78,23 +106,17 @@
         let body = if body.is_end_stream() {
             Bytes::new()
         } else {
-            let (most, length) = (self.limits.body, body.size_hint().lower());
-            if length > most as u64 {
-                log!("clients: a body of {length} bytes is longer than {most}: 413");
-                return Err(respond(StatusCode::PAYLOAD_TOO_LARGE, String::new()));
-            }
-            // Guards the memory against many large bodies at once.
-            room = self.claims.body(length as usize);
-            if room.is_none() {
-                return Err(respond(StatusCode::SERVICE_UNAVAILABLE, "too much in hand\n".to_owned()));
-            }
             // Guards the place against a body that never ends.
             let due = due.min(sent + job.time_left);
-            match timeout_at(due.into(), Limited::new(body, most).collect()).await {
-                Ok(Ok(body)) => body.to_bytes(),
-                Ok(Err(error)) => return Err(respond(StatusCode::BAD_REQUEST, format!("{error}\n"))),
+            let allowed = head.method != Method::GET;
+            match timeout_at(due.into(), self.body(body, allowed)).await {
+                Ok(Ok((body, claimed))) => {
+                    room = Some(claimed);
+                    body
+                }
+                Ok(Err(error)) => return Err(error.answer()),
                 Err(_) => {
-                    log!("clients: a body of {length} bytes was not whole in time: 408");
+                    log!("clients: a body was not whole in time: 408");
                     return Err(respond(StatusCode::REQUEST_TIMEOUT, String::new()));
                 }
             }
@@ -112,6 +134,40 @@
         Ok((job, Parcel { method: head.method, uri, headers: head.headers, body, claim }))
     }
 
+    /// The whole of a body and its place in the memory. One that comes in chunks, its length untold, takes its place
+    /// piece by piece; trailers are dropped.
+    async fn body(
+        &self,
+        mut body: Incoming,
+        allowed: bool,
+    ) -> Result<(Bytes, OwnedSemaphorePermit), BodyError> {
+        let (most, least) = (self.limits.body, body.size_hint().lower());
+        if least > most as u64 {
+            return Err(BodyError::TooLong { least, most });
+        }
+        let told = least as usize;
+        // Guards the memory against many large bodies at once.
+        let mut room = self.claims.body(told).ok_or(BodyError::NoRoom)?;
+        // Copied: pieces as they are would each keep a whole buffer of the connection's.
+        let mut whole = Vec::with_capacity(told);
+        while let Some(frame) = body.frame().await {
+            let Ok(piece) = frame?.into_data() else { continue };
+            if !allowed {
+                return Err(BodyError::NotAllowed);
+            }
+            let length = whole.len() + piece.len();
+            if length > most {
+                return Err(BodyError::TooLong { least: length as u64, most });
+            }
+            let beyond = length.saturating_sub(room.num_permits());
+            if !self.claims.grow(&mut room, beyond) {
+                return Err(BodyError::NoRoom);
+            }
+            whole.extend_from_slice(&piece);
+        }
+        Ok((Bytes::from(whole.into_boxed_slice()), room))
+    }
+
     async fn job(&self, job: Job, parcel: Parcel, until: Instant, guest: &Guest) -> Response<Reply> {
         let ticket = self.tickets.fetch_add(1, Ordering::Relaxed);
         let (answer, answered) = oneshot::channel();
--- a/crates/merlinreel/src/clients/tests.rs
+++ b/crates/merlinreel/src/clients/tests.rs
@@ -384,3 +384,38 @@
     }
     guest.evicted.load(Ordering::Relaxed)
 }
+
+/// A class whose requests have a body.
+fn paying() -> Terms {
+    let settings = serde_json::json!({"packages": [{"name": "team"}], "balancers": 1, "classes":
+        [{"name": "pay", "idempotency": "non_idempotent", "hardLimitS": 9}]});
+    Paths::from_json(&settings).and_then(|paths| Terms::read(&paths)).expect("sound")
+}
+
+/// A chunked body, its length untold, takes its place in the memory piece by piece, and gives it back where it is
+/// refused. Guards the memory against many bodies at once that come in chunks.
+#[tokio::test]
+async fn a_chunked_body_claims_memory_as_it_comes() -> std::io::Result<()> {
+    use std::io::Read;
+    const HEAD: &str = "POST /pay?key=7 HTTP/1.1\r\nX-Txn: 9b\r\nX-Lane: pay\r\nX-Plan: team\r\n\
+        X-Remaining: 8000m\r\nX-Quota: units=1,spread=1,first=0\r\nTransfer-Encoding: chunked\r\n\r\n";
+    let (queue, mut news) = mpsc::channel(9);
+    let tuned = watch::channel(Arc::new(Tuned::first(paying()))).1;
+    let door = Door::new(Limits { bodies: 8, ..limits() }, tuned, queue, Figures::new(&[]));
+    let (mut client, stream) = came_with(format!("{HEAD}6\r\na body\r\n3\r\nabc\r\n0\r\n\r\n").as_bytes())?;
+    client.set_read_timeout(Some(Duration::from_secs(20)))?;
+    let _refused = served(&door, stream);
+    let read = tokio::task::spawn_blocking(move || {
+        let mut answer = String::new();
+        client.read_to_string(&mut answer).map(|_| answer)
+    });
+    let answer = read.await.expect("read")?;
+    assert!(answer.starts_with("HTTP/1.1 503") && answer.ends_with("too much in hand\n"), "{answer}");
+    let (_client, stream) = came_with(format!("{HEAD}6\r\na body\r\n2\r\nab\r\n0\r\n\r\n").as_bytes())?;
+    let _taken = served(&door, stream);
+    let News::Arrival(arrival) = next(&mut news).await else { panic!("no job") };
+    assert_eq!(arrival.parcel.body, "a bodyab");
+    assert!(door.claims.body(1).is_none(), "all of it is held while the job is open");
+    drop(arrival);
+    Ok(())
+}
--- a/crates/merlinreel/src/decode.rs
+++ b/crates/merlinreel/src/decode.rs
@@ -4,9 +4,7 @@
 use crate::messages::Answer;
 use http_body_util::{Either, Full};
 use hyper::body::Bytes;
-use hyper::header::{
-    CONNECTION, CONTENT_LENGTH, HeaderMap, HeaderName, HeaderValue, RETRY_AFTER, TRANSFER_ENCODING,
-};
+use hyper::header::{CONNECTION, CONTENT_LENGTH, HeaderMap, HeaderName, HeaderValue, RETRY_AFTER};
 use hyper::http::request::Parts;
 use hyper::{Method, Response, StatusCode};
 use merlinreel_core::{Category, Job, Peers, Repeats};
@@ -85,11 +83,6 @@
 pub fn decode(head: &Parts, terms: &Terms) -> Result<Job, String> {
     let path = head.uri.path().trim_start_matches('/');
     let lane = path.split('/').next().unwrap_or(path);
-    // The HTTP library drops a length that comes behind this header and reads the body by it, so another request
-    // might hide in a body: with a length or without, it is no job.
-    if head.headers.contains_key(TRANSFER_ENCODING) {
-        return Err("transfer-encoding: a body's length must be told".to_owned());
-    }
     if let Some(value) = once(&head.headers, &LANE)?
         && value != lane
     {
@@ -213,6 +206,13 @@
         assert_eq!(patient.time_left, Duration::from_secs(1));
     }
 
+    #[test]
+    fn a_job_may_come_in_chunks() {
+        let chunked = read(URI, ("transfer-encoding", "chunked")).expect("sound");
+        let told = read(URI, ("content-length", "6")).expect("sound");
+        assert_eq!((chunked.customer, chunked.category), (told.customer, told.category));
+    }
+
     #[test_case(URI, ("x-txn", "") => "x-txn is missing" ; "no id")]
     #[test_case(URI, ("x-lane", "look") => "the path and x-lane name two categories" ; "two categories")]
     #[test_case("/odd?key=1", ("x-lane", "") => "category 'odd' is unknown" ; "unknown category")]
@@ -223,7 +223,6 @@
     #[test_case("/put?key=+7", ("", "") => "key: no customer's number" ; "signed customer")]
     #[test_case(URI, ("", "GET") => "category 'put' comes by POST" ; "another method")]
     #[test_case(URI, ("+x-txn", "9c") => "x-txn stands there twice" ; "two ids")]
-    #[test_case(URI, ("transfer-encoding", "chunked") => "transfer-encoding: a body's length must be told" ; "no length")]
     #[test_case("/put?key=0000000200000000", ("", "") => "key: no customer's number" ; "customer out of range")]
     #[test_case(URI, ("x-remaining", "480") => "x-remaining: no number with m or u" ; "no unit")]
     #[test_case(URI, ("x-remaining", "-1m") => "x-remaining: no number with m or u" ; "negative time")]
