--- a/crates/merlinreel/src/clients.rs
+++ b/crates/merlinreel/src/clients.rs
@@ -1,7 +1,7 @@
 //! Clients' connections: takes jobs in, hands them to the driver, and gives each one answer.
 
+mod connection;
 mod framing;
-mod guest;
 mod hand;
 mod intake;
 mod line;
@@ -14,7 +14,7 @@
 use crate::limits::Limits;
 use crate::log;
 use crate::messages::{Queue, Tuned};
-use guest::{Guest, lock, who_gives_way};
+use connection::{ClientConnection, lock, who_gives_way};
 use hand::Flowing;
 use http_body_util::Either;
 use hyper::header::{CONNECTION, HeaderValue};
@@ -48,7 +48,7 @@
     closing: AtomicBool,
     in_hand: AtomicUsize,
     claims: Claims,
-    guests: Mutex<HashMap<u64, Arc<Guest>>>,
+    client_connections: Mutex<HashMap<u64, Arc<ClientConnection>>>,
     figures: Arc<Figures>,
 }
 
@@ -70,17 +70,17 @@
             asked: OnceLock::new(),
             closing: AtomicBool::new(false),
             in_hand: AtomicUsize::new(0),
-            guests: Mutex::new(HashMap::new()),
+            client_connections: Mutex::new(HashMap::new()),
         })
     }
 
     /// A job in hand has ended: its connection rests from now on.
-    fn let_go(&self, guest: &Guest) {
+    fn let_go(&self, client_connection: &ClientConnection) {
         self.in_hand.fetch_sub(1, Ordering::Relaxed);
-        let mut times = lock(&guest.times);
+        let mut times = lock(&client_connection.times);
         (times.idle, times.heard) = (Instant::now(), None);
         drop(times);
-        guest.busy.store(false, Ordering::Relaxed);
+        client_connection.busy.store(false, Ordering::Relaxed);
     }
 
     /// Jobs in hand: read whole and not answered, or flowing.
@@ -94,18 +94,18 @@
     }
 
     fn make_room(&self) {
-        for guest in who_gives_way(lock(&self.guests).values(), &self.limits) {
-            guest.evict();
+        for client_connection in who_gives_way(lock(&self.client_connections).values(), &self.limits) {
+            client_connection.evict();
         }
     }
 
-    async fn serve(self: &Arc<Door>, stream: TcpStream, guest: Arc<Guest>) {
+    async fn serve(self: &Arc<Door>, stream: TcpStream, client_connection: Arc<ClientConnection>) {
         let _ = stream.set_nodelay(true);
-        let mut io = TokioIo::new(Line::new(stream, guest.clone(), &self.limits));
-        while let Some(mut rests) = self.serve_on(io, &guest).await {
+        let mut io = TokioIo::new(Line::new(stream, client_connection.clone(), &self.limits));
+        while let Some(mut rests) = self.serve_on(io, &client_connection).await {
             // The kernel is asked last: what came since the poller looked must not meet the end.
             if !rests.inner().waits() {
-                return guest.close(rests.inner_mut()).await;
+                return client_connection.close(rests.inner_mut()).await;
             }
             io = rests;
         }
@@ -113,25 +113,25 @@
 
     /// Serves a connection until its end. Where it is to close between requests it is given back: to be closed, or
     /// served on if something had come. The answer then tells the closing.
-    async fn serve_on(self: &Arc<Door>, io: Wire, guest: &Arc<Guest>) -> Option<Wire> {
+    async fn serve_on(self: &Arc<Door>, io: Wire, client_connection: &Arc<ClientConnection>) -> Option<Wire> {
         let service = service_fn(|request| {
-            let (door, guest) = (self.clone(), guest.clone());
+            let (door, client_connection) = (self.clone(), client_connection.clone());
             // Asked here, not in the request's own turn: the next head may have been read by then.
-            let observed = guest.observed();
+            let observed = client_connection.observed();
             async move {
                 let (class, up) = (class_of(request.uri().path()).to_owned(), request.uri().path() == "/up");
-                let mut answer = door.request(request, observed, &guest).await;
+                let mut answer = door.request(request, observed, &client_connection).await;
                 let status = answer.status().as_u16();
                 match answer.body_mut() {
                     Either::Right(flow) => {
-                        flow.hold(Box::new(Flowing::new(door.clone(), guest.clone(), class)))
+                        flow.hold(Box::new(Flowing::new(door.clone(), client_connection.clone(), class)))
                     }
                     Either::Left(_) if !up => door.figures.answered(&class, Outcome::of(status)),
                     Either::Left(_) => {}
                 }
                 // The closing is told where an answer goes out: guards requests against crossing the end of their
                 // connection, which their client can only send again.
-                if door.closing.load(Ordering::Relaxed) || guest.evicted.load(Ordering::Relaxed) {
+                if door.closing.load(Ordering::Relaxed) || client_connection.evicted.load(Ordering::Relaxed) {
                     answer.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
                 }
                 Ok::<_, Infallible>(answer)
@@ -154,14 +154,14 @@
                 // A request may have come in unseen: the poller gets a turn before it is dropped. Guards also
                 // against one that never sent anything: asked to close, it would stay.
                 () = &mut turn, if leaving => {
-                    if guest.closing.load(Ordering::Relaxed) {
+                    if client_connection.closing.load(Ordering::Relaxed) {
                         // It lingers, and gives way.
                         return None;
                     }
-                    if guest.rests(&self.limits) {
-                        if lock(&guest.times).heard.is_some() {
+                    if client_connection.rests(&self.limits) {
+                        if lock(&client_connection.times).heard.is_some() {
                             log!("clients: part of a request, not whole in time: the connection is closed");
-                            guest.close(connection.into_parts().io.inner_mut()).await;
+                            client_connection.close(connection.into_parts().io.inner_mut()).await;
                             return None;
                         }
                         return Some(connection.into_parts().io);
@@ -171,8 +171,8 @@
                     leaving = false;
                 }
                 () = &mut idle, if !leaving => {
-                    let (now, due) = (Instant::now(), guest.due(&self.limits));
-                    if due <= now && guest.rests(&self.limits) {
+                    let (now, due) = (Instant::now(), client_connection.due(&self.limits));
+                    if due <= now && client_connection.rests(&self.limits) {
                         leaving = true;
                         turn.as_mut().reset(soon());
                     }
@@ -180,7 +180,7 @@
                     let next = now + self.limits.client_whole / 4;
                     idle.as_mut().reset(if due > now { due.min(next) } else { next }.into());
                 }
-                () = guest.close.notified(), if !leaving => {
+                () = client_connection.close.notified(), if !leaving => {
                     leaving = true;
                     turn.as_mut().reset(soon());
                 }
--- a/crates/merlinreel/src/clients/guest.rs
+++ b/crates/merlinreel/src/clients/connection.rs
@@ -12,7 +12,7 @@
 use tokio::sync::{Notify, mpsc};
 
 /// One client's connection.
-pub struct Guest {
+pub struct ClientConnection {
     pub busy: AtomicBool,
     /// Requests that it sent before.
     pub requests: AtomicUsize,
@@ -44,9 +44,9 @@
     }
 }
 
-impl Guest {
-    pub fn new(leaving: mpsc::OwnedPermit<News>) -> Guest {
-        Guest {
+impl ClientConnection {
+    pub fn new(leaving: mpsc::OwnedPermit<News>) -> ClientConnection {
+        ClientConnection {
             busy: AtomicBool::new(false),
             requests: AtomicUsize::new(0),
             evicted: AtomicBool::new(false),
@@ -138,7 +138,7 @@
     }
 }
 
-impl Tally for Guest {
+impl Tally for ClientConnection {
     fn read(&self, _: usize) {
         if !self.busy.load(Ordering::Relaxed) {
             lock(&self.times).heard.get_or_insert_with(Instant::now);
@@ -166,21 +166,23 @@
 /// As many idle connections as are there beyond what may stay idle; one that comes back only where all places are
 /// taken. Guards against a front that holds so many connections and no more, which crowds that stay would fill.
 pub fn who_gives_way<'a>(
-    guests: impl ExactSizeIterator<Item = &'a Arc<Guest>>,
+    client_connections: impl ExactSizeIterator<Item = &'a Arc<ClientConnection>>,
     limits: &Limits,
-) -> Vec<&'a Guest> {
-    let all = guests.len() + 1;
+) -> Vec<&'a ClientConnection> {
+    let all = client_connections.len() + 1;
     if all <= limits.clients_kept {
         return Vec::new();
     }
     // What was asked before to give way may still be there.
-    let (leaving, staying): (Vec<_>, Vec<_>) =
-        guests.map(Arc::as_ref).partition(|guest| guest.evicted.load(Ordering::Relaxed));
-    let mut idle: Vec<&Guest> = staying.into_iter().filter(|guest| guest.rests(limits)).collect();
+    let (leaving, staying): (Vec<_>, Vec<_>) = client_connections
+        .map(Arc::as_ref)
+        .partition(|client_connection| client_connection.evicted.load(Ordering::Relaxed));
+    let mut idle: Vec<&ClientConnection> =
+        staying.into_iter().filter(|client_connection| client_connection.rests(limits)).collect();
     if all <= limits.clients_most {
-        idle.retain(|guest| guest.requests.load(Ordering::Relaxed) < 2);
+        idle.retain(|client_connection| client_connection.requests.load(Ordering::Relaxed) < 2);
     }
-    idle.sort_unstable_by_key(|guest| guest.rank());
+    idle.sort_unstable_by_key(|client_connection| client_connection.rank());
     idle.truncate((all - limits.clients_kept).saturating_sub(leaving.len()));
     idle
 }
--- a/crates/merlinreel/src/clients/hand.rs
+++ b/crates/merlinreel/src/clients/hand.rs
@@ -1,7 +1,7 @@
 //! What is in hand at a client's connection: a request, or a long answer that flows.
 
 use super::Door;
-use super::guest::{Guest, lock};
+use super::connection::{ClientConnection, lock};
 use crate::figures::Outcome;
 use crate::flow::Held;
 use crate::messages::News;
@@ -10,14 +10,14 @@
 
 /// Tells the driver that the client has left, unless its job has been answered.
 pub struct Attending<'a> {
-    pub guest: &'a Guest,
+    pub client_connection: &'a ClientConnection,
     pub ticket: Option<u64>,
 }
 
 impl Drop for Attending<'_> {
     fn drop(&mut self) {
         if let Some(ticket) = self.ticket
-            && let Some(place) = lock(&self.guest.leaving).take()
+            && let Some(place) = lock(&self.client_connection.leaving).take()
         {
             place.send(News::Left(ticket));
         }
@@ -27,22 +27,22 @@
 /// A request in hand, answered or left at its end.
 pub struct Hand<'a> {
     door: &'a Door,
-    guest: &'a Guest,
+    client_connection: &'a ClientConnection,
     /// How many there were before it.
     pub number: usize,
 }
 
 impl<'a> Hand<'a> {
-    pub fn take(door: &'a Door, guest: &'a Guest) -> Hand<'a> {
-        guest.busy.store(true, Ordering::Relaxed);
-        guest.requests.fetch_add(1, Ordering::Relaxed);
-        Hand { door, guest, number: door.in_hand.fetch_add(1, Ordering::Relaxed) }
+    pub fn take(door: &'a Door, client_connection: &'a ClientConnection) -> Hand<'a> {
+        client_connection.busy.store(true, Ordering::Relaxed);
+        client_connection.requests.fetch_add(1, Ordering::Relaxed);
+        Hand { door, client_connection, number: door.in_hand.fetch_add(1, Ordering::Relaxed) }
     }
 }
 
 impl Drop for Hand<'_> {
     fn drop(&mut self) {
-        self.door.let_go(self.guest);
+        self.door.let_go(self.client_connection);
     }
 }
 
@@ -51,15 +51,15 @@
 /// and against a stop that ends the process with nothing else in hand.
 pub struct Flowing {
     door: Arc<Door>,
-    guest: Arc<Guest>,
+    client_connection: Arc<ClientConnection>,
     class: String,
 }
 
 impl Flowing {
-    pub fn new(door: Arc<Door>, guest: Arc<Guest>, class: String) -> Flowing {
-        guest.busy.store(true, Ordering::Relaxed);
+    pub fn new(door: Arc<Door>, client_connection: Arc<ClientConnection>, class: String) -> Flowing {
+        client_connection.busy.store(true, Ordering::Relaxed);
         door.in_hand.fetch_add(1, Ordering::Relaxed);
-        Flowing { door, guest, class }
+        Flowing { door, client_connection, class }
     }
 }
 
@@ -73,6 +73,6 @@
 
 impl Drop for Flowing {
     fn drop(&mut self) {
-        self.door.let_go(&self.guest);
+        self.door.let_go(&self.client_connection);
     }
 }
--- a/crates/merlinreel/src/clients/intake.rs
+++ b/crates/merlinreel/src/clients/intake.rs
@@ -1,8 +1,8 @@
 //! A request taken in: read whole, handed to the driver as a job, and answered.
 
 use super::Door;
+use super::connection::{ClientConnection, lock};
 use super::framing::{self, ObservedHead};
-use super::guest::{Guest, lock};
 use super::hand::{Attending, Hand};
 use crate::decode::{TXN, decode, encode, last, respond};
 use crate::flow::Reply;
@@ -53,7 +53,7 @@
         &self,
         request: Request<Incoming>,
         observed: ObservedHead,
-        guest: &Guest,
+        client_connection: &ClientConnection,
     ) -> Response<Reply> {
         // The client's time runs from its sending: this is the earliest that is known of it here.
         let sent = Instant::now();
@@ -64,19 +64,19 @@
         if request.uri().path() == "/up" {
             let status = if self.serves() { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
             // It rests again: else a stop would wait for the rest of a request.
-            let mut times = lock(&guest.times);
+            let mut times = lock(&client_connection.times);
             (times.idle, times.heard) = (Instant::now(), None);
             drop(times);
             return respond(status, String::new()).map(Either::Left);
         }
         // The whole request must be there by then, whatever time the client claims to have.
-        let due = guest.due(&self.limits).min(sent + self.limits.client_whole);
-        guest.read(0);
+        let due = client_connection.due(&self.limits).min(sent + self.limits.client_whole);
+        client_connection.read(0);
         let (job, parcel) = match self.read(request, sent, due).await {
             Ok(whole) => whole,
             Err(answer) => return last(answer).map(Either::Left),
         };
-        let hand = Hand::take(self, guest);
+        let hand = Hand::take(self, client_connection);
         // The places beyond are kept to say so to whoever comes, at once.
         if hand.number >= self.limits.clients {
             return last(respond(StatusCode::SERVICE_UNAVAILABLE, "too many connections\n".to_owned()))
@@ -85,7 +85,7 @@
         // A stop has its own end: what comes late has its answer by then.
         let until = sent + job.time_left;
         let until = self.stops_at().map_or(until, |end| until.min(end));
-        self.job(job, parcel, until, guest).await
+        self.job(job, parcel, until, client_connection).await
     }
 
     /// The whole of a request, or what is wrong with it. Until it is there nothing is taken, so that one that is
@@ -168,11 +168,17 @@
         Ok((Bytes::from(whole.into_boxed_slice()), room))
     }
 
-    async fn job(&self, job: Job, parcel: Parcel, until: Instant, guest: &Guest) -> Response<Reply> {
+    async fn job(
+        &self,
+        job: Job,
+        parcel: Parcel,
+        until: Instant,
+        client_connection: &ClientConnection,
+    ) -> Response<Reply> {
         let ticket = self.tickets.fetch_add(1, Ordering::Relaxed);
         let (answer, answered) = oneshot::channel();
         let arrival = Arrival { ticket, job, until, parcel, answer };
-        let mut attending = Attending { guest, ticket: Some(ticket) };
+        let mut attending = Attending { client_connection, ticket: Some(ticket) };
         if self.queue.send(News::Arrival(Box::new(arrival))).await.is_err() {
             return last(respond(StatusCode::SERVICE_UNAVAILABLE, String::new())).map(Either::Left);
         }
--- a/crates/merlinreel/src/clients/line.rs
+++ b/crates/merlinreel/src/clients/line.rs
@@ -3,8 +3,8 @@
 //! still comes is read and dropped for a while. The HTTP library gets what it reads section by section, each up to a
 //! blank line, so that [`HeadScanner`] knows which head it has read last.
 
+use super::connection::ClientConnection;
 use super::framing::HeadScanner;
-use super::guest::Guest;
 use crate::limits::Limits;
 use crate::stream::{Tallied, Tally};
 use bytes::{Buf, BytesMut};
@@ -22,8 +22,8 @@
 const PIECE: usize = 4096;
 
 pub struct Line {
-    stream: Tallied<Guest>,
-    guest: Arc<Guest>,
+    stream: Tallied<ClientConnection>,
+    client_connection: Arc<ClientConnection>,
     scanner: HeadScanner,
     /// Came behind a blank line in one read of the library, or while a request was in hand: read before the rest.
     unread: BytesMut,
@@ -39,10 +39,10 @@
 }
 
 impl Line {
-    pub fn new(stream: TcpStream, guest: Arc<Guest>, limits: &Limits) -> Line {
+    pub fn new(stream: TcpStream, client_connection: Arc<ClientConnection>, limits: &Limits) -> Line {
         Line {
-            stream: Tallied::new(stream, guest.clone()),
-            guest,
+            stream: Tallied::new(stream, client_connection.clone()),
+            client_connection,
             scanner: HeadScanner::default(),
             unread: BytesMut::new(),
             had_room: 0,
@@ -63,7 +63,7 @@
     /// stops reading once there is anything behind a request, and so never sees the end.
     fn look_ahead(&mut self, cx: &mut Context) -> io::Result<()> {
         let mut piece = [0; PIECE];
-        while self.closing.is_none() && self.guest.busy.load(Ordering::Relaxed) {
+        while self.closing.is_none() && self.client_connection.busy.load(Ordering::Relaxed) {
             let mut into = ReadBuf::new(&mut piece);
             match Pin::new(&mut self.stream).poll_read(cx, &mut into) {
                 Poll::Pending => return Ok(()),
@@ -76,7 +76,7 @@
             if self.flooded || ahead > self.most_ahead {
                 // Its answer tells the closing.
                 self.flooded = true;
-                self.guest.evicted.store(true, Ordering::Relaxed);
+                self.client_connection.evicted.store(true, Ordering::Relaxed);
             } else {
                 self.unread.extend_from_slice(into.filled());
             }
@@ -89,7 +89,7 @@
     fn scan(&mut self, bytes: &[u8]) -> usize {
         let section = self.scanner.scan(bytes);
         if let Some(observed) = section.ended {
-            self.guest.observe(observed);
+            self.client_connection.observe(observed);
         }
         section.length
     }
@@ -103,7 +103,7 @@
         unread.advance(length);
         self.unread = unread;
         self.had_room = self.had_room.max(room) - length;
-        self.guest.read(length);
+        self.client_connection.read(length);
     }
 
     /// Keeps what the kernel gave beyond one section, from `before` on.
@@ -122,7 +122,7 @@
             self.read_unread(into);
             return Poll::Ready(Ok(()));
         }
-        if self.flooded && !self.guest.busy.load(Ordering::Relaxed) {
+        if self.flooded && !self.client_connection.busy.load(Ordering::Relaxed) {
             return Poll::Ready(Ok(()));
         }
         let before = into.filled().len();
@@ -160,7 +160,7 @@
     fn poll_shutdown(mut self: Pin<&mut Self>, cx: &mut Context) -> Poll<io::Result<()>> {
         if self.closing.is_none() {
             ready!(Pin::new(&mut self.stream).poll_shutdown(cx))?;
-            self.guest.closing.store(true, Ordering::Relaxed);
+            self.client_connection.closing.store(true, Ordering::Relaxed);
             self.closing = Some(Box::pin(sleep(self.lingers)));
         }
         let mut piece = [0; PIECE];
--- a/crates/merlinreel/src/clients/stop.rs
+++ b/crates/merlinreel/src/clients/stop.rs
@@ -4,7 +4,7 @@
 //! go of, with all that waited on it taken first; and the limiter ends once nobody is left.
 
 use super::Door;
-use super::guest::{Guest, lock};
+use super::connection::{ClientConnection, lock};
 use crate::log;
 use std::future::Future;
 use std::io;
@@ -77,13 +77,13 @@
         loop {
             let late = closes.is_some_and(|at| at <= Instant::now());
             let (mut left, mut bound) = (false, self.in_hand() > 0);
-            for guest in lock(&self.guests).values() {
+            for client_connection in lock(&self.client_connections).values() {
                 left = true;
-                if guest.may_go(&self.limits, late) {
-                    guest.evict();
+                if client_connection.may_go(&self.limits, late) {
+                    client_connection.evict();
                 }
                 // Nor while the rest of an answer waits for a client that reads slowly.
-                bound |= lock(&guest.times).held_up(&self.limits);
+                bound |= lock(&client_connection.times).held_up(&self.limits);
             }
             let over = self.stops_at().is_some_and(|end| end <= Instant::now());
             if left && (bound || !over) {
@@ -148,13 +148,13 @@
 
     /// Serves a connection in a task of its own.
     fn admit(self: &Arc<Door>, stream: TcpStream, (place, leaving): Seat) {
-        let guest = Arc::new(Guest::new(leaving));
+        let client_connection = Arc::new(ClientConnection::new(leaving));
         let number = self.tickets.fetch_add(1, Ordering::Relaxed);
-        lock(&self.guests).insert(number, guest.clone());
+        lock(&self.client_connections).insert(number, client_connection.clone());
         let door = self.clone();
         tokio::spawn(async move {
-            door.serve(stream, guest).await;
-            lock(&door.guests).remove(&number);
+            door.serve(stream, client_connection).await;
+            lock(&door.client_connections).remove(&number);
             drop(place);
         });
     }
--- a/crates/merlinreel/src/clients/tests.rs
+++ b/crates/merlinreel/src/clients/tests.rs
@@ -1,4 +1,4 @@
-use super::guest::{Guest, Times, lock, who_gives_way};
+use super::connection::{ClientConnection, Times, lock, who_gives_way};
 use super::*;
 use crate::messages::News;
 use crate::stream::Tally;
@@ -8,13 +8,13 @@
 use tokio::sync::mpsc;
 
 /// A connection with so many requests behind it, idle for so many seconds, perhaps with part of one there.
-fn guest(requests: usize, idle: f64, heard: Option<f64>) -> Arc<Guest> {
+fn client_connection(requests: usize, idle: f64, heard: Option<f64>) -> Arc<ClientConnection> {
     let (queue, _news) = mpsc::channel(1);
-    let guest = Guest::new(queue.try_reserve_owned().expect("a place"));
-    guest.requests.store(requests, Ordering::Relaxed);
+    let client_connection = ClientConnection::new(queue.try_reserve_owned().expect("a place"));
+    client_connection.requests.store(requests, Ordering::Relaxed);
     let ago = |seconds: f64| Instant::now() - Duration::from_secs_f64(seconds);
-    *lock(&guest.times) = Times { idle: ago(idle), heard: heard.map(ago), held_up: None };
-    Arc::new(guest)
+    *lock(&client_connection.times) = Times { idle: ago(idle), heard: heard.map(ago), held_up: None };
+    Arc::new(client_connection)
 }
 
 fn terms() -> Terms {
@@ -52,7 +52,7 @@
     use std::io::Read;
     let (mut client, stream) = came_with(b"GET /up HTTP/1.1\r\n\r\n")?;
     let (queue, _news) = mpsc::channel(1);
-    let asked = guest(0, 1.0, None);
+    let asked = client_connection(0, 1.0, None);
     asked.evicted.store(true, Ordering::Relaxed);
     asked.close.notify_one();
     let door =
@@ -70,7 +70,7 @@
 #[test_case(5.0 => false ; "it may read on")]
 #[test_case(11.0 => true ; "it has gone")]
 fn a_reader_that_takes_nothing_gives_way(since: f64) -> bool {
-    let one = guest(1, 20.0, None);
+    let one = client_connection(1, 20.0, None);
     lock(&one.times).held_up = Some(Instant::now() - Duration::from_secs_f64(since));
     one.held_up();
     one.rests(&limits())
@@ -87,7 +87,7 @@
     let limits = Limits { client_whole: Duration::from_millis(40), ..limits() };
     let door =
         Door::new(limits, watch::channel(Arc::new(Tuned::first(looking()))).1, queue, Figures::new(&[]));
-    let one = guest(0, 0.0, None);
+    let one = client_connection(0, 0.0, None);
     tokio::spawn(async move {
         door.serve(stream, one).await;
     });
@@ -115,12 +115,19 @@
         client_unended: Duration::from_secs(9),
         ..limits()
     };
-    let mut guests = vec![guest(9, 5.0, None), guest(1, 4.0, None), guest(1, 3.0, None), guest(0, 1.0, None)];
+    let mut client_connections = vec![
+        client_connection(9, 5.0, None),
+        client_connection(1, 4.0, None),
+        client_connection(1, 3.0, None),
+        client_connection(0, 1.0, None),
+    ];
     // With its first request under way, and with one in hand.
-    guests.extend([guest(0, 0.2, Some(0.2)), guest(9, 4.0, None)]);
-    guests[5].busy.store(true, Ordering::Relaxed);
-    let chosen = who_gives_way(guests.iter(), &limits);
-    let place = |one: &Guest| guests.iter().position(|guest| std::ptr::eq(guest.as_ref(), one));
+    client_connections.extend([client_connection(0, 0.2, Some(0.2)), client_connection(9, 4.0, None)]);
+    client_connections[5].busy.store(true, Ordering::Relaxed);
+    let chosen = who_gives_way(client_connections.iter(), &limits);
+    let place = |one: &ClientConnection| {
+        client_connections.iter().position(|client_connection| std::ptr::eq(client_connection.as_ref(), one))
+    };
     chosen.into_iter().filter_map(place).collect()
 }
 
@@ -140,7 +147,7 @@
     let door =
         Door::new(limits(), watch::channel(Arc::new(Tuned::first(terms()))).1, queue, Figures::new(&[]));
     door.take_waiting(listener, &Arc::new(tokio::sync::Semaphore::new(64))).await?;
-    while !lock(&door.guests).is_empty() {
+    while !lock(&door.client_connections).is_empty() {
         sleep(Duration::from_millis(1)).await;
     }
     for mut client in clients {
@@ -166,7 +173,7 @@
     busy: bool,
     late: bool,
 ) -> bool {
-    let one = guest(requests, idle, heard);
+    let one = client_connection(requests, idle, heard);
     one.busy.store(busy, Ordering::Relaxed);
     one.may_go(&limits(), late)
 }
@@ -182,7 +189,7 @@
     let tuned = watch::channel(Arc::new(Tuned::first(looking()))).1;
     let door = Door::new(limits.clone(), tuned, queue, Figures::new(&[]));
     let asked = *door.asked.get_or_init(Instant::now);
-    tokio::spawn(async move { door.serve(stream, guest(0, 0.0, None)).await });
+    tokio::spawn(async move { door.serve(stream, client_connection(0, 0.0, None)).await });
     let Some(News::Arrival(arrival)) = news.recv().await else { panic!("no job") };
     assert_eq!(arrival.until, asked + limits.stop_end);
     Ok(())
@@ -198,10 +205,11 @@
 }
 
 /// A connection served as the door serves each, and the client's news with a place of its own.
-fn served(door: &Arc<Door>, stream: TcpStream) -> (Arc<Guest>, tokio::task::JoinHandle<()>) {
-    let guest = Arc::new(Guest::new(door.queue.clone().try_reserve_owned().expect("a place")));
-    let (door, one) = (door.clone(), guest.clone());
-    (guest, tokio::spawn(async move { door.serve(stream, one).await }))
+fn served(door: &Arc<Door>, stream: TcpStream) -> (Arc<ClientConnection>, tokio::task::JoinHandle<()>) {
+    let client_connection =
+        Arc::new(ClientConnection::new(door.queue.clone().try_reserve_owned().expect("a place")));
+    let (door, one) = (door.clone(), client_connection.clone());
+    (client_connection, tokio::spawn(async move { door.serve(stream, one).await }))
 }
 
 /// Waits for a connection's mark of how far it has come.
@@ -246,7 +254,7 @@
     use std::io::{Read, Write};
     let (mut client, stream) = came_with(LOOK).expect("a client");
     let (door, mut news) = open_door(limits());
-    let (guest, serving) = served(&door, stream);
+    let (client_connection, serving) = served(&door, stream);
     let News::Arrival(first) = next(&mut news).await else { panic!("no job") };
     let writing = tokio::task::spawn_blocking(move || {
         let second = String::from_utf8_lossy(LOOK).replace("9b", "9c");
@@ -259,7 +267,7 @@
     let client = writing.await.expect("written");
     // All of it was taken by the kernel; that it was seen to be too much shows in the connection's own mark.
     if flood > 0 {
-        marked(&guest.evicted).await;
+        marked(&client_connection.evicted).await;
     }
     first.answer.send(crate::messages::Answer::Scrapped).expect("a client that waits");
     let jobs = if flood > 0 {
@@ -287,8 +295,8 @@
     use std::io::{Read, Write};
     let (mut client, stream) = came_with(b"GET /up HTTP/1.1\r\nConnection: close\r\n\r\n")?;
     let (door, mut news) = open_door(limits());
-    let (guest, serving) = served(&door, stream);
-    marked(&guest.closing).await;
+    let (client_connection, serving) = served(&door, stream);
+    marked(&client_connection.closing).await;
     let answer = tokio::task::spawn_blocking(move || {
         client.write_all(LOOK)?;
         let mut answer = String::new();
@@ -312,10 +320,10 @@
     let (_client, stream) = came_with(b"GET /up HTTP/1.1\r\nConnection: close\r\n\r\n")?;
     let lingers = Duration::from_secs(if needed { 3600 } else { 0 });
     let (door, _news) = open_door(Limits { client_lingers: lingers, ..limits() });
-    let (guest, serving) = served(&door, stream);
+    let (client_connection, serving) = served(&door, stream);
     if needed {
-        marked(&guest.closing).await;
-        guest.evict();
+        marked(&client_connection.closing).await;
+        client_connection.evict();
     }
     tokio::time::timeout(Duration::from_secs(20), serving).await.expect("closed").expect("served");
     Ok(())
@@ -328,10 +336,10 @@
     use std::io::Read;
     let (mut client, stream) = came_with(b"GET /up HTTP/1.1\r\n\r\n")?;
     let (door, _news) = open_door(limits());
-    let (guest, _serving) = served(&door, stream);
+    let (client_connection, _serving) = served(&door, stream);
     let read = tokio::task::spawn_blocking(move || client.read(&mut [0; 64]).map(|_| client));
     let _client = read.await.expect("read")?;
-    assert!(lock(&guest.times).heard.is_none());
+    assert!(lock(&client_connection.times).heard.is_none());
     Ok(())
 }
 
@@ -345,16 +353,16 @@
     const SECOND: &[u8] = b"bodyPOST /b HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n";
     const THIRD: &[u8] = b"0\r\n\r\n";
     let (_client, stream) = came_with(&[FIRST, SECOND, THIRD].concat())?;
-    let guest = guest(2, 0.0, None);
-    let mut line = Line::new(stream, guest.clone(), &limits());
+    let client_connection = client_connection(2, 0.0, None);
+    let mut line = Line::new(stream, client_connection.clone(), &limits());
     let mut into = [0; 8192];
     for (section, content_length) in [(FIRST, true), (SECOND, false), (THIRD, false)] {
         assert!(line.waits());
-        lock(&guest.times).heard = None;
+        lock(&client_connection.times).heard = None;
         let length = line.read(&mut into).await?;
         assert_eq!(into[..length], *section);
-        assert_eq!(guest.observed().content_length, content_length);
-        assert!(lock(&guest.times).heard.is_some(), "what was held back is heard as it is read");
+        assert_eq!(client_connection.observed().content_length, content_length);
+        assert!(lock(&client_connection.times).heard.is_some(), "what was held back is heard as it is read");
     }
     assert!(!line.waits());
     Ok(())
@@ -371,18 +379,18 @@
     use tokio::io::{AsyncReadExt, AsyncWriteExt};
     let (mut client, stream) =
         came_with(&[b"\r\n", vec![b'x'; first - 2].as_slice()].concat()).expect("a client");
-    let guest = guest(2, 0.0, None);
-    let mut line = Line::new(stream, guest.clone(), &limits());
+    let client_connection = client_connection(2, 0.0, None);
+    let mut line = Line::new(stream, client_connection.clone(), &limits());
     let length = line.read(&mut [0; 8192]).await.expect("read");
     assert_eq!(length, 2);
-    guest.busy.store(true, Ordering::Relaxed);
+    client_connection.busy.store(true, Ordering::Relaxed);
     client.write_all(&vec![b'x'; behind]).expect("taken");
     drop(client);
     // Each turn looks ahead, until the client's end is seen.
     while line.flush().await.is_ok() {
         tokio::task::yield_now().await;
     }
-    guest.evicted.load(Ordering::Relaxed)
+    client_connection.evicted.load(Ordering::Relaxed)
 }
 
 /// A class whose requests have a body.
