--- a/crates/merlinreel-benchlink/src/host.rs
+++ b/crates/merlinreel-benchlink/src/host.rs
@@ -48,7 +48,7 @@
 #[derive(Clone, Copy, Default)]
 struct JobState {
     out: u32,
-    trips: u32,
+    attempts: u32,
     done: bool,
 }
 
@@ -143,7 +143,7 @@
         let _ = writeln!(self.out, "SUBMIT_TO {id} {name} 0.000000");
         let state = &mut self.states[job as usize];
         state.out += 1;
-        state.trips += 1;
+        state.attempts += 1;
     }
 
     fn defer(&mut self, job: u32, retry_after: Option<Duration>) {
@@ -158,8 +158,8 @@
         self.close(job);
     }
 
-    fn revoke(&mut self, job: u32, trip: u32) {
-        let _ = writeln!(self.out, "REVOKE {} {trip}", self.jobs.names[job as usize]);
+    fn revoke(&mut self, job: u32, attempt: u32) {
+        let _ = writeln!(self.out, "REVOKE {} {attempt}", self.jobs.names[job as usize]);
     }
 
     fn probe(&mut self, server: u32) {
@@ -500,20 +500,20 @@
                 let server = instance.servers.get(name).ok_or(format!("server {name} is not known"))?;
                 let ending = ending(values.text("stateCode")?)?;
                 let took = values.time("waitTimeS")?;
-                let trip = values.integer("seqNo")? as u32;
+                let attempt = values.integer("seqNo")? as u32;
                 let used = values.optional("quotaUse")?.filter(|&used| used >= 1.0);
                 let load = values.load()?;
                 let state = instance.state(job);
                 if state.out == 0 {
-                    return Err(format!("job {id} has no trip out"));
+                    return Err(format!("job {id} has no attempt out"));
                 }
                 state.out -= 1;
                 state.done |= finished;
                 let finished = state.done;
                 instance.free_if_over(job);
-                instance.round.trip_ends.push(TripEnd {
+                instance.round.attempt_ends.push(AttemptEnd {
                     job,
-                    trip,
+                    attempt,
                     server,
                     ending,
                     took,
--- a/crates/merlinreel-core/src/decide.rs
+++ b/crates/merlinreel-core/src/decide.rs
@@ -4,7 +4,7 @@
 //! batch between limiters. Docs: `docs/design.md`, `docs/on-call.md`.
 
 use crate::hearsay::Reading;
-use crate::job::{OpenJob, Trip};
+use crate::job::{Attempt, OpenJob};
 use crate::letter::{self, Row};
 use crate::ring::Ring;
 pub use crate::state::Limiter;
@@ -159,7 +159,7 @@
         Server {
             entry,
             listed: true,
-            // Starting value: eight trips at a server, on machines of a few cores, over all limiters.
+            // Starting value: eight attempts at a server, on machines of a few cores, over all limiters.
             credits: 4.0 / f64::from(limiters),
             sends: Ring::new(rules.fall_time),
             ..Server::default()
@@ -173,7 +173,7 @@
         (rules.start_share + (1.0 - rules.start_share) * part).min(1.0)
     }
 
-    /// Credits follow how long trips take, whether answered or not, against what is long: guards
+    /// Credits follow how long attempts take, whether answered or not, against what is long: guards
     /// against queues at the servers, which no limiter sees, and against work that nobody waits for.
     fn pace(&mut self, now: Duration, took: f64, long: f64, floor: f64, pressed: bool) {
         self.slow += (took / long - self.slow) * 0.25;
@@ -182,13 +182,13 @@
             // Not again before this cut can show; three long answers are soon enough for that.
             self.cut_at = now + span(took.min(long));
         } else if self.slow < 0.55 && pressed {
-            // All limiters see the same quick answers: together they add a third of a trip an answer each.
+            // All limiters see the same quick answers: together they add a third of an attempt an answer each.
             let step = floor * 0.15 / (self.credits / floor).max(1.0);
             self.credits = (self.credits + step).min(32.0);
         }
     }
 
-    /// A symptom that the server is not well: a rest that doubles, then one trip on trial.
+    /// A symptom that the server is not well: a rest that doubles, then one attempt on trial.
     fn strike(&mut self, now: Duration) {
         self.strikes += 1;
         // From a quarter second, about a round of answers, up to 4 s, a fair part of a short outage.
@@ -274,7 +274,7 @@
         round.roster.iter().for_each(|roster| self.follow(roster));
         round.letters.iter().for_each(|letter| self.read_letter(now, letter));
         round.counts.iter().for_each(|answer| self.read_count(now, answer));
-        round.trip_ends.iter().for_each(|end| self.end_trip(now, end, out));
+        round.attempt_ends.iter().for_each(|end| self.end_attempt(now, end, out));
         round.streaming.iter().for_each(|&job| self.answer_begins(now, job));
         for job in round.jobs.iter().filter(|job| !round.left.contains(&job.job)) {
             self.take(now, job, out);
@@ -647,7 +647,7 @@
 
     /// Departure where limiters are many: each sends to a steady part of the servers, the next on the ring of
     /// their marks from a point of its own, which lie evenly; struck and cold ones count for what they bear.
-    /// Guards against a connection a trip, and against views too thin to tell a good server from a bad one.
+    /// Guards against a connection an attempt, and against views too thin to tell a good server from a bad one.
     fn keep_regulars(&mut self, now: Duration) {
         let rules = self.server_rules;
         let bears = |s: &Server| if now >= s.benched_until { s.warmth(now, &rules) } else { 0.0 };
@@ -667,7 +667,7 @@
     }
 
     /// What a warm server was sent of late. While none is warm what was last holds, and a cold one gets a
-    /// trip: guards against a fleet taken for cold at a stroke, which would idle.
+    /// attempt: guards against a fleet taken for cold at a stroke, which would idle.
     fn gauge(&mut self, now: Duration) {
         let warm = |s: &&mut Server| s.listed && !s.aside && s.cold_since.is_none() && now >= s.benched_until;
         let sends = self.servers.iter_mut().flatten().filter(warm).map(|server| server.sends.sum(now));
@@ -676,12 +676,12 @@
         self.warm_sends = if count > 0.0 { sum / count } else { self.warm_sends.max(least) };
     }
 
-    /// The server for a trip: credit left there, and the least work in hand for its pace.
+    /// The server for an attempt: credit left there, and the least work in hand for its pace.
     fn choose(&mut self, now: Duration, job: u32) -> Option<u32> {
         let open = self.jobs[job as usize].as_ref()?;
         let category = &self.categories[open.job.category];
         let rules = &self.server_rules;
-        // Where limiters are many, credits are parts of a trip: all together bound what is out.
+        // Where limiters are many, credits are parts of an attempt: all together bound what is out.
         let (mut credits, mut busy) = (0.0, 0.0);
         for server in self.servers.iter().flatten() {
             busy += f64::from(server.out);
@@ -698,7 +698,7 @@
         let mut best: Option<(f64, u32)> = None;
         for (i, server) in self.servers.iter_mut().enumerate() {
             let Some(server) = server else { continue };
-            let has_one = open.trips.iter().any(|trip| trip.out && trip.server == i as u32);
+            let has_one = open.attempts.iter().any(|attempt| attempt.out && attempt.server == i as u32);
             // What may have run goes anywhere in its group, which may hold none of the regular ones.
             let aside = server.aside && origin.is_none();
             if has_one || aside || !server.listed || now < server.benched_until {
@@ -710,7 +710,7 @@
             {
                 continue;
             }
-            let tried = open.trips.iter().filter(|trip| trip.server == i as u32).count();
+            let tried = open.attempts.iter().filter(|attempt| attempt.server == i as u32).count();
             let warmth = server.warmth(now, rules);
             if warmth >= 1.0 {
                 server.cold_since = None;
@@ -720,16 +720,16 @@
                 if trial { server.credits.min(1.0) } else { server.credits * self.level * self.reach }
                     * warmth;
             // A part of a credit is a whole one for part of the time, by turns among the limiters: not all
-            // send to one server at once. Half a second outlasts most trips, the golden ratio is even.
+            // send to one server at once. Half a second outlasts most attempts, the golden ratio is even.
             let turn = i as f64 * 0.618 + secs(now).div_euclid(0.5) * 0.382;
             let turn = (turn + f64::from(self.peers.me) / f64::from(self.peers.limiters)).fract();
             let credits = credits.floor() + f64::from(u8::from(turn < credits.fract()));
-            // A credit comes back with an answer, or once the trip is overdue (see `watch`).
+            // A credit comes back with an answer, or once the attempt is overdue (see `watch`).
             if f64::from(server.out) + 1.0 > credits {
                 continue;
             }
             // All limiters together send a cold server what warm ones get, times the warmth, far inside the
-            // multiple allowed: a part of a trip a window is a whole one in some of the window's turns.
+            // multiple allowed: a part of an attempt a window is a whole one in some of the window's turns.
             let part = self.warm_sends * warmth - server.sends.sum(now);
             if warmth < 1.0 && part < 1.0 && turn * secs(rules.fall_time) >= part * 0.5 {
                 continue;
@@ -751,31 +751,31 @@
     /// hangs as well as answers lost on the way from servers that work, which must not starve the credits.
     fn watch(&mut self, now: Duration, out: &mut dyn Writer) {
         let patience = overdue_after(self.usual, self.losing);
-        let most = self.job_rules.most_trips as usize;
+        let most = self.job_rules.most_attempts as usize;
         for open in self.jobs.iter_mut().flatten() {
             let again = match self.categories[open.job.category].repeats {
                 Repeats::Replayable => true,
-                Repeats::Referenced(_, memory) => open.trips.iter().all(|t| now < t.sent + memory / 2),
+                Repeats::Referenced(_, memory) => open.attempts.iter().all(|t| now < t.sent + memory / 2),
                 Repeats::SingleUse => false,
             };
-            let again = again && !open.done && open.trips.len() < most && now < open.target;
-            for (n, trip) in open.trips.iter_mut().enumerate() {
+            let again = again && !open.done && open.attempts.len() < most && now < open.target;
+            for (n, attempt) in open.attempts.iter_mut().enumerate() {
                 let full = watched(open.job.job);
                 let patience = if full { overdue_after(self.usual, 0.0) } else { patience };
-                if !trip.out || trip.overdue || now <= trip.sent + patience {
+                if !attempt.out || attempt.overdue || now <= attempt.sent + patience {
                     continue;
                 }
-                trip.overdue = true;
-                if let Some(server) = &mut self.servers[trip.server as usize] {
+                attempt.overdue = true;
+                if let Some(server) = &mut self.servers[attempt.server as usize] {
                     server.out = server.out.saturating_sub(1);
                     self.losing += (1.0 - self.losing) * if full { 0.02 } else { 0.0 };
-                    if server.owing_since <= trip.sent
+                    if server.owing_since <= attempt.sent
                         && now > server.owing_since + overdue_after(self.usual, 0.0)
                     {
                         server.strike(now);
                     }
                 }
-                if again && self.job_rules.may_revoke && !std::mem::replace(&mut trip.revoked, true) {
+                if again && self.job_rules.may_revoke && !std::mem::replace(&mut attempt.revoked, true) {
                     out.revoke(open.job.job, n as u32);
                 }
             }
@@ -784,14 +784,16 @@
 
     // ---- Jobs ----
 
-    fn end_trip(&mut self, now: Duration, end: &TripEnd, out: &mut dyn Writer) {
+    fn end_attempt(&mut self, now: Duration, end: &AttemptEnd, out: &mut dyn Writer) {
         let (took, pressed) = (secs(end.took), !self.queue.is_empty());
         // Where limiters hear each other, their own credits tell more.
         let load = if self.gathers() { end.load } else { Load::default() };
         let Some(open) = self.jobs.get_mut(end.job as usize).and_then(|open| open.as_mut()) else { return };
-        let Some(trip) = open.trips.get_mut(end.trip as usize).filter(|trip| trip.out) else { return };
-        trip.out = false;
-        let overdue = trip.overdue;
+        let Some(attempt) = open.attempts.get_mut(end.attempt as usize).filter(|attempt| attempt.out) else {
+            return;
+        };
+        attempt.out = false;
+        let overdue = attempt.overdue;
         if end.ending == Ending::Fulfilled {
             self.answers.add(now, 1.0);
             self.answer_times.add(now, took);
@@ -802,7 +804,7 @@
         }
         // Two at a server over all limiters keep it at work, however long its answers take.
         let floor = 2.0 / f64::from(self.peers.limiters);
-        let (sent, target) = (trip.sent, secs(self.categories[open.job.category].target_time));
+        let (sent, target) = (attempt.sent, secs(self.categories[open.job.category].target_time));
         if let Some(server) = self.servers.get_mut(end.server as usize).and_then(|s| s.as_mut()) {
             if !overdue {
                 server.out = server.out.saturating_sub(1);
@@ -846,7 +848,7 @@
                     }
                 }
                 Ending::TurnedAway => {
-                    // Never more than before: with many limiters credits are parts of a trip.
+                    // Never more than before: with many limiters credits are parts of an attempt.
                     server.credits = (server.credits * 0.7).max(floor.min(server.credits));
                     server.benched_until = server.benched_until.max(now + Duration::from_millis(100));
                 }
@@ -866,7 +868,7 @@
             account.add_own(window, (units - open.job.units) * open.stands_for);
             account.stir(open.account, &mut self.stirred);
         }
-        let stays = !open.queued && !open.trips.iter().any(|trip| trip.out);
+        let stays = !open.queued && !open.attempts.iter().any(|attempt| attempt.out);
         if end.finished || open.done {
             self.close(end.job, out);
         } else if stays && self.may_send_again(now, end.job) {
@@ -886,15 +888,15 @@
             (Repeats::Referenced(_, memory), Some((_, sent))) => now < sent + memory,
             (Repeats::SingleUse, Some(_)) => false,
         };
-        rule && in_time && open.trips.len() < self.job_rules.most_trips as usize
+        rule && in_time && open.attempts.len() < self.job_rules.most_attempts as usize
     }
 
-    /// A streamed answer has begun: its server is not silent, and the trip is never taken back.
+    /// A streamed answer has begun: its server is not silent, and the attempt is never taken back.
     fn answer_begins(&mut self, now: Duration, job: u32) {
         let open = self.jobs.get_mut(job as usize).into_iter().flatten();
-        for trip in open.flat_map(|open| &mut open.trips).filter(|trip| trip.out) {
-            trip.revoked = true;
-            self.servers[trip.server as usize].iter_mut().for_each(|server| server.owing_since = now);
+        for attempt in open.flat_map(|open| &mut open.attempts).filter(|attempt| attempt.out) {
+            attempt.revoked = true;
+            self.servers[attempt.server as usize].iter_mut().for_each(|server| server.owing_since = now);
         }
     }
 
@@ -908,7 +910,7 @@
             (_, Some(_)) => false,
         };
         let account = &mut self.accounts[open.account];
-        if open.trips.is_empty() {
+        if open.attempts.is_empty() {
             account.roll(now, &self.plans[account.plan]);
             open.window
                 .into_iter()
@@ -927,7 +929,7 @@
         self.close(job, out);
     }
 
-    /// The job has its final answer: trips still out are taken back, and nothing more is sent.
+    /// The job has its final answer: attempts still out are taken back, and nothing more is sent.
     fn close(&mut self, job: u32, out: &mut dyn Writer) {
         let Some(open) = self.jobs.get_mut(job as usize).and_then(|open| open.as_mut()) else { return };
         if !std::mem::replace(&mut open.done, true) {
@@ -935,9 +937,9 @@
             account.out = account.out.saturating_sub(1);
         }
         let mut still_out = false;
-        for (n, trip) in open.trips.iter_mut().enumerate().filter(|(_, trip)| trip.out) {
+        for (n, attempt) in open.attempts.iter_mut().enumerate().filter(|(_, attempt)| attempt.out) {
             still_out = true;
-            if self.job_rules.may_revoke && !std::mem::replace(&mut trip.revoked, true) {
+            if self.job_rules.may_revoke && !std::mem::replace(&mut attempt.revoked, true) {
                 out.revoke(job, n as u32);
             }
         }
@@ -978,13 +980,13 @@
             let places = (&mut self.jobs[job as usize], &mut self.servers[server as usize]);
             let (Some(open), Some(at)) = places else { continue };
             open.queued = false;
-            open.trips.push(Trip { server, sent: now, out: true, revoked: false, overdue: false });
+            open.attempts.push(Attempt { server, sent: now, out: true, revoked: false, overdue: false });
             if at.out == 0 {
                 at.owing_since = now;
             }
             at.out += 1;
             at.sends.add(now, 1.0);
-            // Servers keep a key so long after the first trip that may have run: a repeat has to be there by then.
+            // Servers keep a key so long after the first attempt that may have run: a repeat has to be there by then.
             let within = match (self.categories[open.job.category].repeats, open.ran) {
                 (Repeats::Referenced(_, memory), Some((_, sent))) => {
                     Some((sent + memory).saturating_sub(now))
--- a/crates/merlinreel-core/src/decide/tests.rs
+++ b/crates/merlinreel-core/src/decide/tests.rs
@@ -228,10 +228,10 @@
 #[test_case(|s| s.out = 2 => Some(1) ; "no credit left")]
 #[test_case(|s| s.errors = 0.2 => Some(1) ; "one that fails fast and so looks idle")]
 fn choosing(trouble: fn(&mut Server)) -> Option<u32> {
-    let mut limiter = with_servers(on_trip(Repeats::Replayable));
+    let mut limiter = with_servers(on_attempt(Repeats::Replayable));
     limiter.servers[1].as_mut().into_iter().for_each(|server| server.took = 0.25);
     limiter.servers[0].as_mut().into_iter().for_each(|server| server.took = 0.2);
-    limiter.jobs[0].as_mut().into_iter().for_each(|open| open.trips.clear());
+    limiter.jobs[0].as_mut().into_iter().for_each(|open| open.attempts.clear());
     limiter.servers[0].as_mut().into_iter().for_each(trouble);
     limiter.choose(at(2.0), 0)
 }
@@ -242,8 +242,8 @@
     let tries = |me: u32| {
         let mut limiter = limiter(Repeats::Replayable, Peers { me, ..many() });
         limiter.servers = (0..2).map(|i| Some(Server::new(entry(i), &server_rules(), 90))).collect();
-        limiter.jobs = on_trip(Repeats::Replayable).jobs;
-        limiter.jobs[0].as_mut().into_iter().for_each(|open| open.trips.clear());
+        limiter.jobs = on_attempt(Repeats::Replayable).jobs;
+        limiter.jobs[0].as_mut().into_iter().for_each(|open| open.attempts.clear());
         if let [Some(weak), Some(other)] = &mut limiter.servers[..] {
             (weak.cold_since, weak.strikes) = ((!struck).then_some(at(1.9)), u32::from(struck));
             other.out = 1;
@@ -257,8 +257,8 @@
 #[test_case(3.0 => None ; "it had its share")]
 #[test_case(30.0 => Some(0) ; "it did not")]
 fn a_cold_server_gets_its_share_of_what_warm_ones_get(warm_sends: f64) -> Option<u32> {
-    let mut limiter = on_trip(Repeats::Replayable);
-    limiter.jobs[0].as_mut().into_iter().for_each(|open| open.trips.clear());
+    let mut limiter = on_attempt(Repeats::Replayable);
+    limiter.jobs[0].as_mut().into_iter().for_each(|open| open.attempts.clear());
     limiter.warm_sends = warm_sends;
     if let [Some(cold), Some(warm)] = &mut limiter.servers[..] {
         (cold.cold_since, cold.out) = (Some(at(1.0)), 0);
@@ -271,7 +271,7 @@
 
 #[test_case(true, 7.0 => 12.0 ; "what the warm one gets")]
 #[test_case(false, 7.0 => 7.0 ; "what was seen last while none is warm")]
-#[test_case(false, 0.0 => 5.0 ; "enough for a trip where nothing was seen")]
+#[test_case(false, 0.0 => 5.0 ; "enough for an attempt where nothing was seen")]
 fn what_cold_servers_are_measured_by(warm: bool, seen: f64) -> f64 {
     let mut limiter = with_servers(limiter(Repeats::Replayable, peers()));
     limiter.warm_sends = seen;
@@ -286,31 +286,31 @@
     limiter.warm_sends
 }
 
-#[test_case(Ending::Dropped, 0, 0.0 => (0, false) ; "one dropped trip is the link's doing")]
+#[test_case(Ending::Dropped, 0, 0.0 => (0, false) ; "one dropped attempt is the link's doing")]
 #[test_case(Ending::Dropped, 2, 0.0 => (1, false) ; "three in a row are the server's")]
 #[test_case(Ending::Dropped, 2, 0.4 => (0, false) ; "three in a row are chance where all fail often")]
 #[test_case(Ending::Dropped, 9, 0.4 => (1, false) ; "ten are not")]
 #[test_case(Ending::NoConnection, 0, 0.0 => (1, true) ; "no connection: the process is gone")]
 #[test_case(Ending::Error, 0, 0.4 => (0, false) ; "what all servers share is no server's doing")]
 fn failing(ending: Ending, drops: u32, erring: f64) -> (u32, bool) {
-    let mut limiter = on_trip(Repeats::Replayable);
+    let mut limiter = on_attempt(Repeats::Replayable);
     limiter.erring = erring;
     if let Some(server) = limiter.servers[0].as_mut() {
         (server.drops, server.errors) = (drops, erring);
     }
-    limiter.end_trip(at(1.1), &trip_end(ending, false), &mut Notes::default());
+    limiter.end_attempt(at(1.1), &attempt_end(ending, false), &mut Notes::default());
     limiter.servers[0].as_ref().map_or((9, false), |server| (server.strikes, server.down))
 }
 
 #[test]
 fn parts_of_a_credit_go_by_turns() {
     let sends = |me: u32| {
-        let mut limiter = on_trip(Repeats::Replayable);
+        let mut limiter = on_attempt(Repeats::Replayable);
         limiter.peers.me = me;
         for server in limiter.servers.iter_mut().flatten() {
             (server.credits, server.out) = (1.0 / 3.0, 0);
         }
-        limiter.jobs[0].as_mut().into_iter().for_each(|open| open.trips.clear());
+        limiter.jobs[0].as_mut().into_iter().for_each(|open| open.attempts.clear());
         limiter.choose(at(2.0), 0) == Some(0)
     };
     assert_eq!((0..3).filter(|&me| sends(me)).count(), 1);
@@ -339,9 +339,9 @@
     limiter.follow(&Roster { whole: true, restored: false, unavailable: false, entries });
     account(&mut limiter).add_own(0, used);
     if open {
-        let trips = vec![Trip { server: 0, sent: at(1.0), out: true, revoked: true, overdue: true }];
+        let attempts = vec![Attempt { server: 0, sent: at(1.0), out: true, revoked: true, overdue: true }];
         let job = OpenJob::new(&job(), 0, at(1.0), at(900.0), None);
-        limiter.jobs = vec![Some(OpenJob { trips, queued: false, ..job })];
+        limiter.jobs = vec![Some(OpenJob { attempts, queued: false, ..job })];
     }
     let mut notes = Notes::default();
     (1..=seconds).for_each(|second| limiter.round(at(f64::from(second)), &Round::default(), &mut notes));
@@ -406,10 +406,10 @@
 #[test_case(ZONE, Ending::Dropped, 1.1 => (vec![0], 0) ; "referenced within its memory")]
 #[test_case(ZONE, Ending::Dropped, 1.7 => (vec![], 1) ; "referenced after it")]
 #[test_case(Repeats::Replayable, Ending::Expired, 3.0 => (vec![], 1) ; "nothing after the client's time")]
-fn further_trips(repeats: Repeats, ending: Ending, when: f64) -> (Vec<u32>, usize) {
-    let mut limiter = on_trip(repeats);
+fn further_attempts(repeats: Repeats, ending: Ending, when: f64) -> (Vec<u32>, usize) {
+    let mut limiter = on_attempt(repeats);
     let mut notes = Notes::default();
-    limiter.end_trip(at(when), &trip_end(ending, false), &mut notes);
+    limiter.end_attempt(at(when), &attempt_end(ending, false), &mut notes);
     (limiter.queue, notes.lines.len())
 }
 
@@ -417,7 +417,7 @@
 #[test_case(Repeats::SingleUse => "scrap 0" ; "no promise where it may have run")]
 #[test_case(ZONE => "scrap 0" ; "nor outside the group that drops repeats")]
 fn giving_up(repeats: Repeats) -> String {
-    let mut limiter = on_trip(repeats);
+    let mut limiter = on_attempt(repeats);
     limiter.jobs[0].as_mut().into_iter().for_each(|open| open.ran = Some((0, at(1.0))));
     let mut notes = Notes::default();
     limiter.give_up(at(1.0), 0, &mut notes);
@@ -426,18 +426,18 @@
 
 #[test]
 fn units_of_a_job_never_sent_are_given_back() {
-    let mut limiter = on_trip(Repeats::SingleUse);
-    limiter.jobs[0].as_mut().into_iter().for_each(|open| open.trips.clear());
+    let mut limiter = on_attempt(Repeats::SingleUse);
+    limiter.jobs[0].as_mut().into_iter().for_each(|open| open.attempts.clear());
     limiter.give_up(at(1.0), 0, &mut Notes::default());
     assert_eq!(limiter.accounts[0].own[0], 0.0);
 }
 
-#[test_case(ZONE => Some(0) ; "referenced stays in the zone of its first trip")]
+#[test_case(ZONE => Some(0) ; "referenced stays in the zone of its first attempt")]
 #[test_case(Repeats::Replayable => Some(1) ; "replayable goes elsewhere")]
 fn where_to_next(repeats: Repeats) -> Option<u32> {
-    let mut limiter = on_trip(repeats);
+    let mut limiter = on_attempt(repeats);
     if let Some(open) = &mut limiter.jobs[0] {
-        open.trips[0].out = false;
+        open.attempts[0].out = false;
         open.ran = Some((0, at(1.0)));
     }
     limiter.choose(at(1.1), 0)
@@ -445,7 +445,7 @@
 
 #[test]
 fn a_server_that_streams_is_not_silent() {
-    let mut limiter = on_trip(Repeats::Replayable);
+    let mut limiter = on_attempt(Repeats::Replayable);
     limiter.answer_begins(at(4.0), 0);
     assert!(limiter.servers[0].as_ref().is_some_and(|server| server.owing_since == at(4.0)));
 }
@@ -453,7 +453,7 @@
 #[test_case(Repeats::Replayable => 1 ; "what may go again is taken back")]
 #[test_case(Repeats::SingleUse => 0 ; "single-use waits")]
 fn silent_servers(repeats: Repeats) -> usize {
-    let mut limiter = on_trip(repeats);
+    let mut limiter = on_attempt(repeats);
     limiter.jobs[0].as_mut().into_iter().for_each(|open| open.target = at(9.0));
     let mut notes = Notes::default();
     limiter.watch(at(4.0), &mut notes);
@@ -481,10 +481,10 @@
 /// Guards against credits that are learned at the regular servers and counted at all.
 #[test]
 fn what_the_regular_servers_bear_stands_for_all() {
-    let mut limiter = on_trip(Repeats::SingleUse);
+    let mut limiter = on_attempt(Repeats::SingleUse);
     limiter.servers.resize_with(20, || Some(Server::new(entry(9), &server_rules(), 100)));
     limiter.servers.iter_mut().skip(2).flatten().for_each(|server| server.aside = true);
-    // One trip is out, and two servers with two credits each stand for twenty.
+    // One attempt is out, and two servers with two credits each stand for twenty.
     limiter.servers[0].iter_mut().for_each(|server| server.credits = 0.2);
     limiter.servers[1].iter_mut().for_each(|server| server.credits = 0.2);
     let chosen = [1.0, 10.0].map(|reach| {
@@ -503,8 +503,8 @@
 
 #[test_case(0.5 => (0, 1) ; "a hang: the server answered nothing since and is struck")]
 #[test_case(2.0 => (0, 0) ; "a lost answer: it answered others, its credit comes back")]
-fn overdue_trips(answered: f64) -> (u32, u32) {
-    let mut limiter = on_trip(Repeats::SingleUse);
+fn overdue_attempts(answered: f64) -> (u32, u32) {
+    let mut limiter = on_attempt(Repeats::SingleUse);
     limiter.servers[0].as_mut().into_iter().for_each(|server| server.owing_since = at(answered));
     limiter.watch(at(4.0), &mut Notes::default());
     limiter.servers[0].as_ref().map_or((9, 9), |server| (server.out, server.strikes))
@@ -514,12 +514,12 @@
 #[test_case(0.1, 1.05, "defer 0 3.0" ; "given up at once when its target time cannot be met")]
 #[test_case(9.0, 1.4, "send 0 to 0" ; "slow answers never close the limiter for good")]
 fn dispatching(usual: f64, target: f64, decision: &str) {
-    let mut limiter = on_trip(Repeats::Replayable);
+    let mut limiter = on_attempt(Repeats::Replayable);
     (limiter.usual, limiter.queue) = (usual, vec![0]);
     limiter.servers[0].as_mut().into_iter().for_each(|server| server.out = 0);
     limiter.servers[1] = None;
     if let Some(open) = &mut limiter.jobs[0] {
-        (open.queued, open.target, open.trips) = (true, at(target), Vec::new());
+        (open.queued, open.target, open.attempts) = (true, at(target), Vec::new());
     }
     let mut notes = Notes::default();
     limiter.dispatch(at(1.0), &mut notes);
@@ -542,14 +542,14 @@
 #[test_case(1.0, 1.0 => "send 1 to 0" ; "among near equals the newest")]
 #[test_case(4.0, 1.0 => "send 0 to 0" ; "far more gain before the newest")]
 fn who_goes_first(older: f64, newer: f64) -> String {
-    let mut limiter = on_trip(Repeats::Replayable);
+    let mut limiter = on_attempt(Repeats::Replayable);
     limiter.plans = [older, newer].map(|price| Plan { price, ..plan() }).to_vec();
     limiter.servers[0].as_mut().into_iter().for_each(|server| (server.credits, server.out) = (1.0, 0));
     limiter.servers[1] = None;
-    let second = on_trip(Repeats::Replayable).jobs.remove(0);
+    let second = on_attempt(Repeats::Replayable).jobs.remove(0);
     limiter.jobs.push(second);
     for (i, open) in limiter.jobs.iter_mut().flatten().enumerate() {
-        (open.queued, open.target, open.trips) = (true, at(2.0), Vec::new());
+        (open.queued, open.target, open.attempts) = (true, at(2.0), Vec::new());
         (open.arrived, open.job.job, open.job.plan) = (at(1.0 + i as f64 / 10.0), i as u32, i);
     }
     limiter.queue = vec![0, 1];
@@ -560,10 +560,10 @@
 
 #[test]
 fn a_job_that_waits_twice_in_the_queue_is_sent_once() {
-    let mut limiter = on_trip(Repeats::SingleUse);
+    let mut limiter = on_attempt(Repeats::SingleUse);
     limiter.queue = vec![0, 0];
     if let Some(open) = &mut limiter.jobs[0] {
-        (open.queued, open.target, open.trips) = (true, at(2.0), Vec::new());
+        (open.queued, open.target, open.attempts) = (true, at(2.0), Vec::new());
     }
     let mut notes = Notes::default();
     limiter.dispatch(at(1.0), &mut notes);
@@ -589,21 +589,21 @@
 
 #[test]
 fn the_answer_settles_the_units() {
-    let mut limiter = on_trip(Repeats::Replayable);
+    let mut limiter = on_attempt(Repeats::Replayable);
     limiter.peers.settles = true;
-    let end = TripEnd { units: Some(3.0), ..trip_end(Ending::Fulfilled, true) };
-    limiter.end_trip(at(1.1), &end, &mut Notes::default());
+    let end = AttemptEnd { units: Some(3.0), ..attempt_end(Ending::Fulfilled, true) };
+    limiter.end_attempt(at(1.1), &end, &mut Notes::default());
     assert_eq!(limiter.accounts[0].own[0], 3.0);
 }
 
-/// A further trip must reach its server while the key of a first that may have run is kept, for 0.6 s here since that was
+/// A further attempt must reach its server while the key of a first that may have run is kept, for 0.6 s here since that was
 /// sent at 1 s; else it needs no hurry. Guards against an effect twice by a repeat that its connection holds up.
 #[test_case(Repeats::Referenced(Group::All, at(0.6)), Ending::Dropped => "send 0 to 1 within 0.4" ; "keyed, it may have run")]
 #[test_case(Repeats::Referenced(Group::All, at(0.6)), Ending::Unsent => "send 0 to 1" ; "keyed, it never ran")]
 #[test_case(Repeats::Replayable, Ending::Dropped => "send 0 to 1" ; "at will")]
 fn a_repeat_is_there_while_its_key_is_kept(repeats: Repeats, ending: Ending) -> String {
-    let (mut limiter, mut notes) = (on_trip(repeats), Notes::default());
-    limiter.end_trip(at(1.2), &trip_end(ending, false), &mut notes);
+    let (mut limiter, mut notes) = (on_attempt(repeats), Notes::default());
+    limiter.end_attempt(at(1.2), &attempt_end(ending, false), &mut notes);
     limiter.dispatch(at(1.2), &mut notes);
     notes.lines.join(", ")
 }
--- a/crates/merlinreel-core/src/decide/tests/cold_servers.rs
+++ b/crates/merlinreel-core/src/decide/tests/cold_servers.rs
@@ -38,13 +38,13 @@
 /// What a limiter decided in a round.
 #[derive(Default)]
 struct Decisions {
-    trips: Vec<(u32, u32)>,
+    attempts: Vec<(u32, u32)>,
     letters: Vec<(u32, Vec<u8>)>,
 }
 
 impl Writer for Decisions {
     fn send(&mut self, job: u32, server: u32, _: Option<Duration>) {
-        self.trips.push((job, server));
+        self.attempts.push((job, server));
     }
     fn tell(&mut self, limiter: u32, letter: &[u8]) {
         self.letters.push((limiter, letter.to_vec()));
@@ -85,8 +85,8 @@
 struct Place {
     limiter: Limiter,
     next: Round,
-    /// Ends of its trips that are still to come, by their time in microseconds.
-    ends: BTreeMap<(u64, u32), TripEnd>,
+    /// Ends of its attempts that are still to come, by their time in microseconds.
+    ends: BTreeMap<(u64, u32), AttemptEnd>,
     jobs: u32,
 }
 
@@ -102,7 +102,7 @@
             repeats: Repeats::Replayable,
         };
         let jobs = JobRules {
-            most_trips: 4,
+            most_attempts: 4,
             second_copies: false,
             may_revoke: false,
             retry_after: true,
@@ -129,7 +129,7 @@
     /// When each core of each server is free.
     cores: Vec<[f64; CORES]>,
     chance: WyRand,
-    /// When trips were sent to the cold server since it started.
+    /// When attempts were sent to the cold server since it started.
     to_cold: Vec<f64>,
 }
 
@@ -162,7 +162,7 @@
         }
     }
 
-    /// When a server ends a trip that reaches it now: first come, first served, work by chance.
+    /// When a server ends an attempt that reaches it now: first come, first served, work by chance.
     fn work(&mut self, server: u32, now: f64) -> f64 {
         let slower = if server == COLD && now >= COLD_AT { share(now) } else { 1.0 };
         let work = -WORK * (1.0 - self.chance.generate::<f64>()).ln() / slower;
@@ -179,16 +179,16 @@
             let place = &mut self.places[me];
             let mut round = std::mem::take(&mut place.next);
             let later = place.ends.split_off(&((now * 1e6) as u64, u32::MAX));
-            round.trip_ends = std::mem::replace(&mut place.ends, later).into_values().collect();
+            round.attempt_ends = std::mem::replace(&mut place.ends, later).into_values().collect();
             let mut decisions = Decisions::default();
             place.limiter.round(at(now), &round, &mut decisions);
             letters.extend(decisions.letters.into_iter().map(|letter| (me as u32, letter)));
-            for (job, server) in decisions.trips {
+            for (job, server) in decisions.attempts {
                 if server == COLD && now >= COLD_AT {
                     self.to_cold.push(now);
                 }
                 let took = self.work(server, now) - now;
-                let end = TripEnd { job, server, took: at(took), ..trip_end(Ending::Fulfilled, true) };
+                let end = AttemptEnd { job, server, took: at(took), ..attempt_end(Ending::Fulfilled, true) };
                 self.places[me].ends.insert((((now + took) * 1e6) as u64, job), end);
             }
         }
--- a/crates/merlinreel-core/src/decide/tests/gathering.rs
+++ b/crates/merlinreel-core/src/decide/tests/gathering.rs
@@ -205,12 +205,12 @@
 #[test_case(0.0 ; "none")]
 #[test_case(10.0 ; "for ten")]
 fn what_was_counted_is_given_back(stands_for: f64) {
-    let mut limiter = on_trip(Repeats::Replayable);
+    let mut limiter = on_attempt(Repeats::Replayable);
     let left = limiter.accounts[0].left(at(1.0), &plan());
     let window = (stands_for > 0.0).then_some(0);
     if let Some(open) = &mut limiter.jobs[0] {
         (open.window, open.stands_for) = (window, stands_for);
-        open.trips.clear();
+        open.attempts.clear();
     }
     window.into_iter().for_each(|window| limiter.accounts[0].add_own(window, stands_for));
     limiter.give_up(at(1.0), 0, &mut Notes::default());
--- a/crates/merlinreel-core/src/decide/tests/helpers.rs
+++ b/crates/merlinreel-core/src/decide/tests/helpers.rs
@@ -25,8 +25,8 @@
     fn scrap(&mut self, job: u32) {
         self.add(format!("scrap {job}"));
     }
-    fn revoke(&mut self, job: u32, trip: u32) {
-        self.add(format!("revoke {job}.{trip}"));
+    fn revoke(&mut self, job: u32, attempt: u32) {
+        self.add(format!("revoke {job}.{attempt}"));
     }
     fn probe(&mut self, server: u32) {
         self.add(format!("probe {server}"));
@@ -99,7 +99,7 @@
     let category =
         Category { target_time: at(0.5), outer_limit: at(2.0), gain: 1.0, late_gain: 0.0, repeats };
     let jobs = JobRules {
-        most_trips: 4,
+        most_attempts: 4,
         second_copies: false,
         may_revoke: true,
         retry_after: true,
@@ -143,18 +143,18 @@
     }
 }
 
-/// Job 0, charged, with one trip out at server 0 since 1 s.
-pub fn on_trip(repeats: Repeats) -> Limiter {
+/// Job 0, charged, with one attempt out at server 0 since 1 s.
+pub fn on_attempt(repeats: Repeats) -> Limiter {
     let mut limiter = with_servers(limiter(repeats, peers()));
     account(&mut limiter).add_own(0, 1.0);
-    let trip = Trip { server: 0, sent: at(1.0), out: true, revoked: false, overdue: false };
+    let attempt = Attempt { server: 0, sent: at(1.0), out: true, revoked: false, overdue: false };
     limiter.jobs.push(Some(OpenJob {
         job: job(),
         account: 0,
         arrived: at(1.0),
         target: at(1.5),
         give_up: at(3.0),
-        trips: vec![trip],
+        attempts: vec![attempt],
         window: Some(0),
         stands_for: 1.0,
         done: false,
@@ -167,10 +167,10 @@
     limiter
 }
 
-pub fn trip_end(ending: Ending, finished: bool) -> TripEnd {
-    TripEnd {
+pub fn attempt_end(ending: Ending, finished: bool) -> AttemptEnd {
+    AttemptEnd {
         job: 0,
-        trip: 0,
+        attempt: 0,
         server: 0,
         ending,
         took: at(0.1),
--- a/crates/merlinreel-core/src/job.rs
+++ b/crates/merlinreel-core/src/job.rs
@@ -1,9 +1,9 @@
-//! An admitted job and its trips, as they are kept; nothing is decided here.
+//! An admitted job and its attempts, as they are kept; nothing is decided here.
 
 use crate::Job;
 use std::time::Duration;
 
-pub struct Trip {
+pub struct Attempt {
     pub server: u32,
     pub sent: Duration,
     pub out: bool,
@@ -18,19 +18,19 @@
     pub arrived: Duration,
     pub target: Duration,
     pub give_up: Duration,
-    pub trips: Vec<Trip>,
+    pub attempts: Vec<Attempt>,
     /// The window that its units were charged to, if they were.
     pub window: Option<u64>,
     /// As many such jobs its report stands for.
     pub stands_for: f64,
     pub done: bool,
     pub queued: bool,
-    /// The first trip that may have run: where and when it was sent.
+    /// The first attempt that may have run: where and when it was sent.
     pub ran: Option<(u32, Duration)>,
 }
 
 impl OpenJob {
-    /// Admitted and waiting for its first trip.
+    /// Admitted and waiting for its first attempt.
     pub fn new(job: &Job, account: usize, now: Duration, target: Duration, window: Option<u64>) -> OpenJob {
         OpenJob {
             job: *job,
@@ -38,7 +38,7 @@
             arrived: now,
             target,
             give_up: now + job.time_left,
-            trips: Vec::new(),
+            attempts: Vec::new(),
             window,
             stands_for: 1.0,
             done: false,
--- a/crates/merlinreel-core/src/lib.rs
+++ b/crates/merlinreel-core/src/lib.rs
@@ -19,7 +19,7 @@
     pub rate: f64,
     /// Units the store holds at most; it starts full.
     pub burst: f64,
-    /// Trips a customer may have out at once; 0 means no such quota.
+    /// Attempts a customer may have out at once; 0 means no such quota.
     pub most_open: u32,
     /// Units a second of the hard ceiling; 0 means none.
     pub ceiling_rate: f64,
@@ -102,7 +102,7 @@
 /// What is allowed for one job.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct JobRules {
-    pub most_trips: u32,
+    pub most_attempts: u32,
     pub second_copies: bool,
     pub may_revoke: bool,
     pub retry_after: bool,
@@ -200,9 +200,9 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-pub struct TripEnd {
+pub struct AttemptEnd {
     pub job: u32,
-    pub trip: u32,
+    pub attempt: u32,
     pub server: u32,
     pub ending: Ending,
     pub took: Duration,
@@ -245,7 +245,7 @@
     pub roster: Vec<Roster>,
     pub letters: Vec<Letter>,
     pub counts: Vec<CountAnswer>,
-    pub trip_ends: Vec<TripEnd>,
+    pub attempt_ends: Vec<AttemptEnd>,
     pub probes: Vec<ProbeAnswer>,
     pub jobs: Vec<Job>,
     /// Jobs whose streamed answer has started.
@@ -256,11 +256,11 @@
 
 /// Where decisions are written, in the order in which they are to be done.
 pub trait Writer {
-    /// A trip of the job to the server. Where it must reach it `within` some time, it is not made later than that.
+    /// An attempt of the job to the server. Where it must reach it `within` some time, it is not made later than that.
     fn send(&mut self, job: u32, server: u32, within: Option<Duration>);
     fn defer(&mut self, job: u32, retry_after: Option<Duration>);
     fn scrap(&mut self, job: u32);
-    fn revoke(&mut self, job: u32, trip: u32);
+    fn revoke(&mut self, job: u32, attempt: u32);
     fn probe(&mut self, server: u32);
     fn tell(&mut self, limiter: u32, letter: &[u8]);
     /// Adds to the number kept for the customer's window, forgotten after `keep`.
--- a/crates/merlinreel-core/src/state.rs
+++ b/crates/merlinreel-core/src/state.rs
@@ -91,7 +91,7 @@
     pub listed: bool,
     /// Not among those that this limiter sends to as a rule.
     pub aside: bool,
-    /// Most trips that this limiter has out there, and how many are.
+    /// Most attempts that this limiter has out there, and how many are.
     pub credits: f64,
     pub out: u32,
     pub took: f64,
@@ -99,7 +99,7 @@
     pub slow: f64,
     pub errors: f64,
     pub strikes: u32,
-    /// Trips dropped since its last answer.
+    /// Attempts dropped since its last answer.
     pub drops: u32,
     pub benched_until: Duration,
     /// Since when it owes an answer and gave none.
@@ -129,16 +129,16 @@
     pub(crate) jobs: Vec<Option<OpenJob>>,
     pub(crate) queue: Vec<u32>,
     pub(crate) usual: f64,
-    /// Share of trips that fail, over all servers.
+    /// Share of attempts that fail, over all servers.
     pub(crate) erring: f64,
-    /// Share of trips whose answer was long overdue.
+    /// Share of attempts whose answer was long overdue.
     pub(crate) losing: f64,
     /// How long answers of all servers take against what is long, and the level over the credits it gives.
     pub(crate) strain: f64,
     pub(crate) level: f64,
     /// Credits of all servers over those of the regular ones.
     pub(crate) reach: f64,
-    /// Trips that a warm server got lately.
+    /// Attempts that a warm server got lately.
     pub(crate) warm_sends: f64,
     /// Servers had credit to spare at the last choice.
     pub(crate) idle: bool,
@@ -349,8 +349,8 @@
     /// Drops the servers that no job refers to and that are over, and says which.
     pub(crate) fn drop_servers(&mut self, mut over: impl FnMut(&mut Server) -> bool) -> Vec<u32> {
         let mut kept = vec![false; self.servers.len()];
-        let trips = self.jobs.iter().flatten().flat_map(|open| &open.trips);
-        trips.for_each(|trip| kept[trip.server as usize] = true);
+        let attempts = self.jobs.iter().flatten().flat_map(|open| &open.attempts);
+        attempts.for_each(|attempt| kept[attempt.server as usize] = true);
         let mut dropped = Vec::new();
         for (i, place) in self.servers.iter_mut().enumerate().filter(|(i, _)| !kept[*i]) {
             if place.as_mut().is_some_and(&mut over) {
--- a/crates/merlinreel-settings/src/lib.rs
+++ b/crates/merlinreel-settings/src/lib.rs
@@ -50,7 +50,7 @@
         }
     }
 
-    /// A number over 0 where one is given. Guards against a file that allows no trips at all.
+    /// A number over 0 where one is given. Guards against a file that allows no attempts at all.
     fn positive(&self, path: &str) -> Result<f64, String> {
         let value = self.number(path)?;
         if value <= 0.0 && self.text(path) != "-" {
@@ -162,7 +162,7 @@
                 probes: paths.flag("policyLimits.probes")?,
             },
             jobs: JobRules {
-                most_trips: paths.positive("policyLimits.sendCap")?.max(1.0) as u32,
+                most_attempts: paths.positive("policyLimits.sendCap")?.max(1.0) as u32,
                 second_copies: paths.flag("policyLimits.secondCopies")?,
                 may_revoke: paths.flag("policyLimits.mayCancel")?,
                 retry_after: paths.flag("policyLimits.retryAfter")?,
--- a/crates/merlinreel-testbed/src/checker.rs
+++ b/crates/merlinreel-testbed/src/checker.rs
@@ -16,7 +16,7 @@
 pub struct Bounds {
     /// An answer may be so late.
     pub late: Duration,
-    /// Trips may still begin so long after word of a drain: the deployment's grace and the machine's share.
+    /// Attempts may still begin so long after word of a drain: the deployment's grace and the machine's share.
     pub grace: Duration,
     /// A worker may see so late that a limiter, or the way, ended a connection.
     pub seen_late: Duration,
@@ -48,11 +48,11 @@
     },
     AnsweredTwice(String),
     Late(String),
-    /// A single-use job went out again, or was deferred, after a trip that may have run.
+    /// A single-use job went out again, or was deferred, after an attempt that may have run.
     EffectTwice(String),
-    /// Two trips of one job were out at once.
-    TwoTripsOut(String),
-    /// A trip began at a worker past the grace after its limiter was told of the drain.
+    /// Two attempts of one job were out at once.
+    TwoAttemptsOut(String),
+    /// An attempt began at a worker past the grace after its limiter was told of the drain.
     AfterDrain {
         id: String,
         worker: usize,
@@ -71,9 +71,9 @@
             Broken::AnsweredTwice(id) => write!(out, "one final answer: job {id} had two"),
             Broken::Late(id) => write!(out, "an answer in time: job {id} had it later"),
             Broken::EffectTwice(id) => {
-                write!(out, "no effect twice: job {id} after a trip that may have run")
+                write!(out, "no effect twice: job {id} after an attempt that may have run")
             }
-            Broken::TwoTripsOut(id) => write!(out, "one trip out at a time: job {id} had two"),
+            Broken::TwoAttemptsOut(id) => write!(out, "one attempt out at a time: job {id} had two"),
             Broken::AfterDrain { id, worker } => write!(out, "drains kept: job {id} at worker {worker}"),
             Broken::BeyondQuota { customer, units } => {
                 write!(out, "ceilings: customer {customer} by {units}")
@@ -106,16 +106,16 @@
             None => {}
         }
         broken.extend(job.effects().map(|()| Broken::EffectTwice(id.clone())));
-        let hidden = |trip: &jobs::Trip, at: Duration| {
-            trip.over.is_some_and(|over| over <= at + bounds.seen_late)
-                || away.cut(job.limiter, trip.worker, trip.came, at)
+        let hidden = |attempt: &jobs::Attempt, at: Duration| {
+            attempt.over.is_some_and(|over| over <= at + bounds.seen_late)
+                || away.cut(job.limiter, attempt.worker, attempt.came, at)
         };
-        broken.extend(job.two_out(hidden).then(|| Broken::TwoTripsOut(id.clone())));
-        for trip in &job.trips {
-            if let Some(told) = away.told.get(&(job.limiter, trip.worker))
-                && trip.came > *told + bounds.grace + away.stalled(job.limiter, *told, trip.came)
+        broken.extend(job.two_out(hidden).then(|| Broken::TwoAttemptsOut(id.clone())));
+        for attempt in &job.attempts {
+            if let Some(told) = away.told.get(&(job.limiter, attempt.worker))
+                && attempt.came > *told + bounds.grace + away.stalled(job.limiter, *told, attempt.came)
             {
-                broken.push(Broken::AfterDrain { id: id.clone(), worker: trip.worker });
+                broken.push(Broken::AfterDrain { id: id.clone(), worker: attempt.worker });
             }
         }
     }
@@ -131,7 +131,7 @@
 fn beyond(jobs: &BTreeMap<String, Job>, (at_once, a_second): (f64, f64)) -> Vec<Broken> {
     let mut taken: BTreeMap<u32, Vec<Duration>> = BTreeMap::new();
     for job in jobs.values() {
-        taken.entry(job.customer).or_default().extend(job.trips.first().map(|trip| trip.came));
+        taken.entry(job.customer).or_default().extend(job.attempts.first().map(|attempt| attempt.came));
     }
     let mut broken = Vec::new();
     for (customer, mut times) in taken {
--- a/crates/merlinreel-testbed/src/checker/jobs.rs
+++ b/crates/merlinreel-testbed/src/checker/jobs.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 #[derive(Debug)]
-pub struct Trip {
+pub struct Attempt {
     pub worker: usize,
     pub came: Duration,
     pub over: Option<Duration>,
@@ -21,33 +21,36 @@
     pub patience: Duration,
     pub answers: Vec<(Duration, u16)>,
     pub gave_up: bool,
-    pub trips: Vec<Trip>,
+    pub attempts: Vec<Attempt>,
 }
 
 impl Job {
-    /// Whether a single-use job went out again, or was deferred, after a trip that may have run.
+    /// Whether a single-use job went out again, or was deferred, after an attempt that may have run.
     pub fn effects(&self) -> Option<()> {
         let single_use = self.category == "pay";
-        let first = self.trips.iter().position(|trip| !trip.never_ran)?;
-        let again = self.trips.len() > first + 1;
-        let came = self.trips[first].came;
+        let first = self.attempts.iter().position(|attempt| !attempt.never_ran)?;
+        let again = self.attempts.len() > first + 1;
+        let came = self.attempts[first].came;
         let deferred = self.answers.iter().any(|(at, status)| matches!(status, 429 | 503) && *at > came);
         (single_use && (again || deferred)).then_some(())
     }
 
-    /// Whether a trip came while one before it was still out, as far as its worker could tell: `hidden` says whether
+    /// Whether an attempt came while one before it was still out, as far as its worker could tell: `hidden` says whether
     /// an end might not have been seen there.
-    pub fn two_out(&self, hidden: impl Fn(&Trip, Duration) -> bool) -> bool {
-        let out = |trip: &Trip, at| trip.over.is_none_or(|over| over > at) && !hidden(trip, at);
-        self.trips.iter().enumerate().any(|(i, later)| self.trips[..i].iter().any(|one| out(one, later.came)))
+    pub fn two_out(&self, hidden: impl Fn(&Attempt, Duration) -> bool) -> bool {
+        let out = |attempt: &Attempt, at| attempt.over.is_none_or(|over| over > at) && !hidden(attempt, at);
+        self.attempts
+            .iter()
+            .enumerate()
+            .any(|(i, later)| self.attempts[..i].iter().any(|one| out(one, later.came)))
     }
 }
 
 /// All jobs of a record. What comes of a job that nobody asked is left out.
 pub fn of(entries: &[Entry]) -> BTreeMap<JobId, Job> {
     let mut jobs: BTreeMap<JobId, Job> = BTreeMap::new();
-    // Of which job a trip is, and its place there.
-    let mut trips: BTreeMap<u64, (JobId, usize)> = BTreeMap::new();
+    // Of which job an attempt is, and its place there.
+    let mut attempts: BTreeMap<u64, (JobId, usize)> = BTreeMap::new();
     for Entry { at, what } in entries {
         match what {
             What::Asked { id, category, customer, limiter, patience } => {
@@ -59,7 +62,7 @@
                     patience: *patience,
                     answers: Vec::new(),
                     gave_up: false,
-                    trips: Vec::new(),
+                    attempts: Vec::new(),
                 };
                 jobs.insert(id.clone(), job);
             }
@@ -67,15 +70,15 @@
                 jobs.get_mut(id).into_iter().for_each(|job| job.answers.push((*at, *status)));
             }
             What::Unanswered { id } => jobs.get_mut(id).into_iter().for_each(|job| job.gave_up = true),
-            What::Came { id, worker, trip } => {
+            What::Came { id, worker, attempt } => {
                 if let Some(job) = jobs.get_mut(id) {
-                    trips.insert(*trip, (id.clone(), job.trips.len()));
-                    job.trips.push(Trip { worker: *worker, came: *at, over: None, never_ran: false });
+                    attempts.insert(*attempt, (id.clone(), job.attempts.len()));
+                    job.attempts.push(Attempt { worker: *worker, came: *at, over: None, never_ran: false });
                 }
             }
-            What::TurnedAway { trip } | What::Ran { trip } | What::Left { trip } => {
-                let place = trips.get(trip);
-                let found = place.and_then(|(id, place)| jobs.get_mut(id)?.trips.get_mut(*place));
+            What::TurnedAway { attempt } | What::Ran { attempt } | What::Left { attempt } => {
+                let place = attempts.get(attempt);
+                let found = place.and_then(|(id, place)| jobs.get_mut(id)?.attempts.get_mut(*place));
                 if let Some(found) = found {
                     found.over.get_or_insert(*at);
                     found.never_ran |= matches!(what, What::TurnedAway { .. });
--- a/crates/merlinreel-testbed/src/checker/tests.rs
+++ b/crates/merlinreel-testbed/src/checker/tests.rs
@@ -9,8 +9,8 @@
     What::Asked { id: "a".into(), category, customer: 7, limiter: 0, patience: ms(1000) }
 }
 
-fn came(worker: usize, trip: u64) -> What {
-    What::Came { id: "a".into(), worker, trip }
+fn came(worker: usize, attempt: u64) -> What {
+    What::Came { id: "a".into(), worker, attempt }
 }
 
 fn answered(status: u16) -> What {
@@ -26,21 +26,21 @@
 }
 
 /// Planted violations: the checker finds each, and nothing in a course that holds.
-#[test_case(&[(0, asked("pay")), (1, came(0, 1)), (2, What::Ran { trip: 1 }), (3, answered(200))] => Vec::<String>::new() ; "as it should be")]
+#[test_case(&[(0, asked("pay")), (1, came(0, 1)), (2, What::Ran { attempt: 1 }), (3, answered(200))] => Vec::<String>::new() ; "as it should be")]
 #[test_case(&[(0, asked("pay")), (900, What::Unanswered { id: "a".into() })] => vec!["no job lost"] ; "lost")]
 #[test_case(&[(0, asked("pay")), (5, What::Killed { limiter: 0 }), (9, What::Unanswered { id: "a".into() })] => Vec::<String>::new() ; "its process was killed")]
 #[test_case(&[(0, asked("look")), (3, answered(200)), (4, answered(429))] => vec!["one final answer"] ; "two answers")]
 #[test_case(&[(0, asked("look")), (4000, answered(200))] => vec!["an answer in time"] ; "late")]
 #[test_case(&[(0, asked("look")), (10, What::Stopped { limiter: 0 }), (3000, What::Woken { limiter: 0 }), (4000, answered(502))] => Vec::<String>::new() ; "its process stood still")]
-#[test_case(&[(0, asked("pay")), (1, came(0, 1)), (2, What::Left { trip: 1 }), (3, came(1, 2)), (4, What::Ran { trip: 2 }), (5, answered(200))] => vec!["no effect twice"] ; "single-use twice")]
-#[test_case(&[(0, asked("pay")), (1, came(0, 1)), (2, What::Left { trip: 1 }), (3, answered(429))] => vec!["no effect twice"] ; "deferred though it may have run")]
-#[test_case(&[(0, asked("pay")), (1, came(0, 1)), (2, What::TurnedAway { trip: 1 }), (3, came(1, 2)), (4, What::Ran { trip: 2 }), (5, answered(200))] => Vec::<String>::new() ; "turned away, then elsewhere")]
-#[test_case(&[(0, asked("look")), (1, came(0, 1)), (2, What::Left { trip: 1 }), (3, came(1, 2)), (4, What::Ran { trip: 2 }), (5, answered(200))] => Vec::<String>::new() ; "replayable again")]
-#[test_case(&[(0, asked("look")), (1, came(0, 1)), (2, came(1, 2)), (4, What::Ran { trip: 2 }), (5, answered(200)), (400, What::Left { trip: 1 })] => vec!["one trip out at a time"] ; "two out")]
-#[test_case(&[(0, What::Cut { limiter: 0, worker: 0 }), (1, asked("look")), (2, came(0, 1)), (3, came(1, 2)), (4, What::Ran { trip: 2 }), (5, answered(200)), (6, What::Healed { limiter: 0, worker: 0 }), (7, What::Left { trip: 1 })] => Vec::<String>::new() ; "the cut hid its end")]
-#[test_case(&[(0, What::Cut { limiter: 0, worker: 1 }), (1, asked("look")), (2, came(0, 1)), (3, came(1, 2)), (4, What::Ran { trip: 2 }), (5, answered(200)), (6, What::Healed { limiter: 0, worker: 1 }), (400, What::Left { trip: 1 })] => vec!["one trip out at a time"] ; "another way was cut")]
-#[test_case(&[(0, What::Told { limiter: 0, worker: 3 }), (3500, asked("look")), (3600, came(3, 1)), (3601, What::Ran { trip: 1 }), (3602, answered(200))] => vec!["drains kept"] ; "past the grace")]
-#[test_case(&[(0, What::Told { limiter: 1, worker: 3 }), (3500, asked("look")), (3600, came(3, 1)), (3601, What::Ran { trip: 1 }), (3602, answered(200))] => Vec::<String>::new() ; "another limiter was told")]
+#[test_case(&[(0, asked("pay")), (1, came(0, 1)), (2, What::Left { attempt: 1 }), (3, came(1, 2)), (4, What::Ran { attempt: 2 }), (5, answered(200))] => vec!["no effect twice"] ; "single-use twice")]
+#[test_case(&[(0, asked("pay")), (1, came(0, 1)), (2, What::Left { attempt: 1 }), (3, answered(429))] => vec!["no effect twice"] ; "deferred though it may have run")]
+#[test_case(&[(0, asked("pay")), (1, came(0, 1)), (2, What::TurnedAway { attempt: 1 }), (3, came(1, 2)), (4, What::Ran { attempt: 2 }), (5, answered(200))] => Vec::<String>::new() ; "turned away, then elsewhere")]
+#[test_case(&[(0, asked("look")), (1, came(0, 1)), (2, What::Left { attempt: 1 }), (3, came(1, 2)), (4, What::Ran { attempt: 2 }), (5, answered(200))] => Vec::<String>::new() ; "replayable again")]
+#[test_case(&[(0, asked("look")), (1, came(0, 1)), (2, came(1, 2)), (4, What::Ran { attempt: 2 }), (5, answered(200)), (400, What::Left { attempt: 1 })] => vec!["one attempt out at a time"] ; "two out")]
+#[test_case(&[(0, What::Cut { limiter: 0, worker: 0 }), (1, asked("look")), (2, came(0, 1)), (3, came(1, 2)), (4, What::Ran { attempt: 2 }), (5, answered(200)), (6, What::Healed { limiter: 0, worker: 0 }), (7, What::Left { attempt: 1 })] => Vec::<String>::new() ; "the cut hid its end")]
+#[test_case(&[(0, What::Cut { limiter: 0, worker: 1 }), (1, asked("look")), (2, came(0, 1)), (3, came(1, 2)), (4, What::Ran { attempt: 2 }), (5, answered(200)), (6, What::Healed { limiter: 0, worker: 1 }), (400, What::Left { attempt: 1 })] => vec!["one attempt out at a time"] ; "another way was cut")]
+#[test_case(&[(0, What::Told { limiter: 0, worker: 3 }), (3500, asked("look")), (3600, came(3, 1)), (3601, What::Ran { attempt: 1 }), (3602, answered(200))] => vec!["drains kept"] ; "past the grace")]
+#[test_case(&[(0, What::Told { limiter: 1, worker: 3 }), (3500, asked("look")), (3600, came(3, 1)), (3601, What::Ran { attempt: 1 }), (3602, answered(200))] => Vec::<String>::new() ; "another limiter was told")]
 fn each_rule_is_held(course: &[(u64, What)]) -> Vec<String> {
     broken(course)
 }
@@ -55,8 +55,8 @@
         let patience = ms(1000);
         course
             .push((at, What::Asked { id: id.clone(), category: "look", customer: 7, limiter: 0, patience }));
-        course.push((at + 1, What::Came { id: id.clone(), worker: 0, trip: n }));
-        course.push((at + 2, What::Ran { trip: n }));
+        course.push((at + 1, What::Came { id: id.clone(), worker: 0, attempt: n }));
+        course.push((at + 2, What::Ran { attempt: n }));
         course.push((at + 3, What::Answered { id, status: 200, again: false }));
     }
     broken(&course)
--- a/crates/merlinreel-testbed/src/record.rs
+++ b/crates/merlinreel-testbed/src/record.rs
@@ -26,23 +26,23 @@
     Unanswered {
         id: JobId,
     },
-    /// A trip's last byte was there at a worker.
+    /// An attempt's last byte was there at a worker.
     Came {
         id: JobId,
         worker: usize,
-        trip: u64,
+        attempt: u64,
     },
     /// It was turned away: it never runs.
     TurnedAway {
-        trip: u64,
+        attempt: u64,
     },
     /// It has run, and its answer was written as far as the worker can tell.
     Ran {
-        trip: u64,
+        attempt: u64,
     },
     /// The limiter ended the connection before that.
     Left {
-        trip: u64,
+        attempt: u64,
     },
     /// An agent wrote to a limiter that this worker drains or is gone.
     Told {
--- a/crates/merlinreel-testbed/src/worker.rs
+++ b/crates/merlinreel-testbed/src/worker.rs
@@ -53,8 +53,8 @@
     state: Arc<State>,
 }
 
-/// Trips of all workers of a test's process.
-static TRIPS: AtomicU64 = AtomicU64::new(1);
+/// Attempts of all workers of a test's process.
+static ATTEMPTS: AtomicU64 = AtomicU64::new(1);
 
 impl Worker {
     pub fn start(number: usize, kind: WorkerKind, record: &Record) -> Worker {
@@ -116,11 +116,11 @@
     }
 
     fn job(&self, id: &str, stream: &mut TcpStream) -> io::Result<()> {
-        let trip = TRIPS.fetch_add(1, Ordering::Relaxed);
-        self.record.tell(What::Came { id: id.to_owned(), worker: self.number, trip });
+        let attempt = ATTEMPTS.fetch_add(1, Ordering::Relaxed);
+        self.record.tell(What::Came { id: id.to_owned(), worker: self.number, attempt });
         if self.draining.load(Ordering::Relaxed) || self.waiting() >= self.kind.cores + self.kind.queue {
             // Told before it is written: what follows the answer must find it in the record.
-            self.record.tell(What::TurnedAway { trip });
+            self.record.tell(What::TurnedAway { attempt });
             return stream.write_all(
                 b"HTTP/1.1 503 Service Unavailable\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n",
             );
@@ -129,11 +129,11 @@
         let whole = self.run(stream);
         self.running.fetch_sub(1, Ordering::Relaxed);
         if !whole? {
-            self.record.tell(What::Left { trip });
+            self.record.tell(What::Left { attempt });
             return Err(io::ErrorKind::ConnectionAborted.into());
         }
         self.taken.fetch_add(1, Ordering::Relaxed);
-        self.record.tell(What::Ran { trip });
+        self.record.tell(What::Ran { attempt });
         stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone")
     }
 
--- a/crates/merlinreel/src/config.rs
+++ b/crates/merlinreel/src/config.rs
@@ -321,7 +321,7 @@
         "peers: 0 addresses, but setting balancers says 1" ; "peers amiss")]
     #[test_case("\"settings\"", "\"setting\"", "settings: is missing" ; "key misspelt")]
     #[test_case("{\"peers\":true}", "{\"peers\":true,\"sendCap\":0}",
-        "setting policyLimits.sendCap: '0' is not a positive number" ; "no trips allowed")]
+        "setting policyLimits.sendCap: '0' is not a positive number" ; "no attempts allowed")]
     fn a_faulty_key_is_named(from: &str, to: &str, begins: &str) {
         let complaint = complaint(from, to);
         assert!(complaint.contains(begins), "{complaint}");
--- a/crates/merlinreel/src/driver.rs
+++ b/crates/merlinreel/src/driver.rs
@@ -73,7 +73,7 @@
                 held: Vec::new(),
                 free: Vec::new(),
                 tickets: HashMap::new(),
-                trips: HashMap::new(),
+                attempts: HashMap::new(),
                 serial: 0,
                 unsent: Vec::new(),
                 closed: Vec::new(),
@@ -122,7 +122,7 @@
                         round.left.push(job);
                     }
                 }
-                News::Trip(end) => round.trip_ends.extend(self.desk.end_trip(end)),
+                News::Attempt(end) => round.attempt_ends.extend(self.desk.end_attempt(end)),
                 News::Retune(terms) => self.retune(*terms),
                 News::Probe(answer) => round.probes.push(answer),
                 News::Roster(roster) => round.roster.push(self.desk.servers.list(roster, false)),
@@ -166,7 +166,7 @@
             if desk.unsent.is_empty() {
                 return;
             }
-            round = Round { trip_ends: std::mem::take(&mut desk.unsent), ..Round::default() };
+            round = Round { attempt_ends: std::mem::take(&mut desk.unsent), ..Round::default() };
         }
     }
 
@@ -189,7 +189,7 @@
             until: arrival.until,
             parcel: Arc::new(arrival.parcel),
             answer: Some(arrival.answer),
-            trips: 0,
+            attempts: 0,
             out: Vec::new(),
         });
     }
--- a/crates/merlinreel/src/driver/desk.rs
+++ b/crates/merlinreel/src/driver/desk.rs
@@ -1,8 +1,8 @@
-//! What decisions are carried out with: jobs that are held, trips that are out, servers and letters.
+//! What decisions are carried out with: jobs that are held, attempts that are out, servers and letters.
 
 use super::Clock;
 use crate::log;
-use crate::messages::{Answer, Parcel, TripNews};
+use crate::messages::{Answer, AttemptNews, Parcel};
 use crate::peers::Post;
 use crate::servers::{Attempt, Link, Servers};
 use merlinreel_core::*;
@@ -11,10 +11,10 @@
 use std::time::{Duration, Instant};
 use tokio::sync::oneshot;
 
-/// A trip that is out: of which job, which number, where, and by which connection.
+/// An attempt that is out: of which job, which number, where, and by which connection.
 pub struct Out {
     pub job: u32,
-    pub trip: u32,
+    pub attempt: u32,
     pub server: u32,
     pub link: Link,
 }
@@ -25,8 +25,8 @@
     pub until: Instant,
     pub parcel: Arc<Parcel>,
     pub answer: Option<oneshot::Sender<Answer>>,
-    pub trips: u32,
-    /// Serial numbers of the trips that are out, with their own numbers.
+    pub attempts: u32,
+    /// Serial numbers of the attempts that are out, with their own numbers.
     pub out: Vec<(u32, u64)>,
 }
 
@@ -35,15 +35,15 @@
     pub clock: Clock,
     pub servers: Servers,
     pub post: Option<Post>,
-    /// Trips end so long before the client gives up.
+    /// Attempts end so long before the client gives up.
     pub margin: Duration,
     pub held: Vec<Option<Held>>,
     pub free: Vec<u32>,
     pub tickets: HashMap<u64, u32>,
-    pub trips: HashMap<u64, Out>,
+    pub attempts: HashMap<u64, Out>,
     pub serial: u64,
-    /// Trips that could not begin: news for the next round.
-    pub unsent: Vec<TripEnd>,
+    /// Attempts that could not begin: news for the next round.
+    pub unsent: Vec<AttemptEnd>,
     /// Jobs that may be over once the round is.
     pub closed: Vec<u32>,
     pub wake_at: Option<Instant>,
@@ -73,14 +73,14 @@
         let Some(held) = self.held(job) else { return };
         held.answer = None;
         for (_, serial) in held.out.clone() {
-            if let Some(out) = self.trips.get(&serial) {
+            if let Some(out) = self.attempts.get(&serial) {
                 out.link.withdraw(serial);
             }
         }
         self.closed.push(job);
     }
 
-    /// An index is free again once its job is answered and no trip is out.
+    /// An index is free again once its job is answered and no attempt is out.
     pub fn free_if_over(&mut self, job: u32) {
         if self.held(job).is_some_and(|held| held.answer.is_none() && held.out.is_empty()) {
             self.held[job as usize] = None;
@@ -89,8 +89,8 @@
     }
 
     /// The first good answer goes to the client as it stands.
-    pub fn end_trip(&mut self, end: TripNews) -> Option<TripEnd> {
-        let out = self.trips.remove(&end.serial)?;
+    pub fn end_attempt(&mut self, end: AttemptNews) -> Option<AttemptEnd> {
+        let out = self.attempts.remove(&end.serial)?;
         if end.reusable {
             self.servers.keep(out.server, out.link);
         }
@@ -101,9 +101,9 @@
         }
         self.closed.push(out.job);
         let finished = self.held(out.job).is_none_or(|held| held.answer.is_none());
-        Some(TripEnd {
+        Some(AttemptEnd {
             job: out.job,
-            trip: out.trip,
+            attempt: out.attempt,
             server: out.server,
             ending: end.ending,
             took: end.took,
@@ -119,24 +119,24 @@
     fn send(&mut self, job: u32, server: u32, within: Option<Duration>) {
         let (now, margin, serial) = (self.now, self.margin, self.serial + 1);
         let Some(held) = self.held(job) else { return };
-        let trip = held.trips;
-        held.trips += 1;
+        let number = held.attempts;
+        held.attempts += 1;
         let until = held.until.checked_sub(margin).unwrap_or(held.until);
         let begins_by = within.map(|within| now + within);
         let attempt = Attempt { serial, parcel: held.parcel.clone(), started: now, until, begins_by };
         let link = if until > now { self.servers.send(server, attempt) } else { None };
         if let Some(link) = link {
             self.serial = serial;
-            self.trips.insert(serial, Out { job, trip, server, link });
+            self.attempts.insert(serial, Out { job, attempt: number, server, link });
             if let Some(held) = self.held(job) {
-                held.out.push((trip, serial));
+                held.out.push((number, serial));
             }
             return;
         }
         let finished = self.held(job).is_none_or(|held| held.answer.is_none());
-        self.unsent.push(TripEnd {
+        self.unsent.push(AttemptEnd {
             job,
-            trip,
+            attempt: number,
             server,
             ending: Ending::Unsent,
             took: Duration::ZERO,
@@ -155,9 +155,9 @@
         self.answer(job, Answer::Scrapped);
     }
 
-    fn revoke(&mut self, job: u32, trip: u32) {
-        let out = self.held(job).and_then(|held| held.out.iter().find(|(n, _)| *n == trip).copied());
-        if let Some(out) = out.and_then(|(_, serial)| self.trips.get(&serial).map(|out| (serial, out))) {
+    fn revoke(&mut self, job: u32, attempt: u32) {
+        let out = self.held(job).and_then(|held| held.out.iter().find(|(n, _)| *n == attempt).copied());
+        if let Some(out) = out.and_then(|(_, serial)| self.attempts.get(&serial).map(|out| (serial, out))) {
             out.1.link.abandon(out.0);
         }
     }
--- a/crates/merlinreel/src/driver/tests.rs
+++ b/crates/merlinreel/src/driver/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 use crate::messages::Queue;
-use crate::messages::{Parcel, TripNews};
+use crate::messages::{AttemptNews, Parcel};
 use tokio::sync::oneshot;
 
 #[test]
@@ -62,9 +62,9 @@
 }
 
 #[tokio::test]
-async fn an_end_told_twice_or_of_no_trip_changes_nothing() {
+async fn an_end_told_twice_or_of_no_attempt_changes_nothing() {
     let (mut driver, _queue, _news) = driver();
-    let end = TripNews {
+    let end = AttemptNews {
         serial: 5,
         ending: Ending::Fulfilled,
         took: Duration::ZERO,
@@ -73,7 +73,7 @@
         delivery: None,
         reusable: false,
     };
-    assert!(driver.desk.end_trip(end).is_none());
+    assert!(driver.desk.end_attempt(end).is_none());
     let (first, mut waits) = arrival(1);
     driver.step(&mut vec![first]);
     driver.desk.scrap(0);
--- a/crates/merlinreel/src/figures.rs
+++ b/crates/merlinreel/src/figures.rs
@@ -5,7 +5,7 @@
 //!
 //! ```text
 //! limiter.requests.C.served:812|c      (also refused, failed, attempts; C a class of the settings in force)
-//! limiter.attempts:900|c               (trips written whole to servers)
+//! limiter.attempts:900|c               (attempts written whole to servers)
 //! limiter.in_flight:14|g               (jobs in hand)
 //! limiter.servers_known:10|g           (servers listed and not gone)
 //! limiter.servers_excluded:1|g         (of those, draining or resting now)
@@ -95,7 +95,7 @@
         self.counts(class).map(|counts| counts.0[place].fetch_add(1, Ordering::Relaxed));
     }
 
-    /// A trip's last byte was written to its server.
+    /// An attempt's last byte was written to its server.
     pub fn attempted(&self, class: &str) {
         self.attempts.fetch_add(1, Ordering::Relaxed);
         self.counts(class).map(|counts| counts.0[3].fetch_add(1, Ordering::Relaxed));
--- a/crates/merlinreel/src/lib.rs
+++ b/crates/merlinreel/src/lib.rs
@@ -166,7 +166,7 @@
         )));
     }
     let door = async {
-        // What the agent holds counts as told from the first moment on: guards against trips to servers that left
+        // What the agent holds counts as told from the first moment on: guards against attempts to servers that left
         // since `known` was written. Clients wait on the socket meanwhile, `/healthcheck` says no.
         if first.await.is_err() {
             log!("roster: no word from discovery; starting with the list as last held");
--- a/crates/merlinreel/src/limits.rs
+++ b/crates/merlinreel/src/limits.rs
@@ -54,7 +54,7 @@
     /// A connection whose limiter's side has ended is read and dropped for so long, and so many bytes, at most.
     pub client_lingers: Duration,
     pub client_drops: usize,
-    /// Trips end so long before the client gives up, so that the answer is there in time.
+    /// Attempts end so long before the client gives up, so that the answer is there in time.
     pub answer_margin: Duration,
     /// How long a watch of the roster may wait, and where an answer is wanted at once; how late it may be before another
     /// is made beside it, how many there are at once, and how soon a failed call is tried again.
@@ -126,7 +126,7 @@
             clients_kept: (sockets as usize / 4).min(clients_most - clients_most / 4),
             servers,
             jobs: if terms.jobs.most_held == 0 { clients_most } else { terms.jobs.most_held },
-            // Each connection may have a job and its leaving there, each trip its end.
+            // Each connection may have a job and its leaving there, each attempt its end.
             queue: 4 * room + 256,
             round: 512,
             body: 64 * 1024,
@@ -148,7 +148,7 @@
             client_settled: Duration::from_millis(10),
             client_silent: Duration::from_millis(30),
             client_unended: Duration::from_millis(100),
-            // What crosses the end is there within a round trip of some milliseconds; a client on a machine that is
+            // What crosses the end is there within a round attempt of some milliseconds; a client on a machine that is
             // busy may need more, and a stop must not wait long for one that never ends its side.
             client_lingers: Duration::from_millis(250),
             // A request with the longest body, and as much again.
--- a/crates/merlinreel/src/messages.rs
+++ b/crates/merlinreel/src/messages.rs
@@ -52,16 +52,16 @@
     pub answer: oneshot::Sender<Answer>,
 }
 
-/// How a trip ended.
+/// How an attempt ended.
 #[derive(Debug)]
-pub struct TripNews {
+pub struct AttemptNews {
     pub serial: u64,
     pub ending: Ending,
     pub took: Duration,
     pub units: Option<f64>,
     pub load: Load,
     pub delivery: Option<Delivery>,
-    /// Its connection can carry another trip.
+    /// Its connection can carry another attempt.
     pub reusable: bool,
 }
 
@@ -70,7 +70,7 @@
     Arrival(Box<Arrival>),
     /// The client of this ticket has left.
     Left(u64),
-    Trip(TripNews),
+    Attempt(AttemptNews),
     Probe(ProbeAnswer),
     Roster(RosterNews),
     Letter(Letter),
--- a/crates/merlinreel/src/servers.rs
+++ b/crates/merlinreel/src/servers.rs
@@ -1,5 +1,5 @@
-//! Trips to servers: the pool of connections, and one task for each of them. A connection carries one
-//! trip at a time; nothing is ever sent again by itself.
+//! Attempts to servers: the pool of connections, and one task for each of them. A connection carries one
+//! attempt at a time; nothing is ever sent again by itself.
 
 mod answer;
 mod message;
@@ -62,7 +62,7 @@
 }
 
 impl Link {
-    /// Closes the connection of that trip, if it still carries it.
+    /// Closes the connection of that attempt, if it still carries it.
     pub fn abandon(&self, serial: u64) {
         let _ = self.commands.try_send(Command::Abandon(serial));
     }
@@ -87,7 +87,7 @@
         self.entry.standing != Standing::Gone
     }
 
-    /// No trip goes there any more.
+    /// No attempt goes there any more.
     fn leave(&mut self) {
         self.entry.standing = Standing::Gone;
         self.idle.clear();
@@ -246,7 +246,7 @@
         self.free.push(server);
     }
 
-    /// Starts a trip on an idle connection, else on a new one; none where all descriptors are taken.
+    /// Starts an attempt on an idle connection, else on a new one; none where all descriptors are taken.
     pub fn send(&mut self, server: u32, mut attempt: Attempt) -> Option<Link> {
         let place = self.places.get_mut(server as usize)?;
         let only_settled = self.unasked.seen();
@@ -262,7 +262,7 @@
         }
         let address = place.address;
         let slot = self.slot()?;
-        // Room for a trip and for taking it back.
+        // Room for an attempt and for taking it back.
         let (commands, received) = mpsc::channel(4);
         let upstream = UpstreamConnection {
             commands: received,
@@ -293,7 +293,7 @@
         slot
     }
 
-    /// Takes back a connection whose trip is over.
+    /// Takes back a connection whose attempt is over.
     pub fn keep(&mut self, server: u32, link: Link) {
         if let Some(place) =
             self.places.get_mut(server as usize).filter(|place| place.address == link.address)
--- a/crates/merlinreel/src/servers/tests.rs
+++ b/crates/merlinreel/src/servers/tests.rs
@@ -1,6 +1,6 @@
 use super::message::{PRESSURE, encode, wire_length};
 use super::*;
-use crate::messages::TripNews;
+use crate::messages::AttemptNews;
 use hyper::body::Bytes;
 use hyper::header::{HeaderMap, HeaderName, HeaderValue};
 use hyper::{Method, Uri};
@@ -49,9 +49,9 @@
     RosterNews { version: 1, whole: true, servers: vec![listed] }
 }
 
-async fn end(news: &mut mpsc::Receiver<News>) -> TripNews {
+async fn end(news: &mut mpsc::Receiver<News>) -> AttemptNews {
     match timeout(LONG, news.recv()).await {
-        Ok(Some(News::Trip(end))) => end,
+        Ok(Some(News::Attempt(end))) => end,
         other => panic!("{other:?}"),
     }
 }
@@ -75,7 +75,7 @@
     bytes
 }
 
-/// A trip that has reached the server.
+/// An attempt that has reached the server.
 async fn begun(listener: &TcpListener, servers: &mut Servers, serial: u64) -> (Link, TcpStream) {
     let link = servers.send(0, attempt(serial, 1, LONG)).expect("a slot");
     let mut stream = accept(listener).await;
@@ -84,7 +84,7 @@
 }
 
 /// The server answers it.
-async fn done(stream: &mut TcpStream, news: &mut mpsc::Receiver<News>) -> TripNews {
+async fn done(stream: &mut TcpStream, news: &mut mpsc::Receiver<News>) -> AttemptNews {
     stream.write_all(GOOD.as_bytes()).await.expect("written");
     end(news).await
 }
@@ -169,18 +169,18 @@
 }
 
 #[tokio::test]
-async fn an_abandoned_trip_is_closed_before_its_end_is_told() {
+async fn an_abandoned_attempt_is_closed_before_its_end_is_told() {
     let (listener, address) = listener().await;
     let (mut servers, mut news) = servers(address, 4);
     let (link, stream) = begun(&listener, &mut servers, 5).await;
-    // An order for a trip that is over is none for this one.
+    // An order for an attempt that is over is none for this one.
     link.abandon(4);
     link.abandon(5);
     assert_eq!(end(&mut news).await.ending, Ending::Revoked);
     assert_eq!(stream.try_read(&mut [0; 8]).expect("the end is there already"), 0);
 }
 
-/// Guards against growth with every server ever listed, and against trips to one whose address another took.
+/// Guards against growth with every server ever listed, and against attempts to one whose address another took.
 #[tokio::test]
 async fn an_index_is_another_s_once_it_is_forgotten_and_an_address_once_it_is_taken() {
     let (_, address) = listener().await;
@@ -221,7 +221,7 @@
 #[test_case(&[], false => None ; "none")]
 #[test_case(&[40, 30, 1], true => Some(30) ; "the newest that is settled, once a server sent something unasked")]
 #[test_case(&[3, 2, 1], true => None ; "none that is not settled, once a server sent something unasked")]
-fn the_idle_connection_for_a_trip(idle: &[u64], only_settled: bool) -> Option<u64> {
+fn the_idle_connection_for_a_attempt(idle: &[u64], only_settled: bool) -> Option<u64> {
     let now = Instant::now() + LONG;
     let link = |ms: &u64| {
         let address = SocketAddr::from(([127, 0, 0, 1], *ms as u16));
@@ -234,7 +234,7 @@
 }
 
 #[tokio::test]
-async fn one_trip_a_connection_and_idle_ones_first() {
+async fn one_attempt_a_connection_and_idle_ones_first() {
     let (listener, address) = listener().await;
     let (mut servers, mut news) = servers(address, 4);
     let links = [1, 2].map(|serial| servers.send(0, attempt(serial, 1, LONG)).expect("a slot"));
@@ -252,7 +252,7 @@
 }
 
 #[tokio::test]
-async fn a_connection_the_server_closed_while_idle_costs_no_trip() {
+async fn a_connection_the_server_closed_while_idle_costs_no_attempt() {
     let (listener, address) = listener().await;
     let (mut servers, mut news) = servers(address, 4);
     let (link, mut stream) = begun(&listener, &mut servers, 1).await;
@@ -339,7 +339,7 @@
     let (link, mut stream) = begun(&listener, &mut servers, 1).await;
     done(&mut stream, &mut news).await;
     servers.keep(0, link);
-    // Not waited for: this limiter's poller has not told of it when the next trip begins.
+    // Not waited for: this limiter's poller has not told of it when the next attempt begins.
     stream.try_write(more.as_bytes()).expect("written");
     let _link = servers.send(0, attempt(2, 1, LONG));
     let mut other = accept(&listener).await;
--- a/crates/merlinreel/src/servers/upstream.rs
+++ b/crates/merlinreel/src/servers/upstream.rs
@@ -1,4 +1,4 @@
-//! The task of one connection to a server: one attempt at a time, and what each trip's end proves.
+//! The task of one connection to a server: one attempt at a time, and what each attempt's end proves.
 
 use super::answer::{Answer, receive};
 use super::message::{Said, decode, encode, wire_length};
@@ -8,7 +8,7 @@
 use crate::figures::{Figures, class_of};
 use crate::limits::Limits;
 use crate::log;
-use crate::messages::{News, Queue, TripNews};
+use crate::messages::{AttemptNews, News, Queue};
 use crate::stream::{Tallied, Tally};
 use http_body_util::Full;
 use hyper::body::Bytes;
@@ -299,7 +299,7 @@
     }
 
     async fn report(&self, serial: u64, started: Instant, said: Said, reusable: bool) {
-        let news = TripNews {
+        let news = AttemptNews {
             serial,
             ending: said.ending,
             took: started.elapsed(),
@@ -308,6 +308,6 @@
             delivery: said.delivery,
             reusable,
         };
-        let _ = self.queue.send(News::Trip(news)).await;
+        let _ = self.queue.send(News::Attempt(news)).await;
     }
 }
--- a/crates/merlinreel/tests/sockets/main.rs
+++ b/crates/merlinreel/tests/sockets/main.rs
@@ -72,7 +72,7 @@
 #[test_case("look", &["200"], 2 ; "replayable goes out again")]
 #[test_case("put", &["200"], 2 ; "referenced goes out again in its group")]
 #[test_case("pay", &["502"], 1 ; "single-use that may have run is scrapped")]
-fn a_connection_that_breaks_after_the_request(category: &str, statuses: &[&str], trips: usize) {
+fn a_connection_that_breaks_after_the_request(category: &str, statuses: &[&str], attempts: usize) {
     let broken = std::sync::atomic::AtomicBool::new(false);
     let server = StandIn::start(move |_| {
         if broken.swap(true, std::sync::atomic::Ordering::SeqCst) { fine() } else { React::Break }
@@ -80,7 +80,7 @@
     let program = Program::start(&config(&[listed("s-1", server.address, "up")]));
     let answer = program.client().job(category, 7, 1);
     assert!(statuses.contains(&answer.status().to_string().as_str()), "{answer:?}");
-    assert_eq!(server.seen.try_iter().count(), trips);
+    assert_eq!(server.seen.try_iter().count(), attempts);
 }
 
 #[test_case("503 Service Unavailable" ; "full")]
@@ -200,7 +200,7 @@
 }
 
 #[test]
-fn a_client_that_leaves_ends_its_trip() {
+fn a_client_that_leaves_ends_its_attempt() {
     let server = StandIn::start(|_| React::Hang);
     let program = Program::start(&config(&[listed("s-1", server.address, "up")]));
     let mut client = program.client();
--- a/crates/merlinreel/tests/sockets/operations.rs
+++ b/crates/merlinreel/tests/sockets/operations.rs
@@ -42,7 +42,7 @@
     let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a free port");
     let address = listener.local_addr().expect("bound");
     thread::spawn(move || {
-        let (stream, _) = listener.accept().expect("a trip");
+        let (stream, _) = listener.accept().expect("an attempt");
         let mut head = BufReader::new(stream.try_clone().expect("a second handle"));
         let mut line = String::new();
         while head.read_line(&mut line).is_ok_and(|read| read > 2) {
@@ -107,7 +107,7 @@
 }
 
 /// Guards settings read again: a class added at SIGHUP is served under its own rules, a file that allows no
-/// trips is turned down whole and changes nothing.
+/// attempts is turned down whole and changes nothing.
 #[test]
 fn a_class_added_at_sighup_is_served_and_a_broken_file_changes_nothing() {
     let server = StandIn::start(|_| fine());
--- a/crates/merlinreel/tests/sockets/stop.rs
+++ b/crates/merlinreel/tests/sockets/stop.rs
@@ -179,7 +179,7 @@
     start_here(&config, PATIENCE);
     let answered = first_job(&config);
     assert!(discovery.next().first.contains("after=1&wait_ms=10 "));
-    // Long enough for a trip to the old one, were it allowed.
+    // Long enough for an attempt to the old one, were it allowed.
     assert!(answered.recv_timeout(Duration::from_millis(400)).is_err());
     let changes = [listed("s-1", old.address, "draining"), listed("s-2", new.address, "up")];
     // Lists may come indented.
