--- a/crates/merlinreel-benchlink/src/host.rs
+++ b/crates/merlinreel-benchlink/src/host.rs
@@ -175,11 +175,11 @@
         self.line(format_args!("POST_AMOUNT {:.6} {amount} {name}", keep.as_secs_f64()));
     }
 
-    fn follow_roster(&mut self, on: bool) {
+    fn follow_discovery(&mut self, on: bool) {
         self.line(format_args!("TRACK {}", u8::from(on)));
     }
 
-    fn ask_roster(&mut self) {
+    fn ask_discovery(&mut self) {
         self.line(format_args!("LOOKUP"));
     }
 
@@ -293,7 +293,7 @@
 
 struct Line {
     name: String,
-    entry: RosterEntry,
+    entry: ServerEntry,
 }
 
 /// A numbered list of the process; short while its entries still come in.
@@ -408,7 +408,7 @@
                 let form = values.text("form")?;
                 values.integer("serial")?;
                 if form == "unavailable" {
-                    instance.round.roster.push(Roster {
+                    instance.round.server_list.push(ServerList {
                         whole: false,
                         restored: false,
                         unavailable: true,
@@ -430,9 +430,9 @@
                 let entries = pool
                     .lines
                     .iter()
-                    .map(|line| RosterEntry { server: instance.servers.add(&line.name), ..line.entry })
+                    .map(|line| ServerEntry { server: instance.servers.add(&line.name), ..line.entry })
                     .collect();
-                instance.round.roster.push(Roster { whole, restored, unavailable: false, entries });
+                instance.round.server_list.push(ServerList { whole, restored, unavailable: false, entries });
             }
             "JOB_IN" => {
                 let id = values.text("req")?;
@@ -590,7 +590,7 @@
         Some(at) if at > 0.0 => Duration::try_from_secs_f64(at).ok(),
         _ => None,
     };
-    let entry = RosterEntry { server: 0, mark: mark(&name), zone, cell, standing, weight, up_since };
+    let entry = ServerEntry { server: 0, mark: mark(&name), zone, cell, standing, weight, up_since };
     Ok(Line { name, entry })
 }
 
--- a/crates/merlinreel-core/src/decide.rs
+++ b/crates/merlinreel-core/src/decide.rs
@@ -155,7 +155,7 @@
 }
 
 impl Server {
-    fn new(entry: RosterEntry, rules: &ServerRules, limiters: u32) -> Server {
+    fn new(entry: ServerEntry, rules: &ServerRules, limiters: u32) -> Server {
         Server {
             entry,
             listed: true,
@@ -269,9 +269,9 @@
     }
 
     pub fn round(&mut self, now: Duration, round: &Round, out: &mut dyn Writer) {
-        self.roster_lost |= self.started.is_none() && self.server_rules.roster_on_request;
+        self.discovery_lost |= self.started.is_none() && self.server_rules.discovery_on_request;
         self.started.get_or_insert(now);
-        round.roster.iter().for_each(|roster| self.follow(roster));
+        round.server_list.iter().for_each(|server_list| self.follow(server_list));
         round.letters.iter().for_each(|letter| self.read_letter(now, letter));
         round.counts.iter().for_each(|answer| self.read_count(now, answer));
         round.attempt_ends.iter().for_each(|end| self.end_attempt(now, end, out));
@@ -283,10 +283,10 @@
         if now >= self.beat_at {
             self.beat_at = now + self.beat();
             self.sync(now, out);
-            // Half a second spares a roster that is pressed, and is far under what the rule allows.
-            if self.roster_lost && now >= self.roster_at + Duration::from_millis(500) {
-                self.roster_at = now;
-                out.follow_roster(true);
+            // Half a second spares a server list that is pressed, and is far under what the rule allows.
+            if self.discovery_lost && now >= self.discovery_at + Duration::from_millis(500) {
+                self.discovery_at = now;
+                out.follow_discovery(true);
             }
             self.watch(now, out);
             self.keep_regulars(now);
@@ -621,16 +621,16 @@
 
     // ---- Servers ----
 
-    fn follow(&mut self, roster: &Roster) {
-        self.roster_lost = roster.unavailable;
-        if roster.unavailable {
+    fn follow(&mut self, server_list: &ServerList) {
+        self.discovery_lost = server_list.unavailable;
+        if server_list.unavailable {
             return;
         }
-        for server in self.servers.iter_mut().flatten().filter(|_| roster.whole) {
+        for server in self.servers.iter_mut().flatten().filter(|_| server_list.whole) {
             (server.listed, server.entry.standing) = (false, Standing::Gone);
         }
         let limiters = self.peers.limiters;
-        for entry in &roster.entries {
+        for entry in &server_list.entries {
             let place = slot(&mut self.servers, entry.server);
             let known = place.is_some();
             let server = place.get_or_insert_with(|| Server::new(*entry, &self.server_rules, limiters));
--- a/crates/merlinreel-core/src/decide/tests.rs
+++ b/crates/merlinreel-core/src/decide/tests.rs
@@ -320,9 +320,9 @@
 #[test_case(Standing::Up, true => true ; "a whole list keeps who is on it")]
 fn following(standing: Standing, whole: bool) -> bool {
     let mut limiter = with_servers(limiter(Repeats::Replayable, peers()));
-    let entries = vec![RosterEntry { standing, ..entry(0) }];
-    let roster = Roster { whole, restored: false, unavailable: false, entries };
-    limiter.follow(&roster);
+    let entries = vec![ServerEntry { standing, ..entry(0) }];
+    let server_list = ServerList { whole, restored: false, unavailable: false, entries };
+    limiter.follow(&server_list);
     let listed = |i: usize| limiter.servers[i].as_ref().is_some_and(|server| server.listed);
     assert_eq!(listed(1), !whole);
     listed(0)
@@ -336,7 +336,7 @@
 fn forgetting(seconds: u32, used: f64, open: bool) -> (usize, usize) {
     let mut limiter = with_servers(limiter(Repeats::Replayable, peers()));
     let entries = vec![entry(1)];
-    limiter.follow(&Roster { whole: true, restored: false, unavailable: false, entries });
+    limiter.follow(&ServerList { whole: true, restored: false, unavailable: false, entries });
     account(&mut limiter).add_own(0, used);
     if open {
         let attempts = vec![Attempt { server: 0, sent: at(1.0), out: true, revoked: true, overdue: true }];
@@ -354,9 +354,9 @@
 
 #[test_case(1.0, 1 ; "at once when it was not asked of late")]
 #[test_case(0.2, 0 ; "not again within half a second")]
-fn a_lost_roster_is_asked_for_again(when: f64, calls: usize) {
+fn a_lost_server_list_is_asked_for_again(when: f64, calls: usize) {
     let mut limiter = limiter(Repeats::Replayable, Peers { letters: false, ..peers() });
-    (limiter.started, limiter.roster_lost) = (Some(at(0.0)), true);
+    (limiter.started, limiter.discovery_lost) = (Some(at(0.0)), true);
     let mut notes = Notes::default();
     limiter.round(at(when), &Round::default(), &mut notes);
     assert_eq!(notes.lines.len(), calls);
@@ -387,11 +387,11 @@
 }
 
 #[test]
-fn a_start_told_by_the_roster_makes_a_server_cold() {
+fn a_start_told_by_discovery_makes_a_server_cold() {
     let mut limiter = with_servers(limiter(Repeats::Replayable, peers()));
-    let entries = vec![RosterEntry { up_since: Some(at(20.0)), ..entry(0) }];
-    let roster = Roster { whole: false, restored: false, unavailable: false, entries };
-    limiter.follow(&roster);
+    let entries = vec![ServerEntry { up_since: Some(at(20.0)), ..entry(0) }];
+    let server_list = ServerList { whole: false, restored: false, unavailable: false, entries };
+    limiter.follow(&server_list);
     let warmth = limiter.servers[0].as_ref().map(|s| s.warmth(at(22.0), &server_rules()));
     assert!(warmth.is_some_and(|warmth| warmth < 0.4));
 }
--- a/crates/merlinreel-core/src/decide/tests/cold_servers.rs
+++ b/crates/merlinreel-core/src/decide/tests/cold_servers.rs
@@ -54,8 +54,8 @@
     fn revoke(&mut self, _: u32, _: u32) {}
     fn probe(&mut self, _: u32) {}
     fn count(&mut self, _: u64, _: u64, _: f64, _: Duration) {}
-    fn follow_roster(&mut self, _: bool) {}
-    fn ask_roster(&mut self) {}
+    fn follow_discovery(&mut self, _: bool) {}
+    fn ask_discovery(&mut self) {}
     fn close_idle(&mut self, _: u32) {}
     fn forget(&mut self, _: u32) {}
     fn wake(&mut self, _: Duration) {}
@@ -143,10 +143,15 @@
         }
     }
 
-    fn tell(&mut self, entries: &[RosterEntry]) {
+    fn tell(&mut self, entries: &[ServerEntry]) {
         for place in &mut self.places {
             let entries = entries.to_vec();
-            place.next.roster.push(Roster { whole: false, restored: false, unavailable: false, entries });
+            place.next.server_list.push(ServerList {
+                whole: false,
+                restored: false,
+                unavailable: false,
+                entries,
+            });
         }
     }
 
@@ -206,12 +211,12 @@
             let now = BEGIN + f64::from(step) * STEP;
             if !gone && now >= COLD_AT - 1.0 {
                 gone = true;
-                self.tell(&[RosterEntry { standing: Standing::Gone, ..entry(COLD) }]);
+                self.tell(&[ServerEntry { standing: Standing::Gone, ..entry(COLD) }]);
             }
             if !cold && now >= COLD_AT {
                 cold = true;
                 self.cores[COLD as usize] = [now; CORES];
-                self.tell(&[RosterEntry { up_since: Some(at(COLD_AT)), ..entry(COLD) }]);
+                self.tell(&[ServerEntry { up_since: Some(at(COLD_AT)), ..entry(COLD) }]);
             }
             self.ask(if cold { BURST } else { CALM });
             self.round(now);
--- a/crates/merlinreel-core/src/decide/tests/helpers.rs
+++ b/crates/merlinreel-core/src/decide/tests/helpers.rs
@@ -37,10 +37,10 @@
     fn count(&mut self, customer: u64, window: u64, amount: f64, _: Duration) {
         self.add(format!("count {customer}.{window} {amount}"));
     }
-    fn follow_roster(&mut self, on: bool) {
+    fn follow_discovery(&mut self, on: bool) {
         self.add(format!("follow {on}"));
     }
-    fn ask_roster(&mut self) {
+    fn ask_discovery(&mut self) {
         self.add("ask".to_owned());
     }
     fn close_idle(&mut self, server: u32) {
@@ -89,7 +89,7 @@
         warm_after: at(10.0),
         fall_factor: 2.0,
         fall_time: at(1.0),
-        roster_on_request: false,
+        discovery_on_request: false,
         ask_within: at(10.0),
         probes: true,
     }
@@ -109,10 +109,10 @@
     Limiter::new(7, vec![plan()], vec![category], peers, server_rules(), jobs)
 }
 
-pub fn entry(server: u32) -> RosterEntry {
+pub fn entry(server: u32) -> ServerEntry {
     let entry =
-        RosterEntry { server, mark: mark(&server.to_string()), weight: 1.0, ..RosterEntry::default() };
-    RosterEntry { zone: server % 2, ..entry }
+        ServerEntry { server, mark: mark(&server.to_string()), weight: 1.0, ..ServerEntry::default() };
+    ServerEntry { zone: server % 2, ..entry }
 }
 
 /// Servers 0 and 1 in zones 0 and 1, up and warm, two credits each.
--- a/crates/merlinreel-core/src/lib.rs
+++ b/crates/merlinreel-core/src/lib.rs
@@ -92,8 +92,8 @@
     pub fall_factor: f64,
     /// ...for this long, a cold server falls over.
     pub fall_time: Duration,
-    /// The roster must be asked for.
-    pub roster_on_request: bool,
+    /// The server list must be asked for.
+    pub discovery_on_request: bool,
     /// An unasked limiter counts as told after this.
     pub ask_within: Duration,
     pub probes: bool,
@@ -119,7 +119,7 @@
 }
 
 #[derive(Clone, Copy, Debug, Default)]
-pub struct RosterEntry {
+pub struct ServerEntry {
     pub server: u32,
     /// The same at every limiter, and evenly spread over servers (see `mark`).
     pub mark: u64,
@@ -139,16 +139,16 @@
     (hash ^ hash >> 32).wrapping_mul(0x9e37_79b9_7f4a_7c15)
 }
 
-/// One piece of news of the roster.
+/// One piece of news of the server list.
 #[derive(Clone, Debug)]
-pub struct Roster {
+pub struct ServerList {
     /// A complete list: who is not on it is gone.
     pub whole: bool,
     /// Held since before this limiter's start; may be stale.
     pub restored: bool,
-    /// A call for the roster failed; the list before it stands.
+    /// A call for the server list failed; the list before it stands.
     pub unavailable: bool,
-    pub entries: Vec<RosterEntry>,
+    pub entries: Vec<ServerEntry>,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -242,7 +242,7 @@
 /// All that came in for one limiter since its last round, a list per subject.
 #[derive(Clone, Debug, Default)]
 pub struct Round {
-    pub roster: Vec<Roster>,
+    pub server_list: Vec<ServerList>,
     pub letters: Vec<Letter>,
     pub counts: Vec<CountAnswer>,
     pub attempt_ends: Vec<AttemptEnd>,
@@ -265,8 +265,8 @@
     fn tell(&mut self, limiter: u32, letter: &[u8]);
     /// Adds to the number kept for the customer's window, forgotten after `keep`.
     fn count(&mut self, customer: u64, window: u64, amount: f64, keep: Duration);
-    fn follow_roster(&mut self, on: bool);
-    fn ask_roster(&mut self);
+    fn follow_discovery(&mut self, on: bool);
+    fn ask_discovery(&mut self);
     fn close_idle(&mut self, server: u32);
     /// Nothing is kept of this server any more: its index may be another's from now on.
     fn forget(&mut self, server: u32);
--- a/crates/merlinreel-core/src/state.rs
+++ b/crates/merlinreel-core/src/state.rs
@@ -5,7 +5,7 @@
 use crate::job::OpenJob;
 use crate::letter::{self, Head, Row};
 use crate::ring::Ring;
-use crate::{Category, JobRules, Peers, Plan, RosterEntry, ServerRules, Standing, Writer};
+use crate::{Category, JobRules, Peers, Plan, ServerEntry, ServerRules, Standing, Writer};
 use nanorand::WyRand;
 use std::collections::HashMap;
 use std::time::Duration;
@@ -87,7 +87,7 @@
 
 #[derive(Default)]
 pub struct Server {
-    pub entry: RosterEntry,
+    pub entry: ServerEntry,
     pub listed: bool,
     /// Not among those that this limiter sends to as a rule.
     pub aside: bool,
@@ -108,7 +108,7 @@
     pub down: bool,
     pub sends: Ring,
     pub cut_at: Duration,
-    /// Times it was looked at since the roster or a job spoke of it.
+    /// Times it was looked at since the server list or a job spoke of it.
     pub quiet: u32,
 }
 
@@ -159,9 +159,9 @@
     pub(crate) owing: Vec<u32>,
     /// By limiter: the life and the number of the last letter.
     pub(crate) last_letter: Vec<(u64, u64)>,
-    /// The roster must be asked for, and the last call failed or is yet to be made.
-    pub(crate) roster_lost: bool,
-    pub(crate) roster_at: Duration,
+    /// The server list must be asked for, and the last call failed or is yet to be made.
+    pub(crate) discovery_lost: bool,
+    pub(crate) discovery_at: Duration,
     /// By category, how many tries came with which part of the outer limit left, and the common share.
     pub(crate) left_seen: Vec<(Vec<f64>, f64)>,
     /// Counter calls a beat, and how many may go out now.
@@ -296,8 +296,8 @@
             woken_at: Duration::ZERO,
             swept_at: Duration::ZERO,
             letters: 0,
-            roster_lost: false,
-            roster_at: Duration::ZERO,
+            discovery_lost: false,
+            discovery_at: Duration::ZERO,
         }
     }
 
--- a/crates/merlinreel-settings/src/lib.rs
+++ b/crates/merlinreel-settings/src/lib.rs
@@ -157,7 +157,7 @@
                 warm_after: paths.time("rules.coldS")?,
                 fall_factor: paths.number("rules.overloadFactor")?,
                 fall_time: paths.time("rules.fallS")?,
-                roster_on_request: paths.text("discovery") == "subscribe",
+                discovery_on_request: paths.text("discovery") == "subscribe",
                 ask_within: paths.time("rules.askWithinS")?,
                 probes: paths.flag("policyLimits.probes")?,
             },
--- a/crates/merlinreel-testbed/src/config.rs
+++ b/crates/merlinreel-testbed/src/config.rs
@@ -29,7 +29,7 @@
 }
 
 /// A message of discovery.
-pub fn roster(generation: u64, whole: bool, servers: &[Value]) -> Value {
+pub fn server_list(generation: u64, whole: bool, servers: &[Value]) -> Value {
     json!({"generation": generation, "reset": whole, "instances": servers})
 }
 
@@ -38,7 +38,7 @@
     let listen = free_address();
     // Nobody's: a free port might be the next test's server, which would be asked for lists.
     json!({"listen": listen.to_string(), "discovery": "127.0.0.1:9", "seed": "8c1f30d27a5be964",
-        "limits": {"memory_mb": 192, "sockets": 256}, "known": roster(1, true, servers),
+        "limits": {"memory_mb": 192, "sockets": 256}, "known": server_list(1, true, servers),
         "settings": {"balancers": 1, "rank": 0, "zone": 0, "dcs": ["a"], "packages": [
                 {"name": "team", "unitsPerS": 0.1, "mostAtOnce": 10.0, "price": 1.0}],
             "classes": [
--- a/crates/merlinreel-testbed/src/lib.rs
+++ b/crates/merlinreel-testbed/src/lib.rs
@@ -23,7 +23,7 @@
 pub use agent::{Agent, Standing};
 pub use checker::{Bounds, Broken, check};
 pub use client::{Client, job, keep_asking};
-pub use config::{config, free_address, listed, roster};
+pub use config::{config, free_address, listed, server_list};
 pub use field::Field;
 pub use http::{Message, ReadError};
 pub use process::Program;
--- a/crates/merlinreel/src/config.rs
+++ b/crates/merlinreel/src/config.rs
@@ -1,11 +1,11 @@
 //! The one place where the configuration is read, checked and given defaults; a faulty key is named.
 //! Values of the environment stand in for keys that the file leaves out.
 
+use crate::discovery::{self, DiscoveryError};
 use crate::limits::{Limits, RoomError};
 use crate::log;
 use crate::mesh::Ground;
-use crate::messages::RosterNews;
-use crate::roster::{self, RosterError};
+use crate::messages::DiscoveryNews;
 use merlinreel_settings::{Paths, Terms};
 use serde::Deserialize;
 use std::collections::HashSet;
@@ -50,7 +50,7 @@
     #[error(transparent)]
     Room(#[from] RoomError),
     #[error("known.{0}")]
-    Known(#[from] RosterError),
+    Known(#[from] DiscoveryError),
 }
 
 /// What a limiter is run with.
@@ -67,8 +67,8 @@
     pub seed: u64,
     pub limits: Limits,
     pub terms: Terms,
-    /// The roster as this limiter last had it.
-    pub known: Option<RosterNews>,
+    /// The server list as this limiter last had it.
+    pub known: Option<DiscoveryNews>,
     /// The mesh of limiters, where this one takes part.
     pub mesh: Option<Ground>,
     /// Keys of the file that mean nothing here: misspelt, or meant for another version.
@@ -87,7 +87,7 @@
     peer_listen: Option<SocketAddr>,
     #[serde(default)]
     peers: Vec<SocketAddr>,
-    known: Option<roster::Message>,
+    known: Option<discovery::Message>,
     settings: Option<serde_json::Value>,
     mesh: Option<Ground>,
     /// Letters go to one limiter at a time.
@@ -135,7 +135,7 @@
             return false;
         }
     };
-    log!("configuration, read again: the roster is watched at {}", new.discovery);
+    log!("configuration, read again: the server list is watched at {}", new.discovery);
     let kept = [
         ("name", new.name != present.name),
         ("listen", new.listen != present.listen),
@@ -220,7 +220,7 @@
             file.limits.memory_mb.unwrap_or(MEMORY_MB),
             &terms,
         )?,
-        known: file.known.map(RosterNews::try_from).transpose()?,
+        known: file.known.map(DiscoveryNews::try_from).transpose()?,
         terms,
         unknown,
     })
--- a/crates/merlinreel/src/roster.rs
+++ b/crates/merlinreel/src/discovery.rs
@@ -1,12 +1,12 @@
-//! The roster: watches discovery, and decodes what it tells. Silence keeps the list.
+//! The server list: watches discovery, and decodes what it tells. Silence keeps the list.
 
-mod complaints;
+mod failure_log;
 mod open_calls;
 
 use crate::limits::Limits;
 use crate::log;
-use crate::messages::{Listed, News, Queue, RosterNews};
-use complaints::Complaints;
+use crate::messages::{DiscoveryNews, Listed, News, Queue};
+use failure_log::FailureLog;
 use http_body_util::{BodyExt, Empty};
 use hyper::body::{Body, Bytes, Incoming};
 use hyper::client::conn::http1::{SendRequest, handshake};
@@ -26,7 +26,7 @@
 
 /// Why a call to discovery brought no list. The list before stands.
 #[derive(Debug, Error)]
-pub enum RosterError {
+pub enum DiscoveryError {
     #[error("no connection within {0:?}; see whether the agent on this machine runs")]
     NoConnection(Duration),
     #[error("{0}; see whether the agent on this machine runs")]
@@ -76,20 +76,20 @@
     started_at_ms: u64,
 }
 
-impl TryFrom<Message> for RosterNews {
-    type Error = RosterError;
+impl TryFrom<Message> for DiscoveryNews {
+    type Error = DiscoveryError;
 
-    fn try_from(message: Message) -> Result<RosterNews, RosterError> {
+    fn try_from(message: Message) -> Result<DiscoveryNews, DiscoveryError> {
         let listed = |(i, one): (usize, Instance)| {
             let standing = match one.lifecycle.as_str() {
                 "up" => Standing::Up,
                 "draining" => Standing::Draining,
                 "removed" => Standing::Gone,
-                other => return Err(RosterError::Lifecycle { place: i, given: other.to_owned() }),
+                other => return Err(DiscoveryError::Lifecycle { place: i, given: other.to_owned() }),
             };
             let address = one.host_port.parse();
             let address =
-                address.map_err(|_| RosterError::Address { place: i, given: one.host_port.clone() })?;
+                address.map_err(|_| DiscoveryError::Address { place: i, given: one.host_port.clone() })?;
             Ok(Listed {
                 name: one.instance_id,
                 address,
@@ -101,11 +101,11 @@
             })
         };
         let servers = message.instances.into_iter().enumerate().map(listed).collect::<Result<_, _>>()?;
-        Ok(RosterNews { version: message.generation, whole: message.reset, servers })
+        Ok(DiscoveryNews { version: message.generation, whole: message.reset, servers })
     }
 }
 
-pub fn decode(bytes: &[u8]) -> Result<RosterNews, RosterError> {
+pub fn decode(bytes: &[u8]) -> Result<DiscoveryNews, DiscoveryError> {
     let message: Message = serde_json::from_slice(bytes)?;
     message.try_into()
 }
@@ -122,9 +122,9 @@
     }
 }
 
-async fn dial(discovery: SocketAddr, within: Duration) -> Result<Line, RosterError> {
+async fn dial(discovery: SocketAddr, within: Duration) -> Result<Line, DiscoveryError> {
     let stream = timeout(within, TcpStream::connect(discovery)).await;
-    let stream = stream.map_err(|_| RosterError::NoConnection(within))??;
+    let stream = stream.map_err(|_| DiscoveryError::NoConnection(within))??;
     let _ = stream.set_nodelay(true);
     let (sender, connection) = handshake(TokioIo::new(stream)).await?;
     let task = tokio::spawn(async move { drop(connection.await) }).abort_handle();
@@ -137,29 +137,29 @@
     path: String,
     most: usize,
     progress: &Progress,
-) -> Result<RosterNews, RosterError> {
+) -> Result<DiscoveryNews, DiscoveryError> {
     let request = Request::get(path).header(HOST, discovery.to_string()).body(Empty::new())?;
     line.sender.ready().await?;
     let answer = line.sender.send_request(request).await?;
     if answer.status() != StatusCode::OK {
-        return Err(RosterError::Status(answer.status()));
+        return Err(DiscoveryError::Status(answer.status()));
     }
     let bytes = whole(answer.into_body(), most, progress).await?;
     decode(&bytes)
 }
 
 /// All of a list's bytes, `most` at most; one that is told to be longer is not read.
-async fn whole(mut body: Incoming, most: usize, progress: &Progress) -> Result<Vec<u8>, RosterError> {
+async fn whole(mut body: Incoming, most: usize, progress: &Progress) -> Result<Vec<u8>, DiscoveryError> {
     let told = body.size_hint().lower();
     if told > most as u64 {
-        return Err(RosterError::TooLong { most });
+        return Err(DiscoveryError::TooLong { most });
     }
     // What is told comes, or the connection breaks: guards against a list held twice while its room grows.
     let mut bytes = Vec::with_capacity(usize::try_from(told).unwrap_or(0));
     while let Some(frame) = body.frame().await {
         let Ok(piece) = frame?.into_data() else { continue };
         if bytes.len() + piece.len() > most {
-            return Err(RosterError::TooLong { most });
+            return Err(DiscoveryError::TooLong { most });
         }
         bytes.extend_from_slice(&piece);
         progress.reached(bytes.len());
@@ -214,19 +214,19 @@
 
 /// How long discovery is left alone after a call that brought no list. One that was silent has taken its time already, and
 /// a list that is too long is not asked for again as often as it can be sent.
-fn pause_after(what: &RosterError, limits: &Limits) -> Duration {
+fn pause_after(what: &DiscoveryError, limits: &Limits) -> Duration {
     match what {
-        RosterError::NoAnswer(_) => Duration::ZERO,
-        RosterError::TooLong { .. } => limits.watch,
+        DiscoveryError::NoAnswer(_) => Duration::ZERO,
+        DiscoveryError::TooLong { .. } => limits.watch,
         _ => limits.watch_retry,
     }
 }
 
-type Calls = JoinSet<Result<(Line, RosterNews), RosterError>>;
+type Calls = JoinSet<Result<(Line, DiscoveryNews), DiscoveryError>>;
 
 /// What the first call brings that ends by itself, within the time after which the newest is silent. Calls that were ended
 /// here bring nothing: guards discovery against a call at once, and so without end, for each of those.
-async fn answered(calls: &mut Calls, silent: Duration) -> Result<(Line, RosterNews), RosterError> {
+async fn answered(calls: &mut Calls, silent: Duration) -> Result<(Line, DiscoveryNews), DiscoveryError> {
     let first = async {
         loop {
             match calls.join_next().await {
@@ -236,7 +236,7 @@
             }
         }
     };
-    timeout(silent, first).await.unwrap_or(Err(RosterError::NoAnswer(silent)))
+    timeout(silent, first).await.unwrap_or(Err(DiscoveryError::NoAnswer(silent)))
 }
 
 /// Each call follows the last answer at once, as a watch lapses where it does not. Where a call fails or stays silent the
@@ -255,14 +255,14 @@
     let mut failed = 0;
     let mut calls = Calls::new();
     let mut open = OpenCalls::default();
-    let mut complaints = Complaints::default();
+    let mut failure_log = FailureLog::default();
     loop {
         let call = Call::next(limits, version.is_some(), first.is_some(), failed);
         let path = match version {
             Some(version) => format!("/discovery/hosts?after={version}&wait_ms={}", call.wait.as_millis()),
             None => "/discovery/hosts".to_owned(),
         };
-        let (rested, connect, most) = (line.take(), limits.connect, limits.roster);
+        let (rested, connect, most) = (line.take(), limits.connect, limits.server_list);
         let progress = Progress::default();
         let told = progress.clone();
         let task = calls.spawn(async move {
@@ -281,19 +281,19 @@
                 line = Some(at);
                 version = Some(news.version);
                 if failed > 0 {
-                    log!("roster: discovery answers again");
+                    log!("discovery: discovery answers again");
                 }
                 failed = 0;
-                complaints = Complaints::default();
+                failure_log = FailureLog::default();
                 if !news.servers.is_empty() || news.whole {
-                    let _ = queue.send(News::Roster(news)).await;
+                    let _ = queue.send(News::ServerList(news)).await;
                 }
                 let _ = first.take().map(|first| first.send(()));
             }
             Err(what) => {
                 failed = failed.saturating_add(1);
-                if complaints.tells(&what) {
-                    log!("roster: {what}; the list stands ({failed} calls in a row without one)");
+                if failure_log.tells(&what) {
+                    log!("discovery: {what}; the list stands ({failed} calls in a row without one)");
                 }
                 sleep(pause_after(&what, limits)).await;
             }
--- a/crates/merlinreel/src/roster/complaints.rs
+++ b/crates/merlinreel/src/discovery/failure_log.rs
@@ -1,7 +1,7 @@
 //! Which of the calls that brought no list are told of in the log: guards it against an outage's hundreds of lines, and
 //! an operator against a trouble that hides behind another.
 
-use super::RosterError;
+use super::DiscoveryError;
 use std::mem::{Discriminant, discriminant};
 use std::time::{Duration, Instant};
 
@@ -10,11 +10,11 @@
 
 /// What was told of an outage.
 #[derive(Debug, Default)]
-pub struct Complaints(Vec<(Discriminant<RosterError>, Instant)>);
+pub struct FailureLog(Vec<(Discriminant<DiscoveryError>, Instant)>);
 
-impl Complaints {
+impl FailureLog {
     /// Whether this one is to be told, which is noted.
-    pub fn tells(&mut self, what: &RosterError) -> bool {
+    pub fn tells(&mut self, what: &DiscoveryError) -> bool {
         self.0.retain(|(_, told)| told.elapsed() < TELL_EVERY);
         let kind = discriminant(what);
         let new = self.0.iter().all(|(told, _)| *told != kind);
--- a/crates/merlinreel/src/roster/tests.rs
+++ b/crates/merlinreel/src/discovery/tests.rs
@@ -17,7 +17,7 @@
         weight: 1.5,
         up_since: Some(Duration::from_millis(1_800_000_000_250)),
     };
-    assert_eq!(news.ok(), Some(RosterNews { version: 43, whole: false, servers: vec![listed] }));
+    assert_eq!(news.ok(), Some(DiscoveryNews { version: 43, whole: false, servers: vec![listed] }));
 }
 
 fn limits() -> Limits {
@@ -74,7 +74,7 @@
     tokio::io::AsyncWriteExt::write_all(answering, answer.as_bytes()).await?;
     let list = timeout(Duration::from_secs(20), news.recv()).await;
     watching.abort();
-    assert!(matches!(list, Ok(Some(News::Roster(RosterNews { version: 7, .. })))), "{list:?}");
+    assert!(matches!(list, Ok(Some(News::ServerList(DiscoveryNews { version: 7, .. })))), "{list:?}");
     Ok(())
 }
 
@@ -129,7 +129,7 @@
     let address = |i: u32| SocketAddr::from(([10, (i >> 16) as u8, (i >> 8) as u8, i as u8], 9000));
     let listed = |i| merlinreel_testbed::listed(&format!("server-{i:06}"), address(i), "up");
     let servers: Vec<_> = (0..servers).map(listed).collect();
-    serde_json::to_string_pretty(&merlinreel_testbed::roster(7, true, &servers)).expect("a list")
+    serde_json::to_string_pretty(&merlinreel_testbed::server_list(7, true, &servers)).expect("a list")
 }
 
 /// A discovery on a socket of its own; each connection's calls are answered by `answer`, with the connection's number.
@@ -192,7 +192,7 @@
     let watching = tokio::spawn(super::watch(discovery, None, limits, queue, told));
     let list = timeout(Duration::from_secs(60), news.recv()).await;
     watching.abort();
-    let Ok(Some(News::Roster(list))) = list else { panic!("no list") };
+    let Ok(Some(News::ServerList(list))) = list else { panic!("no list") };
     assert_eq!((list.version, list.servers.len()), (7, servers as usize));
     Ok(())
 }
@@ -219,7 +219,7 @@
     let mut line = dial(at, Duration::from_secs(20)).await.expect("a connection");
     match ask(&mut line, at, "/discovery/hosts".to_owned(), most, &Progress::default()).await {
         Ok(list) => list.servers.len() == 40,
-        Err(RosterError::TooLong { most: told }) if told == most => false,
+        Err(DiscoveryError::TooLong { most: told }) if told == most => false,
         Err(other) => panic!("{other}"),
     }
 }
@@ -244,11 +244,11 @@
     let (queue, mut news) = tokio::sync::mpsc::channel(4);
     let (told, _first) = oneshot::channel();
     let (_turn, discovery) = watch::channel(at);
-    let limits = Limits { roster: 1000, watch_slack: Duration::from_secs(60), ..limits() };
+    let limits = Limits { server_list: 1000, watch_slack: Duration::from_secs(60), ..limits() };
     let watching = tokio::spawn(super::watch(discovery, None, limits, queue, told));
     for (version, servers) in [(1, 0), (7, 1)] {
         let list = timeout(Duration::from_secs(20), news.recv()).await;
-        let Ok(Some(News::Roster(list))) = list else { panic!("no list") };
+        let Ok(Some(News::ServerList(list))) = list else { panic!("no list") };
         assert_eq!((list.version, list.servers.len()), (version, servers));
     }
     watching.abort();
@@ -285,7 +285,7 @@
     let watching = tokio::spawn(super::watch(discovery, None, limits, queue, told));
     let list = timeout(Duration::from_secs(20), news.recv()).await;
     watching.abort();
-    assert!(matches!(list, Ok(Some(News::Roster(list))) if list.servers.len() == 40));
+    assert!(matches!(list, Ok(Some(News::ServerList(list))) if list.servers.len() == 40));
     Ok(())
 }
 
@@ -326,8 +326,8 @@
 /// In an outage each kind of trouble is told once, whatever came before it.
 #[test]
 fn trouble_that_repeats_is_told_once() {
-    let mut complaints = Complaints::default();
-    let (silent, long) = (RosterError::NoAnswer(Duration::ZERO), RosterError::TooLong { most: 9 });
-    let told = [&silent, &silent, &long, &silent, &long].map(|what| complaints.tells(what));
+    let mut failure_log = FailureLog::default();
+    let (silent, long) = (DiscoveryError::NoAnswer(Duration::ZERO), DiscoveryError::TooLong { most: 9 });
+    let told = [&silent, &silent, &long, &silent, &long].map(|what| failure_log.tells(what));
     assert_eq!(told, [true, false, true, false, false]);
 }
--- a/crates/merlinreel/src/driver.rs
+++ b/crates/merlinreel/src/driver.rs
@@ -7,7 +7,7 @@
 
 use crate::figures::Figures;
 use crate::log;
-use crate::messages::{Answer, Arrival, News, RosterNews, Tuned};
+use crate::messages::{Answer, Arrival, DiscoveryNews, News, Tuned};
 use crate::peers::Post;
 use crate::servers::Servers;
 use desk::{Desk, Held};
@@ -83,12 +83,12 @@
         }
     }
 
-    /// Runs without end; `known` is the roster as it was last held.
-    pub async fn run(mut self, known: Option<RosterNews>, mut queue: mpsc::Receiver<News>) {
+    /// Runs without end; `known` is the server list as it was last held.
+    pub async fn run(mut self, known: Option<DiscoveryNews>, mut queue: mpsc::Receiver<News>) {
         let mut news = Vec::with_capacity(self.batch);
         let mut round = Round::default();
         if let Some(known) = known {
-            round.roster.push(self.desk.servers.list(known, true));
+            round.server_list.push(self.desk.servers.list(known, true));
         }
         self.round(round);
         let timer = sleep_until(Instant::now().into());
@@ -125,7 +125,9 @@
                 News::Attempt(end) => round.attempt_ends.extend(self.desk.end_attempt(end)),
                 News::Retune(terms) => self.retune(*terms),
                 News::Probe(answer) => round.probes.push(answer),
-                News::Roster(roster) => round.roster.push(self.desk.servers.list(roster, false)),
+                News::ServerList(server_list) => {
+                    round.server_list.push(self.desk.servers.list(server_list, false))
+                }
                 News::Letter(letter) => round.letters.push(letter),
             }
         }
--- a/crates/merlinreel/src/driver/desk.rs
+++ b/crates/merlinreel/src/driver/desk.rs
@@ -177,10 +177,10 @@
         log!("no counter to tell of customer {customer}, window {window}");
     }
 
-    /// The roster is always watched.
-    fn follow_roster(&mut self, _: bool) {}
+    /// The server list is always watched.
+    fn follow_discovery(&mut self, _: bool) {}
 
-    fn ask_roster(&mut self) {}
+    fn ask_discovery(&mut self) {}
 
     fn close_idle(&mut self, server: u32) {
         self.servers.close_idle(server);
--- a/crates/merlinreel/src/lib.rs
+++ b/crates/merlinreel/src/lib.rs
@@ -6,6 +6,7 @@
 pub mod clients;
 pub mod config;
 pub mod decode;
+pub mod discovery;
 pub mod driver;
 pub mod figures;
 pub mod flow;
@@ -15,7 +16,6 @@
 pub mod messages;
 pub mod ops;
 pub mod peers;
-pub mod roster;
 pub mod servers;
 pub mod stream;
 
@@ -63,7 +63,7 @@
 #[derive(Debug)]
 pub struct Turns {
     pub settings: watch::Receiver<merlinreel_settings::Terms>,
-    /// Where the roster is watched.
+    /// Where the server list is watched.
     pub discovery: watch::Receiver<SocketAddr>,
     /// The mesh's keys are read again at each word of it.
     pub ground: watch::Receiver<Option<mesh::Ground>>,
@@ -121,7 +121,7 @@
         driver::Driver::new(terms.limiter(seed), servers, post.clone(), clock, figures.clone()).tells(tune);
     let mut driving = tokio::spawn(driver.run(known, news));
     let (told, first) = oneshot::channel();
-    let watching = roster::watch(discovery, version, limits.clone(), queue.clone(), told);
+    let watching = discovery::watch(discovery, version, limits.clone(), queue.clone(), told);
     let mut others = vec![tokio::spawn(watching)];
     others.extend(post.map(|post| tokio::spawn(post.receive(queue.clone()))));
     let retuning = queue.clone();
@@ -169,7 +169,7 @@
         // What the agent holds counts as told from the first moment on: guards against attempts to servers that left
         // since `known` was written. Clients wait on the socket meanwhile, `/healthcheck` says no.
         if first.await.is_err() {
-            log!("roster: no word from discovery; starting with the list as last held");
+            log!("discovery: no word from discovery; starting with the list as last held");
         }
         door.attend(listener, inherited, stop).await
     };
--- a/crates/merlinreel/src/limits.rs
+++ b/crates/merlinreel/src/limits.rs
@@ -36,7 +36,7 @@
     /// Bytes of a long answer that goes on as it comes: beyond, it is not made for a job.
     pub flowing: u64,
     /// Bytes of a list of servers, as discovery's answer brings it.
-    pub roster: usize,
+    pub server_list: usize,
     /// A connection to a server must be up within this.
     pub connect: Duration,
     /// One that is idle for this long is dropped; a server that ends one behind an answer does so within this.
@@ -56,7 +56,7 @@
     pub client_drops: usize,
     /// Attempts end so long before the client gives up, so that the answer is there in time.
     pub answer_margin: Duration,
-    /// How long a watch of the roster may wait, and where an answer is wanted at once; how late it may be before another
+    /// How long a watch of the server list may wait, and where an answer is wanted at once; how late it may be before another
     /// is made beside it, how many there are at once, and how soon a failed call is tried again.
     pub watch: Duration,
     pub watch_again: Duration,
@@ -84,7 +84,7 @@
     pub ops_call: Duration,
 }
 
-/// Descriptors that are neither clients' nor servers': standard streams, poller, listener, letters, roster.
+/// Descriptors that are neither clients' nor servers': standard streams, poller, listener, letters, server list.
 const OWN: usize = 24;
 /// What the program and the module take: 4 MB on busy days, and as much again for a day with more customers.
 /// Guards against a start that is refused on a small machine, too.
@@ -136,7 +136,7 @@
             head: 8 * 1024,
             // Answers of these days reach 32 MB; far more is a server's fault, and would hold a client for hours.
             flowing: 1 << 30,
-            roster: (((memory_mb as usize) << 20) / LIST_PART).max(LEAST_LIST),
+            server_list: (((memory_mb as usize) << 20) / LIST_PART).max(LEAST_LIST),
             connect: if connect.is_zero() { Duration::from_millis(250) } else { connect },
             // What is written to a connection that the server just closed is lost: far from that moment.
             server_idle: idle.mul_f64(0.6),
@@ -198,7 +198,7 @@
         let terms =
             Paths::from_json(&serde_json::json!({})).and_then(|paths| Terms::read(&paths)).expect("sound");
         let limits = Limits::new(256, memory_mb, &terms).expect("room");
-        limits.roster >= 220 * if memory_mb < 192 { 1024 } else { 160_000 }
+        limits.server_list >= 220 * if memory_mb < 192 { 1024 } else { 160_000 }
     }
 
     #[test_case(1024, 192 ; "as scored")]
@@ -221,7 +221,10 @@
         assert!(buffers + (PROGRAM_MB << 20) <= (memory_mb as usize) << 20);
         assert!(limits.queue > 2 * connections);
         // Never less than it was, nor than thousands of servers; and it leaves the memory to what is read of it.
-        assert!(limits.roster >= LEAST_LIST && limits.roster <= LEAST_LIST.max((memory_mb as usize) << 18));
+        assert!(
+            limits.server_list >= LEAST_LIST
+                && limits.server_list <= LEAST_LIST.max((memory_mb as usize) << 18)
+        );
         // What a page or a font takes flows; of those that are held there is room for some dozens at their largest.
         assert!(limits.flowing >= 1 << 20 && limits.answers >= 32 * limits.body);
     }
--- a/crates/merlinreel/src/main.rs
+++ b/crates/merlinreel/src/main.rs
@@ -59,7 +59,7 @@
     Ok(Some(listener))
 }
 
-/// Whether it was another. Guards the watch of the roster and the settings in force against a file read again that
+/// Whether it was another. Guards the watch of the server list and the settings in force against a file read again that
 /// says what the one before did, or was turned down.
 fn replaced<T: Clone + PartialEq>(present: &mut T, new: &T) -> bool {
     let other = present != new;
--- a/crates/merlinreel/src/messages.rs
+++ b/crates/merlinreel/src/messages.rs
@@ -72,7 +72,7 @@
     Left(u64),
     Attempt(AttemptNews),
     Probe(ProbeAnswer),
-    Roster(RosterNews),
+    ServerList(DiscoveryNews),
     Letter(Letter),
     /// Settings read again, found sound.
     Retune(Box<Terms>),
@@ -82,7 +82,7 @@
 
 /// A message of discovery, checked.
 #[derive(Clone, Debug, PartialEq)]
-pub struct RosterNews {
+pub struct DiscoveryNews {
     pub version: u64,
     pub whole: bool,
     pub servers: Vec<Listed>,
--- a/crates/merlinreel/src/servers.rs
+++ b/crates/merlinreel/src/servers.rs
@@ -15,8 +15,8 @@
 use crate::figures::Figures;
 use crate::limits::Limits;
 use crate::log;
-use crate::messages::{News, Parcel, Queue, RosterNews};
-use merlinreel_core::{ProbeAnswer, Roster, RosterEntry, Standing, mark};
+use crate::messages::{DiscoveryNews, News, Parcel, Queue};
+use merlinreel_core::{ProbeAnswer, ServerEntry, ServerList, Standing, mark};
 use probe::probe;
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -76,7 +76,7 @@
 struct Place {
     name: String,
     /// As it was listed last.
-    entry: RosterEntry,
+    entry: ServerEntry,
     address: SocketAddr,
     /// With the time since when, the newest last.
     idle: Vec<(Instant, Link)>,
@@ -153,7 +153,7 @@
     }
 
     /// Maps names to indices at the door; a server keeps its index until the module forgets it.
-    pub fn list(&mut self, news: RosterNews, restored: bool) -> Roster {
+    pub fn list(&mut self, news: DiscoveryNews, restored: bool) -> ServerList {
         let mut entries = Vec::with_capacity(news.servers.len());
         if news.whole {
             // Who is not on it is gone.
@@ -164,7 +164,7 @@
                 self.zones.push(listed.zone);
                 self.zones.len() - 1
             });
-            let mut entry = RosterEntry {
+            let mut entry = ServerEntry {
                 server: 0,
                 mark: mark(&listed.name),
                 zone: zone as u32,
@@ -188,7 +188,7 @@
             }
             entries.push(entry);
         }
-        Roster { whole: news.whole, restored, unavailable: false, entries }
+        ServerList { whole: news.whole, restored, unavailable: false, entries }
     }
 
     /// The server that stands at an address as far as is known.
@@ -199,14 +199,14 @@
     }
 
     /// Guards against attempts at a server that is gone, but not told so yet, where another took its address.
-    fn replace(&mut self, address: SocketAddr) -> Option<RosterEntry> {
+    fn replace(&mut self, address: SocketAddr) -> Option<ServerEntry> {
         let before = self.standing_at(address)?;
         let place = &mut self.places[before as usize];
         place.leave();
         Some(place.entry)
     }
 
-    fn place(&mut self, name: String, entry: RosterEntry, address: SocketAddr) -> u32 {
+    fn place(&mut self, name: String, entry: ServerEntry, address: SocketAddr) -> u32 {
         let server = self.free.pop().unwrap_or(self.places.len() as u32);
         self.names.insert(name.clone(), server);
         let place = Place { name, entry, address, idle: Vec::new() };
--- a/crates/merlinreel/src/servers/tests.rs
+++ b/crates/merlinreel/src/servers/tests.rs
@@ -42,11 +42,11 @@
     (servers, news)
 }
 
-fn list(address: SocketAddr, standing: Standing) -> RosterNews {
+fn list(address: SocketAddr, standing: Standing) -> DiscoveryNews {
     let (name, zone) = ("s-1".to_owned(), "a".to_owned());
     let listed =
         crate::messages::Listed { name, address, zone, cell: 0, standing, weight: 1.0, up_since: None };
-    RosterNews { version: 1, whole: true, servers: vec![listed] }
+    DiscoveryNews { version: 1, whole: true, servers: vec![listed] }
 }
 
 async fn end(news: &mut mpsc::Receiver<News>) -> AttemptNews {
@@ -229,7 +229,7 @@
     };
     let address = SocketAddr::from(([127, 0, 0, 1], 9));
     let idle = idle.iter().map(link).collect();
-    let mut place = Place { name: String::new(), entry: RosterEntry::default(), address, idle };
+    let mut place = Place { name: String::new(), entry: ServerEntry::default(), address, idle };
     place.take(now, Duration::from_millis(25), only_settled).map(|link| link.address.port().into())
 }
 
@@ -381,7 +381,7 @@
     let (mut servers, mut news) = servers(address, 2);
     let (first, mut stream) = begun(&listener, &mut servers, 1).await;
     done(&mut stream, &mut news).await;
-    let entry = RosterEntry { server: 1, ..RosterEntry::default() };
+    let entry = ServerEntry { server: 1, ..ServerEntry::default() };
     servers.places.push(Place { name: String::new(), entry, address, idle: vec![(Instant::now(), first)] });
     let second = servers.send(0, attempt(2, 1, LONG));
     assert!(second.is_some() && servers.send(0, attempt(3, 1, LONG)).is_none());
--- a/crates/merlinreel/tests/sockets/main.rs
+++ b/crates/merlinreel/tests/sockets/main.rs
@@ -220,11 +220,11 @@
 }
 
 #[test]
-fn the_roster_is_followed_and_silence_keeps_it() {
+fn discovery_is_followed_and_silence_keeps_it() {
     let (old, new) = (StandIn::start(|_| fine()), StandIn::start(|_| fine()));
     let (tell, told) = channel();
     let changes = [listed("s-1", old.address, "draining"), listed("s-2", new.address, "up")];
-    tell.send(roster(2, false, &changes).to_string()).expect("told");
+    tell.send(server_list(2, false, &changes).to_string()).expect("told");
     // What makes no sense changes nothing, nor a call that breaks: asked for again from the last version.
     tell.send("{}".to_owned()).expect("told");
     tell.send("break".to_owned()).expect("told");
@@ -243,7 +243,7 @@
 #[test]
 fn a_watch_that_falls_silent_is_asked_again_elsewhere() {
     let server = StandIn::start(|_| fine());
-    let text = roster(2, false, &[listed("s-1", server.address, "up")]).to_string();
+    let text = server_list(2, false, &[listed("s-1", server.address, "up")]).to_string();
     let discovery =
         StandIn::start(
             move |call| if call.connection == 0 { React::Hang } else { answer("200 OK", "", &text) },
@@ -273,7 +273,7 @@
     let (tell, told) = channel();
     let discovery = discovery(told);
     // An older number than the one it had: another discovery counts for itself.
-    tell.send(roster(0, true, &[listed("s-2", new.address, "up")]).to_string()).expect("told");
+    tell.send(server_list(0, true, &[listed("s-2", new.address, "up")]).to_string()).expect("told");
     config["discovery"] = discovery.address.to_string().into();
     program.turn(&config.to_string());
     assert_eq!(silent.closed.recv_timeout(PATIENCE), Ok(0));
--- a/crates/merlinreel/tests/sockets/starts.rs
+++ b/crates/merlinreel/tests/sockets/starts.rs
@@ -186,7 +186,7 @@
     assert!(process.is_ready_by(Instant::now() + READY_WITHIN));
     asks(&process, 1..11);
     assert_eq!(old.seen.try_iter().filter(|call| is_of(&(1..11), call)).count(), 10);
-    discovery.speak(&roster(
+    discovery.speak(&server_list(
         2,
         true,
         &[listed("s-1", old.address, "draining"), listed("s-2", new.address, "up")],
@@ -296,7 +296,8 @@
 fn a_first_list_that_trickles_holds_no_start_up_and_counts_at_last() {
     const PIECES: usize = 8;
     let (old, new) = (StandIn::start(|_| fine()), StandIn::start(|_| fine()));
-    let list = roster(2, true, &[listed("s-1", old.address, "draining"), listed("s-2", new.address, "up")]);
+    let list =
+        server_list(2, true, &[listed("s-1", old.address, "draining"), listed("s-2", new.address, "up")]);
     let discovery = Trickle::start(&list, PIECES);
     let mut config = config(&[listed("s-1", old.address, "up")]);
     config["discovery"] = discovery.address.to_string().into();
--- a/crates/merlinreel/tests/sockets/stop.rs
+++ b/crates/merlinreel/tests/sockets/stop.rs
@@ -183,7 +183,7 @@
     assert!(answered.recv_timeout(Duration::from_millis(400)).is_err());
     let changes = [listed("s-1", old.address, "draining"), listed("s-2", new.address, "up")];
     // Lists may come indented.
-    tell.send(serde_json::to_string_pretty(&roster(2, false, &changes)).expect("text")).expect("told");
+    tell.send(serde_json::to_string_pretty(&server_list(2, false, &changes)).expect("text")).expect("told");
     assert_eq!(answered.recv_timeout(PATIENCE), Ok(200));
     assert_eq!((old.seen.try_iter().count(), new.seen.try_iter().count()), (0, 1));
 }
@@ -203,7 +203,7 @@
 #[test]
 fn watches_broken_in_a_row_are_asked_anew_until_one_answers() {
     let (old, new) = (StandIn::start(|_| fine()), StandIn::start(|_| fine()));
-    let text = roster(2, true, &[listed("s-2", new.address, "up")]).to_string();
+    let text = server_list(2, true, &[listed("s-2", new.address, "up")]).to_string();
     let calls = AtomicUsize::new(0);
     let discovery = StandIn::start(move |_| match calls.fetch_add(1, Ordering::Relaxed) {
         0 => React::Hang,
