--- a/crates/merlinreel-benchlink/src/host.rs
+++ b/crates/merlinreel-benchlink/src/host.rs
@@ -166,8 +166,8 @@
         let _ = writeln!(self.out, "TOUCH {}", self.servers.names[server as usize]);
     }
 
-    fn tell(&mut self, limiter: u32, letter: &[u8]) {
-        self.line(format_args!("MEMO_TO {limiter} {}", hex(letter)));
+    fn tell(&mut self, limiter: u32, peer_message: &[u8]) {
+        self.line(format_args!("MEMO_TO {limiter} {}", hex(peer_message)));
     }
 
     fn count(&mut self, customer: u64, window: u64, amount: f64, keep: Duration) {
@@ -489,7 +489,7 @@
                 let from = values.index("src", 1 << 16)? as u32;
                 let content = values.text("content")?;
                 let bytes = unhex(content).ok_or(format!("content: '{content}' is not hex"))?;
-                instance.round.letters.push(Letter { from, bytes });
+                instance.round.peer_messages.push(PeerMessage { from, bytes });
             }
             "REPLY" => {
                 let id = values.text("req")?;
--- a/crates/merlinreel-core/src/decide.rs
+++ b/crates/merlinreel-core/src/decide.rs
@@ -1,11 +1,11 @@
 //! All decisions of a limiter. How to call it: `Limiter::new` once at start, then `Limiter::round`
 //! with the clock, all that came in since the last round, and a `Writer` that takes the decisions.
-//! The plain data and the writer are the interface, in `lib.rs`; `letter.rs` holds the bytes of a
+//! The plain data and the writer are the interface, in `lib.rs`; `peer_message.rs` holds the bytes of a
 //! batch between limiters. Docs: `docs/design.md`, `docs/on-call.md`.
 
-use crate::hearsay::Reading;
 use crate::job::{Attempt, OpenJob};
-use crate::letter::{self, Row};
+use crate::peer_message::{self, Row};
+use crate::remote_counts::Reading;
 use crate::ring::Ring;
 pub use crate::state::Limiter;
 use crate::state::{Account, Listener, Server, secs, slot, span};
@@ -13,8 +13,8 @@
 use crate::*;
 use nanorand::Rng;
 
-/// Rows that surely fit into the one letter that a peer's inbox takes: twelve bytes of head, nine a row.
-const ROWS: usize = (letter::MOST_BYTES - 12) / 9;
+/// Rows that surely fit into the one peer message that a peer's inbox takes: twelve bytes of head, nine a row.
+const ROWS: usize = (peer_message::MOST_BYTES - 12) / 9;
 /// Buckets of all rings: what is measured is then true to an eighth.
 pub(crate) const BUCKETS: usize = 8;
 
@@ -26,8 +26,8 @@
 /// sooner again.
 const LISTENED: Duration = Duration::from_secs(5);
 
-/// Readings passed on in a letter, beside its own rows: each of some thirty customers then reaches each limiter, which
-/// takes tens of letters a second, about once a second.
+/// Readings passed on in a peer message, beside its own rows: each of some thirty customers then reaches each limiter, which
+/// takes tens of peer messages a second, about once a second.
 const SAID: usize = 2;
 
 /// Departure where one limiter gathers: a try's chance. Less as the store empties and as more is asked, so
@@ -37,7 +37,7 @@
 }
 
 /// Departure where one gathers: what its gatherer or another read of a customer that asks for more than its quota goes
-/// along with each letter. Guards against hundreds of limiters each letting in a first job of a quota that is used up.
+/// along with each peer message. Guards against hundreds of limiters each letting in a first job of a quota that is used up.
 fn passed_on(reading: &Reading, plan: &Plan) -> bool {
     let pressed = reading.pace > plan.rate && draw(reading.left, reading.pace, plan) < 1.0;
     pressed && reading.age < LISTENED / 2
@@ -107,7 +107,7 @@
         // A multiplier with well mixed bits spreads customers over their sets.
         let start = self.customer.wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 40;
         let place = |k| (self.set_first % peers.limiters + ((start + k) % set) as u32) % peers.limiters;
-        // Five letters unanswered: some are lost, and two that gather for one customer tell too much.
+        // Five peer messages unanswered: some are lost, and two that gather for one customer tell too much.
         let fit = |&p: &u32| p == peers.me || owing[p as usize] < 5;
         (0..set).map(place).find(fit).unwrap_or(peers.me)
     }
@@ -240,7 +240,7 @@
             answer_times: Ring::new(Duration::from_secs(32)),
             // As an inbox is measured.
             word: Ring::new(Duration::from_secs(1)),
-            last_letter: vec![(0, 0); peers.limiters as usize],
+            last_peer_message: vec![(0, 0); peers.limiters as usize],
             owing: vec![0; peers.limiters as usize],
             told_peer: vec![Duration::ZERO; peers.limiters as usize],
             // Starting value: a thousand a second over all limiters, little for a service made for it.
@@ -251,7 +251,7 @@
         }
     }
 
-    fn letter_interval(&self) -> Duration {
+    fn message_interval(&self) -> Duration {
         // As short as the peers' inboxes surely take: three quarters, never under 20 ms.
         let others = f64::from(self.peers.limiters.saturating_sub(1));
         span((others / (0.75 * self.peers.inbox_per_s.max(1.0))).max(0.02))
@@ -260,19 +260,19 @@
     /// Counter answers come in a few ms; a tenth of a second is soon enough for what waits without.
     fn beat(&self) -> Duration {
         let most = Duration::from_millis(if self.peers.counter { 20 } else { 100 });
-        most.min(self.letter_interval())
+        most.min(self.message_interval())
     }
 
-    /// A round of letters that takes longer than this leaves most readings older than a burst lasts.
+    /// A round of peer messages that takes longer than this leaves most readings older than a burst lasts.
     fn gathers(&self) -> bool {
-        self.peers.letters && self.letter_interval() > Duration::from_millis(600)
+        self.peers.peer_messages && self.message_interval() > Duration::from_millis(600)
     }
 
     pub fn round(&mut self, now: Duration, round: &Round, out: &mut dyn Writer) {
         self.discovery_lost |= self.started.is_none() && self.server_rules.discovery_on_request;
         self.started.get_or_insert(now);
         round.server_list.iter().for_each(|server_list| self.follow(server_list));
-        round.letters.iter().for_each(|letter| self.read_letter(now, letter));
+        round.peer_messages.iter().for_each(|peer_message| self.read_peer_message(now, peer_message));
         round.counts.iter().for_each(|answer| self.read_count(now, answer));
         round.attempt_ends.iter().for_each(|end| self.end_attempt(now, end, out));
         round.streaming.iter().for_each(|&job| self.answer_begins(now, job));
@@ -302,7 +302,7 @@
 
     // ---- Quotas ----
 
-    /// Drops what no window, job or letter needs. Guards the memory against customers that come once, and
+    /// Drops what no window, job or peer message needs. Guards the memory against customers that come once, and
     /// servers replaced without end; half a minute spares those that come back.
     fn forget(&mut self, now: Duration, out: &mut dyn Writer) {
         if now < self.swept_at + Duration::from_secs(1) {
@@ -328,8 +328,8 @@
     fn take(&mut self, now: Duration, job: &Job, out: &mut dyn Writer) {
         let gathers = self.gathers();
         let counted = gathers || self.peers.counter && now >= self.behind_until;
-        let interval = if counted { self.beat() } else { self.letter_interval() };
-        let blind = secs(interval) + 0.03; // And the way of a letter or a call, some tens of ms.
+        let interval = if counted { self.beat() } else { self.message_interval() };
+        let blind = secs(interval) + 0.03; // And the way of a peer message or a call, some tens of ms.
         // Where one gathers no peer is heard directly: a new quota would seem whole at each of hundreds.
         let split = if gathers { LISTENED } else { interval };
         let i = self.account(now, job.customer, job.plan);
@@ -428,11 +428,11 @@
                 out.count(account.customer, window, amount, keep);
             }
         }
-        // Departure: letters beside a counter that cannot take all calls, as it is crowded, slow or gone.
-        if !self.peers.letters || now < self.letters_at || counter && now >= self.behind_until {
+        // Departure: peer messages beside a counter that cannot take all calls, as it is crowded, slow or gone.
+        if !self.peers.peer_messages || now < self.messages_at || counter && now >= self.behind_until {
             return;
         }
-        self.letters_at = now + self.letter_interval();
+        self.messages_at = now + self.message_interval();
         let mut rows: Vec<Vec<Row>> = vec![Vec::new(); limiters as usize];
         for (_, account) in order {
             let account = &mut self.accounts[account];
@@ -457,8 +457,8 @@
         // Few gather for customers that ask much, and must tell many at once: each has four times its even
         // share, while what it is told itself, as all are by all, leaves two thirds of its inbox to reports.
         let more = if self.word.sum(now) < peers.inbox_per_s / 3.0 { 4.0 } else { 1.0 };
-        let room = more * f64::from(peers.limiters) * secs(self.beat()) / secs(self.letter_interval());
-        self.letter_room = (self.letter_room + room).min(room + 4.0);
+        let room = more * f64::from(peers.limiters) * secs(self.beat()) / secs(self.message_interval());
+        self.message_room = (self.message_room + room).min(room + 4.0);
         let mut mail: Vec<(f64, Vec<Row>)> = vec![(0.0, Vec::new()); peers.limiters as usize];
         let (accounts, plans, owing) = (&mut self.accounts, &self.plans, &self.owing);
         let mut said = Vec::new();
@@ -502,12 +502,12 @@
         let due = |p: u32| mail[p as usize].0 * secs(now.saturating_sub(self.told_peer[p as usize]));
         let mut order: Vec<u32> = (0..peers.limiters).filter(|&p| mail[p as usize].0 > 0.0).collect();
         order.sort_by(|&a, &b| due(b).total_cmp(&due(a)));
-        order.truncate(self.letter_room as usize);
+        order.truncate(self.message_room as usize);
         for p in order {
-            self.letter_room -= 1.0;
+            self.message_room -= 1.0;
             self.told_peer[p as usize] = now;
             let rows = &mut mail[p as usize].1;
-            // Rows with two numbers more; what does not fit waits for the next letter.
+            // Rows with two numbers more; what does not fit waits for the next peer message.
             rows.truncate(ROWS * 2 / 3);
             self.owing[p as usize] += u32::from(rows.iter().any(|row| row.left.is_none()));
             for row in rows.iter() {
@@ -519,7 +519,7 @@
                     account.asked_at = now;
                 }
             }
-            let turn = (self.letters as usize * SAID) % said.len().max(1);
+            let turn = (self.peer_messages as usize * SAID) % said.len().max(1);
             let by_turns = said[turn..].iter().chain(&said[..turn]);
             let shared = by_turns.filter(|(i, _)| self.accounts[*i].includes(p, peers.limiters));
             let row = |&(i, reading): &(usize, Reading)| self.accounts[i].passed_on(reading);
@@ -528,18 +528,18 @@
         }
     }
 
-    /// Malformed, stale and repeated letters change nothing.
-    fn read_letter(&mut self, now: Duration, letter: &Letter) {
-        let Some((head, rows)) = letter::read(&letter.bytes) else { return };
-        let from = letter.from as usize;
-        if from >= self.last_letter.len() || letter.from == self.peers.me {
+    /// Malformed, stale and repeated peer messages change nothing.
+    fn read_peer_message(&mut self, now: Duration, peer_message: &PeerMessage) {
+        let Some((head, rows)) = peer_message::read(&peer_message.bytes) else { return };
+        let from = peer_message.from as usize;
+        if from >= self.last_peer_message.len() || peer_message.from == self.peers.me {
             return;
         }
-        let (life, number) = self.last_letter[from];
+        let (life, number) = self.last_peer_message[from];
         if (head.life, head.number) <= (life, number) {
             return;
         }
-        self.last_letter[from] = (head.life, head.number);
+        self.last_peer_message[from] = (head.life, head.number);
         self.word
             .add(now, f64::from(u8::from(rows.iter().any(|row| row.left.is_some() && row.age.is_none()))));
         self.owing[from] = 0;
@@ -569,9 +569,10 @@
                 if let Some(asked) = row.asked {
                     account.asked_units.add(now, asked);
                     // Who reported of late was told of every change since.
-                    let known = account.listeners.iter().any(|one| one.peer == letter.from && !one.owed);
-                    account.listeners.retain(|listener| listener.peer != letter.from);
-                    account.listeners.push(Listener { peer: letter.from, heard: now, owed: !known });
+                    let known =
+                        account.listeners.iter().any(|one| one.peer == peer_message.from && !one.owed);
+                    account.listeners.retain(|listener| listener.peer != peer_message.from);
+                    account.listeners.push(Listener { peer: peer_message.from, heard: now, owed: !known });
                 }
                 continue;
             };
@@ -582,7 +583,7 @@
                 }
                 continue;
             }
-            let told = gatherer == letter.from;
+            let told = gatherer == peer_message.from;
             if let (Some(i), true) = (account.place(window), told) {
                 // The gatherer's reading, less what it could not know of yet.
                 account.told_left = left - account.own[..=i].iter().sum::<f64>() + row.total;
--- a/crates/merlinreel-core/src/decide/tests.rs
+++ b/crates/merlinreel-core/src/decide/tests.rs
@@ -3,7 +3,7 @@
 mod helpers;
 
 use super::*;
-use crate::letter::Head;
+use crate::peer_message::Head;
 use helpers::*;
 use test_case::test_case;
 
@@ -135,12 +135,12 @@
     account(&mut limiter).add_own(0, 1.0);
     let mut notes = Notes::default();
     limiter.sync(at(1.0), &mut notes);
-    let told: Vec<u32> = notes.letters.iter().map(|letter| letter.0).collect();
+    let told: Vec<u32> = notes.peer_messages.iter().map(|peer_message| peer_message.0).collect();
     assert_eq!(told, [1]);
 }
 
 #[test]
-fn more_news_than_a_letter_holds_waits() {
+fn more_news_than_a_message_holds_waits() {
     let mut limiter = limiter(Repeats::Replayable, peers());
     for customer in 0..60 {
         let i = limiter.account(at(1.0), customer, 0);
@@ -149,31 +149,32 @@
     }
     let mut notes = Notes::default();
     limiter.sync(at(1.0), &mut notes);
-    let rows = letter::read(&notes.letters[0].1).map(|letter| letter.1).unwrap_or_default();
-    assert_eq!((notes.letters.len(), rows[0].customer), (1, 59));
+    let rows =
+        peer_message::read(&notes.peer_messages[0].1).map(|peer_message| peer_message.1).unwrap_or_default();
+    assert_eq!((notes.peer_messages.len(), rows[0].customer), (1, 59));
 }
 
 fn row(total: f64, left: Option<f64>) -> Row {
     Row { customer: 5, plan: 0, window: 0, total, asked: None, left, age: None }
 }
 
-fn letter(life: u64, number: u64, rows: &[Row]) -> Letter {
-    let bytes = letter::write(Head { life, number }, rows).remove(0);
-    Letter { from: 1, bytes }
+fn peer_message(life: u64, number: u64, rows: &[Row]) -> PeerMessage {
+    let bytes = peer_message::write(Head { life, number }, rows).remove(0);
+    PeerMessage { from: 1, bytes }
 }
 
-#[test_case(letter(1, 5, &[row(3.0, None)]), 5.0 ; "news")]
-#[test_case(letter(1, 4, &[row(3.0, None)]), 8.0 ; "a repeat or a late one")]
-#[test_case(letter(0, 9, &[row(3.0, None)]), 8.0 ; "one of an earlier life")]
-#[test_case(letter(1, 5, &[Row { plan: 7, ..row(3.0, None) }]), 8.0 ; "an unknown plan")]
-#[test_case(Letter { from: 9, ..letter(1, 5, &[row(3.0, None)]) }, 8.0 ; "an unknown sender")]
-#[test_case(Letter { from: 1, bytes: vec![0x82, 5, 9, 0x80] }, 8.0 ; "half a row")]
-fn reading_letters(letter: Letter, left: f64) {
+#[test_case(peer_message(1, 5, &[row(3.0, None)]), 5.0 ; "news")]
+#[test_case(peer_message(1, 4, &[row(3.0, None)]), 8.0 ; "a repeat or a late one")]
+#[test_case(peer_message(0, 9, &[row(3.0, None)]), 8.0 ; "one of an earlier life")]
+#[test_case(peer_message(1, 5, &[Row { plan: 7, ..row(3.0, None) }]), 8.0 ; "an unknown plan")]
+#[test_case(PeerMessage { from: 9, ..peer_message(1, 5, &[row(3.0, None)]) }, 8.0 ; "an unknown sender")]
+#[test_case(PeerMessage { from: 1, bytes: vec![0x82, 5, 9, 0x80] }, 8.0 ; "half a row")]
+fn reading_peer_messages(peer_message: PeerMessage, left: f64) {
     let mut limiter = limiter(Repeats::Replayable, peers());
     limiter.started = Some(at(0.9));
-    limiter.last_letter[1] = (1, 4);
+    limiter.last_peer_message[1] = (1, 4);
     account(&mut limiter);
-    limiter.read_letter(at(1.0), &letter);
+    limiter.read_peer_message(at(1.0), &peer_message);
     assert!((limiter.accounts[0].left(at(1.0), &plan()) - left).abs() < 1e-6);
 }
 
@@ -199,7 +200,7 @@
 }
 
 #[test]
-fn letters_tell_what_the_budget_of_counter_calls_leaves() {
+fn peer_messages_tell_what_the_budget_of_counter_calls_leaves() {
     let mut limiter = limiter(Repeats::Replayable, Peers { counter: true, ..peers() });
     for customer in 0..60 {
         let i = limiter.account(at(1.0), customer, 0);
@@ -208,7 +209,7 @@
     }
     let mut notes = Notes::default();
     limiter.sync(at(1.0), &mut notes);
-    assert_eq!((notes.lines.len(), notes.letters.len()), (6, 1));
+    assert_eq!((notes.lines.len(), notes.peer_messages.len()), (6, 1));
 }
 
 // ---- Servers ----
@@ -355,7 +356,7 @@
 #[test_case(1.0, 1 ; "at once when it was not asked of late")]
 #[test_case(0.2, 0 ; "not again within half a second")]
 fn a_lost_server_list_is_asked_for_again(when: f64, calls: usize) {
-    let mut limiter = limiter(Repeats::Replayable, Peers { letters: false, ..peers() });
+    let mut limiter = limiter(Repeats::Replayable, Peers { peer_messages: false, ..peers() });
     (limiter.started, limiter.discovery_lost) = (Some(at(0.0)), true);
     let mut notes = Notes::default();
     limiter.round(at(when), &Round::default(), &mut notes);
@@ -571,7 +572,7 @@
 }
 
 #[test_case(3 ; "a few limiters")]
-#[test_case(40 ; "many, with rare letters")]
+#[test_case(40 ; "many, with rare peer messages")]
 fn what_waits_is_looked_at_in_time(limiters: u32) {
     let limiter = limiter(Repeats::Replayable, Peers { limiters, ..peers() });
     assert!(limiter.beat() <= at(0.1));
--- a/crates/merlinreel-core/src/decide/tests/cold_servers.rs
+++ b/crates/merlinreel-core/src/decide/tests/cold_servers.rs
@@ -39,15 +39,15 @@
 #[derive(Default)]
 struct Decisions {
     attempts: Vec<(u32, u32)>,
-    letters: Vec<(u32, Vec<u8>)>,
+    peer_messages: Vec<(u32, Vec<u8>)>,
 }
 
 impl Writer for Decisions {
     fn send(&mut self, job: u32, server: u32, _: Option<Duration>) {
         self.attempts.push((job, server));
     }
-    fn tell(&mut self, limiter: u32, letter: &[u8]) {
-        self.letters.push((limiter, letter.to_vec()));
+    fn tell(&mut self, limiter: u32, peer_message: &[u8]) {
+        self.peer_messages.push((limiter, peer_message.to_vec()));
     }
     fn defer(&mut self, _: u32, _: Option<Duration>) {}
     fn scrap(&mut self, _: u32) {}
@@ -179,7 +179,7 @@
 
     /// One round of every limiter.
     fn round(&mut self, now: f64) {
-        let mut letters = Vec::new();
+        let mut peer_messages = Vec::new();
         for me in 0..self.places.len() {
             let place = &mut self.places[me];
             let mut round = std::mem::take(&mut place.next);
@@ -187,7 +187,8 @@
             round.attempt_ends = std::mem::replace(&mut place.ends, later).into_values().collect();
             let mut decisions = Decisions::default();
             place.limiter.round(at(now), &round, &mut decisions);
-            letters.extend(decisions.letters.into_iter().map(|letter| (me as u32, letter)));
+            peer_messages
+                .extend(decisions.peer_messages.into_iter().map(|peer_message| (me as u32, peer_message)));
             for (job, server) in decisions.attempts {
                 if server == COLD && now >= COLD_AT {
                     self.to_cold.push(now);
@@ -197,8 +198,8 @@
                 self.places[me].ends.insert((((now + took) * 1e6) as u64, job), end);
             }
         }
-        for (from, (to, bytes)) in letters {
-            self.places[to as usize].next.letters.push(Letter { from, bytes });
+        for (from, (to, bytes)) in peer_messages {
+            self.places[to as usize].next.peer_messages.push(PeerMessage { from, bytes });
         }
     }
 
--- a/crates/merlinreel-core/src/decide/tests/gathering.rs
+++ b/crates/merlinreel-core/src/decide/tests/gathering.rs
@@ -19,7 +19,7 @@
     account.asked(at(read_at), ASKED_OVER)
 }
 
-#[test_case(4 => true ; "some letters are lost")]
+#[test_case(4 => true ; "some peer messages are lost")]
 #[test_case(5 => false ; "five unanswered are silence: the next of the set gathers")]
 fn gathering_limiter(unanswered: u32) -> bool {
     let mut account = Account::new(5, 0, &plan(), many(), at(1.0), ASKED_OVER);
@@ -39,7 +39,7 @@
     let gatherer = account.gatherer(many(), &[0; 90]);
     let mut notes = Notes::default();
     limiter.sync(at(1.0), &mut notes);
-    assert_eq!(notes.letters.iter().map(|letter| letter.0).collect::<Vec<_>>(), [gatherer]);
+    assert_eq!(notes.peer_messages.iter().map(|peer_message| peer_message.0).collect::<Vec<_>>(), [gatherer]);
 }
 
 /// Where one gathers, a new quota stays split over its set of sixty past a beat, until the gatherer tells
@@ -50,9 +50,9 @@
     let (mut limiter, mut notes) = (limiter(Repeats::Replayable, many()), Notes::default());
     let job = |n: u32| Job { job: n, set_size: 60, set_first: 1, ..job() };
     limiter.take(at(1.0), &job(0), &mut notes);
-    let word = letter(1, 1, &[Row { asked: Some(1.0), ..row(0.0, Some(8.0)) }]);
+    let word = peer_message(1, 1, &[Row { asked: Some(1.0), ..row(0.0, Some(8.0)) }]);
     let from = limiter.accounts[0].gatherer(many(), &[0; 90]);
-    told.then(|| limiter.read_letter(at(1.2), &Letter { from, ..word }));
+    told.then(|| limiter.read_peer_message(at(1.2), &PeerMessage { from, ..word }));
     (1..4).for_each(|n| limiter.take(at(1.5), &job(n), &mut notes));
     4 - notes.lines.iter().filter(|line| line.starts_with("defer")).count()
 }
@@ -61,14 +61,15 @@
 fn who_reports_is_told_what_is_left() {
     let mut limiter = limiter(Repeats::Replayable, many());
     let report = Row { asked: Some(6.0), ..row(3.0, None) };
-    limiter.read_letter(at(1.0), &letter(1, 1, &[report]));
+    limiter.read_peer_message(at(1.0), &peer_message(1, 1, &[report]));
     let mut notes = Notes::default();
     limiter.sync(at(1.0), &mut notes);
-    let rows = letter::read(&notes.letters[0].1).map(|letter| letter.1).unwrap_or_default();
-    assert_eq!((notes.letters[0].0, rows[0].total, rows[0].left), (1, 3.0, Some(5.0)));
+    let rows =
+        peer_message::read(&notes.peer_messages[0].1).map(|peer_message| peer_message.1).unwrap_or_default();
+    assert_eq!((notes.peer_messages[0].0, rows[0].total, rows[0].left), (1, 3.0, Some(5.0)));
 }
 
-/// Letters to a limiter that reports again a little later: none where it was told all that changed, as each of
+/// Peer messages to a limiter that reports again a little later: none where it was told all that changed, as each of
 /// hundreds of reports would else draw an answer and those that matter wait; one where much more is asked for.
 #[test_case(0.0 => 0 ; "nothing changed")]
 #[test_case(60.0 => 1 ; "far more is asked for")]
@@ -76,12 +77,12 @@
     let mut limiter = limiter(Repeats::Replayable, many());
     let mut notes = Notes::default();
     for (number, when, asked) in [(1, 1.0, 6.0), (2, 1.5, asked)] {
-        notes.letters.clear();
+        notes.peer_messages.clear();
         let report = Row { asked: Some(asked), ..row(3.0, None) };
-        limiter.read_letter(at(when), &letter(1, number, &[report]));
+        limiter.read_peer_message(at(when), &peer_message(1, number, &[report]));
         limiter.sync(at(when), &mut notes);
     }
-    notes.letters.len()
+    notes.peer_messages.len()
 }
 
 /// Whether one that only defers reports again after so long: the gatherer's inbox takes 40 a second, and a quarter of
@@ -98,21 +99,23 @@
     account.asked_at = at(10.0 - after);
     let mut notes = Notes::default();
     limiter.sync(at(10.0), &mut notes);
-    !notes.letters.is_empty()
+    !notes.peer_messages.is_empty()
 }
 
-/// Letters in one beat of a gatherer that owes thirty limiters its word: four times its even share of the fleet's
-/// letters, else its word comes seconds late; its even share while inboxes, its own the sample, fill with such.
+/// Peer messages in one beat of a gatherer that owes thirty limiters its word: four times its even share of the fleet's
+/// peer messages, else its word comes seconds late; its even share while inboxes, its own the sample, fill with such.
 #[test_case(0.0 => 12 ; "inboxes have room")]
 #[test_case(20.0 => 3 ; "inboxes fill")]
-fn letters_in_a_beat(words: f64) -> usize {
+fn messages_in_a_beat(words: f64) -> usize {
     let mut limiter = limiter(Repeats::Replayable, many());
     let report = Row { asked: Some(6.0), ..row(3.0, None) };
-    (1..31).for_each(|from| limiter.read_letter(at(1.0), &Letter { from, ..letter(1, 1, &[report]) }));
+    (1..31).for_each(|from| {
+        limiter.read_peer_message(at(1.0), &PeerMessage { from, ..peer_message(1, 1, &[report]) })
+    });
     limiter.word.add(at(1.0), words);
     let mut notes = Notes::default();
     limiter.sync(at(1.0), &mut notes);
-    notes.letters.len()
+    notes.peer_messages.len()
 }
 
 #[test_case(0, 2.0 ; "its reading less what it was not told yet")]
@@ -122,7 +125,7 @@
     let account = account(&mut limiter);
     (account.set_size, account.set_first, account.own[0]) = (1, 1 + first, 3.0);
     let told = Row { asked: Some(6.0), ..row(2.0, Some(3.0)) };
-    limiter.read_letter(at(1.0), &letter(1, 1, &[told]));
+    limiter.read_peer_message(at(1.0), &peer_message(1, 1, &[told]));
     assert!((limiter.accounts[0].left(at(1.0), &plan()) - left).abs() < 1e-6);
 }
 
@@ -136,7 +139,7 @@
     let (mut limiter, mut notes) = (limiter(Repeats::Replayable, many()), Notes::default());
     if let Some((left, age)) = reading {
         let row = Row { asked: Some(3.0), age: Some(at(age)), ..row(0.0, Some(left)) };
-        limiter.read_letter(at(10.0), &letter(1, 1, &[row]));
+        limiter.read_peer_message(at(10.0), &peer_message(1, 1, &[row]));
     }
     limiter.take(at(10.0), &Job { set_size: 60, set_first: 1, ..job() }, &mut notes);
     notes.lines.is_empty()
@@ -152,16 +155,16 @@
     (account.set_size, account.set_first) = (set_size, if set_size == 1 { 0 } else { 1 });
     for &(number, left, age) in told {
         let row = Row { asked: Some(20.0), age: Some(at(age)), ..row(0.0, Some(left)) };
-        limiter.read_letter(at(3.0), &letter(1, number, &[row]));
+        limiter.read_peer_message(at(3.0), &peer_message(1, number, &[row]));
     }
     limiter.accounts[0].left(at(3.0), &plan())
 }
 
-/// The gatherer of a customer that asks for ten times its quota tells so in a letter that is about another one, to a
+/// The gatherer of a customer that asks for ten times its quota tells so in a peer message that is about another one, to a
 /// limiter that never asked; of one that asks little it tells nobody else.
 #[test_case(60.0 => 1 ; "one that asks much")]
 #[test_case(0.5 => 0 ; "one that asks little")]
-fn letters_pass_on_who_is_pressed(asked: f64) -> usize {
+fn peer_messages_pass_on_who_is_pressed(asked: f64) -> usize {
     let mut limiter = limiter(Repeats::Replayable, many());
     let pressed = account(&mut limiter);
     (pressed.set_size, pressed.set_first) = (90, 0);
@@ -173,10 +176,13 @@
     (limiter.by_customer, limiter.accounts[0].own[0]) = ([(customer, 0)].into(), 8.0);
     limiter.accounts[0].asked_units.add(at(1.0), asked);
     let other = Row { customer: 1, asked: Some(1.0), ..row(1.0, None) };
-    limiter.read_letter(at(1.0), &letter(1, 1, &[other]));
+    limiter.read_peer_message(at(1.0), &peer_message(1, 1, &[other]));
     let mut notes = Notes::default();
     limiter.sync(at(1.0), &mut notes);
-    let rows = notes.letters.iter().flat_map(|(_, bytes)| letter::read(bytes).map(|letter| letter.1));
+    let rows = notes
+        .peer_messages
+        .iter()
+        .flat_map(|(_, bytes)| peer_message::read(bytes).map(|peer_message| peer_message.1));
     rows.flatten().filter(|row| row.customer == customer && row.age.is_some()).count()
 }
 
--- a/crates/merlinreel-core/src/decide/tests/helpers.rs
+++ b/crates/merlinreel-core/src/decide/tests/helpers.rs
@@ -5,7 +5,7 @@
 #[derive(Default)]
 pub struct Notes {
     pub lines: Vec<String>,
-    pub letters: Vec<(u32, Vec<u8>)>,
+    pub peer_messages: Vec<(u32, Vec<u8>)>,
 }
 
 impl Notes {
@@ -31,8 +31,8 @@
     fn probe(&mut self, server: u32) {
         self.add(format!("probe {server}"));
     }
-    fn tell(&mut self, limiter: u32, letter: &[u8]) {
-        self.letters.push((limiter, letter.to_vec()));
+    fn tell(&mut self, limiter: u32, peer_message: &[u8]) {
+        self.peer_messages.push((limiter, peer_message.to_vec()));
     }
     fn count(&mut self, customer: u64, window: u64, amount: f64, _: Duration) {
         self.add(format!("count {customer}.{window} {amount}"));
@@ -68,7 +68,7 @@
     Peers {
         limiters: 3,
         me: 0,
-        letters: true,
+        peer_messages: true,
         inbox_per_s: 40.0,
         counter: false,
         settles: false,
--- a/crates/merlinreel-core/src/lib.rs
+++ b/crates/merlinreel-core/src/lib.rs
@@ -5,9 +5,9 @@
 use std::time::Duration;
 
 pub mod decide;
-mod hearsay;
 mod job;
-pub mod letter;
+pub mod peer_message;
+mod remote_counts;
 mod ring;
 mod state;
 mod store;
@@ -67,9 +67,9 @@
 pub struct Peers {
     pub limiters: u32,
     pub me: u32,
-    /// Letters allowed at all.
-    pub letters: bool,
-    /// Letters a limiter takes in a second.
+    /// Peer messages allowed at all.
+    pub peer_messages: bool,
+    /// Peer messages a limiter takes in a second.
     pub inbox_per_s: f64,
     /// A counter service is given.
     pub counter: bool,
@@ -224,7 +224,7 @@
 }
 
 #[derive(Clone, Debug)]
-pub struct Letter {
+pub struct PeerMessage {
     pub from: u32,
     pub bytes: Vec<u8>,
 }
@@ -243,7 +243,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Round {
     pub server_list: Vec<ServerList>,
-    pub letters: Vec<Letter>,
+    pub peer_messages: Vec<PeerMessage>,
     pub counts: Vec<CountAnswer>,
     pub attempt_ends: Vec<AttemptEnd>,
     pub probes: Vec<ProbeAnswer>,
@@ -262,7 +262,7 @@
     fn scrap(&mut self, job: u32);
     fn revoke(&mut self, job: u32, attempt: u32);
     fn probe(&mut self, server: u32);
-    fn tell(&mut self, limiter: u32, letter: &[u8]);
+    fn tell(&mut self, limiter: u32, peer_message: &[u8]);
     /// Adds to the number kept for the customer's window, forgotten after `keep`.
     fn count(&mut self, customer: u64, window: u64, amount: f64, keep: Duration);
     fn follow_discovery(&mut self, on: bool);
--- a/crates/merlinreel-core/src/letter.rs
+++ b/crates/merlinreel-core/src/peer_message.rs
@@ -1,9 +1,9 @@
-//! How a batch of window counts stands in a letter between limiters: bytes only, no decisions.
+//! How a batch of window counts stands in a peer message between limiters: bytes only, no decisions.
 
 use crate::state::span;
 use std::time::Duration;
 
-/// A letter holds this many bytes at most.
+/// A peer message holds this many bytes at most.
 pub const MOST_BYTES: usize = 256;
 /// Units travel in steps of an eighth.
 const STEPS: f64 = 8.0;
@@ -62,7 +62,7 @@
     ((value >> 1) as i64 ^ -((value & 1) as i64)) as f64 / STEPS
 }
 
-/// Writes rows into as many letters as they need, numbered from the head's number on.
+/// Writes rows into as many peer messages as they need, numbered from the head's number on.
 pub fn write(mut head: Head, rows: &[Row]) -> Vec<Vec<u8>> {
     let begin = |head: &Head| {
         let mut bytes = Vec::with_capacity(MOST_BYTES);
@@ -70,7 +70,7 @@
         put(&mut bytes, head.number);
         bytes
     };
-    let mut letters = vec![begin(&head)];
+    let mut peer_messages = vec![begin(&head)];
     for row in rows {
         let mut bytes = Vec::new();
         put(&mut bytes, row.customer);
@@ -81,18 +81,18 @@
         for units in [Some(total), row.asked, row.left].into_iter().flatten() {
             put(&mut bytes, signed(units));
         }
-        if letters.last().is_some_and(|letter| letter.len() + bytes.len() > MOST_BYTES) {
+        if peer_messages.last().is_some_and(|peer_message| peer_message.len() + bytes.len() > MOST_BYTES) {
             head.number += 1;
-            letters.push(begin(&head));
+            peer_messages.push(begin(&head));
         }
-        if let Some(letter) = letters.last_mut() {
-            letter.extend(bytes);
+        if let Some(peer_message) = peer_messages.last_mut() {
+            peer_message.extend(bytes);
         }
     }
-    letters
+    peer_messages
 }
 
-/// None where the bytes are no whole letter.
+/// None where the bytes are no whole peer message.
 pub fn read(mut bytes: &[u8]) -> Option<(Head, Vec<Row>)> {
     let head = Head { life: take(&mut bytes)?, number: take(&mut bytes)? };
     let mut rows = Vec::new();
--- a/crates/merlinreel-core/src/state.rs
+++ b/crates/merlinreel-core/src/state.rs
@@ -1,9 +1,9 @@
 //! The state that the module keeps, and how it is measured over time; nothing is decided here.
 
 use crate::decide::ASKED_OVER;
-use crate::hearsay::Reading;
 use crate::job::OpenJob;
-use crate::letter::{self, Head, Row};
+use crate::peer_message::{self, Head, Row};
+use crate::remote_counts::Reading;
 use crate::ring::Ring;
 use crate::{Category, JobRules, Peers, Plan, ServerEntry, ServerRules, Standing, Writer};
 use nanorand::WyRand;
@@ -81,7 +81,7 @@
     pub out: u32,
     pub ceiling: f64,
     pub ceiling_at: Duration,
-    /// Times it was looked at since a job or a letter spoke of it.
+    /// Times it was looked at since a job or a peer message spoke of it.
     pub quiet: u32,
 }
 
@@ -150,15 +150,15 @@
     pub(crate) beat_at: Duration,
     pub(crate) woken_at: Duration,
     pub(crate) swept_at: Duration,
-    pub(crate) letters: u64,
-    /// Letters that may go out now; by peer, when it was told last and how many letters it left unanswered.
-    pub(crate) letter_room: f64,
-    /// Letters in of late with what a gatherer tells.
+    pub(crate) peer_messages: u64,
+    /// Peer messages that may go out now; by peer, when it was told last and how many peer messages it left unanswered.
+    pub(crate) message_room: f64,
+    /// Peer messages in of late with what a gatherer tells.
     pub(crate) word: Ring,
     pub(crate) told_peer: Vec<Duration>,
     pub(crate) owing: Vec<u32>,
-    /// By limiter: the life and the number of the last letter.
-    pub(crate) last_letter: Vec<(u64, u64)>,
+    /// By limiter: the life and the number of the last peer message.
+    pub(crate) last_peer_message: Vec<(u64, u64)>,
     /// The server list must be asked for, and the last call failed or is yet to be made.
     pub(crate) discovery_lost: bool,
     pub(crate) discovery_at: Duration,
@@ -169,11 +169,11 @@
     pub(crate) call_room: f64,
     /// The counter could not take all calls of late.
     pub(crate) behind_until: Duration,
-    pub(crate) letters_at: Duration,
+    pub(crate) messages_at: Duration,
 }
 
 impl Account {
-    /// Its row of the present window or the one before in a letter.
+    /// Its row of the present window or the one before in a peer message.
     pub fn row(&self, i: usize) -> Row {
         let window = self.window.wrapping_sub(i as u64);
         Row {
@@ -187,14 +187,14 @@
         }
     }
 
-    /// A reading of it as it stands in a letter that passes it on.
+    /// A reading of it as it stands in a peer message that passes it on.
     pub fn passed_on(&self, reading: Reading) -> Row {
         let Reading { left, pace, age } = reading;
         Row { asked: Some(pace), left: Some(left), age: Some(age), ..self.row(0) }
     }
 
     /// What others used: by the counter, whose total stands in this limiter's own place, or by their
-    /// letters, where those tell of more.
+    /// peer messages, where those tell of more.
     pub fn others(&self, i: usize) -> f64 {
         self.summed[i].max(self.told[i])
     }
@@ -261,15 +261,15 @@
             calm: 0.0,
             answers: Ring::default(),
             answer_times: Ring::default(),
-            last_letter: Vec::new(),
-            letter_room: 0.0,
+            last_peer_message: Vec::new(),
+            message_room: 0.0,
             word: Ring::default(),
             told_peer: Vec::new(),
             owing: Vec::new(),
             calls: 0.0,
             call_room: 0.0,
             behind_until: Duration::ZERO,
-            letters_at: Duration::ZERO,
+            messages_at: Duration::ZERO,
             left_seen: Vec::new(),
             plans,
             categories,
@@ -295,7 +295,7 @@
             beat_at: Duration::ZERO,
             woken_at: Duration::ZERO,
             swept_at: Duration::ZERO,
-            letters: 0,
+            peer_messages: 0,
             discovery_lost: false,
             discovery_at: Duration::ZERO,
         }
@@ -322,12 +322,12 @@
         i
     }
 
-    /// Rows to a peer, in as many letters as they need.
+    /// Rows to a peer, in as many peer messages as they need.
     pub(crate) fn post(&mut self, now: Duration, to: u32, rows: &[Row], out: &mut dyn Writer) {
         let life = self.started.unwrap_or(now).as_millis() as u64;
-        for letter in letter::write(Head { life, number: self.letters + 1 }, rows) {
-            self.letters += 1;
-            out.tell(to, &letter);
+        for peer_message in peer_message::write(Head { life, number: self.peer_messages + 1 }, rows) {
+            self.peer_messages += 1;
+            out.tell(to, &peer_message);
         }
     }
 
--- a/crates/merlinreel-settings/src/lib.rs
+++ b/crates/merlinreel-settings/src/lib.rs
@@ -238,7 +238,7 @@
     Ok(Peers {
         limiters: limiters as u32,
         me: rank as u32,
-        letters: paths.flag("policyLimits.peers")?,
+        peer_messages: paths.flag("policyLimits.peers")?,
         inbox_per_s: paths.number("familyInfo.inboxPerS")?,
         counter: paths.flag("familyInfo.hasCounter")?,
         settles: paths.flag("familyInfo.settles")?,
--- a/crates/merlinreel-testbed/src/checker.rs
+++ b/crates/merlinreel-testbed/src/checker.rs
@@ -11,7 +11,7 @@
 use std::fmt;
 use std::time::Duration;
 
-/// How far a record may be from the rules' letter: what the machine under the test may take.
+/// How far a record may be from the rules' peer message: what the machine under the test may take.
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds {
     /// An answer may be so late.
--- a/crates/merlinreel-testbed/src/field.rs
+++ b/crates/merlinreel-testbed/src/field.rs
@@ -19,7 +19,7 @@
     /// From each limiter to each worker.
     ways: Vec<Vec<TcpLink>>,
     /// Between the limiters, a fifth lost; they live as long as the field.
-    _letters: Vec<UdpLink>,
+    _messages: Vec<UdpLink>,
     configs: Vec<Value>,
     programs: Vec<Option<Program>>,
 }
@@ -38,7 +38,7 @@
         let agents: Vec<Agent> = (0..limiters).map(|i| Agent::start(i, addresses(i), &record)).collect();
         agents[0].indent();
         let places: Vec<SocketAddr> = (0..limiters).map(|_| free_address()).collect();
-        let mut letters = Vec::new();
+        let mut peer_messages = Vec::new();
         let mut peers: Vec<Vec<SocketAddr>> = vec![places.clone(); limiters];
         for i in 0..limiters {
             for j in i + 1..limiters {
@@ -46,7 +46,7 @@
                 (peers[i][j], peers[j][i]) = (link.for_one, link.for_other);
                 link.there.set(Weather { lose: 20, repeat: 5, ..Weather::default() });
                 link.back.set(Weather { lose: 20, repeat: 5, reorder: 5, ..Weather::default() });
-                letters.push(link);
+                peer_messages.push(link);
             }
         }
         let configs: Vec<Value> = (0..limiters)
@@ -67,7 +67,7 @@
             })
             .collect();
         let programs = configs.iter().map(|config| Some(Program::start(config))).collect();
-        Field { record, workers, agents, ways, _letters: letters, configs, programs }
+        Field { record, workers, agents, ways, _messages: peer_messages, configs, programs }
     }
 
     fn signal(&self, i: usize, name: &str) {
--- a/crates/merlinreel/src/config.rs
+++ b/crates/merlinreel/src/config.rs
@@ -61,7 +61,7 @@
     pub discovery: SocketAddr,
     /// The operators' door, where there is one.
     pub ops: Option<SocketAddr>,
-    /// Where letters arrive, and every limiter's address by its number, this one's included.
+    /// Where peer messages arrive, and every limiter's address by its number, this one's included.
     pub peer_listen: Option<SocketAddr>,
     pub peers: Vec<SocketAddr>,
     pub seed: u64,
@@ -90,7 +90,7 @@
     known: Option<discovery::Message>,
     settings: Option<serde_json::Value>,
     mesh: Option<Ground>,
-    /// Letters go to one limiter at a time.
+    /// Peer messages go to one limiter at a time.
     #[serde(rename = "peers_all")]
     _peers_all: Option<serde_json::Value>,
 }
@@ -188,7 +188,7 @@
     let terms = Paths::from_json(&settings).and_then(|paths| Terms::read(&paths));
     let terms = terms.map_err(StationError::Settings)?;
     checked(&terms)?;
-    if terms.peers.letters && file.peer_listen.is_some() {
+    if terms.peers.peer_messages && file.peer_listen.is_some() {
         let (given, wanted) = (file.peers.len(), terms.peers.limiters as usize);
         if given != wanted {
             return Err(StationError::Peers { given, wanted });
--- a/crates/merlinreel/src/driver.rs
+++ b/crates/merlinreel/src/driver.rs
@@ -128,7 +128,7 @@
                 News::ServerList(server_list) => {
                     round.server_list.push(self.desk.servers.list(server_list, false))
                 }
-                News::Letter(letter) => round.letters.push(letter),
+                News::PeerMessage(peer_message) => round.peer_messages.push(peer_message),
             }
         }
         self.round(round);
--- a/crates/merlinreel/src/driver/desk.rs
+++ b/crates/merlinreel/src/driver/desk.rs
@@ -1,4 +1,4 @@
-//! What decisions are carried out with: jobs that are held, attempts that are out, servers and letters.
+//! What decisions are carried out with: jobs that are held, attempts that are out, servers and peer messages.
 
 use super::Clock;
 use crate::log;
@@ -166,9 +166,9 @@
         self.servers.probe(server);
     }
 
-    fn tell(&mut self, limiter: u32, letter: &[u8]) {
+    fn tell(&mut self, limiter: u32, peer_message: &[u8]) {
         if let Some(post) = &self.post {
-            post.tell(limiter, letter);
+            post.tell(limiter, peer_message);
         }
     }
 
--- a/crates/merlinreel/src/lib.rs
+++ b/crates/merlinreel/src/lib.rs
@@ -100,7 +100,7 @@
         |what: &str, at, error: io::Error| io::Error::new(error.kind(), format!("{what}: {at}: {error}"));
     let (queue, news) = mpsc::channel(limits.queue);
     let inherited = handed.is_some();
-    let post = match peer_listen.filter(|_| terms.peers.letters) {
+    let post = match peer_listen.filter(|_| terms.peers.peer_messages) {
         Some(at) => Some(
             peers::Post::open(at, &peers, inherited)
                 .await
--- a/crates/merlinreel/src/limits.rs
+++ b/crates/merlinreel/src/limits.rs
@@ -84,7 +84,7 @@
     pub ops_call: Duration,
 }
 
-/// Descriptors that are neither clients' nor servers': standard streams, poller, listener, letters, server list.
+/// Descriptors that are neither clients' nor servers': standard streams, poller, listener, peer messages, server list.
 const OWN: usize = 24;
 /// What the program and the module take: 4 MB on busy days, and as much again for a day with more customers.
 /// Guards against a start that is refused on a small machine, too.
--- a/crates/merlinreel/src/messages.rs
+++ b/crates/merlinreel/src/messages.rs
@@ -5,7 +5,7 @@
 use crate::flow::Flow;
 use hyper::body::Bytes;
 use hyper::{HeaderMap, Method, Uri};
-use merlinreel_core::{Ending, Job, Letter, Load, ProbeAnswer, Standing};
+use merlinreel_core::{Ending, Job, Load, PeerMessage, ProbeAnswer, Standing};
 use merlinreel_settings::Terms;
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -73,7 +73,7 @@
     Attempt(AttemptNews),
     Probe(ProbeAnswer),
     ServerList(DiscoveryNews),
-    Letter(Letter),
+    PeerMessage(PeerMessage),
     /// Settings read again, found sound.
     Retune(Box<Terms>),
 }
--- a/crates/merlinreel/src/peers.rs
+++ b/crates/merlinreel/src/peers.rs
@@ -1,9 +1,9 @@
-//! Letters between limiters: datagrams, known by the address they come from.
+//! Peer messages between limiters: datagrams, known by the address they come from.
 
 use crate::log;
 use crate::messages::{News, Queue};
-use merlinreel_core::Letter;
-use merlinreel_core::letter::MOST_BYTES;
+use merlinreel_core::PeerMessage;
+use merlinreel_core::peer_message::MOST_BYTES;
 use std::collections::HashMap;
 use std::io;
 use std::net::SocketAddr;
@@ -32,21 +32,21 @@
         Ok(Post { socket: Arc::new(socket), peers: peers.into() })
     }
 
-    /// A letter that can't leave at once is lost, as any may be.
-    pub fn tell(&self, limiter: u32, letter: &[u8]) {
+    /// A peer message that can't leave at once is lost, as any may be.
+    pub fn tell(&self, limiter: u32, peer_message: &[u8]) {
         let Some(&to) = self.peers.get(limiter as usize) else { return };
-        if letter.len() > MOST_BYTES {
-            log!("letters: one of {} bytes was not sent", letter.len());
+        if peer_message.len() > MOST_BYTES {
+            log!("peer messages: one of {} bytes was not sent", peer_message.len());
             return;
         }
-        if let Err(error) = self.socket.try_send_to(letter, to)
+        if let Err(error) = self.socket.try_send_to(peer_message, to)
             && error.kind() != io::ErrorKind::WouldBlock
         {
-            log!("letters: to limiter {limiter}: {error}");
+            log!("peer messages: to limiter {limiter}: {error}");
         }
     }
 
-    /// Takes letters in without end; a stranger's are dropped, as are those that find the queue full.
+    /// Takes peer messages in without end; a stranger's are dropped, as are those that find the queue full.
     pub async fn receive(self, queue: Queue) {
         let senders: HashMap<SocketAddr, u32> = self.peers.iter().copied().zip(0..).collect();
         let mut buffer = [0; MOST_BYTES + 1];
@@ -55,12 +55,12 @@
                 Ok((length, from)) if length <= MOST_BYTES => {
                     if let Some(&from) = senders.get(&from) {
                         let bytes = buffer[..length].to_vec();
-                        let _ = queue.try_send(News::Letter(Letter { from, bytes }));
+                        let _ = queue.try_send(News::PeerMessage(PeerMessage { from, bytes }));
                     }
                 }
                 Ok(_) => {}
                 // What the network says of a peer that is away is no trouble of this socket's.
-                Err(error) => log!("letters: {error}"),
+                Err(error) => log!("peer messages: {error}"),
             }
         }
     }
@@ -74,7 +74,7 @@
     use tokio::time::timeout;
 
     #[tokio::test]
-    async fn letters_are_known_by_their_sender_and_a_stranger_s_are_dropped() {
+    async fn peer_messages_are_known_by_their_sender_and_a_stranger_s_are_dropped() {
         let free = SocketAddr::from(([127, 0, 0, 1], 0));
         let [one, two, stranger] = [
             UdpSocket::bind(free).await.expect("a port"),
@@ -90,8 +90,8 @@
         sender.tell(0, &[0; MOST_BYTES + 1]);
         sender.tell(7, b"nobody");
         sender.tell(0, b"hello");
-        let first = timeout(Duration::from_secs(5), news.recv()).await.expect("a letter");
-        let Some(News::Letter(letter)) = first else { panic!("no letter") };
-        assert_eq!((letter.from, letter.bytes.as_slice()), (1, &b"hello"[..]));
+        let first = timeout(Duration::from_secs(5), news.recv()).await.expect("a peer message");
+        let Some(News::PeerMessage(peer_message)) = first else { panic!("no peer message") };
+        assert_eq!((peer_message.from, peer_message.bytes.as_slice()), (1, &b"hello"[..]));
     }
 }
--- a/crates/merlinreel/tests/sockets/faults.rs
+++ b/crates/merlinreel/tests/sockets/faults.rs
@@ -10,7 +10,7 @@
 
 /// Whatever is drawn, the rules hold, and most jobs are fulfilled all the same: limiters are killed, stopped and started
 /// again, workers pause and drain, ways are cut on one side or both, connections break, agents are silent, a fifth of the
-/// letters is lost.
+/// peer messages is lost.
 #[test_case(1)]
 #[test_case(2)]
 #[test_case(3)]
--- a/crates/merlinreel/tests/sockets/main.rs
+++ b/crates/merlinreel/tests/sockets/main.rs
@@ -301,7 +301,7 @@
     let shared = |units| job("look", 7, units, "3000m").replace("spread=1", "spread=2");
     let mut clients: Vec<Client> = programs.iter().map(Program::client).collect();
     assert_eq!(clients[0].call(&shared(8)).map(|answer| answer.status()), Some(200));
-    // Letters are lost where peers start together; the total is told with each further job.
+    // Peer messages are lost where peers start together; the total is told with each further job.
     let told = (0..200).any(|_| {
         thread::sleep(Duration::from_millis(20));
         let answer = clients[1].call(&shared(8)).expect("an answer");
--- a/crates/merlinreel/tests/sockets/operations.rs
+++ b/crates/merlinreel/tests/sockets/operations.rs
@@ -5,16 +5,16 @@
 use std::time::Duration;
 
 /// Guards the upgrade: the next process starts beside the one before on the socket that the platform holds,
-/// shares the letters' port, and the one before leaves on SIGTERM with what it holds answered and nothing refused.
+/// shares the peer messages' port, and the one before leaves on SIGTERM with what it holds answered and nothing refused.
 #[test]
 fn an_upgrade_hands_the_socket_over_and_loses_nothing() {
     let (server, release) = holding();
     let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a free port");
     let mut config = config(&[listed("s-1", server.address, "up")]);
-    let letters = free_address();
+    let peer_messages = free_address();
     config["listen"] = listener.local_addr().expect("bound").to_string().into();
-    config["peer_listen"] = letters.to_string().into();
-    config["peers"] = serde_json::json!([letters.to_string()]);
+    config["peer_listen"] = peer_messages.to_string().into();
+    config["peers"] = serde_json::json!([peer_messages.to_string()]);
     config["ops"] = free_address().to_string().into();
     let mut before = Program::start_handed(&config, &listener);
     let mut slow = before.client();
