--- a/crates/merlinreel/src/config.rs
+++ b/crates/merlinreel/src/config.rs
@@ -1,11 +1,10 @@
 //! The one place where the configuration is read, checked and given defaults; a faulty key is named.
 //! Values of the environment stand in for keys that the file leaves out.
 
-use crate::discovery::{self, DiscoveryError};
 use crate::limits::{Limits, RoomError};
 use crate::log;
 use crate::mesh::Ground;
-use crate::messages::DiscoveryNews;
+use merlinreel_discovery::{DiscoveryNews, Message, MessageError};
 use merlinreel_settings::{Paths, Terms};
 use serde::Deserialize;
 use std::collections::HashSet;
@@ -50,7 +49,7 @@
     #[error(transparent)]
     Room(#[from] RoomError),
     #[error("known.{0}")]
-    Known(#[from] DiscoveryError),
+    Known(#[from] MessageError),
 }
 
 /// What a limiter is run with.
@@ -87,7 +86,7 @@
     peer_listen: Option<SocketAddr>,
     #[serde(default)]
     peers: Vec<SocketAddr>,
-    known: Option<discovery::Message>,
+    known: Option<Message>,
     settings: Option<serde_json::Value>,
     mesh: Option<Ground>,
     /// Peer messages go to one limiter at a time.
--- a/crates/merlinreel/src/discovery.rs
+++ b/crates/merlinreel/src/discovery.rs
@@ -1,11 +1,11 @@
-//! The server list: watches discovery, and decodes what it tells. Silence keeps the list.
+//! The watch of discovery, for the list of servers. Silence keeps the list.
 
 mod failure_log;
 mod open_calls;
 
 use crate::limits::Limits;
 use crate::log;
-use crate::messages::{DiscoveryNews, Listed, News, Queue};
+use crate::messages::{News, Queue};
 use failure_log::FailureLog;
 use http_body_util::{BodyExt, Empty};
 use hyper::body::{Body, Bytes, Incoming};
@@ -13,9 +13,8 @@
 use hyper::header::HOST;
 use hyper::{Request, StatusCode};
 use hyper_util::rt::TokioIo;
-use merlinreel_core::Standing;
+use merlinreel_discovery::{DiscoveryNews, MessageError, decode};
 use open_calls::{OpenCalls, Progress};
-use serde::Deserialize;
 use std::net::SocketAddr;
 use std::time::Duration;
 use thiserror::Error;
@@ -41,73 +40,10 @@
         "a list of more than {most} bytes, which is what limits.memory_mb leaves room for; give the limiter more"
     )]
     TooLong { most: usize },
-    #[error("{0}; the agent's answer is no list")]
-    Malformed(#[from] serde_json::Error),
+    #[error("{0}")]
+    Message(#[from] MessageError),
     #[error("{0}")]
     Call(#[from] hyper::http::Error),
-    #[error("instances[{place}].hostPort: '{given}' is no address and port")]
-    Address { place: usize, given: String },
-    #[error("instances[{place}].lifecycle: unknown '{given}'; up, draining and removed are known")]
-    Lifecycle { place: usize, given: String },
-}
-
-/// A message of discovery as it stands on the wire.
-#[derive(Deserialize)]
-pub struct Message {
-    generation: u64,
-    #[serde(default)]
-    reset: bool,
-    #[serde(default)]
-    instances: Vec<Instance>,
-}
-
-#[derive(Deserialize)]
-#[serde(rename_all = "camelCase")]
-struct Instance {
-    instance_id: String,
-    host_port: String,
-    #[serde(default)]
-    zone: String,
-    #[serde(default)]
-    cell: u32,
-    lifecycle: String,
-    weight: Option<f64>,
-    #[serde(default)]
-    started_at_ms: u64,
-}
-
-impl TryFrom<Message> for DiscoveryNews {
-    type Error = DiscoveryError;
-
-    fn try_from(message: Message) -> Result<DiscoveryNews, DiscoveryError> {
-        let listed = |(i, one): (usize, Instance)| {
-            let standing = match one.lifecycle.as_str() {
-                "up" => Standing::Up,
-                "draining" => Standing::Draining,
-                "removed" => Standing::Gone,
-                other => return Err(DiscoveryError::Lifecycle { place: i, given: other.to_owned() }),
-            };
-            let address = one.host_port.parse();
-            let address =
-                address.map_err(|_| DiscoveryError::Address { place: i, given: one.host_port.clone() })?;
-            Ok(Listed {
-                name: one.instance_id,
-                address,
-                zone: one.zone,
-                cell: one.cell,
-                standing,
-                weight: one.weight.unwrap_or(1.0),
-                up_since: Some(Duration::from_millis(one.started_at_ms)).filter(|at| !at.is_zero()),
-            })
-        };
-        let servers = message.instances.into_iter().enumerate().map(listed).collect::<Result<_, _>>()?;
-        Ok(DiscoveryNews { version: message.generation, whole: message.reset, servers })
-    }
-}
-
-pub fn decode(bytes: &[u8]) -> Result<DiscoveryNews, DiscoveryError> {
-    let message: Message = serde_json::from_slice(bytes)?;
-    message.try_into()
 }
 
 /// The connection to discovery; its task ends with it.
@@ -145,7 +81,7 @@
         return Err(DiscoveryError::Status(answer.status()));
     }
     let bytes = whole(answer.into_body(), most, progress).await?;
-    decode(&bytes)
+    Ok(decode(&bytes)?)
 }
 
 /// All of a list's bytes, `most` at most; one that is told to be longer is not read.
--- a/crates/merlinreel/src/driver.rs
+++ b/crates/merlinreel/src/driver.rs
@@ -7,12 +7,13 @@
 
 use crate::figures::Figures;
 use crate::log;
-use crate::messages::{Answer, Arrival, DiscoveryNews, News, Tuned};
+use crate::messages::{Answer, Arrival, News, Tuned};
 use crate::peers::Post;
 use crate::servers::Servers;
 use desk::{Desk, Held};
 use merlinreel_core::decide::Limiter;
 use merlinreel_core::*;
+use merlinreel_discovery::DiscoveryNews;
 use merlinreel_settings::Terms;
 use std::collections::HashMap;
 use std::sync::Arc;
--- a/crates/merlinreel/src/messages.rs
+++ b/crates/merlinreel/src/messages.rs
@@ -5,9 +5,9 @@
 use crate::flow::Flow;
 use hyper::body::Bytes;
 use hyper::{HeaderMap, Method, Uri};
-use merlinreel_core::{Ending, Job, Load, PeerMessage, ProbeAnswer, Standing};
+use merlinreel_core::{Ending, Job, Load, PeerMessage, ProbeAnswer};
+use merlinreel_discovery::DiscoveryNews;
 use merlinreel_settings::Terms;
-use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 use tokio::sync::{mpsc, oneshot};
 
@@ -80,26 +80,6 @@
 
 pub type Queue = mpsc::Sender<News>;
 
-/// A message of discovery, checked.
-#[derive(Clone, Debug, PartialEq)]
-pub struct DiscoveryNews {
-    pub version: u64,
-    pub whole: bool,
-    pub servers: Vec<Listed>,
-}
-
-#[derive(Clone, Debug, PartialEq)]
-pub struct Listed {
-    pub name: String,
-    pub address: SocketAddr,
-    pub zone: String,
-    pub cell: u32,
-    pub standing: Standing,
-    pub weight: f64,
-    /// Unix time.
-    pub up_since: Option<Duration>,
-}
-
 /// The settings in force at the door, and each of their classes' index in the module.
 #[derive(Debug)]
 pub struct Tuned {
--- a/crates/merlinreel/src/servers.rs
+++ b/crates/merlinreel/src/servers.rs
@@ -15,10 +15,10 @@
 use crate::figures::Figures;
 use crate::limits::Limits;
 use crate::log;
-use crate::messages::{DiscoveryNews, News, Parcel, Queue};
-use merlinreel_core::{ProbeAnswer, ServerEntry, ServerList, Standing, mark};
+use crate::messages::{News, Parcel, Queue};
+use merlinreel_core::{ProbeAnswer, ServerList, Standing};
+use merlinreel_discovery::{DiscoveryNews, ServerTable};
 use probe::probe;
-use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -73,50 +73,31 @@
     }
 }
 
-struct Place {
-    name: String,
-    /// As it was listed last.
-    entry: ServerEntry,
-    address: SocketAddr,
-    /// With the time since when, the newest last.
-    idle: Vec<(Instant, Link)>,
-}
-
-impl Place {
-    fn stands(&self) -> bool {
-        self.entry.standing != Standing::Gone
-    }
-
-    /// No attempt goes there any more.
-    fn leave(&mut self) {
-        self.entry.standing = Standing::Gone;
-        self.idle.clear();
-    }
+/// Connections to one server that rest, with the time since when, the newest last.
+#[derive(Default)]
+struct IdleConnections(Vec<(Instant, Link)>);
 
+impl IdleConnections {
     /// The newest idle connection that is settled, so that few are kept; else the oldest, unless `only_settled`.
     /// Guards attempts against servers that end a connection behind an answer, where the end crosses the next attempt,
     /// and against those that send a second answer.
     fn take(&mut self, now: Instant, settled: Duration, only_settled: bool) -> Option<Link> {
-        let newest = self.idle.iter().rposition(|(since, _)| now.duration_since(*since) >= settled);
-        let oldest = (!only_settled && !self.idle.is_empty()).then_some(0);
-        newest.or(oldest).map(|i| self.idle.remove(i).1)
+        let newest = self.0.iter().rposition(|(since, _)| now.duration_since(*since) >= settled);
+        let oldest = (!only_settled && !self.0.is_empty()).then_some(0);
+        newest.or(oldest).map(|i| self.0.remove(i).1)
     }
 }
 
 /// The servers by index, with their idle connections.
 pub struct Servers {
     limits: Limits,
-    zones: Vec<String>,
     loads_in_answers: bool,
     memory: AnswerMemory,
     loads_in_probes: bool,
     probes: bool,
-    names: HashMap<String, u32>,
-    /// By address, the server that took it last. It may be gone since.
-    addresses: HashMap<SocketAddr, u32>,
-    places: Vec<Place>,
-    /// Indices of servers that were forgotten.
-    free: Vec<u32>,
+    table: ServerTable,
+    /// By index.
+    idle: Vec<IdleConnections>,
     slots: Arc<Semaphore>,
     queue: Queue,
     figures: Arc<Figures>,
@@ -133,15 +114,12 @@
         Servers {
             figures,
             unasked: Arc::default(),
-            zones: terms.wire.zones.clone(),
             loads_in_answers: terms.wire.loads_in_answers,
             memory: AnswerMemory::new(&limits),
             loads_in_probes: terms.wire.loads_in_probes,
             probes: terms.servers.probes,
-            names: HashMap::new(),
-            addresses: HashMap::new(),
-            places: Vec::new(),
-            free: Vec::new(),
+            table: ServerTable::new(terms.wire.zones.clone()),
+            idle: Vec::new(),
             slots: Arc::new(Semaphore::new(limits.servers)),
             limits,
             queue,
@@ -152,106 +130,39 @@
         &self.limits
     }
 
-    /// Maps names to indices at the door; a server keeps its index until the module forgets it.
+    /// Takes a message of discovery in, for the module; no connection rests to a server that is not up.
     pub fn list(&mut self, news: DiscoveryNews, restored: bool) -> ServerList {
-        let mut entries = Vec::with_capacity(news.servers.len());
-        if news.whole {
-            // Who is not on it is gone.
-            self.places.iter_mut().for_each(|place| place.leave());
+        let list = self.table.apply(news, restored);
+        self.idle.resize_with(self.table.indices(), IdleConnections::default);
+        for entry in list.entries.iter().filter(|entry| entry.standing != Standing::Up) {
+            self.close_idle(entry.server);
         }
-        for listed in news.servers {
-            let zone = self.zones.iter().position(|zone| *zone == listed.zone).unwrap_or_else(|| {
-                self.zones.push(listed.zone);
-                self.zones.len() - 1
-            });
-            let mut entry = ServerEntry {
-                server: 0,
-                mark: mark(&listed.name),
-                zone: zone as u32,
-                cell: listed.cell,
-                standing: listed.standing,
-                weight: listed.weight,
-                up_since: listed.up_since,
-            };
-            entry.server = match self.names.get(&listed.name) {
-                Some(&server) => server,
-                None => {
-                    entries.extend(self.replace(listed.address));
-                    self.place(listed.name, entry, listed.address)
-                }
-            };
-            self.take_address(entry.server, listed.address);
-            let place = &mut self.places[entry.server as usize];
-            place.entry = entry;
-            if listed.standing != Standing::Up {
-                place.idle.clear();
-            }
-            entries.push(entry);
+        if list.whole {
+            self.close_idle_to_the_gone();
         }
-        ServerList { whole: news.whole, restored, unavailable: false, entries }
-    }
-
-    /// The server that stands at an address as far as is known.
-    fn standing_at(&self, address: SocketAddr) -> Option<u32> {
-        let server = *self.addresses.get(&address)?;
-        let place = &self.places[server as usize];
-        (place.address == address && place.stands()).then_some(server)
-    }
-
-    /// Guards against attempts at a server that is gone, but not told so yet, where another took its address.
-    fn replace(&mut self, address: SocketAddr) -> Option<ServerEntry> {
-        let before = self.standing_at(address)?;
-        let place = &mut self.places[before as usize];
-        place.leave();
-        Some(place.entry)
+        list
     }
 
-    fn place(&mut self, name: String, entry: ServerEntry, address: SocketAddr) -> u32 {
-        let server = self.free.pop().unwrap_or(self.places.len() as u32);
-        self.names.insert(name.clone(), server);
-        let place = Place { name, entry, address, idle: Vec::new() };
-        match self.places.get_mut(server as usize) {
-            Some(old) => *old = place,
-            None => self.places.push(place),
+    fn close_idle_to_the_gone(&mut self) {
+        let idle = self.idle.iter_mut().enumerate();
+        for (_, idle) in idle.filter(|(server, _)| !self.table.stands(*server as u32)) {
+            idle.0.clear();
         }
-        server
     }
 
-    /// Notes where a server is, unless another that stands is known there.
-    fn take_address(&mut self, server: u32, address: SocketAddr) {
-        let before = std::mem::replace(&mut self.places[server as usize].address, address);
-        if before != address {
-            self.leave_address(server, before);
-        }
-        if self.standing_at(address).is_none() {
-            self.addresses.insert(address, server);
-        }
-    }
-
-    fn leave_address(&mut self, server: u32, address: SocketAddr) {
-        if self.addresses.get(&address) == Some(&server) {
-            self.addresses.remove(&address);
-        }
-    }
-
-    /// Its index is free for another. Guards the memory against servers replaced without end.
+    /// Nothing is kept of this server any more; its index may be another's.
     pub fn forget(&mut self, server: u32) {
-        let Some(place) = self.places.get_mut(server as usize) else { return };
-        place.leave();
-        let (name, address) = (std::mem::take(&mut place.name), place.address);
-        if self.names.get(&name) == Some(&server) {
-            self.names.remove(&name);
-        }
-        self.leave_address(server, address);
-        self.free.push(server);
+        self.close_idle(server);
+        self.table.forget(server);
     }
 
     /// Starts an attempt on an idle connection, else on a new one; none where all descriptors are taken.
     pub fn send(&mut self, server: u32, mut attempt: Attempt) -> Option<Link> {
-        let place = self.places.get_mut(server as usize)?;
+        let address = self.table.address(server)?;
+        let idle = self.idle.get_mut(server as usize)?;
         let only_settled = self.unasked.seen();
-        while let Some(link) = place.take(attempt.started, self.limits.server_settled, only_settled) {
-            if link.address != place.address {
+        while let Some(link) = idle.take(attempt.started, self.limits.server_settled, only_settled) {
+            if link.address != address {
                 continue;
             }
             match link.commands.try_send(Command::Send(attempt)) {
@@ -260,7 +171,6 @@
                 Err(_) => return None,
             }
         }
-        let address = place.address;
         let slot = self.slot()?;
         // Room for an attempt and for taking it back.
         let (commands, received) = mpsc::channel(4);
@@ -282,9 +192,9 @@
     fn slot(&mut self) -> Option<OwnedSemaphorePermit> {
         let slot = self.slots.clone().try_acquire_owned().ok();
         if self.slots.available_permits() == 0 {
-            let fullest = self.places.iter_mut().max_by_key(|place| place.idle.len());
-            if let Some(place) = fullest.filter(|place| !place.idle.is_empty()) {
-                place.idle.remove(0);
+            let fullest = self.idle.iter_mut().max_by_key(|idle| idle.0.len());
+            if let Some(idle) = fullest.filter(|idle| !idle.0.is_empty()) {
+                idle.0.remove(0);
             }
         }
         if slot.is_none() {
@@ -295,22 +205,23 @@
 
     /// Takes back a connection whose attempt is over.
     pub fn keep(&mut self, server: u32, link: Link) {
-        if let Some(place) =
-            self.places.get_mut(server as usize).filter(|place| place.address == link.address)
-        {
-            place.idle.retain(|(_, link)| !link.commands.is_closed());
-            place.idle.push((Instant::now(), link));
+        if self.table.address(server) != Some(link.address) {
+            return;
+        }
+        if let Some(idle) = self.idle.get_mut(server as usize) {
+            idle.0.retain(|(_, link)| !link.commands.is_closed());
+            idle.0.push((Instant::now(), link));
         }
     }
 
     pub fn close_idle(&mut self, server: u32) {
-        if let Some(place) = self.places.get_mut(server as usize) {
-            place.idle.clear();
+        if let Some(idle) = self.idle.get_mut(server as usize) {
+            idle.0.clear();
         }
     }
 
     pub fn probe(&mut self, server: u32) {
-        let Some(address) = self.places.get(server as usize).map(|place| place.address) else { return };
+        let Some(address) = self.table.address(server) else { return };
         if !self.probes {
             return;
         }
--- a/crates/merlinreel/src/servers/tests.rs
+++ b/crates/merlinreel/src/servers/tests.rs
@@ -45,7 +45,7 @@
 fn list(address: SocketAddr, standing: Standing) -> DiscoveryNews {
     let (name, zone) = ("s-1".to_owned(), "a".to_owned());
     let listed =
-        crate::messages::Listed { name, address, zone, cell: 0, standing, weight: 1.0, up_since: None };
+        merlinreel_discovery::Listed { name, address, zone, cell: 0, standing, weight: 1.0, up_since: None };
     DiscoveryNews { version: 1, whole: true, servers: vec![listed] }
 }
 
@@ -180,57 +180,19 @@
     assert_eq!(stream.try_read(&mut [0; 8]).expect("the end is there already"), 0);
 }
 
-/// Guards against growth with every server ever listed, and against attempts to one whose address another took.
-#[tokio::test]
-async fn an_index_is_another_s_once_it_is_forgotten_and_an_address_once_it_is_taken() {
-    let (_, address) = listener().await;
-    let (mut servers, _news) = servers(address, 4);
-    let mut named = |name: &str, port: u16, whole: bool| {
-        let mut news = list(SocketAddr::from(([127, 0, 0, 9], port)), Standing::Up);
-        (news.whole, news.servers[0].name) = (whole, name.to_owned());
-        let entries = servers.list(news, false).entries;
-        if whole {
-            servers.forget(0);
-        }
-        entries.iter().map(|entry| (entry.server, entry.standing)).collect::<Vec<_>>()
-    };
-    assert_eq!(named("s-2", 1, false), [(1, Standing::Up)]);
-    assert_eq!(named("s-3", 1, false), [(1, Standing::Gone), (2, Standing::Up)]);
-    // The list is whole, so the first server is gone, and forgotten.
-    assert_eq!(named("s-3", 1, true), [(2, Standing::Up)]);
-    assert_eq!(named("s-4", 2, false), [(0, Standing::Up)]);
-}
-
-/// Nothing is kept of servers that are forgotten: neither their names nor their addresses.
-#[tokio::test]
-async fn servers_replaced_without_end_leave_nothing_behind() {
-    let (_, address) = listener().await;
-    let (mut servers, _news) = servers(address, 4);
-    for port in 1..500 {
-        let mut news = list(SocketAddr::from(([127, 0, 0, 9], port)), Standing::Up);
-        news.servers[0].name = format!("s-{port}");
-        let entries = servers.list(news, false).entries;
-        let before = 1 - entries[0].server;
-        servers.forget(before);
-    }
-    assert_eq!((servers.names.len(), servers.addresses.len(), servers.places.len()), (1, 1, 2));
-}
-
 #[test_case(&[40, 30, 1], false => Some(30) ; "the newest that is settled")]
 #[test_case(&[3, 2, 1], false => Some(3) ; "the oldest where none is")]
 #[test_case(&[], false => None ; "none")]
 #[test_case(&[40, 30, 1], true => Some(30) ; "the newest that is settled, once a server sent something unasked")]
 #[test_case(&[3, 2, 1], true => None ; "none that is not settled, once a server sent something unasked")]
-fn the_idle_connection_for_a_attempt(idle: &[u64], only_settled: bool) -> Option<u64> {
+fn the_idle_connection_for_an_attempt(idle: &[u64], only_settled: bool) -> Option<u64> {
     let now = Instant::now() + LONG;
     let link = |ms: &u64| {
         let address = SocketAddr::from(([127, 0, 0, 1], *ms as u16));
         (now - Duration::from_millis(*ms), Link { commands: mpsc::channel(1).0, address })
     };
-    let address = SocketAddr::from(([127, 0, 0, 1], 9));
-    let idle = idle.iter().map(link).collect();
-    let mut place = Place { name: String::new(), entry: ServerEntry::default(), address, idle };
-    place.take(now, Duration::from_millis(25), only_settled).map(|link| link.address.port().into())
+    let mut idle = IdleConnections(idle.iter().map(link).collect());
+    idle.take(now, Duration::from_millis(25), only_settled).map(|link| link.address.port().into())
 }
 
 #[tokio::test]
@@ -259,7 +221,7 @@
     done(&mut stream, &mut news).await;
     servers.keep(0, link);
     drop(stream);
-    while !servers.places[0].idle[0].1.commands.is_closed() {
+    while !servers.idle[0].0[0].1.commands.is_closed() {
         sleep(Duration::from_millis(1)).await;
     }
     let _link = servers.send(0, attempt(2, 1, LONG));
@@ -381,8 +343,7 @@
     let (mut servers, mut news) = servers(address, 2);
     let (first, mut stream) = begun(&listener, &mut servers, 1).await;
     done(&mut stream, &mut news).await;
-    let entry = ServerEntry { server: 1, ..ServerEntry::default() };
-    servers.places.push(Place { name: String::new(), entry, address, idle: vec![(Instant::now(), first)] });
+    servers.idle.push(IdleConnections(vec![(Instant::now(), first)]));
     let second = servers.send(0, attempt(2, 1, LONG));
     assert!(second.is_some() && servers.send(0, attempt(3, 1, LONG)).is_none());
     assert_eq!(timeout(LONG, stream.read(&mut [0; 8])).await.expect("closed").expect("in order"), 0);
