--- /dev/null
+++ b/crates/merlinreel-core/src/decide/requests.rs
@@ -0,0 +1,237 @@
+//! Requests that are admitted: the order in which they are sent, further attempts, and the final answer.
+
+use super::*;
+
+/// How long the client has waited over earlier tries. First tries of a category come with one and the same
+/// time left; a rarer one is what the outer limit leaves of a later try. Guards quota and servers against
+/// retries too late to earn. Clients that change their time-outs could suffer: so it forgets fast.
+pub(super) fn elapsed(left: Duration, seen: &mut [f64], firsts: &mut f64, outer_limit: Duration) -> Duration {
+    let steps = seen.len() - 2;
+    let part = secs(left) / secs(outer_limit).max(0.001);
+    let i = 1 + ((part * steps as f64) as usize).min(steps - 1);
+    let total: f64 = seen.iter().sum();
+    seen[i] += 1.0;
+    // A tenth is less than first tries make up in any storm of retries; 30 tries tell enough.
+    let common = total < 30.0 || seen[i - 1..=i + 1].iter().sum::<f64>() >= 0.1 * total;
+    // 400 tries bring a new common value up within some dozens.
+    if total > 400.0 {
+        seen.iter_mut().for_each(|tries| *tries /= 2.0);
+    }
+    *firsts += (f64::from(u8::from(common)) - *firsts) * 0.02;
+    if common || *firsts < 0.15 { Duration::ZERO } else { outer_limit.saturating_sub(left) }
+}
+
+impl Limiter {
+    pub(super) fn end_attempt(&mut self, now: Duration, end: &AttemptEnd, out: &mut dyn Writer) {
+        let (took, pressed) = (secs(end.took), !self.queue.is_empty());
+        // Where limiters hear each other, their own credits tell more.
+        let load = if self.gathers() { end.load } else { Load::default() };
+        let Some(open) = self.jobs.get_mut(end.job as usize).and_then(|open| open.as_mut()) else { return };
+        let Some(attempt) = open.attempts.get_mut(end.attempt as usize).filter(|attempt| attempt.out) else {
+            return;
+        };
+        attempt.out = false;
+        let overdue = attempt.overdue;
+        if end.ending == Ending::Fulfilled {
+            self.answers.add(now, 1.0);
+            self.answer_times.add(now, took);
+            // The calmest of the last buckets with enough answers to tell: load raises all of a bucket's.
+            if let Some(least) = self.answer_times.least_mean(&self.answers, 20.0) {
+                self.calm = least;
+            }
+        }
+        // Two at a server over all limiters keep it at work, however long its answers take.
+        let floor = 2.0 / f64::from(self.peers.limiters);
+        let (sent, target) = (attempt.sent, secs(self.categories[open.job.category].target_time));
+        if let Some(server) = self.servers.get_mut(end.server as usize).and_then(|s| s.as_mut()) {
+            if !overdue {
+                server.out = server.out.saturating_sub(1);
+            }
+            if !matches!(end.ending, Ending::Revoked | Ending::Expired | Ending::Unsent) {
+                server.owing_since = now;
+            }
+            if !end.ending.never_ran() && (!overdue || end.ending == Ending::Fulfilled) {
+                // Four tenths of the target time leave room; beyond 2.5 calm ones servers only queue.
+                let long = (target * 0.4).min(self.calm * 2.5).max(0.001);
+                server.pace(now, took, long, floor, pressed);
+                // A client that gave up would have waited longer: thrice as long stands for it.
+                let felt = if end.ending == Ending::Expired { took.max(3.0 * long) } else { took };
+                self.strain += (felt / long - self.strain) * 0.03;
+                self.level = next_level(self.level, self.strain, pressed, &load);
+            }
+            match end.ending {
+                Ending::Fulfilled => {
+                    server.took += (took - server.took) * if server.took > 0.0 { 0.1 } else { 1.0 };
+                    if watched(end.job) {
+                        self.usual += (took - self.usual) * 0.05;
+                        self.losing *= 0.98;
+                    }
+                    server.errors *= 0.9;
+                    self.erring *= 0.99;
+                    (server.strikes, server.drops) = (0, 0);
+                    if std::mem::take(&mut server.down) {
+                        server.cold_since = Some(now);
+                    }
+                }
+                Ending::Error | Ending::Dropped => {
+                    server.errors += (1.0 - server.errors) * 0.1;
+                    self.erring += (1.0 - self.erring) * 0.01;
+                    server.drops += u32::from(end.ending == Ending::Dropped);
+                    // One drop is the link's; three with no answer between them are the server's, or as many
+                    // as chance hardly brings where all fail often, as with answers that nobody can use.
+                    let lost = server.drops >= 3 && self.erring.powi(server.drops as i32) < 0.002;
+                    if lost || server.fails(self.erring) {
+                        server.strike(now);
+                        server.down |= lost && server.strikes >= 2;
+                    }
+                }
+                Ending::TurnedAway => {
+                    // Never more than before: with many limiters credits are parts of an attempt.
+                    server.credits = (server.credits * 0.7).max(floor.min(server.credits));
+                    server.benched_until = server.benched_until.max(now + Duration::from_millis(100));
+                }
+                Ending::NoConnection => {
+                    server.down = true;
+                    server.strike(now);
+                }
+                _ => {}
+            }
+        }
+        if !end.ending.never_ran() && open.ran.is_none() {
+            open.ran = Some((end.server, sent));
+        }
+        if let (Some(units), Some(window), true) = (end.units, open.window, self.peers.settles) {
+            let account = &mut self.accounts[open.account];
+            account.roll(now, &self.plans[account.plan]);
+            account.add_own(window, (units - open.job.units) * open.stands_for);
+            account.stir(open.account, &mut self.stirred);
+        }
+        let stays = !open.queued && !open.attempts.iter().any(|attempt| attempt.out);
+        if end.finished || open.done {
+            self.close(end.job, out);
+        } else if stays && self.may_send_again(now, end.job) {
+            self.jobs[end.job as usize].iter_mut().for_each(|open| open.queued = true);
+            self.queue.push(end.job);
+        } else if stays {
+            self.give_up(now, end.job, out);
+        }
+    }
+
+    pub(super) fn may_send_again(&self, now: Duration, job: u32) -> bool {
+        let Some(open) = self.jobs[job as usize].as_ref() else { return false };
+        let category = &self.categories[open.job.category];
+        let in_time = now < open.target || category.late_gain > 0.0 && now < open.give_up;
+        let rule = match (category.repeats, open.ran) {
+            (_, None) | (Repeats::Replayable, _) => true,
+            (Repeats::Referenced(_, memory), Some((_, sent))) => now < sent + memory,
+            (Repeats::SingleUse, Some(_)) => false,
+        };
+        rule && in_time && open.attempts.len() < self.job_rules.most_attempts as usize
+    }
+
+    /// A streamed answer has begun: its server is not silent, and the attempt is never taken back.
+    pub(super) fn answer_begins(&mut self, now: Duration, job: u32) {
+        let open = self.jobs.get_mut(job as usize).into_iter().flatten();
+        for attempt in open.flat_map(|open| &mut open.attempts).filter(|attempt| attempt.out) {
+            attempt.revoked = true;
+            self.servers[attempt.server as usize].iter_mut().for_each(|server| server.owing_since = now);
+        }
+    }
+
+    /// The final answer of a job that is given up, at once: a deferral where that is harmless.
+    pub(super) fn give_up(&mut self, now: Duration, job: u32, out: &mut dyn Writer) {
+        let Some(open) = self.jobs[job as usize].as_mut().filter(|open| !open.done) else { return };
+        let harmless = match (self.categories[open.job.category].repeats, open.ran) {
+            (_, None) | (Repeats::Replayable, _) => true,
+            // Guards the effect against clients told to come back once no server knows the key any more.
+            (Repeats::Referenced(Group::All, memory), Some((_, sent))) => now < sent + memory,
+            (_, Some(_)) => false,
+        };
+        let account = &mut self.accounts[open.account];
+        if open.attempts.is_empty() {
+            account.roll(now, &self.plans[account.plan]);
+            open.window
+                .into_iter()
+                .for_each(|window| account.add_own(window, -open.job.units * open.stands_for));
+            account.stir(open.account, &mut self.stirred);
+            account.ceiling += open.job.units;
+        }
+        if harmless {
+            let plan = &self.plans[account.plan];
+            // To the window's end, not the refill: servers that are full need a pause.
+            let wait = window_length(plan) * (account.window + 1) as f64 - secs(now);
+            out.defer(job, self.job_rules.retry_after.then(|| span(wait)));
+        } else {
+            out.scrap(job);
+        }
+        self.close(job, out);
+    }
+
+    /// The job has its final answer: attempts still out are taken back, and nothing more is sent.
+    pub(super) fn close(&mut self, job: u32, out: &mut dyn Writer) {
+        let Some(open) = self.jobs.get_mut(job as usize).and_then(|open| open.as_mut()) else { return };
+        if !std::mem::replace(&mut open.done, true) {
+            let account = &mut self.accounts[open.account];
+            account.out = account.out.saturating_sub(1);
+        }
+        let mut still_out = false;
+        for (n, attempt) in open.attempts.iter_mut().enumerate().filter(|(_, attempt)| attempt.out) {
+            still_out = true;
+            if self.job_rules.may_revoke && !std::mem::replace(&mut attempt.revoked, true) {
+                out.revoke(job, n as u32);
+            }
+        }
+        if !still_out {
+            self.jobs[job as usize] = None;
+        }
+    }
+
+    /// Sends what waits, the last arrived first: under pressure the newest are answered in time, where the
+    /// oldest first would make all late. What cannot be answered by its target time is given up at once.
+    pub(super) fn dispatch(&mut self, now: Duration, out: &mut dyn Writer) {
+        let mut queue = std::mem::take(&mut self.queue);
+        // What gains less than half as much for its target time goes after; near equals fare alike.
+        let worth = |open: &OpenJob| {
+            let category = &self.categories[open.job.category];
+            category.gain * self.plans[open.job.plan].price / secs(category.target_time).max(0.001)
+        };
+        let most = queue.iter().flat_map(|&job| &self.jobs[job as usize]).map(worth).fold(0.0, f64::max);
+        queue.sort_by_cached_key(|&job| match &self.jobs[job as usize] {
+            Some(open) => ((most / worth(open).max(1e-9)).log2() as u32, std::cmp::Reverse(open.arrived)),
+            None => (0, std::cmp::Reverse(now)),
+        });
+        for job in queue {
+            let Some(open) = self.jobs[job as usize].as_ref().filter(|open| !open.done && open.queued) else {
+                continue;
+            };
+            // Half the target time bounds it: slow answers must not stop all sending for good.
+            let least = secs(self.categories[open.job.category].target_time) / 2.0;
+            let hopeless = now + span((self.usual * 1.5).min(least)) >= open.target.min(open.give_up);
+            if hopeless || !self.may_send_again(now, job) {
+                self.give_up(now, job, out);
+                continue;
+            }
+            let Some(server) = self.choose(now, job) else {
+                self.queue.push(job);
+                continue;
+            };
+            let places = (&mut self.jobs[job as usize], &mut self.servers[server as usize]);
+            let (Some(open), Some(at)) = places else { continue };
+            open.queued = false;
+            open.attempts.push(Attempt { server, sent: now, out: true, revoked: false, overdue: false });
+            if at.out == 0 {
+                at.owing_since = now;
+            }
+            at.out += 1;
+            at.sends.add(now, 1.0);
+            // Servers keep a key so long after the first attempt that may have run: a repeat has to be there by then.
+            let within = match (self.categories[open.job.category].repeats, open.ran) {
+                (Repeats::Referenced(_, memory), Some((_, sent))) => {
+                    Some((sent + memory).saturating_sub(now))
+                }
+                _ => None,
+            };
+            out.send(job, server, within);
+        }
+    }
+}
--- a/crates/merlinreel-core/src/decide/tests.rs
+++ b/crates/merlinreel-core/src/decide/tests.rs
@@ -2,6 +2,9 @@
 mod gathering;
 mod helpers;
 
+use super::quotas::*;
+use super::requests::*;
+use super::servers::*;
 use super::*;
 use crate::peer_message::Head;
 use helpers::*;
