--- a/crates/merlinreel-testbed/src/lib.rs
+++ b/crates/merlinreel-testbed/src/lib.rs
@@ -16,6 +16,7 @@
 pub mod link;
 mod process;
 mod record;
+pub mod scale;
 mod script;
 mod standin;
 mod worker;
--- /dev/null
+++ b/crates/merlinreel-testbed/src/scale.rs
@@ -0,0 +1,19 @@
+//! Scale measurements: the real control code of many limiters in one process, over an in-memory network on a test's
+//! clock, without client traffic. Each module measures one role; `bin/scale.rs` runs them and writes [`Figure`]s.
+//!
+//! Everything is drawn from a seed, so that counts (bytes, messages, rounds) are the same each run. Times and memory are
+//! of the machine that ran it.
+
+mod error;
+mod figure;
+mod fit;
+mod meter;
+mod network;
+mod request;
+
+pub use error::ScaleError;
+pub use figure::{Figure, Source, Unit};
+pub use fit::{PowerLaw, SlopeError, check_slope};
+pub use meter::{Meter, Used};
+pub use network::{Delivery, Network, Traffic, Ways};
+pub use request::MeasureRequest;
--- /dev/null
+++ b/crates/merlinreel-testbed/src/scale/fit.rs
@@ -0,0 +1,63 @@
+//! How a cost grows with size: a power law through measured points, by least squares on logarithms.
+
+use thiserror::Error;
+
+/// `value = factor * size ^ exponent`.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct PowerLaw {
+    pub factor: f64,
+    pub exponent: f64,
+    /// The share of the logarithms' variance that the law explains, 1 at best.
+    pub r_squared: f64,
+}
+
+/// A slope that is steeper than allowed, or points that tell none.
+#[derive(Clone, Copy, Debug, Error, PartialEq)]
+pub enum SlopeError {
+    #[error("grows with size to the power {exponent:.2}, {most:.2} at most is allowed")]
+    TooSteep { exponent: f64, most: f64 },
+    #[error("{0} points with a positive size and value; at least two sizes are needed")]
+    TooFewPoints(usize),
+}
+
+impl PowerLaw {
+    /// Points with a size or value of nothing are left out.
+    pub fn through(points: &[(f64, f64)]) -> Result<PowerLaw, SlopeError> {
+        let logs: Vec<(f64, f64)> = points
+            .iter()
+            .filter(|(size, value)| *size > 0.0 && *value > 0.0)
+            .map(|(size, value)| (size.ln(), value.ln()))
+            .collect();
+        let count = logs.len() as f64;
+        let mean_x = logs.iter().map(|(x, _)| x).sum::<f64>() / count;
+        let mean_y = logs.iter().map(|(_, y)| y).sum::<f64>() / count;
+        let spread: f64 = logs.iter().map(|(x, _)| (x - mean_x).powi(2)).sum();
+        if logs.len() < 2 || spread <= f64::EPSILON {
+            return Err(SlopeError::TooFewPoints(logs.len()));
+        }
+        let common: f64 = logs.iter().map(|(x, y)| (x - mean_x) * (y - mean_y)).sum();
+        let exponent = common / spread;
+        let intercept = mean_y - exponent * mean_x;
+        let total: f64 = logs.iter().map(|(_, y)| (y - mean_y).powi(2)).sum();
+        let left: f64 = logs.iter().map(|(x, y)| (y - intercept - exponent * x).powi(2)).sum();
+        let r_squared = if total <= f64::EPSILON { 1.0 } else { 1.0 - left / total };
+        Ok(PowerLaw { factor: intercept.exp(), exponent, r_squared })
+    }
+
+    /// What it tells of a size.
+    pub fn at(&self, size: f64) -> f64 {
+        self.factor * size.powf(self.exponent)
+    }
+}
+
+/// Whether a cost grows with size to that power at most.
+pub fn check_slope(points: &[(f64, f64)], most: f64) -> Result<PowerLaw, SlopeError> {
+    let law = PowerLaw::through(points)?;
+    if law.exponent > most {
+        return Err(SlopeError::TooSteep { exponent: law.exponent, most });
+    }
+    Ok(law)
+}
+
+#[cfg(test)]
+mod tests;
