--- a/crates/merlinreel-core/src/decide/tests/helpers.rs
+++ b/crates/merlinreel-core/src/decide/tests/helpers.rs
@@ -1,6 +1,7 @@
 //! What the tests share: a writer that notes decisions, and plain starting points.
 
 use super::*;
+use crate::peer_message::Head;
 
 #[derive(Default)]
 pub struct Notes {
@@ -180,3 +181,12 @@
         load: Load::default(),
     }
 }
+
+pub fn row(total: f64, left: Option<f64>) -> Row {
+    Row { customer: 5, plan: 0, window: 0, total, asked: None, left, age: None }
+}
+
+pub fn peer_message(life: u64, number: u64, rows: &[Row]) -> PeerMessage {
+    let bytes = peer_message::write(Head { life, number }, rows).remove(0);
+    PeerMessage { from: 1, bytes }
+}
--- /dev/null
+++ b/crates/merlinreel-core/src/decide/tests/requests.rs
@@ -0,0 +1,212 @@
+use super::*;
+use test_case::test_case;
+
+const ZONE: Repeats = Repeats::Referenced(Group::Zone, Duration::from_millis(600));
+
+#[test_case(Repeats::Replayable, Ending::Error, 1.1 => (vec![0], 0) ; "replayable goes again")]
+#[test_case(Repeats::SingleUse, Ending::TurnedAway, 1.1 => (vec![0], 0) ; "single-use that never ran")]
+#[test_case(Repeats::SingleUse, Ending::Dropped, 1.1 => (vec![], 1) ; "single-use that may have run")]
+#[test_case(ZONE, Ending::Dropped, 1.1 => (vec![0], 0) ; "referenced within its memory")]
+#[test_case(ZONE, Ending::Dropped, 1.7 => (vec![], 1) ; "referenced after it")]
+#[test_case(Repeats::Replayable, Ending::Expired, 3.0 => (vec![], 1) ; "nothing after the client's time")]
+fn further_attempts(repeats: Repeats, ending: Ending, when: f64) -> (Vec<u32>, usize) {
+    let mut limiter = on_attempt(repeats);
+    let mut notes = Notes::default();
+    limiter.end_attempt(at(when), &attempt_end(ending, false), &mut notes);
+    (limiter.queue, notes.lines.len())
+}
+
+#[test_case(Repeats::Replayable => "defer 0 3.0" ; "harmless to try again")]
+#[test_case(Repeats::SingleUse => "scrap 0" ; "no promise where it may have run")]
+#[test_case(ZONE => "scrap 0" ; "nor outside the group that drops repeats")]
+fn giving_up(repeats: Repeats) -> String {
+    let mut limiter = on_attempt(repeats);
+    limiter.jobs[0].as_mut().into_iter().for_each(|open| open.ran = Some((0, at(1.0))));
+    let mut notes = Notes::default();
+    limiter.give_up(at(1.0), 0, &mut notes);
+    notes.lines.remove(0)
+}
+
+#[test]
+fn units_of_a_job_never_sent_are_given_back() {
+    let mut limiter = on_attempt(Repeats::SingleUse);
+    limiter.jobs[0].as_mut().into_iter().for_each(|open| open.attempts.clear());
+    limiter.give_up(at(1.0), 0, &mut Notes::default());
+    assert_eq!(limiter.accounts[0].own[0], 0.0);
+}
+
+#[test_case(ZONE => Some(0) ; "referenced stays in the zone of its first attempt")]
+#[test_case(Repeats::Replayable => Some(1) ; "replayable goes elsewhere")]
+fn where_to_next(repeats: Repeats) -> Option<u32> {
+    let mut limiter = on_attempt(repeats);
+    if let Some(open) = &mut limiter.jobs[0] {
+        open.attempts[0].out = false;
+        open.ran = Some((0, at(1.0)));
+    }
+    limiter.choose(at(1.1), 0)
+}
+
+#[test]
+fn a_server_that_streams_is_not_silent() {
+    let mut limiter = on_attempt(Repeats::Replayable);
+    limiter.answer_begins(at(4.0), 0);
+    assert!(limiter.servers[0].as_ref().is_some_and(|server| server.owing_since == at(4.0)));
+}
+
+#[test_case(Repeats::Replayable => 1 ; "what may go again is taken back")]
+#[test_case(Repeats::SingleUse => 0 ; "single-use waits")]
+fn silent_servers(repeats: Repeats) -> usize {
+    let mut limiter = on_attempt(repeats);
+    limiter.jobs[0].as_mut().into_iter().for_each(|open| open.target = at(9.0));
+    let mut notes = Notes::default();
+    limiter.watch(at(4.0), &mut notes);
+    notes.lines.len()
+}
+
+#[test_case(2.0, 0.4, true, None => 2.01 ; "quick answers while jobs wait raise it")]
+#[test_case(2.0, 0.4, false, None => 2.0 ; "nothing waits")]
+#[test_case(2.0, 0.9, true, None => 1.97 ; "long answers cut it")]
+#[test_case(1.0, 0.9, true, None => 1.0 ; "never under what the credits say")]
+#[test_case(4.0, 0.1, true, None => 4.0 ; "nor over four times")]
+#[test_case(2.0, 0.9, true, Some((0.6, 0.0)) => 2.4 ; "a report of room counts more than long answers")]
+#[test_case(2.0, 0.1, true, Some((0.95, 0.0)) => 2.0 ; "a report of busy cores")]
+#[test_case(2.0, 0.1, true, Some((0.6, 2.0)) => 1.6 ; "a report of jobs that wait")]
+#[test_case(7.9, 0.1, true, Some((0.6, 0.0)) => 8.0 ; "at most eight times")]
+fn level_over_credits(level: f64, strain: f64, pressed: bool, report: Option<(f64, f64)>) -> f64 {
+    let load = report.map_or_else(Load::default, |(busy, waiting)| Load {
+        busy: Some(busy),
+        waiting: Some(waiting),
+        ..Load::default()
+    });
+    (next_level(level, strain, pressed, &load) * 1000.0).round() / 1000.0
+}
+
+/// Guards against credits that are learned at the regular servers and counted at all.
+#[test]
+fn what_the_regular_servers_bear_stands_for_all() {
+    let mut limiter = on_attempt(Repeats::SingleUse);
+    limiter.servers.resize_with(20, || Some(Server::new(entry(9), &server_rules(), 100)));
+    limiter.servers.iter_mut().skip(2).flatten().for_each(|server| server.aside = true);
+    // One attempt is out, and two servers with two credits each stand for twenty.
+    limiter.servers[0].iter_mut().for_each(|server| server.credits = 0.2);
+    limiter.servers[1].iter_mut().for_each(|server| server.credits = 0.2);
+    let chosen = [1.0, 10.0].map(|reach| {
+        limiter.reach = reach;
+        limiter.choose(at(1.1), 0)
+    });
+    assert_eq!(chosen, [None, Some(1)]);
+}
+
+#[test_case(0.02, 0.6 ; "a slow answer is waited for")]
+#[test_case(0.12, 0.288 ; "less so where many are lost")]
+#[test_case(0.9, 0.1 ; "but no less than a tenth of a second")]
+fn patience_with_answers(losing: f64, patience: f64) {
+    assert!((secs(overdue_after(0.1, losing)) - patience).abs() < 0.001);
+}
+
+#[test_case(0.5 => (0, 1) ; "a hang: the server answered nothing since and is struck")]
+#[test_case(2.0 => (0, 0) ; "a lost answer: it answered others, its credit comes back")]
+fn overdue_attempts(answered: f64) -> (u32, u32) {
+    let mut limiter = on_attempt(Repeats::SingleUse);
+    limiter.servers[0].as_mut().into_iter().for_each(|server| server.owing_since = at(answered));
+    limiter.watch(at(4.0), &mut Notes::default());
+    limiter.servers[0].as_ref().map_or((9, 9), |server| (server.out, server.strikes))
+}
+
+#[test_case(0.1, 2.0, "send 0 to 0" ; "sent where credit is left")]
+#[test_case(0.1, 1.05, "defer 0 3.0" ; "given up at once when its target time cannot be met")]
+#[test_case(9.0, 1.4, "send 0 to 0" ; "slow answers never close the limiter for good")]
+fn dispatching(usual: f64, target: f64, decision: &str) {
+    let mut limiter = on_attempt(Repeats::Replayable);
+    (limiter.usual, limiter.queue) = (usual, vec![0]);
+    limiter.servers[0].as_mut().into_iter().for_each(|server| server.out = 0);
+    limiter.servers[1] = None;
+    if let Some(open) = &mut limiter.jobs[0] {
+        (open.queued, open.target, open.attempts) = (true, at(target), Vec::new());
+    }
+    let mut notes = Notes::default();
+    limiter.dispatch(at(1.0), &mut notes);
+    assert_eq!(notes.lines, [decision]);
+}
+
+#[test_case(0.3, true => 1 ; "idle servers take what earns beyond the quota")]
+#[test_case(0.3, false => 0 ; "busy ones do not")]
+#[test_case(0.0, true => 0 ; "nor what earns nothing")]
+fn beyond_the_quota(beyond_gain: f64, idle: bool) -> usize {
+    let mut limiter = limiter(Repeats::Replayable, peers());
+    limiter.plans[0].beyond_gain = beyond_gain;
+    limiter.idle = idle;
+    account(&mut limiter).carried = -5.0;
+    limiter.take(at(1.0), &job(), &mut Notes::default());
+    assert_eq!(limiter.accounts[0].own[0], 0.0);
+    limiter.queue.len()
+}
+
+#[test_case(1.0, 1.0 => "send 1 to 0" ; "among near equals the newest")]
+#[test_case(4.0, 1.0 => "send 0 to 0" ; "far more gain before the newest")]
+fn who_goes_first(older: f64, newer: f64) -> String {
+    let mut limiter = on_attempt(Repeats::Replayable);
+    limiter.plans = [older, newer].map(|price| Plan { price, ..plan() }).to_vec();
+    limiter.servers[0].as_mut().into_iter().for_each(|server| (server.credits, server.out) = (1.0, 0));
+    limiter.servers[1] = None;
+    let second = on_attempt(Repeats::Replayable).jobs.remove(0);
+    limiter.jobs.push(second);
+    for (i, open) in limiter.jobs.iter_mut().flatten().enumerate() {
+        (open.queued, open.target, open.attempts) = (true, at(2.0), Vec::new());
+        (open.arrived, open.job.job, open.job.plan) = (at(1.0 + i as f64 / 10.0), i as u32, i);
+    }
+    limiter.queue = vec![0, 1];
+    let mut notes = Notes::default();
+    limiter.dispatch(at(1.2), &mut notes);
+    notes.lines.remove(0)
+}
+
+#[test]
+fn a_job_that_waits_twice_in_the_queue_is_sent_once() {
+    let mut limiter = on_attempt(Repeats::SingleUse);
+    limiter.queue = vec![0, 0];
+    if let Some(open) = &mut limiter.jobs[0] {
+        (open.queued, open.target, open.attempts) = (true, at(2.0), Vec::new());
+    }
+    let mut notes = Notes::default();
+    limiter.dispatch(at(1.0), &mut notes);
+    assert_eq!(notes.lines.len(), 1);
+}
+
+#[test_case(3 ; "a few limiters")]
+#[test_case(40 ; "many, with rare peer messages")]
+fn what_waits_is_looked_at_in_time(limiters: u32) {
+    let limiter = limiter(Repeats::Replayable, Peers { limiters, ..peers() });
+    assert!(limiter.beat() <= at(0.1));
+}
+
+#[test_case(-5.0, "defer 0 2.5" ; "until the refill covers it")]
+#[test_case(-20.0, "defer 0 3.0" ; "to the window's end at most")]
+fn a_job_beyond_the_quota_is_deferred_at_once(carried: f64, decision: &str) {
+    let mut limiter = limiter(Repeats::Replayable, peers());
+    account(&mut limiter).carried = carried;
+    let mut notes = Notes::default();
+    limiter.take(at(1.0), &job(), &mut notes);
+    assert_eq!(notes.lines, [decision]);
+}
+
+#[test]
+fn the_answer_settles_the_units() {
+    let mut limiter = on_attempt(Repeats::Replayable);
+    limiter.peers.settles = true;
+    let end = AttemptEnd { units: Some(3.0), ..attempt_end(Ending::Fulfilled, true) };
+    limiter.end_attempt(at(1.1), &end, &mut Notes::default());
+    assert_eq!(limiter.accounts[0].own[0], 3.0);
+}
+
+/// A further attempt must reach its server while the key of a first that may have run is kept, for 0.6 s here since that was
+/// sent at 1 s; else it needs no hurry. Guards against an effect twice by a repeat that its connection holds up.
+#[test_case(Repeats::Referenced(Group::All, at(0.6)), Ending::Dropped => "send 0 to 1 within 0.4" ; "keyed, it may have run")]
+#[test_case(Repeats::Referenced(Group::All, at(0.6)), Ending::Unsent => "send 0 to 1" ; "keyed, it never ran")]
+#[test_case(Repeats::Replayable, Ending::Dropped => "send 0 to 1" ; "at will")]
+fn a_repeat_is_there_while_its_key_is_kept(repeats: Repeats, ending: Ending) -> String {
+    let (mut limiter, mut notes) = (on_attempt(repeats), Notes::default());
+    limiter.end_attempt(at(1.2), &attempt_end(ending, false), &mut notes);
+    limiter.dispatch(at(1.2), &mut notes);
+    notes.lines.join(", ")
+}
