--- a/crates/merlinreel-benchlink/src/host/tests.rs
+++ b/crates/merlinreel-benchlink/src/host/tests.rs
@@ -1,3 +1,4 @@
+use super::writer::{count_name, hex};
 use super::*;
 use test_case::test_case;
 
