--- /dev/null
+++ b/crates/merlinreel-testbed/src/scale/server_list/hollow.rs
@@ -0,0 +1,207 @@
+//! A hollow limiter: the real table of servers and the real decision module, without sockets and on a test's clock.
+
+use merlinreel_core::decide::Limiter;
+use merlinreel_core::{AttemptEnd, Ending, Job, Load, Round, ServerList, Writer};
+use merlinreel_discovery::{MessageError, ServerTable, decode};
+use merlinreel_settings::{Paths, Terms};
+use serde_json::{Value, json};
+use std::time::Duration;
+
+/// The limiters of the full size, by which the decision module divides servers and credits.
+pub const LIMITERS: u64 = 2_300;
+/// The test's clock begins in 2027, as the program's runs on Unix time.
+const START: Duration = Duration::from_secs(1_800_000_000);
+/// After this the decision module chooses among credits anew.
+const TURN: Duration = Duration::from_millis(500);
+const ANSWER_TIME: Duration = Duration::from_millis(10);
+const CUSTOMER: u64 = 5;
+
+/// What the decision module wrote.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct Written {
+    pub sent: u64,
+    pub forgotten: u64,
+    pub wakes: u64,
+    pub others: u64,
+}
+
+#[derive(Default)]
+struct CountingWriter {
+    written: Written,
+    sent_to: Option<u32>,
+    forgotten: Vec<u32>,
+    wake_after: Duration,
+}
+
+impl Writer for CountingWriter {
+    fn send(&mut self, _: u32, server: u32, _: Option<Duration>) {
+        self.written.sent += 1;
+        self.sent_to = Some(server);
+    }
+    fn defer(&mut self, _: u32, _: Option<Duration>) {
+        self.written.others += 1;
+    }
+    fn scrap(&mut self, _: u32) {
+        self.written.others += 1;
+    }
+    fn revoke(&mut self, _: u32, _: u32) {
+        self.written.others += 1;
+    }
+    fn probe(&mut self, _: u32) {
+        self.written.others += 1;
+    }
+    fn tell(&mut self, _: u32, _: &[u8]) {
+        self.written.others += 1;
+    }
+    fn count(&mut self, _: u64, _: u64, _: f64, _: Duration) {
+        self.written.others += 1;
+    }
+    fn follow_discovery(&mut self, _: bool) {
+        self.written.others += 1;
+    }
+    fn ask_discovery(&mut self) {
+        self.written.others += 1;
+    }
+    fn close_idle(&mut self, _: u32) {
+        self.written.others += 1;
+    }
+    fn forget(&mut self, server: u32) {
+        self.written.forgotten += 1;
+        self.forgotten.push(server);
+    }
+    fn wake(&mut self, after: Duration) {
+        self.written.wakes += 1;
+        self.wake_after = after;
+    }
+    fn note(&mut self, _: &str) {
+        self.written.others += 1;
+    }
+}
+
+/// One limiter of [`LIMITERS`].
+pub struct HollowLimiter {
+    pub table: ServerTable,
+    limiter: Limiter,
+    writer: CountingWriter,
+    now: Duration,
+}
+
+impl HollowLimiter {
+    /// Its first round is made, so that what comes next lies between two beats.
+    pub fn new(seed: u64) -> Result<HollowLimiter, String> {
+        let terms = Terms::read(&Paths::from_json(&settings())?)?;
+        let mut hollow = HollowLimiter {
+            table: ServerTable::new(terms.wire.zones.clone()),
+            limiter: terms.limiter(seed),
+            writer: CountingWriter::default(),
+            now: START,
+        };
+        hollow.round(&Round::default());
+        Ok(hollow)
+    }
+
+    pub fn now_ms(&self) -> u64 {
+        self.now.as_millis() as u64
+    }
+
+    pub fn written(&self) -> Written {
+        self.writer.written
+    }
+
+    /// Servers listed and not gone, as the decision module knows them.
+    pub fn servers_known(&self) -> u64 {
+        self.limiter.servers_seen(self.now).0 as u64
+    }
+
+    fn round(&mut self, round: &Round) {
+        self.limiter.round(self.now, round, &mut self.writer);
+        for server in std::mem::take(&mut self.writer.forgotten) {
+            self.table.forget(server);
+        }
+    }
+
+    /// Brings a list to the decision module.
+    pub fn follow(&mut self, list: ServerList) {
+        self.round(&Round { server_list: vec![list], ..Round::default() });
+    }
+
+    /// A message of discovery, from its bytes to the decision module. Gives how many entries that module was told.
+    pub fn receive(&mut self, bytes: Vec<u8>) -> Result<u64, MessageError> {
+        let news = decode(&bytes)?;
+        drop(bytes);
+        let list = self.table.apply(news, false);
+        let entries = list.entries.len() as u64;
+        self.follow(list);
+        Ok(entries)
+    }
+
+    /// Rounds at each wake that the decision module asks for, and nothing comes in.
+    pub fn rest(&mut self, span: Duration) {
+        let until = self.now + span;
+        while self.now + self.writer.wake_after <= until {
+            self.now += self.writer.wake_after;
+            self.round(&Round::default());
+        }
+        self.now = until;
+    }
+
+    /// One round a second, which is as often as the decision module looks for what it may forget.
+    pub fn rest_by_seconds(&mut self, span: Duration) {
+        for _ in 0..span.as_secs() {
+            self.now += Duration::from_secs(1);
+            self.round(&Round::default());
+        }
+    }
+
+    /// One round, a turn of the credits later.
+    pub fn next_turn(&mut self) {
+        self.now += TURN;
+        self.round(&Round::default());
+    }
+
+    /// One request, answered at once where a server is chosen; else its client leaves.
+    pub fn request(&mut self) {
+        let job = Job {
+            job: 0,
+            customer: CUSTOMER,
+            plan: 0,
+            category: 0,
+            units: 1.0,
+            time_left: Duration::from_secs(2),
+            set_size: 1,
+            set_first: 0,
+            again: false,
+        };
+        self.writer.sent_to = None;
+        self.round(&Round { jobs: vec![job], ..Round::default() });
+        match self.writer.sent_to {
+            Some(server) => self.round(&Round { attempt_ends: vec![fulfilled(server)], ..Round::default() }),
+            None => self.round(&Round { left: vec![job.job], ..Round::default() }),
+        }
+    }
+}
+
+fn fulfilled(server: u32) -> AttemptEnd {
+    AttemptEnd {
+        job: 0,
+        attempt: 0,
+        server,
+        ending: Ending::Fulfilled,
+        took: ANSWER_TIME,
+        finished: true,
+        units: None,
+        metered: None,
+        load: Load::default(),
+    }
+}
+
+fn settings() -> Value {
+    json!({"balancers": LIMITERS, "rank": 0, "zone": 0, "dcs": ["zone-00"],
+        "packages": [{"name": "team", "unitsPerS": 1e6, "mostAtOnce": 1e6, "price": 1.0}],
+        "classes": [{"name": "look", "idempotency": "read_like", "promiseS": 0.5, "hardLimitS": 2.0,
+            "worth": 1.0}],
+        "familyInfo": {"inboxPerS": 40, "maxUnits": 8},
+        "policyLimits": {"mayCancel": true, "peers": true, "retryAfter": true, "maxRetryAfterS": 1,
+            "sendCap": 4, "mostHeld": 1000},
+        "rules": {"drainGraceS": 1, "startCapacity": 0.2, "coldS": 10, "fallS": 1, "overloadFactor": 2.5}})
+}
