--- a/crates/merlinreel-testbed/src/scale/membership.rs
+++ b/crates/merlinreel-testbed/src/scale/membership.rs
@@ -18,10 +18,14 @@
 pub const CHANGES_SIZES: &[u64] = &[24_000, 86_400, 240_000, 864_000];
 /// Limiters started again at once: one, a rack, a zone of eleven, half, all of [`FIXED_LIMITERS`].
 pub const RESTARTS_SIZES: &[u64] = &[1, 20, 46, 253, 506];
+/// Limiters, of which one starts again.
+pub const RESTART_OF_ONE_SIZES: &[u64] = &[25, 50, 100, 200, 300];
 /// Limiters where something else is varied: eleven zones of 46.
 pub const FIXED_LIMITERS: usize = 506;
 
 const ROLE: &str = "membership";
+/// How often it is looked whether each limiter knows nearly all.
+const NEARLY_CHECK: Duration = Duration::from_secs(2);
 /// How often knowledge of a record is looked at.
 const WATCH_CHECK: Duration = Duration::from_millis(500);
 const URGENT_RECORDS: usize = 3;
@@ -38,6 +42,10 @@
 const IN_FORCE: Duration = Duration::from_secs(4);
 const CHANGES: Duration = Duration::from_secs(20);
 const SECONDS_A_DAY: u64 = 86_400;
+/// The time that one limiter is given to know all again.
+const RESTART_OF_ONE_AT_MOST: Duration = Duration::from_secs(1200);
+/// Between a routine record and an urgent one of the same limiter.
+const ROUTINE_BEFORE_URGENT: Duration = Duration::from_secs(1);
 /// How long a limiter is away that starts again.
 const AWAY: Duration = Duration::from_secs(2);
 /// What one limiter holds of another, in bytes: estimated high, for the memory bound alone.
@@ -66,18 +74,25 @@
         .map(Duration::from_secs);
         Spans { settle, rest, quiet, watch }
     }
+
+    fn told(&self) -> String {
+        let Spans { settle, rest, quiet, watch } = self;
+        format!(
+            "settles for {settle:?} at most, rests for {rest:?}, quiet for {quiet:?}, watched for {watch:?}"
+        )
+    }
 }
 
 /// Varies the number of limiters: start of all, the quiet, an urgent record, a routine record.
 pub fn measure(request: &MeasureRequest, emit: Emit<'_>) -> Result<(), ScaleError> {
     for &size in &request.sizes {
         check_memory(request, size)?;
-        let setting = format!("{}; 3 seeds; 8,000 bytes/s each", ways_told());
+        let spans = Spans::of(size);
+        let setting = format!("{}; 3 seeds; 8,000 bytes/s each; {}", ways_told(), spans.told());
         let mut report =
             Report { request, role: ROLE, variable: "limiters", size, setting, emit: &mut *emit };
         let meter = Meter::start();
         let mut fleet = start_fleet(size as usize, request.seed)?;
-        let spans = Spans::of(size);
         report_settling(&mut fleet, &mut report, spans.settle)?;
         report_quiet(&mut fleet, &mut report, spans)?;
         let memory = meter.read().memory_bytes as f64 / size as f64;
@@ -122,6 +137,22 @@
     Ok(())
 }
 
+/// Varies the number of limiters, one of which starts again with no memory while all else is quiet.
+pub fn measure_restart_of_one(request: &MeasureRequest, emit: Emit<'_>) -> Result<(), ScaleError> {
+    for &size in &request.sizes {
+        check_memory(request, size)?;
+        let setting = format!("one limiter is away for {AWAY:?}; {}", ways_told());
+        let role = "membership_restart_of_one";
+        let mut report = Report { request, role, variable: "limiters", size, setting, emit: &mut *emit };
+        let mut fleet = start_fleet(size as usize, request.seed)?;
+        fleet.run_until_whole(Spans::of(size).settle);
+        fleet.run(REST);
+        fleet.restart([size as u32 - 1], AWAY);
+        report_settling(&mut fleet, &mut report, RESTART_OF_ONE_AT_MOST)?;
+    }
+    Ok(())
+}
+
 fn ways_told() -> String {
     "1 % loss, 1 to 3 ms on the way, one record of its own each".to_owned()
 }
@@ -140,7 +171,12 @@
 fn report_settling(fleet: &mut Fleet, report: &mut Report, most: Duration) -> Result<(), ScaleError> {
     let begun = fleet.now();
     fleet.network_mut().reset_traffic();
-    let whole = fleet.run_until_whole(most);
+    let nearly = fleet.run_until(most, NEARLY_CHECK, |fleet| fleet.knowledge().is_nearly_whole());
+    if nearly {
+        let took = (fleet.now() - begun).as_secs_f64();
+        report.counted("seconds_until_all_know_99_percent", Unit::Seconds, took)?;
+    }
+    let whole = fleet.run_until_whole((begun + most).saturating_sub(fleet.now()));
     let took = (fleet.now() - begun).as_secs_f64();
     let metric = if whole { "seconds_until_whole" } else { "seconds_not_whole" };
     report.counted(metric, Unit::Seconds, took)?;
@@ -210,7 +246,22 @@
     let times = routine.iter().filter_map(|watch| fleet.watch(*watch).time_to_all());
     let times: Vec<f64> = times.map(|time| time.as_secs_f64()).collect();
     report.counted("routine_records_held_by_all", Unit::Count, times.len() as f64)?;
-    report.runs("routine_seconds_until_last", Unit::Seconds, Source::Counted, times)
+    report.runs("routine_seconds_until_last", Unit::Seconds, Source::Counted, times)?;
+    report_urgent_after_routine(fleet, report)
+}
+
+/// Urgent records of limiters that have just written a routine one, which is not everywhere yet.
+fn report_urgent_after_routine(fleet: &mut Fleet, report: &mut Report) -> Result<(), ScaleError> {
+    let mut shares = Vec::new();
+    for _ in 0..URGENT_RECORDS {
+        let owner = fleet.draw_limiter();
+        publish_watched(fleet, report.size, owner, false)?;
+        fleet.run(ROUTINE_BEFORE_URGENT);
+        let watch = publish_watched(fleet, report.size, owner, true)?;
+        fleet.run(IN_FORCE);
+        shares.push(fleet.watch(watch).share_after(IN_FORCE));
+    }
+    report.runs("urgent_after_routine_share_after_4_s", Unit::Count, Source::Counted, shares)
 }
 
 fn report_urgent(fleet: &Fleet, report: &mut Report, watches: &[usize]) -> Result<(), ScaleError> {
--- a/crates/merlinreel-testbed/src/scale/membership/fleet.rs
+++ b/crates/merlinreel-testbed/src/scale/membership/fleet.rs
@@ -21,6 +21,8 @@
 const PORT: u16 = 7946;
 /// Limiters start within this span of one another.
 const START_SPREAD: Duration = Duration::from_secs(1);
+/// The share of the others that is known in a fleet that is nearly whole.
+const NEARLY: f64 = 0.99;
 /// How often it is looked whether the fleet is whole.
 const WHOLE_CHECK: Duration = Duration::from_secs(1);
 
@@ -63,6 +65,13 @@
     pub least_records: f64,
 }
 
+impl Knowledge {
+    /// Whether each limiter knows 99 % of the others and of their records.
+    pub fn is_nearly_whole(&self) -> bool {
+        self.least_members >= NEARLY && self.least_records >= NEARLY
+    }
+}
+
 /// Limiters by number from 0 on. A limiter that is stopped has no node.
 pub struct Fleet {
     setting: FleetSetting,
