--- a/crates/merlinreel-benchlink/src/host.rs
+++ b/crates/merlinreel-benchlink/src/host.rs
@@ -154,9 +154,9 @@
                 let set_size = values.index("spread", 1 << 16)? as u32;
                 let time_left = values.time("timeLeftS")?;
                 let customer = values.integer("clientId")?;
-                let (plans, categories) = instance.limiter.sizes();
+                let (plans, classes) = instance.limiter.sizes();
                 let plan = values.index("package", plans as u64)? as usize;
-                let category = values.index("lane", categories as u64)? as usize;
+                let class = values.index("lane", classes as u64)? as usize;
                 let marks = values.optional("attrs")?.unwrap_or(0.0) as u32;
                 let set_first = values.optional("setFrom")?.unwrap_or(0.0) as u32;
                 let units = values.optional("quotaUnits")?.unwrap_or(1.0);
@@ -172,7 +172,7 @@
                     job,
                     customer,
                     plan,
-                    category,
+                    class,
                     units,
                     time_left,
                     set_size,
--- a/crates/merlinreel-core/src/decide.rs
+++ b/crates/merlinreel-core/src/decide.rs
@@ -28,13 +28,13 @@
     pub fn new(
         seed: u64,
         plans: Vec<Plan>,
-        categories: Vec<Category>,
+        classes: Vec<Class>,
         peers: Peers,
         server_rules: ServerRules,
         job_rules: JobRules,
     ) -> Limiter {
         // Until answers are seen; two and a half of them do not bind then.
-        let fifth = categories.iter().map(|c| secs(c.target_time) / 5.0).fold(1.0, f64::min);
+        let fifth = classes.iter().map(|c| secs(c.target_time) / 5.0).fold(1.0, f64::min);
         Limiter {
             usual: fifth,
             calm: fifth,
@@ -50,8 +50,8 @@
             // Starting value: a thousand a second over all limiters, little for a service made for it.
             calls: 20.0 / f64::from(peers.limiters),
             // Steps of a 128th are finer than retries spread and coarser than the way here varies.
-            left_seen: vec![(vec![0.0; 130], 1.0); categories.len()],
-            ..Limiter::empty(seed, plans, categories, peers, server_rules, job_rules)
+            left_seen: vec![(vec![0.0; 130], 1.0); classes.len()],
+            ..Limiter::empty(seed, plans, classes, peers, server_rules, job_rules)
         }
     }
 
--- a/crates/merlinreel-core/src/decide/quotas.rs
+++ b/crates/merlinreel-core/src/decide/quotas.rs
@@ -136,12 +136,12 @@
         account.tries[0] += 1.0;
         account.unasked += job.units;
         account.asked_units.add(now, job.units);
-        let category = &self.categories[job.category];
-        let (seen, firsts) = &mut self.left_seen[job.category];
-        let elapsed = elapsed(job.time_left, seen, firsts, category.outer_limit);
+        let class = &self.classes[job.class];
+        let (seen, firsts) = &mut self.left_seen[job.class];
+        let elapsed = elapsed(job.time_left, seen, firsts, class.outer_limit);
         // What earns little any more takes units only from a store that is well filled.
-        let late = elapsed >= category.target_time;
-        let worth_it = !late || category.late_gain > 0.0 && account.left(now, plan) > plan.burst / 2.0;
+        let late = elapsed >= class.target_time;
+        let worth_it = !late || class.late_gain > 0.0 && account.left(now, plan) > plan.burst / 2.0;
         // Departure: where a plan earns beyond the quota more than it costs, idle servers take such jobs.
         // They find the store empty and take nothing from it.
         let beyond = account.left(now, plan) < job.units;
@@ -173,7 +173,7 @@
         }
         account.ceiling -= job.units;
         account.out += 1;
-        let target = now + category.target_time.saturating_sub(elapsed);
+        let target = now + class.target_time.saturating_sub(elapsed);
         *slot(&mut self.jobs, job.job) =
             Some(OpenJob { stands_for, ..OpenJob::new(job, i, now, target, window) });
         self.queue.push(job.job);
--- a/crates/merlinreel-core/src/decide/requests.rs
+++ b/crates/merlinreel-core/src/decide/requests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-/// How long the client has waited over earlier tries. First tries of a category come with one and the same
+/// How long the client has waited over earlier tries. First tries of a class come with one and the same
 /// time left; a rarer one is what the outer limit leaves of a later try. Guards quota and servers against
 /// retries too late to earn. Clients that change their time-outs could suffer: so it forgets fast.
 pub(super) fn elapsed(left: Duration, seen: &mut [f64], firsts: &mut f64, outer_limit: Duration) -> Duration {
@@ -42,7 +42,7 @@
         }
         // Two at a server over all limiters keep it at work, however long its answers take.
         let floor = 2.0 / f64::from(self.peers.limiters);
-        let (sent, target) = (attempt.sent, secs(self.categories[open.job.category].target_time));
+        let (sent, target) = (attempt.sent, secs(self.classes[open.job.class].target_time));
         if let Some(server) = self.servers.get_mut(end.server as usize).and_then(|s| s.as_mut()) {
             if !overdue {
                 server.out = server.out.saturating_sub(1);
@@ -119,9 +119,9 @@
 
     pub(super) fn may_send_again(&self, now: Duration, job: u32) -> bool {
         let Some(open) = self.jobs[job as usize].as_ref() else { return false };
-        let category = &self.categories[open.job.category];
-        let in_time = now < open.target || category.late_gain > 0.0 && now < open.give_up;
-        let rule = match (category.repeats, open.ran) {
+        let class = &self.classes[open.job.class];
+        let in_time = now < open.target || class.late_gain > 0.0 && now < open.give_up;
+        let rule = match (class.repeats, open.ran) {
             (_, None) | (Repeats::Replayable, _) => true,
             (Repeats::Referenced(_, memory), Some((_, sent))) => now < sent + memory,
             (Repeats::SingleUse, Some(_)) => false,
@@ -141,7 +141,7 @@
     /// The final answer of a job that is given up, at once: a deferral where that is harmless.
     pub(super) fn give_up(&mut self, now: Duration, job: u32, out: &mut dyn Writer) {
         let Some(open) = self.jobs[job as usize].as_mut().filter(|open| !open.done) else { return };
-        let harmless = match (self.categories[open.job.category].repeats, open.ran) {
+        let harmless = match (self.classes[open.job.class].repeats, open.ran) {
             (_, None) | (Repeats::Replayable, _) => true,
             // Guards the effect against clients told to come back once no server knows the key any more.
             (Repeats::Referenced(Group::All, memory), Some((_, sent))) => now < sent + memory,
@@ -192,8 +192,8 @@
         let mut queue = std::mem::take(&mut self.queue);
         // What gains less than half as much for its target time goes after; near equals fare alike.
         let worth = |open: &OpenJob| {
-            let category = &self.categories[open.job.category];
-            category.gain * self.plans[open.job.plan].price / secs(category.target_time).max(0.001)
+            let class = &self.classes[open.job.class];
+            class.gain * self.plans[open.job.plan].price / secs(class.target_time).max(0.001)
         };
         let most = queue.iter().flat_map(|&job| &self.jobs[job as usize]).map(worth).fold(0.0, f64::max);
         queue.sort_by_cached_key(|&job| match &self.jobs[job as usize] {
@@ -205,7 +205,7 @@
                 continue;
             };
             // Half the target time bounds it: slow answers must not stop all sending for good.
-            let least = secs(self.categories[open.job.category].target_time) / 2.0;
+            let least = secs(self.classes[open.job.class].target_time) / 2.0;
             let hopeless = now + span((self.usual * 1.5).min(least)) >= open.target.min(open.give_up);
             if hopeless || !self.may_send_again(now, job) {
                 self.give_up(now, job, out);
@@ -225,7 +225,7 @@
             at.out += 1;
             at.sends.add(now, 1.0);
             // Servers keep a key so long after the first attempt that may have run: a repeat has to be there by then.
-            let within = match (self.categories[open.job.category].repeats, open.ran) {
+            let within = match (self.classes[open.job.class].repeats, open.ran) {
                 (Repeats::Referenced(_, memory), Some((_, sent))) => {
                     Some((sent + memory).saturating_sub(now))
                 }
--- a/crates/merlinreel-core/src/decide/servers.rs
+++ b/crates/merlinreel-core/src/decide/servers.rs
@@ -134,7 +134,7 @@
     /// The server for an attempt: credit left there, and the least work in hand for its pace.
     pub(super) fn choose(&mut self, now: Duration, job: u32) -> Option<u32> {
         let open = self.jobs[job as usize].as_ref()?;
-        let category = &self.categories[open.job.category];
+        let class = &self.classes[open.job.class];
         let rules = &self.server_rules;
         // Where limiters are many, credits are parts of an attempt: all together bound what is out.
         let (mut credits, mut busy) = (0.0, 0.0);
@@ -159,7 +159,7 @@
             if has_one || aside || !server.listed || now < server.benched_until {
                 continue;
             }
-            if let (Some(origin), Repeats::Referenced(group, _)) = (origin, category.repeats)
+            if let (Some(origin), Repeats::Referenced(group, _)) = (origin, class.repeats)
                 && (group == Group::Zone && origin.zone != server.entry.zone
                     || group == Group::Cell && origin.cell != server.entry.cell)
             {
@@ -208,7 +208,7 @@
         let patience = overdue_after(self.usual, self.losing);
         let most = self.job_rules.most_attempts as usize;
         for open in self.jobs.iter_mut().flatten() {
-            let again = match self.categories[open.job.category].repeats {
+            let again = match self.classes[open.job.class].repeats {
                 Repeats::Replayable => true,
                 Repeats::Referenced(_, memory) => open.attempts.iter().all(|t| now < t.sent + memory / 2),
                 Repeats::SingleUse => false,
--- a/crates/merlinreel-core/src/decide/tests/cold_servers.rs
+++ b/crates/merlinreel-core/src/decide/tests/cold_servers.rs
@@ -94,7 +94,7 @@
     /// Number `me`; `told` is the number of limiters that its settings name.
     fn new(me: u32, told: u32, seed: u64) -> Place {
         let peers = Peers { limiters: told, me: me.min(told - 1), ..peers() };
-        let category = Category {
+        let class = Class {
             target_time: at(0.5),
             outer_limit: at(2.0),
             gain: 1.0,
@@ -112,7 +112,7 @@
         // Quotas are none of this test's: each customer has more than it asks for.
         let plan = Plan { rate: 1e6, burst: 1e6, price: 1.0, ..Plan::default() };
         let seed = seed.wrapping_mul(1000) + u64::from(me);
-        let limiter = Limiter::new(seed, vec![plan], vec![category], peers, rules(), jobs);
+        let limiter = Limiter::new(seed, vec![plan], vec![class], peers, rules(), jobs);
         Place { limiter, next: Round::default(), ends: BTreeMap::new(), jobs: 0 }
     }
 
--- a/crates/merlinreel-core/src/decide/tests/helpers.rs
+++ b/crates/merlinreel-core/src/decide/tests/helpers.rs
@@ -97,8 +97,7 @@
 }
 
 pub fn limiter(repeats: Repeats, peers: Peers) -> Limiter {
-    let category =
-        Category { target_time: at(0.5), outer_limit: at(2.0), gain: 1.0, late_gain: 0.0, repeats };
+    let class = Class { target_time: at(0.5), outer_limit: at(2.0), gain: 1.0, late_gain: 0.0, repeats };
     let jobs = JobRules {
         most_attempts: 4,
         second_copies: false,
@@ -107,7 +106,7 @@
         longest_retry_after: at(1.0),
         most_held: 1000,
     };
-    Limiter::new(7, vec![plan()], vec![category], peers, server_rules(), jobs)
+    Limiter::new(7, vec![plan()], vec![class], peers, server_rules(), jobs)
 }
 
 pub fn entry(server: u32) -> ServerEntry {
@@ -135,7 +134,7 @@
         job: 0,
         customer: 5,
         plan: 0,
-        category: 0,
+        class: 0,
         units: 1.0,
         time_left: at(2.0),
         set_size: 2,
--- a/crates/merlinreel-core/src/lib.rs
+++ b/crates/merlinreel-core/src/lib.rs
@@ -51,7 +51,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct Category {
+pub struct Class {
     /// Answers within this earn the full gain.
     pub target_time: Duration,
     /// The client gives up altogether after this, over all its tries.
@@ -156,7 +156,7 @@
     pub job: u32,
     pub customer: u64,
     pub plan: usize,
-    pub category: usize,
+    pub class: usize,
     pub units: f64,
     /// Time before the client gives up this try.
     pub time_left: Duration,
--- a/crates/merlinreel-core/src/state.rs
+++ b/crates/merlinreel-core/src/state.rs
@@ -5,7 +5,7 @@
 use crate::peer_message::{self, Head, Row};
 use crate::remote_counts::Reading;
 use crate::ring::Ring;
-use crate::{Category, JobRules, Peers, Plan, ServerEntry, ServerRules, Standing, Writer};
+use crate::{Class, JobRules, Peers, Plan, ServerEntry, ServerRules, Standing, Writer};
 use nanorand::WyRand;
 use std::collections::HashMap;
 use std::time::Duration;
@@ -115,7 +115,7 @@
 /// One limiter: what it was started with and all that it keeps.
 pub struct Limiter {
     pub(crate) plans: Vec<Plan>,
-    pub(crate) categories: Vec<Category>,
+    pub(crate) classes: Vec<Class>,
     pub(crate) peers: Peers,
     pub(crate) server_rules: ServerRules,
     pub(crate) job_rules: JobRules,
@@ -162,7 +162,7 @@
     /// The server list must be asked for, and the last call failed or is yet to be made.
     pub(crate) discovery_lost: bool,
     pub(crate) discovery_at: Duration,
-    /// By category, how many tries came with which part of the outer limit left, and the common share.
+    /// By class, how many tries came with which part of the outer limit left, and the common share.
     pub(crate) left_seen: Vec<(Vec<f64>, f64)>,
     /// Counter calls a beat, and how many may go out now.
     pub(crate) calls: f64,
@@ -251,7 +251,7 @@
     pub(crate) fn empty(
         seed: u64,
         plans: Vec<Plan>,
-        categories: Vec<Category>,
+        classes: Vec<Class>,
         peers: Peers,
         server_rules: ServerRules,
         job_rules: JobRules,
@@ -272,7 +272,7 @@
             messages_at: Duration::ZERO,
             left_seen: Vec::new(),
             plans,
-            categories,
+            classes,
             peers,
             server_rules,
             job_rules,
@@ -370,26 +370,26 @@
         })
     }
 
-    /// Categories and job rules of settings read again. Categories only grow: one with the same rules keeps its
+    /// Classes and job rules of settings read again. Classes only grow: one with the same rules keeps its
     /// index, a new or changed one is appended, so that an open job keeps the rules it came under. Returns each
-    /// given category's index here, in their order.
-    pub fn retune(&mut self, categories: &[Category], job_rules: JobRules) -> Vec<usize> {
+    /// given class's index here, in their order.
+    pub fn retune(&mut self, classes: &[Class], job_rules: JobRules) -> Vec<usize> {
         self.job_rules = job_rules;
-        let mut indices = Vec::with_capacity(categories.len());
-        for category in categories {
-            let same = self.categories.iter().rposition(|known| known == category);
+        let mut indices = Vec::with_capacity(classes.len());
+        for class in classes {
+            let same = self.classes.iter().rposition(|known| known == class);
             indices.push(same.unwrap_or_else(|| {
-                // What was seen of the times left starts over, as for any category at start.
+                // What was seen of the times left starts over, as for any class at start.
                 self.left_seen.push((vec![0.0; 130], 1.0));
-                self.categories.push(category.clone());
-                self.categories.len() - 1
+                self.classes.push(class.clone());
+                self.classes.len() - 1
             }));
         }
         indices
     }
 
-    /// How many plans and categories there are; a job names one of each.
+    /// How many plans and classes there are; a job names one of each.
     pub fn sizes(&self) -> (usize, usize) {
-        (self.plans.len(), self.categories.len())
+        (self.plans.len(), self.classes.len())
     }
 }
--- a/crates/merlinreel-settings/src/lib.rs
+++ b/crates/merlinreel-settings/src/lib.rs
@@ -2,7 +2,7 @@
 //! `path=value` pairs, the limiter's configuration nested JSON; both name the same things.
 
 use merlinreel_core::decide::Limiter;
-use merlinreel_core::{Category, Group, JobRules, Peers, Plan, Repeats, ServerRules};
+use merlinreel_core::{Class, Group, JobRules, Peers, Plan, Repeats, ServerRules};
 use serde_json::Value;
 use std::collections::HashMap;
 use std::time::Duration;
@@ -115,7 +115,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Terms {
     pub plans: Vec<Plan>,
-    pub categories: Vec<Category>,
+    pub classes: Vec<Class>,
     pub peers: Peers,
     pub servers: ServerRules,
     pub jobs: JobRules,
@@ -126,7 +126,7 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Wire {
     pub plans: Vec<String>,
-    pub categories: Vec<String>,
+    pub classes: Vec<String>,
     pub zones: Vec<String>,
     /// A server closes a connection idle for this long.
     pub server_idle: Duration,
@@ -148,7 +148,7 @@
         let how = paths.text("report.how");
         Ok(Terms {
             plans: tariffs.iter().map(|at| plan(paths, at)).collect::<Result<_, _>>()?,
-            categories: lanes.iter().map(|at| category(paths, at)).collect::<Result<_, _>>()?,
+            classes: lanes.iter().map(|at| class(paths, at)).collect::<Result<_, _>>()?,
             peers: peers(paths)?,
             servers: ServerRules {
                 zone: paths.number("zone")? as u32,
@@ -171,7 +171,7 @@
             },
             wire: Wire {
                 plans: tariffs.iter().map(name).collect(),
-                categories: lanes.iter().map(name).collect(),
+                classes: lanes.iter().map(name).collect(),
                 zones: paths.names("dcs"),
                 server_idle: paths.time("policyLimits.connIdleS")?,
                 connect_within: paths.time("policyLimits.connectTimeoutS")?,
@@ -182,12 +182,12 @@
     }
 
     pub fn limiter(&self, seed: u64) -> Limiter {
-        let (plans, categories) = (self.plans.clone(), self.categories.clone());
-        Limiter::new(seed, plans, categories, self.peers, self.servers, self.jobs)
+        let (plans, classes) = (self.plans.clone(), self.classes.clone());
+        Limiter::new(seed, plans, classes, self.peers, self.servers, self.jobs)
     }
 }
 
-fn category(paths: &Paths, at: &str) -> Result<Category, String> {
+fn class(paths: &Paths, at: &str) -> Result<Class, String> {
     let repeats = match paths.text(&format!("{at}.idempotency")) {
         "read_like" => Repeats::Replayable,
         "idempotency_key" => {
@@ -202,7 +202,7 @@
         "non_idempotent" => Repeats::SingleUse,
         other => return Err(format!("setting {at}.idempotency: unknown '{other}'")),
     };
-    Ok(Category {
+    Ok(Class {
         target_time: paths.time(&format!("{at}.promiseS"))?,
         outer_limit: paths.time(&format!("{at}.hardLimitS"))?,
         gain: paths.number(&format!("{at}.worth"))?,
--- a/crates/merlinreel-settings/src/tests.rs
+++ b/crates/merlinreel-settings/src/tests.rs
@@ -21,7 +21,7 @@
     let pairs: Vec<&str> = pairs.split_whitespace().collect();
     let (nested, paired) = (terms(nested), Paths::from_pairs(&pairs).and_then(|paths| Terms::read(&paths)));
     let Ok(terms) = &nested else { panic!("{nested:?}") };
-    assert_eq!((terms.categories.len(), terms.wire.zones.len(), terms.jobs.most_held), (1, 2, 20000));
+    assert_eq!((terms.classes.len(), terms.wire.zones.len(), terms.jobs.most_held), (1, 2, 20000));
     assert_eq!(format!("{nested:?}"), format!("{paired:?}"));
 }
 
--- a/crates/merlinreel-testbed/src/checker/jobs.rs
+++ b/crates/merlinreel-testbed/src/checker/jobs.rs
@@ -14,7 +14,7 @@
 
 #[derive(Debug)]
 pub struct Job {
-    pub category: &'static str,
+    pub class: &'static str,
     pub customer: u32,
     pub limiter: usize,
     pub asked: Duration,
@@ -27,7 +27,7 @@
 impl Job {
     /// Whether a single-use job went out again, or was deferred, after an attempt that may have run.
     pub fn effects(&self) -> Option<()> {
-        let single_use = self.category == "pay";
+        let single_use = self.class == "pay";
         let first = self.attempts.iter().position(|attempt| !attempt.never_ran)?;
         let again = self.attempts.len() > first + 1;
         let came = self.attempts[first].came;
@@ -53,9 +53,9 @@
     let mut attempts: BTreeMap<u64, (JobId, usize)> = BTreeMap::new();
     for Entry { at, what } in entries {
         match what {
-            What::Asked { id, category, customer, limiter, patience } => {
+            What::Asked { id, class, customer, limiter, patience } => {
                 let job = Job {
-                    category,
+                    class,
                     customer: *customer,
                     limiter: *limiter,
                     asked: *at,
--- a/crates/merlinreel-testbed/src/checker/tests.rs
+++ b/crates/merlinreel-testbed/src/checker/tests.rs
@@ -5,8 +5,8 @@
     Duration::from_millis(n)
 }
 
-fn asked(category: &'static str) -> What {
-    What::Asked { id: "a".into(), category, customer: 7, limiter: 0, patience: ms(1000) }
+fn asked(class: &'static str) -> What {
+    What::Asked { id: "a".into(), class, customer: 7, limiter: 0, patience: ms(1000) }
 }
 
 fn came(worker: usize, attempt: u64) -> What {
@@ -53,8 +53,7 @@
     for n in 0..3u64 {
         let (id, at) = (format!("j{n}"), n * apart);
         let patience = ms(1000);
-        course
-            .push((at, What::Asked { id: id.clone(), category: "look", customer: 7, limiter: 0, patience }));
+        course.push((at, What::Asked { id: id.clone(), class: "look", customer: 7, limiter: 0, patience }));
         course.push((at + 1, What::Came { id: id.clone(), worker: 0, attempt: n }));
         course.push((at + 2, What::Ran { attempt: n }));
         course.push((at + 3, What::Answered { id, status: 200, again: false }));
--- a/crates/merlinreel-testbed/src/client.rs
+++ b/crates/merlinreel-testbed/src/client.rs
@@ -52,28 +52,28 @@
     }
 
     /// The answer to one job of that customer.
-    pub fn job(&mut self, category: &str, customer: u32, units: u32) -> Message {
-        self.call(&job(category, customer, units, "3000m")).expect("an answer")
+    pub fn job(&mut self, class: &str, customer: u32, units: u32) -> Message {
+        self.call(&job(class, customer, units, "3000m")).expect("an answer")
     }
 }
 
 /// A job as clients send it, with an id of its own.
-pub fn job(category: &str, customer: u32, units: u32, remaining: &str) -> String {
-    let (method, key, body) = match category {
+pub fn job(class: &str, customer: u32, units: u32, remaining: &str) -> String {
+    let (method, key, body) = match class {
         "look" => ("GET", "", ""),
         "put" => ("POST", "Idempotency-Key: 5c0f6e1a\r\n", "a body"),
         _ => ("POST", "", "a body"),
     };
     format!(
-        "{method} /{category}?key={customer:016x} HTTP/1.1\r\nHost: origin.svc\r\nX-Txn: {:08x}\r\n\
-         X-Lane: {category}\r\nX-Plan: team\r\nX-Remaining: {remaining}\r\n{key}Content-Length: {}\r\n\
+        "{method} /{class}?key={customer:016x} HTTP/1.1\r\nHost: origin.svc\r\nX-Txn: {:08x}\r\n\
+         X-Lane: {class}\r\nX-Plan: team\r\nX-Remaining: {remaining}\r\n{key}Content-Length: {}\r\n\
          X-Quota: units={units},spread=1,first=0\r\n\r\n{body}",
         TRIES.fetch_add(1, Ordering::Relaxed),
         body.len()
     )
 }
 
-/// Keeps asking at one limiter until `stop`, a job of each category by turns, on a connection that it keeps as long as
+/// Keeps asking at one limiter until `stop`, a job of each class by turns, on a connection that it keeps as long as
 /// it stays open; comes again after each answer, a pause of `beat` between, and dials anew where the connection ended.
 /// The time that it gives each job is `patience`, and it waits `longer` for an answer that is late.
 pub fn keep_asking(
@@ -91,11 +91,11 @@
         let Some(mut client) = open.take().or_else(|| Client::connect(address).ok()) else { continue };
         let _ = client.to.set_read_timeout(Some(patience + longer));
         turn += 1;
-        let category = ["look", "put", "pay"][turn % 3];
-        let text = job(category, customer, 1, &format!("{}m", patience.as_millis()));
+        let class = ["look", "put", "pay"][turn % 3];
+        let text = job(class, customer, 1, &format!("{}m", patience.as_millis()));
         let id = text.split("X-Txn: ").nth(1).and_then(|rest| rest.split("\r\n").next()).unwrap_or("");
         let id = id.to_owned();
-        record.tell(What::Asked { id: id.clone(), category, customer, limiter, patience });
+        record.tell(What::Asked { id: id.clone(), class, customer, limiter, patience });
         match client.call(&text) {
             Some(answer) => {
                 record.tell(What::Answered {
--- a/crates/merlinreel-testbed/src/config.rs
+++ b/crates/merlinreel-testbed/src/config.rs
@@ -33,7 +33,7 @@
     json!({"generation": generation, "reset": whole, "instances": servers})
 }
 
-/// A configuration: three categories, a plan that holds ten units and hardly refills, one limiter.
+/// A configuration: three classes, a plan that holds ten units and hardly refills, one limiter.
 pub fn config(servers: &[Value]) -> Value {
     let listen = free_address();
     // Nobody's: a free port might be the next test's server, which would be asked for lists.
--- a/crates/merlinreel-testbed/src/record.rs
+++ b/crates/merlinreel-testbed/src/record.rs
@@ -11,7 +11,7 @@
     /// A client wrote a job whole to a limiter, by that limiter's number.
     Asked {
         id: JobId,
-        category: &'static str,
+        class: &'static str,
         customer: u32,
         limiter: usize,
         patience: Duration,
--- a/crates/merlinreel-testbed/src/scale/server_list/hollow.rs
+++ b/crates/merlinreel-testbed/src/scale/server_list/hollow.rs
@@ -165,7 +165,7 @@
             job: 0,
             customer: CUSTOMER,
             plan: 0,
-            category: 0,
+            class: 0,
             units: 1.0,
             time_left: Duration::from_secs(2),
             set_size: 1,
--- a/crates/merlinreel/src/clients/intake.rs
+++ b/crates/merlinreel/src/clients/intake.rs
@@ -27,7 +27,7 @@
     TooLong { least: u64, most: usize },
     #[error("too much in hand")]
     NoRoom,
-    #[error("a repeatable category comes without a body")]
+    #[error("a repeatable class comes without a body")]
     NotAllowed,
     #[error(transparent)]
     Broken(#[from] hyper::Error),
@@ -101,7 +101,7 @@
         let tuned = self.tuned.borrow().clone();
         let mut job =
             decode(&head, &tuned.terms).map_err(|what| respond(StatusCode::BAD_REQUEST, what + "\n"))?;
-        job.category = tuned.indices[job.category];
+        job.class = tuned.indices[job.class];
         let mut room = None;
         let body = if body.is_end_stream() {
             Bytes::new()
--- a/crates/merlinreel/src/clients/tests.rs
+++ b/crates/merlinreel/src/clients/tests.rs
@@ -27,7 +27,7 @@
     Limits::new(1024, 192, &terms()).expect("room")
 }
 
-/// One category, whose clients wait for up to 9 s.
+/// One class, whose clients wait for up to 9 s.
 fn looking() -> Terms {
     let settings = serde_json::json!({"packages": [{"name": "team"}], "balancers": 1, "classes":
         [{"name": "look", "idempotency": "read_like", "hardLimitS": 9}]});
--- a/crates/merlinreel/src/config.rs
+++ b/crates/merlinreel/src/config.rs
@@ -230,7 +230,7 @@
     if terms.peers.counter {
         return Err(StationError::Counter);
     }
-    let needed = [("classes", &terms.wire.categories), ("packages", &terms.wire.plans)];
+    let needed = [("classes", &terms.wire.classes), ("packages", &terms.wire.plans)];
     for (list, names) in needed {
         if names.is_empty() {
             return Err(StationError::Empty(list));
@@ -242,8 +242,8 @@
             }
         }
     }
-    for (i, category) in terms.categories.iter().enumerate() {
-        if category.outer_limit.is_zero() {
+    for (i, class) in terms.classes.iter().enumerate() {
+        if class.outer_limit.is_zero() {
             return Err(StationError::SettingMissing { key: format!("classes.{i}.hardLimitS") });
         }
     }
--- a/crates/merlinreel/src/decode.rs
+++ b/crates/merlinreel/src/decode.rs
@@ -7,7 +7,7 @@
 use hyper::header::{CONNECTION, CONTENT_LENGTH, HeaderMap, HeaderName, HeaderValue, RETRY_AFTER};
 use hyper::http::request::Parts;
 use hyper::{Method, Response, StatusCode};
-use merlinreel_core::{Category, Job, Peers, Repeats};
+use merlinreel_core::{Class, Job, Peers, Repeats};
 use merlinreel_settings::Terms;
 use std::time::Duration;
 
@@ -79,29 +79,29 @@
     }
 }
 
-/// Reads a job from a request's head: its category, customer, plan and quota, and the time the client waits.
+/// Reads a job from a request's head: its class, customer, plan and quota, and the time the client waits.
 pub fn decode(head: &Parts, terms: &Terms) -> Result<Job, String> {
     let path = head.uri.path().trim_start_matches('/');
     let lane = path.split('/').next().unwrap_or(path);
     if let Some(value) = once(&head.headers, &LANE)?
         && value != lane
     {
-        return Err("the path and x-lane name two categories".to_owned());
+        return Err("the path and x-lane name two classes".to_owned());
     }
-    let category = terms.wire.categories.iter().position(|name| name == lane);
-    let category = category.ok_or_else(|| format!("category '{lane}' is unknown"))?;
+    let class = terms.wire.classes.iter().position(|name| name == lane);
+    let class = class.ok_or_else(|| format!("class '{lane}' is unknown"))?;
     let plan = text(&head.headers, &PLAN)?;
     let plan = terms.wire.plans.iter().position(|name| name == plan);
     let plan = plan.ok_or("x-plan: unknown")?;
     text(&head.headers, &TXN)?;
-    let Category { repeats, outer_limit, .. } = &terms.categories[category];
+    let Class { repeats, outer_limit, .. } = &terms.classes[class];
     let method = if *repeats == Repeats::Replayable { Method::GET } else { Method::POST };
     if head.method != method {
-        return Err(format!("category '{lane}' comes by {method}"));
+        return Err(format!("class '{lane}' comes by {method}"));
     }
     let length = once(&head.headers, &CONTENT_LENGTH)?;
     if method == Method::GET && length.is_some_and(|length| length != "0") {
-        return Err(format!("category '{lane}' comes without a body"));
+        return Err(format!("class '{lane}' comes without a body"));
     }
     if matches!(repeats, Repeats::Referenced(..)) {
         text(&head.headers, &IDEMPOTENCY_KEY)?;
@@ -118,10 +118,10 @@
     let (units, set_size, set_first) = quota(text(&head.headers, &QUOTA)?, &terms.peers)?;
     let time_left =
         remaining(text(&head.headers, &REMAINING)?).ok_or("x-remaining: no number with m or u")?;
-    // No client of a category waits longer than its outer limit.
+    // No client of a class waits longer than its outer limit.
     let time_left = time_left.min(*outer_limit);
     let again = once(&head.headers, &RESENT)?.is_some_and(|value| value == "1");
-    Ok(Job { job: 0, customer, plan, category, units, time_left, set_size, set_first, again })
+    Ok(Job { job: 0, customer, plan, class, units, time_left, set_size, set_first, again })
 }
 
 pub fn respond(status: StatusCode, body: String) -> Response<Full<Bytes>> {
@@ -199,7 +199,7 @@
     #[test]
     fn a_job_is_read_from_its_head() {
         let job = read(URI, ("x-resent", "1")).expect("sound");
-        assert_eq!((job.customer, job.plan, job.category), (0xb4d6_5521, 1, 1));
+        assert_eq!((job.customer, job.plan, job.class), (0xb4d6_5521, 1, 1));
         assert_eq!((job.units, job.set_size, job.set_first, job.again), (2.0, 2, 1, true));
         assert_eq!(job.time_left, Duration::from_millis(480));
         let patient = read(URI, ("x-remaining", "4000000000m")).expect("sound");
@@ -210,18 +210,18 @@
     fn a_job_may_come_in_chunks() {
         let chunked = read(URI, ("transfer-encoding", "chunked")).expect("sound");
         let told = read(URI, ("content-length", "6")).expect("sound");
-        assert_eq!((chunked.customer, chunked.category), (told.customer, told.category));
+        assert_eq!((chunked.customer, chunked.class), (told.customer, told.class));
     }
 
     #[test_case(URI, ("x-txn", "") => "x-txn is missing" ; "no id")]
-    #[test_case(URI, ("x-lane", "look") => "the path and x-lane name two categories" ; "two categories")]
-    #[test_case("/odd?key=1", ("x-lane", "") => "category 'odd' is unknown" ; "unknown category")]
+    #[test_case(URI, ("x-lane", "look") => "the path and x-lane name two classes" ; "two classes")]
+    #[test_case("/odd?key=1", ("x-lane", "") => "class 'odd' is unknown" ; "unknown class")]
     #[test_case(URI, ("x-plan", "gold") => "x-plan: unknown" ; "unknown plan")]
     #[test_case(URI, ("idempotency-key", "") => "idempotency-key is missing" ; "no mark")]
     #[test_case("/put", ("", "") => "key is missing or stands there twice" ; "no customer")]
     #[test_case("/put?key=7&key=8", ("", "") => "key is missing or stands there twice" ; "two customers")]
     #[test_case("/put?key=+7", ("", "") => "key: no customer's number" ; "signed customer")]
-    #[test_case(URI, ("", "GET") => "category 'put' comes by POST" ; "another method")]
+    #[test_case(URI, ("", "GET") => "class 'put' comes by POST" ; "another method")]
     #[test_case(URI, ("+x-txn", "9c") => "x-txn stands there twice" ; "two ids")]
     #[test_case("/put?key=0000000200000000", ("", "") => "key: no customer's number" ; "customer out of range")]
     #[test_case(URI, ("x-remaining", "480") => "x-remaining: no number with m or u" ; "no unit")]
--- a/crates/merlinreel/src/driver.rs
+++ b/crates/merlinreel/src/driver.rs
@@ -143,9 +143,9 @@
 
     /// Settings read again: the module first, so that the door never names a class that it does not know.
     fn retune(&mut self, terms: Terms) {
-        let indices = self.limiter.retune(&terms.categories, terms.jobs);
-        self.figures.classes_now(&terms.wire.categories);
-        log!("settings read again: classes {} and their rules in force", terms.wire.categories.join(", "));
+        let indices = self.limiter.retune(&terms.classes, terms.jobs);
+        self.figures.classes_now(&terms.wire.classes);
+        log!("settings read again: classes {} and their rules in force", terms.wire.classes.join(", "));
         if let Some(door) = &self.door {
             door.send_replace(Arc::new(Tuned { terms, indices }));
         }
--- a/crates/merlinreel/src/driver/tests.rs
+++ b/crates/merlinreel/src/driver/tests.rs
@@ -32,7 +32,7 @@
         job: 0,
         customer: 7,
         plan: 0,
-        category: 0,
+        class: 0,
         units: 1.0,
         time_left: Duration::ZERO,
         set_size: 1,
--- a/crates/merlinreel/src/limits.rs
+++ b/crates/merlinreel/src/limits.rs
@@ -117,7 +117,7 @@
         let idle =
             if terms.wire.server_idle.is_zero() { Duration::from_secs(15) } else { terms.wire.server_idle };
         let connect = terms.wire.connect_within;
-        let longest = terms.categories.iter().map(|category| category.outer_limit).max().unwrap_or_default();
+        let longest = terms.classes.iter().map(|class| class.outer_limit).max().unwrap_or_default();
         Ok(Limits {
             // A quarter is kept for who comes and goes, and to tell newcomers that it is busy.
             clients: clients_most - clients_most / 4,
--- a/crates/merlinreel/src/main.rs
+++ b/crates/merlinreel/src/main.rs
@@ -76,7 +76,7 @@
     let station = config::read(|name| std::env::var(name).ok())?;
     let (turn, discovery) = watch::channel(station.discovery);
     let mut present = station.clone();
-    let figures = merlinreel::figures::Figures::new(&station.terms.wire.categories);
+    let figures = merlinreel::figures::Figures::new(&station.terms.wire.classes);
     let counted = figures.clone();
     let (tune, settings) = watch::channel(station.terms.clone());
     let (reground, ground) = watch::channel(station.mesh.clone());
--- a/crates/merlinreel/tests/sockets/main.rs
+++ b/crates/merlinreel/tests/sockets/main.rs
@@ -72,13 +72,13 @@
 #[test_case("look", &["200"], 2 ; "replayable goes out again")]
 #[test_case("put", &["200"], 2 ; "referenced goes out again in its group")]
 #[test_case("pay", &["502"], 1 ; "single-use that may have run is scrapped")]
-fn a_connection_that_breaks_after_the_request(category: &str, statuses: &[&str], attempts: usize) {
+fn a_connection_that_breaks_after_the_request(class: &str, statuses: &[&str], attempts: usize) {
     let broken = std::sync::atomic::AtomicBool::new(false);
     let server = StandIn::start(move |_| {
         if broken.swap(true, std::sync::atomic::Ordering::SeqCst) { fine() } else { React::Break }
     });
     let program = Program::start(&config(&[listed("s-1", server.address, "up")]));
-    let answer = program.client().job(category, 7, 1);
+    let answer = program.client().job(class, 7, 1);
     assert!(statuses.contains(&answer.status().to_string().as_str()), "{answer:?}");
     assert_eq!(server.seen.try_iter().count(), attempts);
 }
@@ -182,7 +182,7 @@
 }
 
 #[test_case("GET /look?key=7 HTTP/1.1\r\nHost: svc\r\n\r\n" => 400 ; "headers missing")]
-#[test_case("GET /other HTTP/1.1\r\nHost: svc\r\n\r\n" => 400 ; "unknown category")]
+#[test_case("GET /other HTTP/1.1\r\nHost: svc\r\n\r\n" => 400 ; "unknown class")]
 #[test_case("no request at all\r\n\r\n" => 400 ; "not http")]
 #[test_case("POST /pay?key=7 HTTP/1.1\r\nHost: svc\r\nX-Txn: 1\r\nX-Plan: team\r\nX-Remaining: 900m\r\n\
     X-Quota: units=1,spread=1,first=0\r\nContent-Length: 65537\r\n\r\n" => 413 ; "too long")]
--- a/crates/merlinreel/tests/sockets/request_bodies.rs
+++ b/crates/merlinreel/tests/sockets/request_bodies.rs
@@ -56,16 +56,16 @@
 }
 
 /// A request whose framing and body are given as they go on the wire.
-fn request(category: &str, customer: u32, framing: &str, body: &str) -> String {
-    let text = job(category, customer, 1, PATIENT);
+fn request(class: &str, customer: u32, framing: &str, body: &str) -> String {
+    let text = job(class, customer, 1, PATIENT);
     let (head, _) = text.split_once("\r\n\r\n").expect("a head");
     // Its own length is the last but one of its lines.
     let lines: Vec<&str> = head.split("\r\n").filter(|line| !line.starts_with("Content-Length")).collect();
     format!("{}\r\n{framing}\r\n{body}", lines.join("\r\n"))
 }
 
-fn chunked(category: &str, customer: u32, body: &str) -> String {
-    request(category, customer, CHUNKED, body)
+fn chunked(class: &str, customer: u32, body: &str) -> String {
+    request(class, customer, CHUNKED, body)
 }
 
 /// A server that answers all, and the program in front of it.
@@ -90,7 +90,7 @@
     assert_eq!(seen.body, body);
 }
 
-/// Each way to write the same body in chunks, for both kinds of category that have one; the connection serves on.
+/// Each way to write the same body in chunks, for both kinds of class that have one; the connection serves on.
 #[test_case("6\r\na body\r\n0\r\n\r\n", "a body" ; "one chunk")]
 #[test_case("1\r\na\r\n1\r\n \r\n4\r\nbody\r\n0\r\n\r\n", "a body" ; "several chunks")]
 #[test_case("0006\r\na body\r\n000\r\n\r\n", "a body" ; "zeros before the size")]
@@ -104,11 +104,11 @@
 fn a_chunked_body_reaches_the_server_whole(wire: &str, body: &str) {
     let (server, program) = started();
     let mut client = RawClient::connect(&program);
-    for (customer, category) in ["put", "pay"].into_iter().enumerate() {
-        let text = chunked(category, customer as u32, wire);
-        assert_eq!(client.call(text.as_bytes()), Some(200), "{category}");
+    for (customer, class) in ["put", "pay"].into_iter().enumerate() {
+        let text = chunked(class, customer as u32, wire);
+        assert_eq!(client.call(text.as_bytes()), Some(200), "{class}");
         assert_body(&server.next(), body);
-        let next = job(category, 7, 1, PATIENT);
+        let next = job(class, 7, 1, PATIENT);
         assert_eq!(client.call(next.as_bytes()), Some(200), "the next request");
         assert_body(&server.next(), "a body");
     }
--- a/crates/merlinreel/tests/sockets/stop.rs
+++ b/crates/merlinreel/tests/sockets/stop.rs
@@ -142,7 +142,7 @@
     let mut station = merlinreel::config::parse(&config.to_string(), |_| None).expect("sound");
     station.limits.first_list = first_list;
     thread::spawn(move || {
-        let figures = merlinreel::figures::Figures::new(&station.terms.wire.categories);
+        let figures = merlinreel::figures::Figures::new(&station.terms.wire.classes);
         let (_tune, settings) = tokio::sync::watch::channel(station.terms.clone());
         let (_turn, discovery) = tokio::sync::watch::channel(station.discovery);
         let (_reground, ground) = tokio::sync::watch::channel(None);
