--- a/crates/merlinreel-core/src/decide/quotas.rs
+++ b/crates/merlinreel-core/src/decide/quotas.rs
@@ -138,7 +138,7 @@
         account.asked_units.add(now, job.units);
         let class = &self.classes[job.class];
         let (seen, firsts) = &mut self.left_seen[job.class];
-        let elapsed = elapsed(job.time_left, seen, firsts, class.outer_limit);
+        let elapsed = elapsed(job.time_left, seen, firsts, class.deadline);
         // What earns little any more takes units only from a store that is well filled.
         let late = elapsed >= class.target_time;
         let worth_it = !late || class.late_gain > 0.0 && account.left(now, plan) > plan.burst / 2.0;
--- a/crates/merlinreel-core/src/decide/requests.rs
+++ b/crates/merlinreel-core/src/decide/requests.rs
@@ -3,11 +3,11 @@
 use super::*;
 
 /// How long the client has waited over earlier tries. First tries of a class come with one and the same
-/// time left; a rarer one is what the outer limit leaves of a later try. Guards quota and servers against
+/// time left; a rarer one is what the deadline leaves of a later try. Guards quota and servers against
 /// retries too late to earn. Clients that change their time-outs could suffer: so it forgets fast.
-pub(super) fn elapsed(left: Duration, seen: &mut [f64], firsts: &mut f64, outer_limit: Duration) -> Duration {
+pub(super) fn elapsed(left: Duration, seen: &mut [f64], firsts: &mut f64, deadline: Duration) -> Duration {
     let steps = seen.len() - 2;
-    let part = secs(left) / secs(outer_limit).max(0.001);
+    let part = secs(left) / secs(deadline).max(0.001);
     let i = 1 + ((part * steps as f64) as usize).min(steps - 1);
     let total: f64 = seen.iter().sum();
     seen[i] += 1.0;
@@ -18,7 +18,7 @@
         seen.iter_mut().for_each(|tries| *tries /= 2.0);
     }
     *firsts += (f64::from(u8::from(common)) - *firsts) * 0.02;
-    if common || *firsts < 0.15 { Duration::ZERO } else { outer_limit.saturating_sub(left) }
+    if common || *firsts < 0.15 { Duration::ZERO } else { deadline.saturating_sub(left) }
 }
 
 impl Limiter {
--- a/crates/merlinreel-core/src/decide/tests/cold_servers.rs
+++ b/crates/merlinreel-core/src/decide/tests/cold_servers.rs
@@ -96,7 +96,7 @@
         let peers = Peers { limiters: told, me: me.min(told - 1), ..peers() };
         let class = Class {
             target_time: at(0.5),
-            outer_limit: at(2.0),
+            deadline: at(2.0),
             gain: 1.0,
             late_gain: 0.0,
             repeats: Repeats::Replayable,
--- a/crates/merlinreel-core/src/decide/tests/helpers.rs
+++ b/crates/merlinreel-core/src/decide/tests/helpers.rs
@@ -97,7 +97,7 @@
 }
 
 pub fn limiter(repeats: Repeats, peers: Peers) -> Limiter {
-    let class = Class { target_time: at(0.5), outer_limit: at(2.0), gain: 1.0, late_gain: 0.0, repeats };
+    let class = Class { target_time: at(0.5), deadline: at(2.0), gain: 1.0, late_gain: 0.0, repeats };
     let jobs = JobRules {
         most_attempts: 4,
         second_copies: false,
--- a/crates/merlinreel-core/src/decide/tests/quotas.rs
+++ b/crates/merlinreel-core/src/decide/tests/quotas.rs
@@ -105,7 +105,7 @@
 }
 
 #[test_case(1.4, 1.0, 0.0 ; "a common time left is a first try's")]
-#[test_case(0.5, 1.0, 1.5 ; "a rare one was cut by the outer limit")]
+#[test_case(0.5, 1.0, 1.5 ; "a rare one was cut by the deadline")]
 #[test_case(0.5, 0.1, 0.0 ; "nothing is known where few are common")]
 fn time_waited(left: f64, firsts: f64, waited: f64) {
     let mut seen = vec![0.0; 130];
--- a/crates/merlinreel-core/src/lib.rs
+++ b/crates/merlinreel-core/src/lib.rs
@@ -55,7 +55,7 @@
     /// Answers within this earn the full gain.
     pub target_time: Duration,
     /// The client gives up altogether after this, over all its tries.
-    pub outer_limit: Duration,
+    pub deadline: Duration,
     pub gain: f64,
     /// Share of the gain for an answer after the target time.
     pub late_gain: f64,
--- a/crates/merlinreel-core/src/state.rs
+++ b/crates/merlinreel-core/src/state.rs
@@ -162,7 +162,7 @@
     /// The server list must be asked for, and the last call failed or is yet to be made.
     pub(crate) discovery_lost: bool,
     pub(crate) discovery_at: Duration,
-    /// By class, how many tries came with which part of the outer limit left, and the common share.
+    /// By class, how many tries came with which part of the deadline left, and the common share.
     pub(crate) left_seen: Vec<(Vec<f64>, f64)>,
     /// Counter calls a beat, and how many may go out now.
     pub(crate) calls: f64,
--- a/crates/merlinreel-settings/src/lib.rs
+++ b/crates/merlinreel-settings/src/lib.rs
@@ -204,7 +204,7 @@
     };
     Ok(Class {
         target_time: paths.time(&format!("{at}.promiseS"))?,
-        outer_limit: paths.time(&format!("{at}.hardLimitS"))?,
+        deadline: paths.time(&format!("{at}.hardLimitS"))?,
         gain: paths.number(&format!("{at}.worth"))?,
         late_gain: paths.number(&format!("{at}.lateShare"))?,
         repeats,
--- a/crates/merlinreel/src/clients/tests.rs
+++ b/crates/merlinreel/src/clients/tests.rs
@@ -181,7 +181,7 @@
 }
 
 /// A job taken after the signal ends before the process may be killed, whatever time its client has left: the
-/// longest outer limit, counted as 3 s at most, and 0.7 s after the signal. Guards it against being in hand then.
+/// longest deadline, counted as 3 s at most, and 0.7 s after the signal. Guards it against being in hand then.
 #[tokio::test]
 async fn a_job_that_comes_late_ends_before_the_kill() -> std::io::Result<()> {
     let limits = Limits::new(1024, 192, &looking()).expect("room");
--- a/crates/merlinreel/src/config.rs
+++ b/crates/merlinreel/src/config.rs
@@ -243,7 +243,7 @@
         }
     }
     for (i, class) in terms.classes.iter().enumerate() {
-        if class.outer_limit.is_zero() {
+        if class.deadline.is_zero() {
             return Err(StationError::SettingMissing { key: format!("classes.{i}.hardLimitS") });
         }
     }
--- a/crates/merlinreel/src/decode.rs
+++ b/crates/merlinreel/src/decode.rs
@@ -94,7 +94,7 @@
     let plan = terms.wire.plans.iter().position(|name| name == plan);
     let plan = plan.ok_or("x-plan: unknown")?;
     text(&head.headers, &TXN)?;
-    let Class { repeats, outer_limit, .. } = &terms.classes[class];
+    let Class { repeats, deadline, .. } = &terms.classes[class];
     let method = if *repeats == Repeats::Replayable { Method::GET } else { Method::POST };
     if head.method != method {
         return Err(format!("class '{lane}' comes by {method}"));
@@ -118,8 +118,8 @@
     let (units, set_size, set_first) = quota(text(&head.headers, &QUOTA)?, &terms.peers)?;
     let time_left =
         remaining(text(&head.headers, &REMAINING)?).ok_or("x-remaining: no number with m or u")?;
-    // No client of a class waits longer than its outer limit.
-    let time_left = time_left.min(*outer_limit);
+    // No client of a class waits longer than its deadline.
+    let time_left = time_left.min(*deadline);
     let again = once(&head.headers, &RESENT)?.is_some_and(|value| value == "1");
     Ok(Job { job: 0, customer, plan, class, units, time_left, set_size, set_first, again })
 }
--- a/crates/merlinreel/src/limits.rs
+++ b/crates/merlinreel/src/limits.rs
@@ -117,7 +117,7 @@
         let idle =
             if terms.wire.server_idle.is_zero() { Duration::from_secs(15) } else { terms.wire.server_idle };
         let connect = terms.wire.connect_within;
-        let longest = terms.classes.iter().map(|class| class.outer_limit).max().unwrap_or_default();
+        let longest = terms.classes.iter().map(|class| class.deadline).max().unwrap_or_default();
         Ok(Limits {
             // A quarter is kept for who comes and goes, and to tell newcomers that it is busy.
             clients: clients_most - clients_most / 4,
@@ -175,7 +175,7 @@
             stop_first: Duration::from_millis(400),
             stop_late: Duration::from_secs(1),
             stop_quiet: Duration::from_millis(200),
-            // Killed no sooner than the longest outer limit, 3 s at most, and 0.7 s: a busy machine needs some of it.
+            // Killed no sooner than the longest deadline, 3 s at most, and 0.7 s: a busy machine needs some of it.
             stop_end: longest.min(Duration::from_secs(3)) + Duration::from_millis(300),
             // Callers who hold one and never call are owed nothing; enough for staff and their scrapers.
             ops_connections: 16,
