--- a/crates/merlinreel-benchlink/src/host.rs
+++ b/crates/merlinreel-benchlink/src/host.rs
@@ -195,7 +195,7 @@
             "SAMPLED" => {
                 let name = values.text("server")?;
                 let server = instance.servers.get(name).ok_or(format!("server {name} is not known"))?;
-                let answered = ending(values.text("stateCode")?)? == Ending::Fulfilled;
+                let answered = ending(values.text("stateCode")?)? == Ending::Served;
                 let took = values.time("waitTimeS")?;
                 let load = values.load()?;
                 instance.round.probes.push(ProbeAnswer { server, answered, took, load });
@@ -251,7 +251,7 @@
                 instance.round.counts.push(CountAnswer {
                     customer,
                     window,
-                    total: total.filter(|_| ending == Ending::Fulfilled),
+                    total: total.filter(|_| ending == Ending::Served),
                     not_added: ending.never_ran(),
                 });
             }
--- a/crates/merlinreel-benchlink/src/host/values.rs
+++ b/crates/merlinreel-benchlink/src/host/values.rs
@@ -82,7 +82,7 @@
 
 pub fn ending(code: &str) -> Result<Ending, String> {
     Ok(match code {
-        "delivered" => Ending::Fulfilled,
+        "delivered" => Ending::Served,
         "app_error" => Ending::Error,
         "shed" => Ending::TurnedAway,
         "expired" => Ending::Expired,
--- a/crates/merlinreel-benchlink/src/host/writer.rs
+++ b/crates/merlinreel-benchlink/src/host/writer.rs
@@ -145,14 +145,14 @@
         state.attempts += 1;
     }
 
-    fn defer(&mut self, job: u32, retry_after: Option<Duration>) {
+    fn refuse(&mut self, job: u32, retry_after: Option<Duration>) {
         let wait = retry_after.map_or(0.0, |wait| wait.as_secs_f64());
         let id = &self.jobs.names[job as usize];
         let _ = writeln!(self.out, "NOT_NOW {id} {wait:.6}");
         self.close(job);
     }
 
-    fn scrap(&mut self, job: u32) {
+    fn fail(&mut self, job: u32) {
         let _ = writeln!(self.out, "FAIL {}", self.jobs.names[job as usize]);
         self.close(job);
     }
--- a/crates/merlinreel-core/src/decide/quotas.rs
+++ b/crates/merlinreel-core/src/decide/quotas.rs
@@ -151,7 +151,7 @@
         if !admitted || !account.under_ceiling(now, plan, job.units) {
             account.due[0] = true;
             let wait = account.opens_in(now, plan, job.units);
-            out.defer(job.job, self.job_rules.retry_after.then(|| span(wait)));
+            out.refuse(job.job, self.job_rules.retry_after.then(|| span(wait)));
             return;
         }
         // Departure where one gathers: a quarter of its inbox is for what is let in. Of small jobs one in some is
--- a/crates/merlinreel-core/src/decide/requests.rs
+++ b/crates/merlinreel-core/src/decide/requests.rs
@@ -32,7 +32,7 @@
         };
         attempt.out = false;
         let overdue = attempt.overdue;
-        if end.ending == Ending::Fulfilled {
+        if end.ending == Ending::Served {
             self.answers.add(now, 1.0);
             self.answer_times.add(now, took);
             // The calmest of the last buckets with enough answers to tell: load raises all of a bucket's.
@@ -50,7 +50,7 @@
             if !matches!(end.ending, Ending::Revoked | Ending::Expired | Ending::Unsent) {
                 server.owing_since = now;
             }
-            if !end.ending.never_ran() && (!overdue || end.ending == Ending::Fulfilled) {
+            if !end.ending.never_ran() && (!overdue || end.ending == Ending::Served) {
                 // Four tenths of the target time leave room; beyond 2.5 calm ones servers only queue.
                 let long = (target * 0.4).min(self.calm * 2.5).max(0.001);
                 server.pace(now, took, long, floor, pressed);
@@ -60,7 +60,7 @@
                 self.level = next_level(self.level, self.strain, pressed, &load);
             }
             match end.ending {
-                Ending::Fulfilled => {
+                Ending::Served => {
                     server.took += (took - server.took) * if server.took > 0.0 { 0.1 } else { 1.0 };
                     if watched(end.job) {
                         self.usual += (took - self.usual) * 0.05;
@@ -123,7 +123,7 @@
         let in_time = now < open.target || class.late_gain > 0.0 && now < open.give_up;
         let rule = match (class.repeats, open.ran) {
             (_, None) | (Repeats::Replayable, _) => true,
-            (Repeats::Referenced(_, memory), Some((_, sent))) => now < sent + memory,
+            (Repeats::Keyed(_, memory), Some((_, sent))) => now < sent + memory,
             (Repeats::SingleUse, Some(_)) => false,
         };
         rule && in_time && open.attempts.len() < self.job_rules.most_attempts as usize
@@ -138,13 +138,13 @@
         }
     }
 
-    /// The final answer of a job that is given up, at once: a deferral where that is harmless.
+    /// The final answer of a job that is given up, at once: a refusal where that is harmless.
     pub(super) fn give_up(&mut self, now: Duration, job: u32, out: &mut dyn Writer) {
         let Some(open) = self.jobs[job as usize].as_mut().filter(|open| !open.done) else { return };
         let harmless = match (self.classes[open.job.class].repeats, open.ran) {
             (_, None) | (Repeats::Replayable, _) => true,
             // Guards the effect against clients told to come back once no server knows the key any more.
-            (Repeats::Referenced(Group::All, memory), Some((_, sent))) => now < sent + memory,
+            (Repeats::Keyed(Group::All, memory), Some((_, sent))) => now < sent + memory,
             (_, Some(_)) => false,
         };
         let account = &mut self.accounts[open.account];
@@ -160,9 +160,9 @@
             let plan = &self.plans[account.plan];
             // To the window's end, not the refill: servers that are full need a pause.
             let wait = window_length(plan) * (account.window + 1) as f64 - secs(now);
-            out.defer(job, self.job_rules.retry_after.then(|| span(wait)));
+            out.refuse(job, self.job_rules.retry_after.then(|| span(wait)));
         } else {
-            out.scrap(job);
+            out.fail(job);
         }
         self.close(job, out);
     }
@@ -226,9 +226,7 @@
             at.sends.add(now, 1.0);
             // Servers keep a key so long after the first attempt that may have run: a repeat has to be there by then.
             let within = match (self.classes[open.job.class].repeats, open.ran) {
-                (Repeats::Referenced(_, memory), Some((_, sent))) => {
-                    Some((sent + memory).saturating_sub(now))
-                }
+                (Repeats::Keyed(_, memory), Some((_, sent))) => Some((sent + memory).saturating_sub(now)),
                 _ => None,
             };
             out.send(job, server, within);
--- a/crates/merlinreel-core/src/decide/servers.rs
+++ b/crates/merlinreel-core/src/decide/servers.rs
@@ -159,7 +159,7 @@
             if has_one || aside || !server.listed || now < server.benched_until {
                 continue;
             }
-            if let (Some(origin), Repeats::Referenced(group, _)) = (origin, class.repeats)
+            if let (Some(origin), Repeats::Keyed(group, _)) = (origin, class.repeats)
                 && (group == Group::Zone && origin.zone != server.entry.zone
                     || group == Group::Cell && origin.cell != server.entry.cell)
             {
@@ -210,7 +210,7 @@
         for open in self.jobs.iter_mut().flatten() {
             let again = match self.classes[open.job.class].repeats {
                 Repeats::Replayable => true,
-                Repeats::Referenced(_, memory) => open.attempts.iter().all(|t| now < t.sent + memory / 2),
+                Repeats::Keyed(_, memory) => open.attempts.iter().all(|t| now < t.sent + memory / 2),
                 Repeats::SingleUse => false,
             };
             let again = again && !open.done && open.attempts.len() < most && now < open.target;
--- a/crates/merlinreel-core/src/decide/tests/cold_servers.rs
+++ b/crates/merlinreel-core/src/decide/tests/cold_servers.rs
@@ -49,8 +49,8 @@
     fn tell(&mut self, limiter: u32, peer_message: &[u8]) {
         self.peer_messages.push((limiter, peer_message.to_vec()));
     }
-    fn defer(&mut self, _: u32, _: Option<Duration>) {}
-    fn scrap(&mut self, _: u32) {}
+    fn refuse(&mut self, _: u32, _: Option<Duration>) {}
+    fn fail(&mut self, _: u32) {}
     fn revoke(&mut self, _: u32, _: u32) {}
     fn probe(&mut self, _: u32) {}
     fn count(&mut self, _: u64, _: u64, _: f64, _: Duration) {}
@@ -194,7 +194,7 @@
                     self.to_cold.push(now);
                 }
                 let took = self.work(server, now) - now;
-                let end = AttemptEnd { job, server, took: at(took), ..attempt_end(Ending::Fulfilled, true) };
+                let end = AttemptEnd { job, server, took: at(took), ..attempt_end(Ending::Served, true) };
                 self.places[me].ends.insert((((now + took) * 1e6) as u64, job), end);
             }
         }
--- a/crates/merlinreel-core/src/decide/tests/gathering.rs
+++ b/crates/merlinreel-core/src/decide/tests/gathering.rs
@@ -54,7 +54,7 @@
     let from = limiter.accounts[0].gatherer(many(), &[0; 90]);
     told.then(|| limiter.read_peer_message(at(1.2), &PeerMessage { from, ..word }));
     (1..4).for_each(|n| limiter.take(at(1.5), &job(n), &mut notes));
-    4 - notes.lines.iter().filter(|line| line.starts_with("defer")).count()
+    4 - notes.lines.iter().filter(|line| line.starts_with("refuse")).count()
 }
 
 #[test]
@@ -85,7 +85,7 @@
     notes.peer_messages.len()
 }
 
-/// Whether one that only defers reports again after so long: the gatherer's inbox takes 40 a second, and a quarter of
+/// Whether one that only refuses reports again after so long: the gatherer's inbox takes 40 a second, and a quarter of
 /// that is for such. Guards the reports that matter against those of a set of hundreds.
 #[test_case(60, 40.0, 5.0 => false ; "not yet in a set of sixty")]
 #[test_case(60, 40.0, 7.0 => true ; "then it does")]
--- a/crates/merlinreel-core/src/decide/tests/helpers.rs
+++ b/crates/merlinreel-core/src/decide/tests/helpers.rs
@@ -20,11 +20,11 @@
         let within = within.map_or(String::new(), |within| format!(" within {:.1}", secs(within)));
         self.add(format!("send {job} to {server}{within}"));
     }
-    fn defer(&mut self, job: u32, retry_after: Option<Duration>) {
-        self.add(format!("defer {job} {:.1}", retry_after.map_or(0.0, secs)));
+    fn refuse(&mut self, job: u32, retry_after: Option<Duration>) {
+        self.add(format!("refuse {job} {:.1}", retry_after.map_or(0.0, secs)));
     }
-    fn scrap(&mut self, job: u32) {
-        self.add(format!("scrap {job}"));
+    fn fail(&mut self, job: u32) {
+        self.add(format!("fail {job}"));
     }
     fn revoke(&mut self, job: u32, attempt: u32) {
         self.add(format!("revoke {job}.{attempt}"));
--- a/crates/merlinreel-core/src/decide/tests/requests.rs
+++ b/crates/merlinreel-core/src/decide/tests/requests.rs
@@ -1,13 +1,13 @@
 use super::*;
 use test_case::test_case;
 
-const ZONE: Repeats = Repeats::Referenced(Group::Zone, Duration::from_millis(600));
+const ZONE: Repeats = Repeats::Keyed(Group::Zone, Duration::from_millis(600));
 
 #[test_case(Repeats::Replayable, Ending::Error, 1.1 => (vec![0], 0) ; "replayable goes again")]
 #[test_case(Repeats::SingleUse, Ending::TurnedAway, 1.1 => (vec![0], 0) ; "single-use that never ran")]
 #[test_case(Repeats::SingleUse, Ending::Dropped, 1.1 => (vec![], 1) ; "single-use that may have run")]
-#[test_case(ZONE, Ending::Dropped, 1.1 => (vec![0], 0) ; "referenced within its memory")]
-#[test_case(ZONE, Ending::Dropped, 1.7 => (vec![], 1) ; "referenced after it")]
+#[test_case(ZONE, Ending::Dropped, 1.1 => (vec![0], 0) ; "keyed within its memory")]
+#[test_case(ZONE, Ending::Dropped, 1.7 => (vec![], 1) ; "keyed after it")]
 #[test_case(Repeats::Replayable, Ending::Expired, 3.0 => (vec![], 1) ; "nothing after the client's time")]
 fn further_attempts(repeats: Repeats, ending: Ending, when: f64) -> (Vec<u32>, usize) {
     let mut limiter = on_attempt(repeats);
@@ -16,9 +16,9 @@
     (limiter.queue, notes.lines.len())
 }
 
-#[test_case(Repeats::Replayable => "defer 0 3.0" ; "harmless to try again")]
-#[test_case(Repeats::SingleUse => "scrap 0" ; "no promise where it may have run")]
-#[test_case(ZONE => "scrap 0" ; "nor outside the group that drops repeats")]
+#[test_case(Repeats::Replayable => "refuse 0 3.0" ; "harmless to try again")]
+#[test_case(Repeats::SingleUse => "fail 0" ; "no promise where it may have run")]
+#[test_case(ZONE => "fail 0" ; "nor outside the group that drops repeats")]
 fn giving_up(repeats: Repeats) -> String {
     let mut limiter = on_attempt(repeats);
     limiter.jobs[0].as_mut().into_iter().for_each(|open| open.ran = Some((0, at(1.0))));
@@ -35,7 +35,7 @@
     assert_eq!(limiter.accounts[0].own[0], 0.0);
 }
 
-#[test_case(ZONE => Some(0) ; "referenced stays in the zone of its first attempt")]
+#[test_case(ZONE => Some(0) ; "keyed stays in the zone of its first attempt")]
 #[test_case(Repeats::Replayable => Some(1) ; "replayable goes elsewhere")]
 fn where_to_next(repeats: Repeats) -> Option<u32> {
     let mut limiter = on_attempt(repeats);
@@ -114,7 +114,7 @@
 }
 
 #[test_case(0.1, 2.0, "send 0 to 0" ; "sent where credit is left")]
-#[test_case(0.1, 1.05, "defer 0 3.0" ; "given up at once when its target time cannot be met")]
+#[test_case(0.1, 1.05, "refuse 0 3.0" ; "given up at once when its target time cannot be met")]
 #[test_case(9.0, 1.4, "send 0 to 0" ; "slow answers never close the limiter for good")]
 fn dispatching(usual: f64, target: f64, decision: &str) {
     let mut limiter = on_attempt(Repeats::Replayable);
@@ -180,9 +180,9 @@
     assert!(limiter.beat() <= at(0.1));
 }
 
-#[test_case(-5.0, "defer 0 2.5" ; "until the refill covers it")]
-#[test_case(-20.0, "defer 0 3.0" ; "to the window's end at most")]
-fn a_job_beyond_the_quota_is_deferred_at_once(carried: f64, decision: &str) {
+#[test_case(-5.0, "refuse 0 2.5" ; "until the refill covers it")]
+#[test_case(-20.0, "refuse 0 3.0" ; "to the window's end at most")]
+fn a_job_beyond_the_quota_is_refused_at_once(carried: f64, decision: &str) {
     let mut limiter = limiter(Repeats::Replayable, peers());
     account(&mut limiter).carried = carried;
     let mut notes = Notes::default();
@@ -194,15 +194,15 @@
 fn the_answer_settles_the_units() {
     let mut limiter = on_attempt(Repeats::Replayable);
     limiter.peers.settles = true;
-    let end = AttemptEnd { units: Some(3.0), ..attempt_end(Ending::Fulfilled, true) };
+    let end = AttemptEnd { units: Some(3.0), ..attempt_end(Ending::Served, true) };
     limiter.end_attempt(at(1.1), &end, &mut Notes::default());
     assert_eq!(limiter.accounts[0].own[0], 3.0);
 }
 
 /// A further attempt must reach its server while the key of a first that may have run is kept, for 0.6 s here since that was
 /// sent at 1 s; else it needs no hurry. Guards against an effect twice by a repeat that its connection holds up.
-#[test_case(Repeats::Referenced(Group::All, at(0.6)), Ending::Dropped => "send 0 to 1 within 0.4" ; "keyed, it may have run")]
-#[test_case(Repeats::Referenced(Group::All, at(0.6)), Ending::Unsent => "send 0 to 1" ; "keyed, it never ran")]
+#[test_case(Repeats::Keyed(Group::All, at(0.6)), Ending::Dropped => "send 0 to 1 within 0.4" ; "keyed, it may have run")]
+#[test_case(Repeats::Keyed(Group::All, at(0.6)), Ending::Unsent => "send 0 to 1" ; "keyed, it never ran")]
 #[test_case(Repeats::Replayable, Ending::Dropped => "send 0 to 1" ; "at will")]
 fn a_repeat_is_there_while_its_key_is_kept(repeats: Repeats, ending: Ending) -> String {
     let (mut limiter, mut notes) = (on_attempt(repeats), Notes::default());
--- a/crates/merlinreel-core/src/lib.rs
+++ b/crates/merlinreel-core/src/lib.rs
@@ -45,7 +45,7 @@
     /// May run again, at will.
     Replayable,
     /// Carries a mark; servers of the group drop a repeat for the given time.
-    Referenced(Group, Duration),
+    Keyed(Group, Duration),
     /// Must never run twice.
     SingleUse,
 }
@@ -169,7 +169,7 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ending {
-    Fulfilled,
+    Served,
     /// The server returned an error.
     Error,
     /// The server turned it away unseen.
@@ -258,8 +258,8 @@
 pub trait Writer {
     /// An attempt of the job to the server. Where it must reach it `within` some time, it is not made later than that.
     fn send(&mut self, job: u32, server: u32, within: Option<Duration>);
-    fn defer(&mut self, job: u32, retry_after: Option<Duration>);
-    fn scrap(&mut self, job: u32);
+    fn refuse(&mut self, job: u32, retry_after: Option<Duration>);
+    fn fail(&mut self, job: u32);
     fn revoke(&mut self, job: u32, attempt: u32);
     fn probe(&mut self, server: u32);
     fn tell(&mut self, limiter: u32, peer_message: &[u8]);
--- a/crates/merlinreel-settings/src/lib.rs
+++ b/crates/merlinreel-settings/src/lib.rs
@@ -197,7 +197,7 @@
                 "cell" => Group::Cell,
                 other => return Err(format!("setting {at}.group: unknown '{other}'")),
             };
-            Repeats::Referenced(group, paths.time(&format!("{at}.keyTtlS"))?)
+            Repeats::Keyed(group, paths.time(&format!("{at}.keyTtlS"))?)
         }
         "non_idempotent" => Repeats::SingleUse,
         other => return Err(format!("setting {at}.idempotency: unknown '{other}'")),
--- a/crates/merlinreel-testbed/src/checker.rs
+++ b/crates/merlinreel-testbed/src/checker.rs
@@ -48,7 +48,7 @@
     },
     AnsweredTwice(String),
     Late(String),
-    /// A single-use job went out again, or was deferred, after an attempt that may have run.
+    /// A single-use job went out again, or was refused, after an attempt that may have run.
     EffectTwice(String),
     /// Two attempts of one job were out at once.
     TwoAttemptsOut(String),
--- a/crates/merlinreel-testbed/src/checker/jobs.rs
+++ b/crates/merlinreel-testbed/src/checker/jobs.rs
@@ -25,14 +25,14 @@
 }
 
 impl Job {
-    /// Whether a single-use job went out again, or was deferred, after an attempt that may have run.
+    /// Whether a single-use job went out again, or was refused, after an attempt that may have run.
     pub fn effects(&self) -> Option<()> {
         let single_use = self.class == "pay";
         let first = self.attempts.iter().position(|attempt| !attempt.never_ran)?;
         let again = self.attempts.len() > first + 1;
         let came = self.attempts[first].came;
-        let deferred = self.answers.iter().any(|(at, status)| matches!(status, 429 | 503) && *at > came);
-        (single_use && (again || deferred)).then_some(())
+        let refused = self.answers.iter().any(|(at, status)| matches!(status, 429 | 503) && *at > came);
+        (single_use && (again || refused)).then_some(())
     }
 
     /// Whether an attempt came while one before it was still out, as far as its worker could tell: `hidden` says whether
--- a/crates/merlinreel-testbed/src/checker/tests.rs
+++ b/crates/merlinreel-testbed/src/checker/tests.rs
@@ -33,7 +33,7 @@
 #[test_case(&[(0, asked("look")), (4000, answered(200))] => vec!["an answer in time"] ; "late")]
 #[test_case(&[(0, asked("look")), (10, What::Stopped { limiter: 0 }), (3000, What::Woken { limiter: 0 }), (4000, answered(502))] => Vec::<String>::new() ; "its process stood still")]
 #[test_case(&[(0, asked("pay")), (1, came(0, 1)), (2, What::Left { attempt: 1 }), (3, came(1, 2)), (4, What::Ran { attempt: 2 }), (5, answered(200))] => vec!["no effect twice"] ; "single-use twice")]
-#[test_case(&[(0, asked("pay")), (1, came(0, 1)), (2, What::Left { attempt: 1 }), (3, answered(429))] => vec!["no effect twice"] ; "deferred though it may have run")]
+#[test_case(&[(0, asked("pay")), (1, came(0, 1)), (2, What::Left { attempt: 1 }), (3, answered(429))] => vec!["no effect twice"] ; "refused though it may have run")]
 #[test_case(&[(0, asked("pay")), (1, came(0, 1)), (2, What::TurnedAway { attempt: 1 }), (3, came(1, 2)), (4, What::Ran { attempt: 2 }), (5, answered(200))] => Vec::<String>::new() ; "turned away, then elsewhere")]
 #[test_case(&[(0, asked("look")), (1, came(0, 1)), (2, What::Left { attempt: 1 }), (3, came(1, 2)), (4, What::Ran { attempt: 2 }), (5, answered(200))] => Vec::<String>::new() ; "replayable again")]
 #[test_case(&[(0, asked("look")), (1, came(0, 1)), (2, came(1, 2)), (4, What::Ran { attempt: 2 }), (5, answered(200)), (400, What::Left { attempt: 1 })] => vec!["one attempt out at a time"] ; "two out")]
--- a/crates/merlinreel-testbed/src/scale/server_list/hollow.rs
+++ b/crates/merlinreel-testbed/src/scale/server_list/hollow.rs
@@ -38,10 +38,10 @@
         self.written.sent += 1;
         self.sent_to = Some(server);
     }
-    fn defer(&mut self, _: u32, _: Option<Duration>) {
+    fn refuse(&mut self, _: u32, _: Option<Duration>) {
         self.written.others += 1;
     }
-    fn scrap(&mut self, _: u32) {
+    fn fail(&mut self, _: u32) {
         self.written.others += 1;
     }
     fn revoke(&mut self, _: u32, _: u32) {
@@ -175,18 +175,18 @@
         self.writer.sent_to = None;
         self.round(&Round { jobs: vec![job], ..Round::default() });
         match self.writer.sent_to {
-            Some(server) => self.round(&Round { attempt_ends: vec![fulfilled(server)], ..Round::default() }),
+            Some(server) => self.round(&Round { attempt_ends: vec![served(server)], ..Round::default() }),
             None => self.round(&Round { left: vec![job.job], ..Round::default() }),
         }
     }
 }
 
-fn fulfilled(server: u32) -> AttemptEnd {
+fn served(server: u32) -> AttemptEnd {
     AttemptEnd {
         job: 0,
         attempt: 0,
         server,
-        ending: Ending::Fulfilled,
+        ending: Ending::Served,
         took: ANSWER_TIME,
         finished: true,
         units: None,
--- a/crates/merlinreel/examples/campaign.rs
+++ b/crates/merlinreel/examples/campaign.rs
@@ -1,5 +1,5 @@
-//! Plays drawn faults on several limiters, seed after seed, and prints a table: what was asked, fulfilled, deferred,
-//! scrapped, unanswered, and the rules that broke.
+//! Plays drawn faults on several limiters, seed after seed, and prints a table: what was asked, served, refused,
+//! failed, unanswered, and the rules that broke.
 //!
 //!     cargo run --release --example campaign -- FIRST_SEED LAST_SEED LIMITERS WORKERS SECONDS TROUBLES
 
@@ -16,7 +16,7 @@
         return ExitCode::FAILURE;
     };
     let (limiters, workers, span) = (limiters as usize, workers as usize, Duration::from_secs(seconds));
-    println!("| seed | asked | fulfilled | deferred | scrapped | unanswered | rules broken |");
+    println!("| seed | asked | served | refused | failed | unanswered | rules broken |");
     println!("| --- | --- | --- | --- | --- | --- | --- |");
     let mut held = true;
     for seed in first..=last {
--- a/crates/merlinreel/src/clients/tests.rs
+++ b/crates/merlinreel/src/clients/tests.rs
@@ -96,7 +96,7 @@
     let Some(News::Arrival(arrival)) = news.recv().await else { panic!("no job") };
     let body = Bytes::from(vec![b'x'; LENGTH]);
     let delivery = crate::messages::Delivery { headers: Default::default(), body, flow: None };
-    arrival.answer.send(crate::messages::Answer::Fulfilled(delivery)).expect("a client that waits");
+    arrival.answer.send(crate::messages::Answer::Served(delivery)).expect("a client that waits");
     let read = tokio::task::spawn_blocking(move || {
         std::thread::sleep(Duration::from_millis(400));
         let mut answer = Vec::new();
--- a/crates/merlinreel/src/clients/tests/reading.rs
+++ b/crates/merlinreel/src/clients/tests/reading.rs
@@ -26,12 +26,12 @@
     if flood > 0 {
         marked(&client_connection.evicted).await;
     }
-    first.answer.send(crate::messages::Answer::Scrapped).expect("a client that waits");
+    first.answer.send(crate::messages::Answer::Failed).expect("a client that waits");
     let jobs = if flood > 0 {
         1
     } else {
         let News::Arrival(second) = next(&mut news).await else { panic!("no second job") };
-        second.answer.send(crate::messages::Answer::Scrapped).expect("a client that waits");
+        second.answer.send(crate::messages::Answer::Failed).expect("a client that waits");
         2
     };
     client.shutdown(std::net::Shutdown::Write).expect("its side ends");
--- a/crates/merlinreel/src/decode.rs
+++ b/crates/merlinreel/src/decode.rs
@@ -103,7 +103,7 @@
     if method == Method::GET && length.is_some_and(|length| length != "0") {
         return Err(format!("class '{lane}' comes without a body"));
     }
-    if matches!(repeats, Repeats::Referenced(..)) {
+    if matches!(repeats, Repeats::Keyed(..)) {
         text(&head.headers, &IDEMPOTENCY_KEY)?;
     }
     let pairs = head.uri.query().unwrap_or_default().split('&');
@@ -138,7 +138,7 @@
 /// An answer as the client gets it.
 pub fn encode(answer: Answer) -> Response<Reply> {
     let answer = match answer {
-        Answer::Fulfilled(delivery) => {
+        Answer::Served(delivery) => {
             let body = match delivery.flow {
                 Some(flow) => Either::Right(*flow),
                 None => Either::Left(Full::new(delivery.body)),
@@ -147,14 +147,14 @@
             *response.headers_mut() = delivery.headers;
             return response;
         }
-        Answer::Deferred(wait) => {
+        Answer::Refused(wait) => {
             let mut response = respond(StatusCode::TOO_MANY_REQUESTS, String::new());
             let value =
                 wait.and_then(|wait| HeaderValue::try_from(format!("{:.3}", wait.as_secs_f64())).ok());
             value.map(|value| response.headers_mut().insert(RETRY_AFTER, value));
             response
         }
-        Answer::Scrapped => respond(StatusCode::BAD_GATEWAY, "scrapped\n".to_owned()),
+        Answer::Failed => respond(StatusCode::BAD_GATEWAY, "failed\n".to_owned()),
     };
     answer.map(Either::Left)
 }
@@ -239,9 +239,9 @@
         read(uri, changed).map(|_| ()).expect_err("malformed")
     }
 
-    #[test_case(Answer::Deferred(Some(Duration::from_millis(1250))) => (429, Some("1.250".to_owned())) ; "deferred")]
-    #[test_case(Answer::Deferred(None) => (429, None) ; "deferred without advice")]
-    #[test_case(Answer::Scrapped => (502, None) ; "scrapped")]
+    #[test_case(Answer::Refused(Some(Duration::from_millis(1250))) => (429, Some("1.250".to_owned())) ; "refused")]
+    #[test_case(Answer::Refused(None) => (429, None) ; "refused without advice")]
+    #[test_case(Answer::Failed => (502, None) ; "failed")]
     fn answers(answer: Answer) -> (u16, Option<String>) {
         let response = encode(answer);
         let wait = response.headers().get(RETRY_AFTER).and_then(|value| value.to_str().ok());
--- a/crates/merlinreel/src/driver.rs
+++ b/crates/merlinreel/src/driver.rs
@@ -177,7 +177,7 @@
         let desk = &mut self.desk;
         if desk.tickets.len() >= self.most_jobs {
             // Never taken in: trying again is harmless.
-            let _ = arrival.answer.send(Answer::Deferred(None));
+            let _ = arrival.answer.send(Answer::Refused(None));
             return;
         }
         let index = desk.free.pop().unwrap_or_else(|| {
--- a/crates/merlinreel/src/driver/desk.rs
+++ b/crates/merlinreel/src/driver/desk.rs
@@ -97,7 +97,7 @@
         let held = self.held(out.job)?;
         held.out.retain(|&(_, serial)| serial != end.serial);
         if let Some(delivery) = end.delivery {
-            self.answer(out.job, Answer::Fulfilled(delivery));
+            self.answer(out.job, Answer::Served(delivery));
         }
         self.closed.push(out.job);
         let finished = self.held(out.job).is_none_or(|held| held.answer.is_none());
@@ -147,12 +147,12 @@
         });
     }
 
-    fn defer(&mut self, job: u32, retry_after: Option<Duration>) {
-        self.answer(job, Answer::Deferred(retry_after));
+    fn refuse(&mut self, job: u32, retry_after: Option<Duration>) {
+        self.answer(job, Answer::Refused(retry_after));
     }
 
-    fn scrap(&mut self, job: u32) {
-        self.answer(job, Answer::Scrapped);
+    fn fail(&mut self, job: u32) {
+        self.answer(job, Answer::Failed);
     }
 
     fn revoke(&mut self, job: u32, attempt: u32) {
--- a/crates/merlinreel/src/driver/tests.rs
+++ b/crates/merlinreel/src/driver/tests.rs
@@ -46,13 +46,13 @@
 }
 
 #[tokio::test]
-async fn what_cannot_be_held_is_deferred_and_a_leaving_makes_room() {
+async fn what_cannot_be_held_is_refused_and_a_leaving_makes_room() {
     let (mut driver, _queue, _news) = driver();
-    let ((first, mut waits), (second, mut deferred)) = (arrival(1), arrival(2));
+    let ((first, mut waits), (second, mut refused)) = (arrival(1), arrival(2));
     // All that waits goes into one round, in order.
     driver.step(&mut vec![first, second]);
     assert!(waits.try_recv().is_err());
-    assert!(matches!(deferred.try_recv(), Ok(Answer::Deferred(None))));
+    assert!(matches!(refused.try_recv(), Ok(Answer::Refused(None))));
     let (third, mut held) = arrival(3);
     driver.step(&mut vec![News::Left(1), News::Left(99)]);
     assert!(driver.desk.held.iter().all(Option::is_none) && driver.desk.tickets.is_empty());
@@ -66,7 +66,7 @@
     let (mut driver, _queue, _news) = driver();
     let end = AttemptNews {
         serial: 5,
-        ending: Ending::Fulfilled,
+        ending: Ending::Served,
         took: Duration::ZERO,
         units: None,
         load: Load::default(),
@@ -76,7 +76,7 @@
     assert!(driver.desk.end_attempt(end).is_none());
     let (first, mut waits) = arrival(1);
     driver.step(&mut vec![first]);
-    driver.desk.scrap(0);
-    driver.desk.defer(0, None);
-    assert!(matches!(waits.try_recv(), Ok(Answer::Scrapped)));
+    driver.desk.fail(0);
+    driver.desk.refuse(0, None);
+    assert!(matches!(waits.try_recv(), Ok(Answer::Failed)));
 }
--- a/crates/merlinreel/src/figures.rs
+++ b/crates/merlinreel/src/figures.rs
@@ -136,10 +136,10 @@
     use test_case::test_case;
 
     #[test_case(200 => Outcome::Served ; "served")]
-    #[test_case(429 => Outcome::Refused ; "deferred")]
+    #[test_case(429 => Outcome::Refused ; "refused")]
     #[test_case(503 => Outcome::Refused ; "busy")]
     #[test_case(400 => Outcome::Failed ; "malformed")]
-    #[test_case(502 => Outcome::Failed ; "scrapped")]
+    #[test_case(502 => Outcome::Failed ; "failed")]
     fn a_status_is_read_as_its_client_reads_it(status: u16) -> Outcome {
         Outcome::of(status)
     }
--- a/crates/merlinreel/src/messages.rs
+++ b/crates/merlinreel/src/messages.rs
@@ -34,9 +34,9 @@
 
 #[derive(Debug)]
 pub enum Answer {
-    Fulfilled(Delivery),
-    Deferred(Option<Duration>),
-    Scrapped,
+    Served(Delivery),
+    Refused(Option<Duration>),
+    Failed,
 }
 
 /// A job that a client's connection took whole.
--- a/crates/merlinreel/src/servers/message.rs
+++ b/crates/merlinreel/src/servers/message.rs
@@ -73,7 +73,7 @@
 pub fn decode(mut head: Parts, body: Bytes, flow: Option<Box<Flow>>, loads: bool) -> Said {
     let turned_away = head.headers.get(TURNED_AWAY).is_some_and(|value| value == "1");
     let ending = match head.status {
-        StatusCode::OK => Ending::Fulfilled,
+        StatusCode::OK => Ending::Served,
         StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if turned_away => Ending::TurnedAway,
         _ => Ending::Error,
     };
@@ -82,7 +82,7 @@
         units.and_then(|text| text.parse::<f64>().ok()).filter(|units| units.is_finite() && *units > 0.0);
     let load = head.headers.remove(PRESSURE).filter(|_| loads);
     let load = load.map_or_else(Load::default, |value| read_load(value.as_bytes()));
-    let delivery = (ending == Ending::Fulfilled).then(|| {
+    let delivery = (ending == Ending::Served).then(|| {
         strip_hop_by_hop(&mut head.headers);
         Delivery { headers: head.headers, body, flow }
     });
--- a/crates/merlinreel/src/servers/tests.rs
+++ b/crates/merlinreel/src/servers/tests.rs
@@ -96,7 +96,7 @@
 const GOOD: &str = "HTTP/1.1 200 OK\r\nX-Units-Charged: 3\r\nX-Pressure: {\"queue\":2,\"util\":0.5,\"odd\":1}\r\n\
     Content-Length: 4\r\n\r\ndone";
 
-#[test_case(GOOD => (Ending::Fulfilled, true) ; "a good answer")]
+#[test_case(GOOD => (Ending::Served, true) ; "a good answer")]
 #[test_case("HTTP/1.1 500 Odd\r\nContent-Length: 0\r\n\r\n" => (Ending::Error, true) ; "an error")]
 #[test_case("HTTP/1.1 503 Odd\r\nContent-Length: 0\r\n\r\n" => (Ending::Error, true) ; "unavailable, but it may have run")]
 #[test_case("HTTP/1.1 503 Full\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n" => (Ending::TurnedAway, true) ; "turned away")]
@@ -105,20 +105,20 @@
 #[test_case("" => (Ending::Dropped, false) ; "no answer")]
 #[test_case("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndo" => (Ending::Dropped, false) ; "half an answer")]
 #[test_case("HTTP/1.1 200 OK\r\nContent-Length: 3221225472\r\n\r\n" => (Ending::Dropped, false) ; "too long an answer")]
-#[test_case("HTTP/1.1 200 OK\r\n\r\ndone" => (Ending::Fulfilled, false) ; "an answer that ends with the connection")]
+#[test_case("HTTP/1.1 200 OK\r\n\r\ndone" => (Ending::Served, false) ; "an answer that ends with the connection")]
 #[test_case("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\n" => (Ending::Dropped, false) ; "a told length, its head alone")]
 #[test_case("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" => (Ending::Dropped, false) ; "chunked, its head alone")]
 #[test_case("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4" => (Ending::Dropped, false) ; "chunked, within the size line")]
 #[test_case("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\ndo" => (Ending::Dropped, false) ; "chunked, within a chunk")]
 #[test_case("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\ndone\r\n" => (Ending::Dropped, false) ; "chunked, before the last chunk")]
 #[test_case("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\ndone\r\n0\r\n" => (Ending::Dropped, false) ; "chunked, short of its last line end")]
-#[test_case("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\ndone\r\n0\r\n\r\n" => (Ending::Fulfilled, true) ; "chunked")]
+#[test_case("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\ndone\r\n0\r\n\r\n" => (Ending::Served, true) ; "chunked")]
 #[test_case("HTTP/1.1 500 Odd\r\n\r\nodd" => (Ending::Error, false) ; "an error that ends with the connection")]
 #[test_case("HTTP/1.1 200 OK\r\nContent-Length: 4\r\nContent-Length: 3\r\n\r\ndone" => (Ending::Dropped, false) ; "two lengths")]
 #[test_case("HTTP/1.1 200 OK\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n4\r\ndone\r\n0\r\n\r\n"
     => (Ending::Dropped, false) ; "a length and pieces")]
 #[test_case("HTTP/1.1 101 Other\r\nConnection: upgrade\r\nUpgrade: x\r\n\r\n" => (Ending::Dropped, false) ; "another protocol")]
-#[test_case(INFORMED => (Ending::Fulfilled, true) ; "told first that it goes on")]
+#[test_case(INFORMED => (Ending::Served, true) ; "told first that it goes on")]
 #[test_case("gibberish\r\n\r\n" => (Ending::Dropped, false) ; "no answer in HTTP")]
 #[tokio::test]
 async fn what_comes_back_after_the_last_byte(text: &str) -> (Ending, bool) {
@@ -128,7 +128,7 @@
     stream.write_all(text.as_bytes()).await.expect("written");
     drop(stream);
     let end = end(&mut news).await;
-    if end.ending == Ending::Fulfilled && text == INFORMED {
+    if end.ending == Ending::Served && text == INFORMED {
         let load = Load { waiting: Some(2.0), busy: Some(0.5), ..Load::default() };
         assert_eq!((end.units, end.load), (Some(3.0), load));
         let delivery = end.delivery.expect("an answer");
@@ -228,7 +228,7 @@
     let mut stream = accept(&listener).await;
     request(&mut stream).await;
     let end = done(&mut stream, &mut news).await;
-    assert_eq!((end.serial, end.ending), (2, Ending::Fulfilled));
+    assert_eq!((end.serial, end.ending), (2, Ending::Served));
 }
 
 /// A server that has sent something unasked may do so again, some milliseconds late: an attempt that follows an answer
@@ -289,7 +289,7 @@
     let (mut servers, mut news) = servers(address, 4);
     let (link, mut stream) = begun(&listener, &mut servers, 5).await;
     link.withdraw(5);
-    assert_eq!(done(&mut stream, &mut news).await.ending, Ending::Fulfilled);
+    assert_eq!(done(&mut stream, &mut news).await.ending, Ending::Served);
 }
 
 #[test_case("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong" ; "a second copy")]
--- a/crates/merlinreel/tests/sockets/faults.rs
+++ b/crates/merlinreel/tests/sockets/faults.rs
@@ -8,7 +8,7 @@
 const LIMITERS: usize = 3;
 const WORKERS: usize = 4;
 
-/// Whatever is drawn, the rules hold, and most jobs are fulfilled all the same: limiters are killed, stopped and started
+/// Whatever is drawn, the rules hold, and most jobs are served all the same: limiters are killed, stopped and started
 /// again, workers pause and drain, ways are cut on one side or both, connections break, agents are silent, a fifth of the
 /// peer messages is lost.
 #[test_case(1)]
@@ -24,8 +24,8 @@
     assert!(broken.is_empty(), "{shown:?} under {:?}", script.deeds);
     let count = |wanted: fn(&What) -> bool| entries.iter().filter(|entry| wanted(&entry.what)).count();
     let asked = count(|what| matches!(what, What::Asked { .. }));
-    let fulfilled = count(|what| matches!(what, What::Answered { status: 200, .. }));
-    assert!(asked > 300 && fulfilled * 2 > asked, "{fulfilled} of {asked} fulfilled");
+    let served = count(|what| matches!(what, What::Answered { status: 200, .. }));
+    assert!(asked > 300 && served * 2 > asked, "{served} of {asked} served");
     assert!(field.workers[0].taken() > 0);
 }
 
--- a/crates/merlinreel/tests/sockets/main.rs
+++ b/crates/merlinreel/tests/sockets/main.rs
@@ -49,14 +49,14 @@
 }
 
 #[test]
-fn beyond_its_quota_a_customer_is_deferred_and_told_when_to_come_back() {
+fn beyond_its_quota_a_customer_is_refused_and_told_when_to_come_back() {
     let server = StandIn::start(|_| fine());
     let program = Program::start(&config(&[listed("s-1", server.address, "up")]));
     let mut client = program.client();
     assert_eq!(client.job("look", 7, 8).status(), 200);
-    let deferred = client.job("look", 7, 8);
-    assert_eq!(deferred.status(), 429);
-    let wait = deferred.header("retry-after").and_then(|text| text.parse::<f64>().ok());
+    let refused = client.job("look", 7, 8);
+    assert_eq!(refused.status(), 429);
+    let wait = refused.header("retry-after").and_then(|text| text.parse::<f64>().ok());
     assert!(wait.is_some_and(|seconds| seconds > 0.0), "{wait:?}");
     assert_eq!(client.job("look", 8, 8).status(), 200);
 }
@@ -70,8 +70,8 @@
 }
 
 #[test_case("look", &["200"], 2 ; "replayable goes out again")]
-#[test_case("put", &["200"], 2 ; "referenced goes out again in its group")]
-#[test_case("pay", &["502"], 1 ; "single-use that may have run is scrapped")]
+#[test_case("put", &["200"], 2 ; "keyed goes out again in its group")]
+#[test_case("pay", &["502"], 1 ; "single-use that may have run is failed")]
 fn a_connection_that_breaks_after_the_request(class: &str, statuses: &[&str], attempts: usize) {
     let broken = std::sync::atomic::AtomicBool::new(false);
     let server = StandIn::start(move |_| {
@@ -194,7 +194,7 @@
 }
 
 #[test]
-fn with_no_server_a_job_is_deferred_within_its_time() {
+fn with_no_server_a_job_is_refused_within_its_time() {
     let program = Program::start(&config(&[]));
     assert_eq!(program.client().job("pay", 7, 1).status(), 429);
 }
