--- a/crates/merlinreel-testbed/src/scale.rs
+++ b/crates/merlinreel-testbed/src/scale.rs
@@ -10,6 +10,7 @@
 mod meter;
 mod network;
 mod request;
+pub mod tenants;
 
 pub use error::ScaleError;
 pub use figure::{Figure, Source, Unit};
--- /dev/null
+++ b/crates/merlinreel-testbed/src/scale/tenants/hollow.rs
@@ -0,0 +1,307 @@
+//! One limiter's decision module with many tenants and no sockets, on a clock that the caller moves.
+
+use merlinreel_core::decide::Limiter;
+use merlinreel_core::peer_message::{self, Head, Row};
+use merlinreel_core::{
+    AttemptEnd, Ending, Job, Load, PeerMessage, Round, ServerEntry, ServerList, Standing, Writer, mark,
+};
+use merlinreel_settings::{Paths, Terms};
+use rand::{RngExt, SeedableRng};
+use rand_chacha::ChaCha8Rng;
+use serde_json::json;
+use std::time::Duration;
+
+/// The decision module's beat where it tells its peers nothing sooner.
+pub const BEAT: Duration = Duration::from_millis(100);
+/// Beats between two sweeps that forget quiet accounts.
+pub const BEATS_PER_SWEEP: u64 = 10;
+/// Seconds of one counting window: the plan's burst over its rate.
+pub const WINDOW_SECONDS: u64 = 4;
+/// Units of an ordinary request.
+const UNITS: f64 = 1.0;
+/// More than the ceiling's slack: admitted only where an account has been kept for some seconds.
+const PROBE_UNITS: f64 = 2.0;
+const SERVERS: u32 = 8;
+/// The client's patience; far more than any request here takes.
+const TIME_LEFT: Duration = Duration::from_secs(2);
+
+/// A fleet and the part of it through which each tenant comes.
+#[derive(Clone, Copy, Debug)]
+pub struct Fleet {
+    pub limiters: u32,
+    pub set_size: u32,
+}
+
+/// What the decision module had to say, counted.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct Said {
+    pub admitted: u64,
+    pub deferred: u64,
+    pub peer_messages: u64,
+    pub peer_bytes: u64,
+}
+
+/// Counts decisions, and keeps those that the harness answers.
+#[derive(Default)]
+struct Decisions {
+    said: Said,
+    sent: Option<u32>,
+    deferred: bool,
+    told: Vec<u32>,
+}
+
+impl Writer for Decisions {
+    fn send(&mut self, _: u32, server: u32, _: Option<Duration>) {
+        self.sent = Some(server);
+    }
+    fn defer(&mut self, _: u32, _: Option<Duration>) {
+        self.deferred = true;
+    }
+    fn tell(&mut self, limiter: u32, peer_message: &[u8]) {
+        self.said.peer_messages += 1;
+        self.said.peer_bytes += peer_message.len() as u64;
+        self.told.push(limiter);
+    }
+    fn scrap(&mut self, _: u32) {}
+    fn revoke(&mut self, _: u32, _: u32) {}
+    fn probe(&mut self, _: u32) {}
+    fn count(&mut self, _: u64, _: u64, _: f64, _: Duration) {}
+    fn follow_discovery(&mut self, _: bool) {}
+    fn ask_discovery(&mut self) {}
+    fn close_idle(&mut self, _: u32) {}
+    fn forget(&mut self, _: u32) {}
+    fn wake(&mut self, _: Duration) {}
+    fn note(&mut self, _: &str) {}
+}
+
+#[derive(Clone, Copy)]
+struct Tenant {
+    customer: u64,
+    set_first: u32,
+}
+
+/// A limiter, its tenants, and peers that acknowledge what they are told and say nothing more.
+pub struct HollowLimiter {
+    limiter: Limiter,
+    fleet: Fleet,
+    me: u32,
+    now: Duration,
+    tenants: Vec<Tenant>,
+    chance: ChaCha8Rng,
+    first_customer: u64,
+    decisions: Decisions,
+    /// By peer: its life and the number of its last message.
+    heads: Vec<Head>,
+}
+
+impl HollowLimiter {
+    /// The last of its fleet, which all others have greeted; it knows no tenant yet.
+    pub fn new(fleet: Fleet, seed: u64) -> Result<HollowLimiter, String> {
+        let me = fleet.limiters - 1;
+        let terms = Terms::read(&Paths::from_json(&settings(fleet, me))?)?;
+        let mut chance = ChaCha8Rng::seed_from_u64(seed);
+        let first_customer = u64::from(chance.random::<u32>());
+        let mut hollow = HollowLimiter {
+            limiter: terms.limiter(seed),
+            fleet,
+            me,
+            now: Duration::from_millis(1),
+            tenants: Vec::new(),
+            chance,
+            first_customer,
+            decisions: Decisions::default(),
+            heads: vec![Head { life: 1, number: 0 }; fleet.limiters as usize],
+        };
+        let round = Round { server_list: vec![server_list()], ..Round::default() };
+        hollow.run(&round);
+        hollow.hear_from(0..me);
+        Ok(hollow)
+    }
+
+    pub fn said(&self) -> Said {
+        self.decisions.said
+    }
+
+    pub fn tenants(&self) -> u64 {
+        self.tenants.len() as u64
+    }
+
+    fn run(&mut self, round: &Round) {
+        self.limiter.round(self.now, round, &mut self.decisions);
+    }
+
+    /// A message without rows from each of these.
+    fn hear_from(&mut self, peers: impl IntoIterator<Item = u32>) {
+        let peer_messages = peers.into_iter().flat_map(|peer| self.messages(peer, &[])).collect();
+        self.run(&Round { peer_messages, ..Round::default() });
+    }
+
+    fn messages(&mut self, from: u32, rows: &[Row]) -> Vec<PeerMessage> {
+        let head = &mut self.heads[from as usize];
+        head.number += 1;
+        let written = peer_message::write(*head, rows);
+        head.number += written.len() as u64 - 1;
+        written.into_iter().map(|bytes| PeerMessage { from, bytes }).collect()
+    }
+
+    /// A new tenant's first request; its set of limiters includes this one.
+    pub fn add_tenant(&mut self) {
+        let customer = self.first_customer + self.tenants();
+        let before_me = self.chance.random_range(0..self.fleet.set_size);
+        let set_first = (self.me + self.fleet.limiters - before_me) % self.fleet.limiters;
+        self.tenants.push(Tenant { customer, set_first });
+        self.request(self.tenants.len() - 1);
+    }
+
+    /// New tenants, evenly over some beats.
+    pub fn add_tenants(&mut self, count: u64, beats: u64) {
+        for beat in 1..=beats {
+            while self.tenants() < count * beat / beats {
+                self.add_tenant();
+            }
+            self.beat();
+        }
+    }
+
+    /// A request of a tenant, answered or left by its client at once. Whether it was admitted.
+    pub fn request(&mut self, tenant: usize) -> bool {
+        self.request_units(tenant, UNITS)
+    }
+
+    fn request_units(&mut self, tenant: usize, units: f64) -> bool {
+        let Tenant { customer, set_first } = self.tenants[tenant];
+        let set_size = self.fleet.set_size;
+        let job = Job {
+            job: 0,
+            customer,
+            plan: 0,
+            category: 0,
+            units,
+            time_left: TIME_LEFT,
+            set_size,
+            set_first,
+            again: false,
+        };
+        (self.decisions.sent, self.decisions.deferred) = (None, false);
+        self.run(&Round { jobs: vec![job], ..Round::default() });
+        if self.decisions.deferred {
+            self.decisions.said.deferred += 1;
+            return false;
+        }
+        self.decisions.said.admitted += 1;
+        let over = match self.decisions.sent {
+            Some(server) => Round { attempt_ends: vec![answered(server)], ..Round::default() },
+            None => Round { left: vec![0], ..Round::default() },
+        };
+        self.run(&over);
+        true
+    }
+
+    /// A request of each tenant, at one moment.
+    pub fn all_request(&mut self) {
+        (0..self.tenants.len()).for_each(|tenant| {
+            self.request(tenant);
+        });
+    }
+
+    /// The clock goes on to the next beat, which is run; then the peers acknowledge what they were told.
+    pub fn beat(&mut self) {
+        self.step(BEAT);
+    }
+
+    /// The same after another time, in which no beat is run.
+    pub fn step(&mut self, after: Duration) {
+        self.now += after;
+        self.run(&Round::default());
+        let told = std::mem::take(&mut self.decisions.told);
+        if !told.is_empty() {
+            self.hear_from(told);
+        }
+    }
+
+    pub fn beats(&mut self, count: u64) {
+        (0..count).for_each(|_| self.beat());
+    }
+
+    /// Another limiter says that it has started again.
+    pub fn peer_restarts(&mut self, peer: u32) {
+        self.heads[peer as usize] = Head { life: self.heads[peer as usize].life + 1, number: 0 };
+        self.hear_from([peer]);
+    }
+
+    /// All others of each tenant's set report one unit in the present window. The number of rows told.
+    pub fn hear_reports(&mut self) -> u64 {
+        let window = self.now.as_secs() / WINDOW_SECONDS;
+        let mut rows: Vec<Vec<Row>> = vec![Vec::new(); self.fleet.limiters as usize];
+        for tenant in &self.tenants {
+            for peer in set(self.fleet, tenant.set_first).filter(|&peer| peer != self.me) {
+                rows[peer as usize].push(report(tenant.customer, window));
+            }
+        }
+        let mut told = 0;
+        for (peer, rows) in rows.iter().enumerate().filter(|(_, rows)| !rows.is_empty()) {
+            told += rows.len() as u64;
+            let peer_messages = self.messages(peer as u32, rows);
+            self.run(&Round { peer_messages, ..Round::default() });
+        }
+        told
+    }
+
+    /// How many accounts were kept since some seconds ago. A new account's ceiling admits less than one that was
+    /// kept; the requests that tell it make new accounts of forgotten ones, so this is the last thing to ask.
+    pub fn accounts_kept(&mut self) -> u64 {
+        (0..self.tenants.len()).map(|tenant| u64::from(self.request_units(tenant, PROBE_UNITS))).sum()
+    }
+}
+
+fn set(fleet: Fleet, first: u32) -> impl Iterator<Item = u32> {
+    (0..fleet.set_size).map(move |place| (first + place) % fleet.limiters)
+}
+
+fn report(customer: u64, window: u64) -> Row {
+    Row { customer, plan: 0, window: window & 3, total: UNITS, asked: Some(UNITS), left: None, age: None }
+}
+
+fn answered(server: u32) -> AttemptEnd {
+    AttemptEnd {
+        job: 0,
+        attempt: 0,
+        server,
+        ending: Ending::Fulfilled,
+        took: Duration::from_millis(100),
+        finished: true,
+        units: None,
+        metered: None,
+        load: Load::default(),
+    }
+}
+
+fn server_list() -> ServerList {
+    let entry = |server: u32| ServerEntry {
+        server,
+        mark: mark(&server.to_string()),
+        standing: Standing::Up,
+        weight: 1.0,
+        ..ServerEntry::default()
+    };
+    ServerList {
+        whole: true,
+        restored: false,
+        unavailable: false,
+        entries: (0..SERVERS).map(entry).collect(),
+    }
+}
+
+/// One plan of two units a second. Its ceiling refills by one unit a second at each limiter, and its slack lets an
+/// ordinary request of a new account in, but no probe.
+fn settings(fleet: Fleet, me: u32) -> serde_json::Value {
+    let set = f64::from(fleet.set_size);
+    json!({
+        "balancers": fleet.limiters, "rank": me,
+        "classes": [{"name": "read", "idempotency": "read_like", "promiseS": 0.5, "hardLimitS": 2, "worth": 1}],
+        "packages": [{"name": "basic", "unitsPerS": 2, "mostAtOnce": 2 * WINDOW_SECONDS, "price": 1,
+            "ceilingRate": set, "capDepth": 8.0 * set, "capSlack": 2.0 * set}],
+        "policyLimits": {"peers": true, "sendCap": 2, "mayCancel": true, "mostHeld": 1000},
+        "familyInfo": {"inboxPerS": 40, "maxUnits": 8},
+    })
+}
