--- a/crates/merlinreel-testbed/src/scale.rs
+++ b/crates/merlinreel-testbed/src/scale.rs
@@ -4,6 +4,7 @@
 //! Everything is drawn from a seed, so that counts (bytes, messages, rounds) are the same each run. Times and memory are
 //! of the machine that ran it.
 
+pub mod configuration;
 mod error;
 mod figure;
 mod fit;
