--- a/crates/merlinreel-testbed/src/scale/configuration.rs
+++ b/crates/merlinreel-testbed/src/scale/configuration.rs
@@ -23,6 +23,8 @@
 /// Classes or plans while the other is varied, and classes while reloads are.
 const FEW: u64 = 4;
 const RELOADED_CLASSES: u64 = 1_000;
+/// The mean of so many tells what a retune takes in the end.
+const LAST_RELOADS: u64 = 100;
 /// For the check of memory beforehand: an entry as text, as JSON, by its paths and in the module.
 const ENTRY_KB: u64 = 6;
 /// Beyond this many entries, times that grow with their square are measured once.
@@ -131,14 +133,17 @@
         request.check_memory(&format!("{size} reloads"), (RELOADED_CLASSES + size) * ENTRY_KB / 1024 + 64)?;
         let mut categories = distinct_categories(RELOADED_CLASSES);
         let mut limiter = limiter_of(request.seed, &categories, size)?;
-        let (meter, mut last) = (Meter::start(), 0.0);
+        let meter = Meter::start();
+        let mut last = meter;
         for reload in 0..size {
+            if reload == size.saturating_sub(LAST_RELOADS) {
+                last = Meter::start();
+            }
             let place = reload as usize * 7 % categories.len();
             categories[place] = distinct_category(RELOADED_CLASSES + reload);
-            let meter = Meter::start();
             retune(&mut limiter, &categories);
-            last = meter.read().cpu_seconds;
         }
+        let last = last.read().cpu_seconds / size.min(LAST_RELOADS) as f64;
         let used = meter.read();
         emit(sheet.counted("classes_kept", Unit::Count, limiter.sizes().1 as f64))?;
         let kernel = [
--- a/crates/merlinreel-testbed/src/scale/tenants.rs
+++ b/crates/merlinreel-testbed/src/scale/tenants.rs
@@ -27,6 +27,8 @@
 const FILLING: u64 = 50;
 /// By then all are forgotten that ever will be.
 const FORGOTTEN_BEATS: u64 = 360 * BEATS_PER_SWEEP;
+/// A new tenant's quota is split over its set for 5 s, and what is to be told of it is told by then.
+const REST_SECONDS: u64 = 15;
 /// Seconds of quiet after which accounts are counted.
 const QUIET: [(&str, u64); 3] =
     [("accounts_after_20_s", 20), ("accounts_after_30_s", 30), ("accounts_after_60_s", 60)];
@@ -36,10 +38,10 @@
 /// half minute in which accounts are forgotten.
 const MEASURED_SECONDS: u64 = 12;
 const ACTIVE_SECONDS: u64 = 5;
-const BACKLOG_BEATS: u64 = 30;
 /// Accounts looked at in a measurement, over as many rounds of it as the size needs: the kernel counts processor time
 /// in steps of some milliseconds.
 const ACCOUNTS_MEASURED: u64 = 1_500_000;
+const REQUESTS_AT_ONCE: u64 = 200_000;
 /// For the check of memory beforehand: an account with its place in the index, with room for lists that double.
 const ACCOUNT_KB: u64 = 3;
 
@@ -78,22 +80,26 @@
     })
 }
 
-/// Varies the limiters of each tenant's set, at a fixed number of tenants.
+/// Varies the limiters of each tenant's set, at a fixed number of tenants: what is said, and for how long, once all of
+/// them came at one moment.
 pub fn measure_sets(request: &MeasureRequest, emit: Emit) -> Result<(), ScaleError> {
     for &size in &request.sizes {
         request.check_memory(&format!("{TENANTS} tenants"), TENANTS * ACCOUNT_KB / 1024 + 64)?;
         let fleet = Fleet { limiters: LIMITERS, set_size: size as u32 };
         let sheet = sheet(request, "set_size", size, fleet, "10,000 tenants");
         let mut limiter = filled(fleet, TENANTS, request.seed)?;
+        limiter.beats(REST_SECONDS * BEATS_PER_SWEEP);
+        let before = limiter.said();
+        limiter.all_request();
         let meter = Meter::start();
-        limiter.beats(BACKLOG_BEATS);
-        let beat = meter.read().cpu_seconds / BACKLOG_BEATS as f64;
-        sheet.measured("backlog_beat_cpu", Unit::CpuSeconds, vec![beat]).map(&mut *emit).transpose()?;
-        let drained = beats_to_drain(&mut limiter) + BACKLOG_BEATS;
+        let beats = beats_to_drain(&mut limiter);
+        let beat = meter.read().cpu_seconds / (beats + BEATS_PER_SWEEP) as f64;
         let said = limiter.said();
-        emit(sheet.counted("drain", Unit::Seconds, drained as f64 / BEATS_PER_SWEEP as f64))?;
-        emit(sheet.counted("peer_messages", Unit::Messages, said.peer_messages as f64))?;
-        emit(sheet.counted("peer_bytes", Unit::Bytes, said.peer_bytes as f64))?;
+        sheet.measured("drain_beat_cpu", Unit::CpuSeconds, vec![beat]).map(&mut *emit).transpose()?;
+        emit(sheet.counted("drain", Unit::Seconds, beats as f64 / BEATS_PER_SWEEP as f64))?;
+        let messages = said.peer_messages - before.peer_messages;
+        emit(sheet.counted("peer_messages", Unit::Messages, messages as f64))?;
+        emit(sheet.counted("peer_bytes", Unit::Bytes, (said.peer_bytes - before.peer_bytes) as f64))?;
         emit_kept(&sheet, fleet, TENANTS, request.seed, emit)?;
     }
     Ok(())
@@ -116,11 +122,8 @@
         let memory = meter.read().memory_bytes as f64 / GATHERED as f64;
         emit(sheet.counted("rows_heard", Unit::Count, rows as f64))?;
         sheet.measured("heard_memory_per_account", Unit::Bytes, vec![memory]).map(&mut *emit).transpose()?;
-        let mut requests = Vec::new();
-        for _ in 0..request.runs {
-            requests.push(request_cpu(&mut limiter));
-        }
-        sheet.measured("request_cpu", Unit::CpuSeconds, requests).map(&mut *emit).transpose()?;
+        let requests = (0..request.runs).map(|_| request_at_once_cpu(&mut limiter)).collect();
+        sheet.measured("reported_request_cpu", Unit::CpuSeconds, requests).map(&mut *emit).transpose()?;
         kept.push(limiter);
     }
     Ok(())
@@ -182,6 +185,13 @@
     meter.read().cpu_seconds / (rounds * tenants) as f64
 }
 
+/// Processor time of a request without any beat, while what others reported is of the present window. Most are deferred.
+fn request_at_once_cpu(limiter: &mut HollowLimiter) -> f64 {
+    let rounds = REQUESTS_AT_ONCE.div_ceil(limiter.tenants());
+    let all = cpu(|| (0..rounds).for_each(|_| limiter.all_request()));
+    all / (rounds * limiter.tenants()) as f64
+}
+
 /// Processor time of what a limiter does with its tenants, a value a run.
 #[derive(Default)]
 struct Times {
