--- a/crates/merlinreel-testbed/src/scale.rs
+++ b/crates/merlinreel-testbed/src/scale.rs
@@ -4,6 +4,7 @@
 //! Everything is drawn from a seed, so that counts (bytes, messages, rounds) are the same each run. Times and memory are
 //! of the machine that ran it.
 
+pub mod configuration;
 mod error;
 mod figure;
 mod fit;
@@ -11,7 +12,11 @@
 mod meter;
 mod network;
 mod request;
+<<<<<<< HEAD
 pub mod server_list;
+=======
+pub mod tenants;
+>>>>>>> s-tenants
 
 pub use error::ScaleError;
 pub use figure::{Figure, Source, Unit};
