--- a/crates/merlinreel-testbed/src/scale.rs
+++ b/crates/merlinreel-testbed/src/scale.rs
@@ -12,11 +12,8 @@
 mod meter;
 mod network;
 mod request;
-<<<<<<< HEAD
 pub mod server_list;
-=======
 pub mod tenants;
->>>>>>> s-tenants
 
 pub use error::ScaleError;
 pub use figure::{Figure, Source, Unit};
--- a/crates/merlinreel-testbed/src/scale/configuration.rs
+++ b/crates/merlinreel-testbed/src/scale/configuration.rs
@@ -250,8 +250,7 @@
     emit(sheet.counted("classes_kept", Unit::Count, limiter.sizes().1 as f64))?;
     let repeats = (COMPARISONS_MEASURED / (size * size)).clamp(1, MOST_RETUNES);
     let runs = if size > ONCE_BEYOND { 1 } else { request.runs };
-    let times: Vec<f64> =
-        (0..runs).map(|_| repeated(repeats, || retune(&mut limiter, &classes)).0).collect();
+    let times: Vec<f64> = (0..runs).map(|_| repeated(repeats, || retune(&mut limiter, &classes)).0).collect();
     let share = times.iter().map(|cpu| cpu / CHANGE_EVERY.as_secs_f64()).collect();
     sheet.measured("retune_cpu", Unit::CpuSeconds, times).map(&mut *emit).transpose()?;
     sheet.measured("retune_share", Unit::CpuShare, share).map(&mut *emit).transpose()?;
