--- a/crates/merlinreel-testbed/src/scale.rs
+++ b/crates/merlinreel-testbed/src/scale.rs
@@ -7,6 +7,7 @@
 mod error;
 mod figure;
 mod fit;
+pub mod latency;
 mod meter;
 mod network;
 mod request;
--- /dev/null
+++ b/crates/merlinreel-testbed/tests/scale_latency.rs
@@ -0,0 +1,141 @@
+//! The latency measurement in short: counts only, and what must hold whatever the machine's speed. Times are measured
+//! in release by the scale program.
+
+use merlinreel_testbed::scale::check_slope;
+use merlinreel_testbed::scale::latency::{
+    ClientConnections, LatencyError, Limiter, LoadResult, LoopbackServers, RequestPlan, Sample,
+};
+use std::thread;
+use std::time::{Duration, Instant};
+use test_case::test_case;
+
+const SEED: u64 = 0x5eed;
+const PER_SECOND: u64 = 400;
+const CONNECTIONS: usize = 4;
+const SERVERS: usize = 20;
+const ANSWER_BYTES: usize = 300;
+/// Requests that reach the servers grow as those that clients send, an attempt each (exponent 1); the margin is for
+/// attempts that are made again.
+const STEEPEST: f64 = 1.1;
+
+fn plan(requests: u64) -> RequestPlan {
+    RequestPlan::new(PER_SECOND, requests, CONNECTIONS, SEED)
+}
+
+/// What came of a plan, and how many requests reached the servers.
+fn through_a_limiter(plan: &RequestPlan, answer_bytes: usize) -> (LoadResult, u64) {
+    let servers = LoopbackServers::start(SERVERS, answer_bytes).expect("servers");
+    let limiter = Limiter::start(&servers);
+    let mut clients = ClientConnections::open(&[limiter.address()], CONNECTIONS).expect("connections");
+    let result = clients.drive(plan).expect("each request is answered 200 once");
+    (result, servers.requests())
+}
+
+#[test_case(ANSWER_BYTES ; "short answers")]
+#[test_case(65_536 ; "long answers")]
+fn each_request_is_answered_once_and_counted(answer_bytes: usize) {
+    let plan = plan(200);
+    let (result, arrived) = through_a_limiter(&plan, answer_bytes);
+    assert_eq!((result.samples.len(), result.histogram.len()), (200, 200));
+    let planned: Vec<Duration> = result.samples.iter().map(|sample| sample.planned).collect();
+    assert_eq!(planned, plan.requests.iter().map(|request| request.at).collect::<Vec<_>>());
+    let in_order = |sample: &Sample| sample.planned <= sample.sent && sample.sent <= sample.answered;
+    assert!(result.samples.iter().all(in_order));
+    assert!(arrived >= 200, "{arrived}");
+}
+
+#[test_case(50 ; "evenly divided")]
+#[test_case(3_000 ; "with a remainder")]
+fn planned_send_times_are_evenly_spaced(per_second: u64) {
+    let plan = RequestPlan::new(per_second, 2 * per_second + 1, CONNECTIONS, SEED);
+    let interval = Duration::from_secs(1) / per_second as u32;
+    for pair in plan.requests.windows(2) {
+        let apart = pair[1].at - pair[0].at;
+        assert!(apart >= interval && apart <= interval + Duration::from_nanos(1), "{apart:?}");
+    }
+    assert_eq!(plan.last_at(), Duration::from_secs(2), "no rounding adds up");
+}
+
+#[test]
+fn one_seed_gives_the_same_requests_and_counts() {
+    assert_eq!(plan(200), plan(200));
+    assert_ne!(plan(200), RequestPlan::new(PER_SECOND, 200, CONNECTIONS, SEED + 1));
+    let answered = || through_a_limiter(&plan(100), ANSWER_BYTES).0.histogram.len();
+    assert_eq!(answered(), answered());
+}
+
+#[test]
+fn requests_at_servers_grow_as_those_of_clients() {
+    let sizes = [50, 100, 200, 400];
+    let points = sizes.map(|size| (size as f64, through_a_limiter(&plan(size), ANSWER_BYTES).1 as f64));
+    check_slope(&points, STEEPEST).expect("about one attempt a request");
+}
+
+/// The same harness with a client that asks for everything once more for each fifty requests.
+#[test]
+fn requests_sent_over_and_over_are_caught() {
+    let servers = LoopbackServers::start(SERVERS, ANSWER_BYTES).expect("servers");
+    let limiter = Limiter::start(&servers);
+    let points = [50, 100, 200].map(|size: u64| {
+        let mut clients = ClientConnections::open(&[limiter.address()], CONNECTIONS).expect("connections");
+        let before = servers.requests();
+        let plan = RequestPlan::new(PER_SECOND, size, CONNECTIONS, SEED);
+        (0..size / 50).for_each(|_| drop(clients.drive(&plan).expect("answers")));
+        (size as f64, (servers.requests() - before) as f64)
+    });
+    check_slope(&points, STEEPEST).expect_err("quadratic");
+}
+
+/// The load is open: requests that were due while an answer was held count from their planned times. Each bound is a
+/// lower one that holds because the release comes after the last planned time, however fast the machine is.
+#[test]
+fn a_stall_of_a_server_shows_in_all_requests_due_behind_it() {
+    const REQUESTS: u64 = 60;
+    const HELD: usize = 9;
+    let plan = RequestPlan::new(100, REQUESTS, 1, SEED);
+    let (servers, hold) =
+        LoopbackServers::start_holding(1, ANSWER_BYTES, &plan.requests[HELD].txn).expect("servers");
+    let limiter = Limiter::start(&servers);
+    let mut clients = ClientConnections::open(&[limiter.address()], 1).expect("a connection");
+    let start = Instant::now();
+    let release_at = plan.last_at();
+    let result = thread::scope(|scope| {
+        let load = scope.spawn(|| clients.drive_from(&plan, start));
+        assert!(hold.wait(), "the request reaches the server");
+        thread::sleep((start + release_at).saturating_duration_since(Instant::now()));
+        hold.release();
+        load.join().expect("no panic").expect("each request is answered 200 once")
+    });
+    assert_eq!(result.histogram.len(), REQUESTS);
+    let behind = &result.samples[HELD..];
+    assert!(behind.iter().all(|sample| sample.latency() >= release_at - sample.planned));
+    // Those planned a quarter of a second before the release or earlier; the histogram's resolution is a thousandth.
+    let quarter = Duration::from_millis(250);
+    let early = behind.iter().filter(|sample| sample.planned + quarter <= release_at).count() as u64;
+    assert_eq!(early, 26);
+    let least = quarter.as_micros() as u64 * 999 / 1_000;
+    let slow = result.histogram.count_between(least, u64::MAX);
+    assert!(slow >= early, "{slow} of {early}");
+}
+
+#[test]
+fn latency_counts_from_the_planned_time_however_late_the_request_was_sent() {
+    let [planned, sent, answered] = [10, 110, 111].map(Duration::from_millis);
+    let result = LoadResult::new(vec![Sample { planned, sent, answered }]).expect("recorded");
+    assert_eq!(result.histogram.value_at_quantile(1.0) / 1_000, 101);
+}
+
+/// A load is never silently short: a request without a 200 of its own ends it.
+#[test]
+fn a_refused_request_is_named() {
+    let servers = LoopbackServers::start(1, ANSWER_BYTES).expect("servers");
+    let limiter = Limiter::start(&servers);
+    let mut clients = ClientConnections::open(&[limiter.address()], 1).expect("a connection");
+    let mut plan = RequestPlan::new(PER_SECOND, 4, 1, SEED);
+    // Two plans are named, which the limiter does not take.
+    plan.requests[2].txn = "9b\r\nX-Plan: other".to_owned();
+    match clients.drive(&plan) {
+        Err(LatencyError::Status { status, .. }) => assert_eq!(status, 400),
+        other => panic!("{other:?}"),
+    }
+}
