--- a/crates/merlinreel-testbed/src/scale/latency.rs
+++ b/crates/merlinreel-testbed/src/scale/latency.rs
@@ -135,30 +135,42 @@
     for &size in &request.sizes {
         let setting = setting_at(size);
         request.check_memory("the servers and clients", BASE_MB + setting.servers / SERVERS_PER_MB)?;
-        let pairs = measure_setting(&setting, request.seed, request.runs)
+        let figures = measure_setting(variable, size, &setting, request.seed, request.runs)
             .map_err(|error| ScaleError::Unsettled { role: report::ROLE, size, why: error.to_string() })?;
-        let form = report::form(variable, size, request.seed, &setting);
-        report::figures(&pairs, &form).into_iter().try_for_each(&mut *emit)?;
+        figures.into_iter().try_for_each(&mut *emit)?;
     }
     Ok(())
 }
 
-/// Each run asks the servers directly, then through a limiter that stays for all runs.
-fn measure_setting(setting: &LatencySetting, seed: u64, runs: u32) -> Result<Vec<Pair>, LatencyError> {
+/// The figures of one size. Each run asks the servers directly, then through a limiter that stays for all runs.
+pub fn measure_setting(
+    variable: &'static str,
+    size: u64,
+    setting: &LatencySetting,
+    seed: u64,
+    runs: u32,
+) -> Result<Vec<Figure>, LatencyError> {
     let servers = LoopbackServers::start(setting.servers as usize, setting.answer_bytes as usize)?;
     let limiter = Limiter::start(&servers);
-    let mut directly = ClientConnections::open(&servers.addresses, setting.client_connections)?;
-    let mut through = ClientConnections::open(&[limiter.address()], setting.client_connections)?;
-    let (warm_up, plan) =
-        (setting.plan(setting.warm_up_requests(), seed), setting.plan(setting.requests(), seed));
     let mut pairs = Vec::new();
     for _ in 0..runs {
-        directly.drive(&warm_up)?;
-        let direct = directly.drive(&plan)?;
-        through.drive(&warm_up)?;
-        pairs.push(Pair { direct, through: through.drive(&plan)? });
+        let direct = drive_warm(setting, seed, &servers.addresses)?;
+        let through = drive_warm(setting, seed, &[limiter.address()])?;
+        pairs.push(Pair { direct, through });
     }
-    Ok(pairs)
+    Ok(report::figures(&pairs, &report::form(variable, size, seed, setting)))
+}
+
+/// On connections of its own, as the limiter closes those that are idle while the servers are asked directly; what is
+/// measured comes after a warm-up on them.
+fn drive_warm(
+    setting: &LatencySetting,
+    seed: u64,
+    targets: &[SocketAddr],
+) -> Result<LoadResult, LatencyError> {
+    let mut clients = ClientConnections::open(targets, setting.client_connections)?;
+    clients.drive(&setting.plan(setting.warm_up_requests(), seed))?;
+    clients.drive(&setting.plan(setting.requests(), seed))
 }
 
 /// A process of the program, and the discovery agent that lists the servers to it.
--- a/crates/merlinreel-testbed/tests/scale_latency.rs
+++ b/crates/merlinreel-testbed/tests/scale_latency.rs
@@ -3,7 +3,8 @@
 
 use merlinreel_testbed::scale::check_slope;
 use merlinreel_testbed::scale::latency::{
-    ClientConnections, LatencyError, Limiter, LoadResult, LoopbackServers, RequestPlan, Sample,
+    ClientConnections, LatencyError, LatencySetting, Limiter, LoadResult, LoopbackServers, RequestPlan,
+    Sample, measure_setting,
 };
 use std::thread;
 use std::time::{Duration, Instant};
@@ -139,3 +140,27 @@
         other => panic!("{other:?}"),
     }
 }
+
+/// Both ways in one measurement. The direct load lasts longer than the limiter keeps a connection without a request,
+/// so that connections opened for both ways at once would be closed by then.
+#[test]
+fn a_size_has_every_percentile_of_both_ways() {
+    let setting = LatencySetting {
+        requests_per_second: 100,
+        servers: 2,
+        client_connections: 8,
+        span: Duration::from_millis(1_500),
+        ..LatencySetting::default()
+    };
+    let figures =
+        measure_setting("servers", 2, &setting, SEED, 1).expect("each request is answered 200 once");
+    let metric = |name: &str| figures.iter().filter(|figure| figure.metric == name).count();
+    for way in ["direct", "through", "added"] {
+        for percentile in ["p50", "p90", "p99", "p99_9", "max"] {
+            assert_eq!(metric(&format!("{way}_{percentile}")), 1, "{way}_{percentile}");
+        }
+    }
+    let answered = figures.iter().find(|figure| figure.metric == "answered").expect("counted");
+    assert_eq!((answered.value, answered.runs), (150.0, 1));
+    assert_eq!(figures.len(), 16);
+}
