--- a/crates/merlinreel-testbed/src/scale.rs
+++ b/crates/merlinreel-testbed/src/scale.rs
@@ -9,6 +9,7 @@
 mod figure;
 mod fit;
 pub mod membership;
+pub mod latency;
 mod meter;
 mod network;
 mod request;
