--- a/crates/merlinreel-testbed/src/scale.rs
+++ b/crates/merlinreel-testbed/src/scale.rs
@@ -9,6 +9,7 @@
 mod fit;
 mod meter;
 mod network;
+pub mod quotas;
 mod request;
 
 pub use error::ScaleError;
--- /dev/null
+++ b/crates/merlinreel-testbed/src/scale/quotas/tables.rs
@@ -0,0 +1,177 @@
+//! What one limiter's tables take for each tenant: an account for each that asked there, a number of each peer for each
+//! whose peers reported; and what a peer's new life costs, which looks at every account.
+
+use super::{Emit, FleetSetting, Point, START};
+use crate::scale::{MeasureRequest, Meter, ScaleError, Unit};
+use merlinreel_core::decide::Limiter;
+use merlinreel_core::peer_message::{Head, Row, write};
+use merlinreel_core::{Job, PeerMessage, Round, Writer};
+use std::time::Duration;
+
+/// Tenants that asked at one limiter; the last is all.
+pub const TENANT_SIZES: &[u64] = &[1_000, 6_100, 30_000, 100_000, 380_000];
+/// Tenants whose counts one limiter gathers; the first is an even share of all.
+pub const REPORTED_TENANT_SIZES: &[u64] = &[165, 1_000, 4_000, 16_000];
+/// The full size: each limiter keeps some numbers of each other one.
+const LIMITERS: u32 = 2_300;
+/// Peers whose first message of a life is measured; enough that the kernel's clock tells.
+const LIVES: u32 = 200;
+const LEAST_ACCOUNT_BYTES: u64 = 1_024;
+/// Peers' reports of one window, by limiter.
+const REPORT_BYTES: u64 = 8;
+const IDLE: Duration = Duration::from_secs(5);
+const BEAT: Duration = Duration::from_millis(100);
+/// Tenants in one message, surely few enough.
+const TENANTS_A_MESSAGE: u64 = 8;
+
+struct Unheeded;
+
+impl Writer for Unheeded {
+    fn send(&mut self, _: u32, _: u32, _: Option<Duration>) {}
+    fn defer(&mut self, _: u32, _: Option<Duration>) {}
+    fn scrap(&mut self, _: u32) {}
+    fn revoke(&mut self, _: u32, _: u32) {}
+    fn probe(&mut self, _: u32) {}
+    fn tell(&mut self, _: u32, _: &[u8]) {}
+    fn count(&mut self, _: u64, _: u64, _: f64, _: Duration) {}
+    fn follow_discovery(&mut self, _: bool) {}
+    fn ask_discovery(&mut self) {}
+    fn close_idle(&mut self, _: u32) {}
+    fn forget(&mut self, _: u32) {}
+    fn wake(&mut self, _: Duration) {}
+    fn note(&mut self, _: &str) {}
+}
+
+/// One limiter of the full fleet, fed by hand.
+pub struct TenantTables {
+    limiter: Limiter,
+    now: Duration,
+    setting: FleetSetting,
+}
+
+impl TenantTables {
+    pub fn new(seed: u64) -> Result<TenantTables, String> {
+        let setting = FleetSetting { limiters: LIMITERS, ..FleetSetting::default() };
+        let mut tables = TenantTables { limiter: setting.terms()?.limiter(seed), now: START, setting };
+        tables.round(Round::default());
+        Ok(tables)
+    }
+
+    fn round(&mut self, round: Round) {
+        self.limiter.round(self.now, &round, &mut Unheeded);
+    }
+
+    /// Each of so many tenants asks once, and leaves.
+    pub fn ask(&mut self, tenants: u64) {
+        for tenant in 0..tenants {
+            let job = Job {
+                job: (tenant % 2) as u32,
+                customer: tenant_number(tenant),
+                plan: super::CALM,
+                category: 0,
+                units: 1.0,
+                time_left: Duration::from_secs(4),
+                set_size: self.setting.set_size(),
+                set_first: 0,
+                again: false,
+            };
+            let left = vec![((tenant + 1) % 2) as u32];
+            self.round(Round { jobs: vec![job], left, ..Round::default() });
+        }
+        self.round(Round { left: vec![0, 1], ..Round::default() });
+    }
+
+    /// The last limiter reports a unit of each of so many tenants.
+    pub fn report(&mut self, tenants: u64) {
+        let tenants: Vec<u64> = (0..tenants).collect();
+        for (number, tenants) in tenants.chunks(TENANTS_A_MESSAGE as usize).enumerate() {
+            let rows: Vec<Row> = tenants.iter().map(|&tenant| self.report_of(tenant)).collect();
+            let head = Head { life: 1, number: number as u64 + 1 };
+            let messages = write(head, &rows).into_iter();
+            let peer_messages = messages.map(|bytes| PeerMessage { from: LIMITERS - 1, bytes }).collect();
+            self.round(Round { peer_messages, ..Round::default() });
+        }
+    }
+
+    fn report_of(&self, tenant: u64) -> Row {
+        let length = self.setting.burst(super::CALM) / self.setting.rate(super::CALM);
+        let window = (self.now.as_secs_f64() / length) as u64;
+        let (customer, plan) = (tenant_number(tenant), super::CALM);
+        Row { customer, plan, window, total: 1.0, asked: Some(1.0), left: None, age: None }
+    }
+
+    /// The first message of a new life of each of so many peers.
+    pub fn hear_new_lives(&mut self, peers: u32) {
+        for from in 1..=peers {
+            let bytes = write(Head { life: 2, number: 1 }, &[]).concat();
+            self.round(Round { peer_messages: vec![PeerMessage { from, bytes }], ..Round::default() });
+        }
+    }
+
+    /// Beats without requests.
+    pub fn idle(&mut self, time: Duration) {
+        let end = self.now + time;
+        while self.now < end {
+            self.now += BEAT;
+            self.round(Round::default());
+        }
+    }
+}
+
+/// As long in a message as a hashed name.
+fn tenant_number(tenant: u64) -> u64 {
+    tenant.wrapping_add(1).wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 2
+}
+
+/// Over the tenants that asked at one limiter of [`LIMITERS`].
+pub fn measure_tenants(request: &MeasureRequest, emit: Emit) -> Result<(), ScaleError> {
+    for &size in &request.sizes {
+        let needed_mb = 64 + size * LEAST_ACCOUNT_BYTES / (1 << 20);
+        request.check_memory(&format!("one limiter with {size} tenants"), needed_mb)?;
+        let setting =
+            format!("one of {LIMITERS} limiters, each tenant asked once, {LIVES} peers of a new life");
+        let point = Point { request, variable: "tenants_asked", size, setting };
+        let (mut memory, mut life, mut idle) = (Vec::new(), Vec::new(), Vec::new());
+        for _ in 0..request.runs {
+            let mut tables = TenantTables::new(request.seed).map_err(|why| point.unsettled(why))?;
+            let meter = Meter::start();
+            tables.ask(size);
+            memory.push(meter.read().memory_bytes as f64);
+            let meter = Meter::start();
+            tables.hear_new_lives(LIVES);
+            life.push(meter.read().cpu_seconds * 1e6 / f64::from(LIVES));
+            let meter = Meter::start();
+            tables.idle(IDLE);
+            idle.push(meter.read().cpu_seconds / IDLE.as_secs_f64());
+        }
+        let figures = [
+            point.of_kernel("memory", Unit::Bytes, memory),
+            point.of_kernel("cpu_of_a_peer_s_new_life", Unit::Microseconds, life),
+            point.of_kernel("cpu_share_without_requests", Unit::CpuShare, idle),
+        ];
+        figures.into_iter().flatten().try_for_each(&mut *emit)?;
+    }
+    Ok(())
+}
+
+/// Over the tenants that a peer with the last number reported to one limiter of [`LIMITERS`].
+pub fn measure_reported_tenants(request: &MeasureRequest, emit: Emit) -> Result<(), ScaleError> {
+    for &size in &request.sizes {
+        let each = u64::from(LIMITERS) * REPORT_BYTES + LEAST_ACCOUNT_BYTES;
+        request.check_memory(
+            &format!("one limiter with reports of {size} tenants"),
+            64 + size * each / (1 << 20),
+        )?;
+        let setting = format!("one of {LIMITERS} limiters, one window, the last limiter reports each tenant");
+        let point = Point { request, variable: "tenants_reported", size, setting };
+        let mut memory = Vec::new();
+        for _ in 0..request.runs {
+            let mut tables = TenantTables::new(request.seed).map_err(|why| point.unsettled(why))?;
+            let meter = Meter::start();
+            tables.report(size);
+            memory.push(meter.read().memory_bytes as f64);
+        }
+        point.of_kernel("memory", Unit::Bytes, memory).into_iter().try_for_each(&mut *emit)?;
+    }
+    Ok(())
+}
