--- a/crates/merlinreel-testbed/src/scale.rs
+++ b/crates/merlinreel-testbed/src/scale.rs
@@ -12,6 +12,7 @@
 pub mod latency;
 mod meter;
 mod network;
+pub mod quotas;
 mod request;
 pub mod server_list;
 pub mod tenants;
