--- /dev/null
+++ b/crates/merlinreel-testbed/src/bin/scale.rs
@@ -0,0 +1,161 @@
+//! The scale measurements as a command: figures as lines of JSON, progress on standard error.
+
+use clap::{Parser, Subcommand};
+use merlinreel_testbed::scale::{
+    Figure, MeasureRequest, Measurement, PowerLaw, ScaleError, chosen, measurements,
+};
+use std::collections::BTreeMap;
+use std::fs::File;
+use std::io::{self, BufRead, BufReader, BufWriter, Write};
+use std::path::{Path, PathBuf};
+use std::process::ExitCode;
+
+/// Measures what the control work of many limiters costs, by size.
+#[derive(Parser)]
+#[command(name = "scale")]
+struct Arguments {
+    #[command(subcommand)]
+    command: Command,
+}
+
+#[derive(Subcommand)]
+enum Command {
+    /// Names all measurements and the sizes that they are made at.
+    List,
+    /// Makes measurements; all of them where no role is named.
+    Measure {
+        /// A role, as `list` names it.
+        #[arg(long)]
+        role: Option<String>,
+        /// One variable of it.
+        #[arg(long)]
+        variable: Option<String>,
+        /// Sizes in ascending order, in the place of the usual ones.
+        #[arg(long, value_delimiter = ',')]
+        sizes: Vec<u64>,
+        /// All that is drawn comes from it.
+        #[arg(long, default_value_t = 7)]
+        seed: u64,
+        /// How often times and memory are measured at each size.
+        #[arg(long, default_value_t = 3)]
+        runs: u32,
+        /// What one size may take; half of the machine's memory where none is given.
+        #[arg(long)]
+        memory_mb: Option<u64>,
+        /// Where the lines go; standard output where none is given.
+        #[arg(long)]
+        output: Option<PathBuf>,
+    },
+    /// Fits a power law to each metric of a file of figures and tells it at a size.
+    Fit {
+        file: PathBuf,
+        /// A size to tell every law at; its greatest measured one where none is given.
+        #[arg(long)]
+        at: Option<u64>,
+    },
+}
+
+fn main() -> ExitCode {
+    match run(Arguments::parse().command) {
+        Ok(()) => ExitCode::SUCCESS,
+        Err(error) => {
+            eprintln!("scale: {error}");
+            ExitCode::FAILURE
+        }
+    }
+}
+
+fn run(command: Command) -> Result<(), ScaleError> {
+    match command {
+        Command::List => list(),
+        Command::Measure { role, variable, sizes, seed, runs, memory_mb, output } => {
+            let chosen = chosen(role.as_deref(), variable.as_deref())?;
+            let requests = requests(&chosen, &sizes, seed, runs, memory_mb)?;
+            let mut lines = writer(output.as_deref())?;
+            let told = output.unwrap_or_else(|| PathBuf::from("standard output"));
+            for (measurement, request) in chosen.iter().zip(&requests) {
+                measure(measurement, request, &mut *lines, &told)?;
+            }
+            Ok(())
+        }
+        Command::Fit { file, at } => fit(&file, at),
+    }
+}
+
+fn list() -> Result<(), ScaleError> {
+    for one in measurements() {
+        println!("{:14} {:15} {:?}", one.role, one.variable, one.sizes);
+    }
+    Ok(())
+}
+
+/// All requests are checked before the first measurement begins.
+fn requests(
+    chosen: &[Measurement],
+    sizes: &[u64],
+    seed: u64,
+    runs: u32,
+    memory_mb: Option<u64>,
+) -> Result<Vec<MeasureRequest>, ScaleError> {
+    let request = |one: &Measurement| {
+        let sizes = if sizes.is_empty() { one.sizes } else { sizes };
+        MeasureRequest::new(sizes.to_vec(), seed, runs, memory_mb)
+    };
+    chosen.iter().map(request).collect()
+}
+
+fn writer(output: Option<&Path>) -> Result<Box<dyn Write>, ScaleError> {
+    match output {
+        None => Ok(Box::new(io::stdout())),
+        Some(path) => Ok(Box::new(BufWriter::new(File::create(path).map_err(|why| failed(path, why))?))),
+    }
+}
+
+fn failed(path: &Path, why: io::Error) -> ScaleError {
+    ScaleError::Output { path: path.display().to_string(), why }
+}
+
+fn measure(
+    measurement: &Measurement,
+    request: &MeasureRequest,
+    lines: &mut dyn Write,
+    output: &Path,
+) -> Result<(), ScaleError> {
+    eprintln!("{} by {}: {:?}", measurement.role, measurement.variable, request.sizes);
+    (measurement.run)(request, &mut |figure: Figure| {
+        let line = serde_json::to_string(&figure).map_err(|why| failed(output, why.into()))?;
+        writeln!(lines, "{line}").and_then(|()| lines.flush()).map_err(|why| failed(output, why))
+    })
+}
+
+/// What tells one curve from another.
+type Curve = (String, String, String);
+
+fn fit(file: &Path, at: Option<u64>) -> Result<(), ScaleError> {
+    let lines = BufReader::new(File::open(file).map_err(|why| failed(file, why))?).lines();
+    let mut curves: BTreeMap<Curve, Vec<(f64, f64)>> = BTreeMap::new();
+    for line in lines {
+        let line = line.map_err(|why| failed(file, why))?;
+        let figure: serde_json::Value =
+            serde_json::from_str(&line).map_err(|why| failed(file, why.into()))?;
+        let text = |name: &str| figure[name].as_str().unwrap_or_default().to_owned();
+        let point = (figure["size"].as_f64().unwrap_or(0.0), figure["value"].as_f64().unwrap_or(0.0));
+        curves.entry((text("role"), text("variable"), text("metric"))).or_default().push(point);
+    }
+    println!("role variable metric: points, exponent, R2, size, value there");
+    for ((role, variable, metric), points) in curves {
+        let greatest = points.iter().map(|(size, _)| *size).fold(0.0, f64::max);
+        let size = at.map_or(greatest, |at| at as f64);
+        match PowerLaw::through(&points) {
+            Ok(law) => println!(
+                "{role} {variable} {metric}: {}, {:.2}, {:.3}, {size}, {:.6}",
+                points.len(),
+                law.exponent,
+                law.r_squared,
+                law.at(size)
+            ),
+            Err(why) => println!("{role} {variable} {metric}: no law, {why}"),
+        }
+    }
+    Ok(())
+}
--- a/crates/merlinreel-testbed/src/scale.rs
+++ b/crates/merlinreel-testbed/src/scale.rs
@@ -4,12 +4,13 @@
 //! Everything is drawn from a seed, so that counts (bytes, messages, rounds) are the same each run. Times and memory are
 //! of the machine that ran it.
 
+mod catalogue;
 pub mod configuration;
 mod error;
 mod figure;
 mod fit;
-pub mod membership;
 pub mod latency;
+pub mod membership;
 mod meter;
 mod network;
 pub mod quotas;
@@ -17,6 +18,7 @@
 pub mod server_list;
 pub mod tenants;
 
+pub use catalogue::{Emit, Measurement, chosen, measurements};
 pub use error::ScaleError;
 pub use figure::{Figure, Source, Unit};
 pub use fit::{PowerLaw, SlopeError, check_slope};
--- a/crates/merlinreel-testbed/src/scale/latency.rs
+++ b/crates/merlinreel-testbed/src/scale/latency.rs
@@ -31,7 +31,7 @@
 /// Bytes of an answer's body.
 pub const ANSWER_SIZES: &[u64] = &[300, 4_096, 16_384, 65_536];
 
-/// The category that all requests are of: read-like, at most four seconds.
+/// The class that all requests are of: read-like, at most four seconds.
 const CATEGORY: &str = "look";
 /// Bounds of the limiter that all sizes here lie within: descriptors, and memory for as many connections.
 const LIMITER_SOCKETS: u32 = 4_096;
--- a/crates/merlinreel-testbed/src/scale/quotas/fleet.rs
+++ b/crates/merlinreel-testbed/src/scale/quotas/fleet.rs
@@ -22,7 +22,7 @@
 pub const START: Duration = Duration::from_secs(1000);
 /// Limiters start within this time, so that their beats are spread.
 const STARTS_WITHIN: Duration = Duration::from_millis(100);
-/// As the category's outer limit.
+/// As the class's deadline.
 const TIME_LEFT: Duration = Duration::from_secs(4);
 /// Requests of one limiter have numbers up to this; a number is free again at the limiter's next round.
 const REQUEST_NUMBERS: u32 = 256;
@@ -58,10 +58,10 @@
 
 impl Writer for Decisions {
     fn send(&mut self, _: u32, _: u32, _: Option<Duration>) {}
-    fn defer(&mut self, job: u32, _: Option<Duration>) {
+    fn refuse(&mut self, job: u32, _: Option<Duration>) {
         self.refused.push(job);
     }
-    fn scrap(&mut self, _: u32) {}
+    fn fail(&mut self, _: u32) {}
     fn revoke(&mut self, _: u32, _: u32) {}
     fn probe(&mut self, _: u32) {}
     fn tell(&mut self, limiter: u32, peer_message: &[u8]) {
@@ -252,7 +252,7 @@
             job: number,
             customer: name,
             plan,
-            category: 0,
+            class: 0,
             units: 1.0,
             time_left: TIME_LEFT,
             set_size,
--- a/crates/merlinreel-testbed/src/scale/quotas/tables.rs
+++ b/crates/merlinreel-testbed/src/scale/quotas/tables.rs
@@ -28,8 +28,8 @@
 
 impl Writer for Unheeded {
     fn send(&mut self, _: u32, _: u32, _: Option<Duration>) {}
-    fn defer(&mut self, _: u32, _: Option<Duration>) {}
-    fn scrap(&mut self, _: u32) {}
+    fn refuse(&mut self, _: u32, _: Option<Duration>) {}
+    fn fail(&mut self, _: u32) {}
     fn revoke(&mut self, _: u32, _: u32) {}
     fn probe(&mut self, _: u32) {}
     fn tell(&mut self, _: u32, _: &[u8]) {}
@@ -68,7 +68,7 @@
                 job: (tenant % 2) as u32,
                 customer: tenant_number(tenant),
                 plan: super::CALM,
-                category: 0,
+                class: 0,
                 units: 1.0,
                 time_left: Duration::from_secs(4),
                 set_size: self.setting.set_size(),
