--- a/crates/merlinreel-testbed/src/scale/quotas.rs
+++ b/crates/merlinreel-testbed/src/scale/quotas.rs
@@ -21,9 +21,10 @@
 use std::time::Duration;
 
 const ROLE: &str = "quotas";
-/// Until what limiters know of one another is as old as it gets while they run.
-const WARM_UP: Duration = Duration::from_secs(12);
-const MEASURED: Duration = Duration::from_secs(10);
+/// Four times a store's refill. Stores are full at first and still hide use beyond the quota after one: in a trial of
+/// 500 limiters and sets of 37 the share beyond it was 1.7 % after 12 s, and 17 % after 60 s.
+const WARM_UP: Duration = Duration::from_secs(40);
+const MEASURED: Duration = Duration::from_secs(20);
 /// How long a probed customer asks at one limiter alone, so that its gatherer must know.
 const PROBED_ALONE: Duration = Duration::from_secs(10);
 const PROBED_AT_ALL: Duration = Duration::from_secs(30);
@@ -115,11 +116,11 @@
 /// How quotas came to hold again after limiters started again.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Recovery {
-    /// Until the first of three seconds in a row with no more beyond the quotas than before; none where there are none
-    /// within the time looked at.
+    /// Until the first of three seconds in a row with no more beyond the quotas than in any second without restarts;
+    /// none where there are none within the time looked at.
     pub holds_after: Option<Duration>,
-    /// Units beyond the quotas until then (or in all that time), less as many as before in that time, over what the
-    /// pressed customers' quotas refill in a second.
+    /// Units beyond the quotas until then (or in all that time), less as many as without restarts, over what the pressed
+    /// customers' quotas refill in a second.
     pub beyond_in_seconds_of_refill: f64,
 }
 
@@ -192,15 +193,20 @@
     }
 }
 
-/// The first `restarted` limiters start again at once in a warm fleet.
+/// The first `restarted` limiters start again at once in a warm fleet; held against the same fleet without restarts.
 pub fn count_recovery(setting: FleetSetting, seed: u64, restarted: u32) -> Result<Recovery, String> {
     let mut fleet = Fleet::new(setting, seed)?;
-    fleet.run(WARM_UP * 2);
-    let before = beyond_by_second(&mut fleet, MEASURED.as_secs());
-    fleet.restart(0..restarted);
-    let after = beyond_by_second(&mut fleet, AFTER_RESTART);
     let refill = setting.rate(PRESSED) * pressed_customers(&fleet);
-    Ok(recovery(&before, &after, refill))
+    let restarts = beyond_after_restart(&mut fleet, restarted);
+    let usual = beyond_after_restart(&mut Fleet::new(setting, seed)?, 0);
+    Ok(recovery(&usual, &restarts, refill))
+}
+
+/// Units of pressed customers let in beyond the quota in each second from the restart on.
+fn beyond_after_restart(fleet: &mut Fleet, restarted: u32) -> Vec<f64> {
+    fleet.run(WARM_UP);
+    fleet.restart(0..restarted);
+    beyond_by_second(fleet, AFTER_RESTART)
 }
 
 /// Runs for so many seconds; units of pressed customers let in beyond the quota in each.
@@ -213,16 +219,16 @@
     (0..seconds).map(next).collect()
 }
 
-/// From the units beyond the quotas in each second before and after, and the quotas' refill in a second.
-fn recovery(before: &[f64], after: &[f64], refill: f64) -> Recovery {
-    let usual = before.iter().sum::<f64>() / before.len().max(1) as f64;
-    let most = before.iter().copied().fold(0.0, f64::max);
+/// From the units beyond the quotas in each second without and with restarts, and the quotas' refill in a second.
+fn recovery(without: &[f64], after: &[f64], refill: f64) -> Recovery {
+    let usual = without.iter().sum::<f64>() / without.len().max(1) as f64;
+    let most = without.iter().copied().fold(0.0, f64::max);
     let holds = after.windows(3).position(|three| three.iter().all(|&beyond| beyond <= most));
-    let until = holds.unwrap_or(after.len());
-    let beyond: f64 = after[..until].iter().sum();
+    let until = &after[..holds.unwrap_or(after.len())];
+    let more: f64 = until.iter().fold(0.0, |sum, beyond| sum + beyond - usual);
     Recovery {
         holds_after: holds.map(|seconds| Duration::from_secs(seconds as u64)),
-        beyond_in_seconds_of_refill: (beyond - usual * until as f64) / refill.max(f64::MIN_POSITIVE),
+        beyond_in_seconds_of_refill: more / refill.max(f64::MIN_POSITIVE),
     }
 }
 
@@ -298,17 +304,19 @@
     request.check_memory(&format!("a fleet of {}", setting.text()), needed_mb)
 }
 
-/// Counts, and what the process used for them; the first run's are told, as all are the same.
+/// Counts, and what the process used for them; the first run's are told, as all are the same. Memory is told of the
+/// first size alone: later ones use again what was freed, and would seem to need less than they do.
 fn emit_counts(point: &Point, setting: FleetSetting, emit: Emit) -> Result<(), ScaleError> {
     let seed = point.request.seed;
     let unsettled = |why| point.unsettled(why);
-    let (mut processor, mut memory, mut told) = (Vec::new(), Vec::new(), None);
+    let (mut processor, mut memory, mut told) = (Vec::new(), None, None);
     for _ in 0..point.request.runs {
         let (found, used) = count_used(setting, seed).map_err(unsettled)?;
         processor.push(used.processor);
-        memory.push(used.memory);
+        memory.get_or_insert(used.memory);
         told.get_or_insert(found);
     }
+    let is_first = point.request.sizes.first() == Some(&point.size);
     let silent = FleetSetting { peer_messages: false, ..setting };
     let runs = (0..point.request.runs).map(|_| Ok(count_used(silent, seed).map_err(unsettled)?.1.processor));
     let without = runs.collect::<Result<Vec<f64>, ScaleError>>()?;
@@ -327,7 +335,7 @@
     let figures = [
         point.of_kernel("cpu_share", Unit::CpuShare, processor),
         point.of_kernel("cpu_share_without_peers", Unit::CpuShare, without),
-        point.of_kernel("memory_per_limiter", Unit::Bytes, memory),
+        point.of_kernel("memory_per_limiter", Unit::Bytes, memory.into_iter().filter(|_| is_first).collect()),
     ];
     figures.into_iter().flatten().try_for_each(emit)
 }
--- a/crates/merlinreel-testbed/src/scale/quotas/tables.rs
+++ b/crates/merlinreel-testbed/src/scale/quotas/tables.rs
@@ -16,7 +16,8 @@
 const LIMITERS: u32 = 2_300;
 /// Peers whose first message of a life is measured; enough that the kernel's clock tells.
 const LIVES: u32 = 200;
-const LEAST_ACCOUNT_BYTES: u64 = 1_024;
+/// Of an account and its place in the tables, generously.
+const ACCOUNT_BYTES: u64 = 1_024;
 /// Peers' reports of one window, by limiter.
 const REPORT_BYTES: u64 = 8;
 const IDLE: Duration = Duration::from_secs(5);
@@ -100,14 +101,28 @@
         Row { customer, plan, window, total: 1.0, asked: Some(1.0), left: None, age: None }
     }
 
-    /// The first message of a new life of each of so many peers.
-    pub fn hear_new_lives(&mut self, peers: u32) {
+    /// The first message of that life of each of so many peers; each time a later one.
+    pub fn hear_new_lives(&mut self, life: u64, peers: u32) {
         for from in 1..=peers {
-            let bytes = write(Head { life: 2, number: 1 }, &[]).concat();
+            let bytes = write(Head { life, number: 1 }, &[]).concat();
             self.round(Round { peer_messages: vec![PeerMessage { from, bytes }], ..Round::default() });
         }
     }
 
+    /// Microseconds that a peer's new life takes, and the share of a core that beats without requests take, by run.
+    fn processor_times(&mut self, runs: u32) -> (Vec<f64>, Vec<f64>) {
+        let (mut lives, mut idle) = (Vec::new(), Vec::new());
+        for run in 0..runs {
+            let meter = Meter::start();
+            self.hear_new_lives(2 + u64::from(run), LIVES);
+            lives.push(meter.read().cpu_seconds * 1e6 / f64::from(LIVES));
+            let meter = Meter::start();
+            self.idle(IDLE);
+            idle.push(meter.read().cpu_seconds / IDLE.as_secs_f64());
+        }
+        (lives, idle)
+    }
+
     /// Beats without requests.
     pub fn idle(&mut self, time: Duration) {
         let end = self.now + time;
@@ -123,30 +138,26 @@
     tenant.wrapping_add(1).wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 2
 }
 
-/// Over the tenants that asked at one limiter of [`LIMITERS`].
+/// Over the tenants that asked at one limiter of [`LIMITERS`]. The tables of all sizes are kept to the end: what is
+/// freed and used again would not be seen as growth.
 pub fn measure_tenants(request: &MeasureRequest, emit: Emit) -> Result<(), ScaleError> {
+    let (mut kept, mut tenants) = (Vec::new(), 0);
     for &size in &request.sizes {
-        let needed_mb = 64 + size * LEAST_ACCOUNT_BYTES / (1 << 20);
+        tenants += size;
+        let needed_mb = 64 + tenants * ACCOUNT_BYTES / (1 << 20);
         request.check_memory(&format!("one limiter with {size} tenants"), needed_mb)?;
         let setting =
             format!("one of {LIMITERS} limiters, each tenant asked once, {LIVES} peers of a new life");
         let point = Point { request, variable: "tenants_asked", size, setting };
-        let (mut memory, mut life, mut idle) = (Vec::new(), Vec::new(), Vec::new());
-        for _ in 0..request.runs {
-            let mut tables = TenantTables::new(request.seed).map_err(|why| point.unsettled(why))?;
-            let meter = Meter::start();
-            tables.ask(size);
-            memory.push(meter.read().memory_bytes as f64);
-            let meter = Meter::start();
-            tables.hear_new_lives(LIVES);
-            life.push(meter.read().cpu_seconds * 1e6 / f64::from(LIVES));
-            let meter = Meter::start();
-            tables.idle(IDLE);
-            idle.push(meter.read().cpu_seconds / IDLE.as_secs_f64());
-        }
+        let mut tables = TenantTables::new(request.seed).map_err(|why| point.unsettled(why))?;
+        let meter = Meter::start();
+        tables.ask(size);
+        let memory = meter.read().memory_bytes as f64;
+        let (lives, idle) = tables.processor_times(request.runs);
+        kept.push(tables);
         let figures = [
-            point.of_kernel("memory", Unit::Bytes, memory),
-            point.of_kernel("cpu_of_a_peer_s_new_life", Unit::Microseconds, life),
+            point.of_kernel("memory", Unit::Bytes, vec![memory]),
+            point.of_kernel("cpu_of_a_peer_s_new_life", Unit::Microseconds, lives),
             point.of_kernel("cpu_share_without_requests", Unit::CpuShare, idle),
         ];
         figures.into_iter().flatten().try_for_each(&mut *emit)?;
@@ -154,24 +165,22 @@
     Ok(())
 }
 
-/// Over the tenants that a peer with the last number reported to one limiter of [`LIMITERS`].
+/// Over the tenants that a peer with the last number reported to one limiter of [`LIMITERS`]; kept to the end as in
+/// [`measure_tenants`].
 pub fn measure_reported_tenants(request: &MeasureRequest, emit: Emit) -> Result<(), ScaleError> {
+    let (mut kept, mut tenants) = (Vec::new(), 0);
     for &size in &request.sizes {
-        let each = u64::from(LIMITERS) * REPORT_BYTES + LEAST_ACCOUNT_BYTES;
-        request.check_memory(
-            &format!("one limiter with reports of {size} tenants"),
-            64 + size * each / (1 << 20),
-        )?;
+        tenants += size;
+        let needed_mb = 64 + tenants * (u64::from(LIMITERS) * REPORT_BYTES + ACCOUNT_BYTES) / (1 << 20);
+        request.check_memory(&format!("one limiter with reports of {size} tenants"), needed_mb)?;
         let setting = format!("one of {LIMITERS} limiters, one window, the last limiter reports each tenant");
         let point = Point { request, variable: "tenants_reported", size, setting };
-        let mut memory = Vec::new();
-        for _ in 0..request.runs {
-            let mut tables = TenantTables::new(request.seed).map_err(|why| point.unsettled(why))?;
-            let meter = Meter::start();
-            tables.report(size);
-            memory.push(meter.read().memory_bytes as f64);
-        }
-        point.of_kernel("memory", Unit::Bytes, memory).into_iter().try_for_each(&mut *emit)?;
+        let mut tables = TenantTables::new(request.seed).map_err(|why| point.unsettled(why))?;
+        let meter = Meter::start();
+        tables.report(size);
+        let memory = meter.read().memory_bytes as f64;
+        kept.push(tables);
+        point.of_kernel("memory", Unit::Bytes, vec![memory]).into_iter().try_for_each(&mut *emit)?;
     }
     Ok(())
 }
