--- a/crates/merlinreel-testbed/src/scale/catalogue.rs
+++ b/crates/merlinreel-testbed/src/scale/catalogue.rs
@@ -32,9 +32,9 @@
 /// Every measurement, in the order in which a run of all makes them: the one that wants a quiet machine first.
 pub fn measurements() -> Vec<Measurement> {
     vec![
-        measurement!("latency", "rate", latency::RATE_SIZES, latency::measure_rate),
-        measurement!("latency", "servers", latency::SERVERS_SIZES, latency::measure_servers),
-        measurement!("latency", "answer", latency::ANSWER_SIZES, latency::measure_answers),
+        measurement!("request_path", "rate", latency::RATE_SIZES, latency::measure_rate),
+        measurement!("request_path", "servers", latency::SERVERS_SIZES, latency::measure_servers),
+        measurement!("request_path", "answer", latency::ANSWER_SIZES, latency::measure_answers),
         measurement!("server_list", "servers", server_list::DEFAULT_SIZES, server_list::measure),
         measurement!("server_list", "restarts", server_list::LIMITERS_RESTARTING_SIZES, |request, emit| {
             server_list::measure_limiters_restarting(request, SERVERS_AT_RESTARTS, emit)
--- a/crates/merlinreel-testbed/src/scale/configuration.rs
+++ b/crates/merlinreel-testbed/src/scale/configuration.rs
@@ -140,7 +140,7 @@
                 last = Meter::start();
             }
             let place = reload as usize * 7 % classes.len();
-            classes[place] = distinct_category(RELOADED_CLASSES + reload);
+            classes[place] = distinct_class(RELOADED_CLASSES + reload);
             retune(&mut limiter, &classes);
         }
         let last = last.read().cpu_seconds / size.min(LAST_RELOADS) as f64;
@@ -245,7 +245,7 @@
     let mut limiter = limiter_of(request.seed, &classes, size)?;
     let memory = meter.read().memory_bytes as f64;
     sheet.measured("module_memory", Unit::Bytes, vec![memory]).map(&mut *emit).transpose()?;
-    classes[0] = distinct_category(size);
+    classes[0] = distinct_class(size);
     retune(&mut limiter, &classes);
     emit(sheet.counted("classes_kept", Unit::Count, limiter.sizes().1 as f64))?;
     let repeats = (COMPARISONS_MEASURED / (size * size)).clamp(1, MOST_RETUNES);
@@ -273,11 +273,11 @@
 }
 
 fn distinct_categories(count: u64) -> Vec<Class> {
-    (0..count).map(distinct_category).collect()
+    (0..count).map(distinct_class).collect()
 }
 
 /// All but one of a class's rules are those of the others.
-fn distinct_category(rules: u64) -> Class {
+fn distinct_class(rules: u64) -> Class {
     let deadline = Duration::from_secs(1) + Duration::from_micros(rules);
     Class {
         target_time: Duration::from_millis(500),
