--- a/crates/merlinreel-mesh/src/node.rs
+++ b/crates/merlinreel-mesh/src/node.rs
@@ -136,15 +136,21 @@
     ) -> Result<(), PublishError> {
         let Some(number) = self.records.publish(kind, body, life, now)? else { return Ok(()) };
         self.records.beat(now);
-        if urgent {
-            let own = self.own().at;
-            if let Some(telling) = self.records.tell(own, number - 1, now, MOST_CONTENT - 8) {
-                self.spread(&telling, None, now);
-            }
+        if urgent && let Some(telling) = self.urgent_telling(number, now) {
+            self.spread(&telling, None, now);
         }
         Ok(())
     }
 
+    /// All own records where one datagram holds them, so that the newest is taken also by who has not heard of an
+    /// earlier one; else the newest alone.
+    fn urgent_telling(&self, number: u64, now: Duration) -> Option<Telling> {
+        let own = self.own().at;
+        let all = self.records.tell(own, 0, now, MOST_CONTENT - 8);
+        all.filter(|telling| telling.stamp.top == number)
+            .or_else(|| self.records.tell(own, number - 1, now, MOST_CONTENT - 8))
+    }
+
     /// Tells the others that this process ends.
     pub fn leave(&mut self, now: Duration) {
         self.left = true;
--- a/crates/merlinreel-mesh/tests/village.rs
+++ b/crates/merlinreel-mesh/tests/village.rs
@@ -233,6 +233,22 @@
     assert!(village.all_know(0, 1) && village.all_know(9, 9));
 }
 
+/// An urgent record right behind one that can wait, of another kind: it is everywhere at once, though hardly anybody has
+/// the earlier one yet.
+#[test]
+fn an_urgent_record_does_not_wait_for_an_earlier_one() {
+    const OTHER_KIND: u16 = KIND + 1;
+    let mut village = Village::new(20, 3, lossy(0));
+    village.run(s(15));
+    let now = ahead(4) + village.now;
+    let node = village.nodes[4].as_mut().expect("runs");
+    node.publish(OTHER_KIND, b"1".to_vec(), LIFE, false, now).expect("short");
+    village.publish(4, 7, true);
+    village.run(Duration::from_millis(100));
+    let known = village.known(4).into_iter().filter(|known| *known == Some(7)).count();
+    assert!(known >= 18, "{known} of 20 know it");
+}
+
 /// Records whose life is shorter than a beat takes to come round: they are held as long as their owners live, and let go of
 /// after it. Guards fleets of hundreds, where a list of stamps takes many datagrams, against losing sight of most.
 #[test]
