--- a/crates/merlinreel-testbed/src/scale.rs
+++ b/crates/merlinreel-testbed/src/scale.rs
@@ -16,6 +16,7 @@
 pub mod quotas;
 mod request;
 pub mod server_list;
+mod sheet;
 pub mod tenants;
 
 pub use catalogue::{Emit, Measurement, chosen, measurements};
@@ -25,3 +26,4 @@
 pub use meter::{Meter, Used};
 pub use network::{Delivery, Network, Traffic, Ways};
 pub use request::MeasureRequest;
+pub use sheet::Sheet;
--- a/crates/merlinreel-testbed/src/scale/configuration.rs
+++ b/crates/merlinreel-testbed/src/scale/configuration.rs
@@ -1,8 +1,7 @@
 //! What a limiter spends on its settings: reading the whole file at a start and at each change, and what stays of
 //! classes that were changed.
 
-use crate::scale::tenants::Sheet;
-use crate::scale::{Figure, MeasureRequest, Meter, ScaleError, Unit};
+use crate::scale::{Emit, MeasureRequest, Meter, ScaleError, Sheet, Unit};
 use merlinreel_core::Class;
 use merlinreel_core::decide::Limiter;
 use merlinreel_settings::{Paths, Terms};
@@ -35,8 +34,6 @@
 const COMPARISONS_MEASURED: u64 = 100_000_000;
 const MOST_RETUNES: u64 = 1_000;
 
-type Emit<'a> = &'a mut dyn FnMut(Figure) -> Result<(), ScaleError>;
-
 /// Classes and plans of a configuration, drawn from a seed.
 pub struct Entries {
     classes: Vec<Value>,
--- a/crates/merlinreel-testbed/src/scale/latency/report.rs
+++ b/crates/merlinreel-testbed/src/scale/latency/report.rs
@@ -1,7 +1,7 @@
 //! Figures of the loads: percentiles of both ways, and their differences.
 
 use super::{LatencySetting, LoadResult};
-use crate::scale::{Figure, Source, Unit};
+use crate::scale::{Figure, Sheet, Source, Unit};
 
 pub const ROLE: &str = "request_path";
 
@@ -41,21 +41,8 @@
 
 /// A figure without its value.
 pub fn form(variable: &'static str, size: u64, seed: u64, setting: &LatencySetting) -> Figure {
-    Figure {
-        version: Figure::VERSION,
-        seed,
-        role: ROLE,
-        variable,
-        size,
-        setting: setting.to_string(),
-        metric: "",
-        unit: Unit::Microseconds,
-        source: Source::Clock,
-        value: 0.0,
-        least: 0.0,
-        most: 0.0,
-        runs: 0,
-    }
+    let sheet = Sheet { seed, role: ROLE, variable, size, setting: setting.to_string() };
+    sheet.form("", Unit::Microseconds, Source::Clock)
 }
 
 pub fn figures(pairs: &[Pair], form: &Figure) -> Vec<Figure> {
--- a/crates/merlinreel-testbed/src/scale/membership.rs
+++ b/crates/merlinreel-testbed/src/scale/membership.rs
@@ -8,8 +8,8 @@
 pub use fleet::{Fleet, FleetCounts, FleetSetting, Knowledge};
 pub use watch::RecordWatch;
 
-use super::{MeasureRequest, Meter, ScaleError, Source, Unit};
-use report::{Emit, Report};
+use super::{Emit, MeasureRequest, Meter, ScaleError, Source, Unit};
+use report::Report;
 use std::time::Duration;
 
 /// Limiters.
--- a/crates/merlinreel-testbed/src/scale/membership/report.rs
+++ b/crates/merlinreel-testbed/src/scale/membership/report.rs
@@ -1,9 +1,6 @@
 //! Figures of one role at one size.
 
-use crate::scale::{Figure, MeasureRequest, ScaleError, Source, Unit};
-
-/// Takes figures.
-pub type Emit<'a> = &'a mut dyn FnMut(Figure) -> Result<(), ScaleError>;
+use crate::scale::{Emit, MeasureRequest, ScaleError, Sheet, Source, Unit};
 
 /// What all figures of one size have in common.
 pub struct Report<'a> {
@@ -16,6 +13,11 @@
 }
 
 impl Report<'_> {
+    fn sheet(&self) -> Sheet {
+        let Report { role, variable, size, .. } = *self;
+        Sheet { seed: self.request.seed, role, variable, size, setting: self.setting.clone() }
+    }
+
     /// A counted value.
     pub fn counted(&mut self, metric: &'static str, unit: Unit, value: f64) -> Result<(), ScaleError> {
         self.runs(metric, unit, Source::Counted, vec![value])
@@ -29,21 +31,7 @@
         source: Source,
         runs: Vec<f64>,
     ) -> Result<(), ScaleError> {
-        let form = Figure {
-            version: Figure::VERSION,
-            seed: self.request.seed,
-            role: self.role,
-            variable: self.variable,
-            size: self.size,
-            setting: self.setting.clone(),
-            metric,
-            unit,
-            source,
-            value: 0.0,
-            least: 0.0,
-            most: 0.0,
-            runs: 0,
-        };
-        Figure::of_runs(runs, form).map_or(Ok(()), &mut *self.emit)
+        let sheet = self.sheet();
+        sheet.of_runs(metric, unit, source, runs).map_or(Ok(()), &mut *self.emit)
     }
 }
--- a/crates/merlinreel-testbed/src/scale/quotas.rs
+++ b/crates/merlinreel-testbed/src/scale/quotas.rs
@@ -17,7 +17,7 @@
     REPORTED_TENANT_SIZES, TENANT_SIZES, TenantTables, measure_reported_tenants, measure_tenants,
 };
 
-use super::{Figure, MeasureRequest, Meter, ScaleError, Source, Unit};
+use super::{Emit, Figure, MeasureRequest, Meter, ScaleError, Sheet, Unit};
 use std::time::Duration;
 
 const ROLE: &str = "quotas";
@@ -44,8 +44,6 @@
 /// One, a zone's eleventh, a region's fifth or so, and all limiters of the fleet.
 pub const RESTART_SIZES: &[u64] = &[1, 45, 100, 500];
 
-type Emit<'a> = &'a mut dyn FnMut(Figure) -> Result<(), ScaleError>;
-
 /// What all figures of one size share.
 struct Point<'a> {
     request: &'a MeasureRequest,
@@ -55,34 +53,21 @@
 }
 
 impl Point<'_> {
-    fn figure(&self, metric: &'static str, unit: Unit, source: Source, value: f64) -> Figure {
-        Figure {
-            version: Figure::VERSION,
-            seed: self.request.seed,
-            role: ROLE,
-            variable: self.variable,
-            size: self.size,
-            setting: self.setting.clone(),
-            metric,
-            unit,
-            source,
-            value,
-            least: value,
-            most: value,
-            runs: 1,
-        }
+    fn sheet(&self) -> Sheet {
+        let Point { variable, size, .. } = *self;
+        Sheet { seed: self.request.seed, role: ROLE, variable, size, setting: self.setting.clone() }
     }
 
     fn counted(&self, metric: &'static str, unit: Unit, value: f64) -> Figure {
-        self.figure(metric, unit, Source::Counted, value)
+        self.sheet().counted(metric, unit, value)
     }
 
     fn of_kernel(&self, metric: &'static str, unit: Unit, runs: Vec<f64>) -> Option<Figure> {
-        Figure::of_runs(runs, self.figure(metric, unit, Source::Kernel, 0.0))
+        self.sheet().measured(metric, unit, runs)
     }
 
     fn unsettled(&self, why: String) -> ScaleError {
-        ScaleError::Unsettled { role: ROLE, size: self.size, why }
+        self.sheet().unsettled(why)
     }
 }
 
--- a/crates/merlinreel-testbed/src/scale/quotas/tables.rs
+++ b/crates/merlinreel-testbed/src/scale/quotas/tables.rs
@@ -1,8 +1,8 @@
 //! What one limiter's tables take for each tenant: an account for each that asked there, a number of each peer for each
 //! whose peers reported; and what a peer's new life costs, which looks at every account.
 
-use super::{Emit, FleetSetting, Point, START};
-use crate::scale::{MeasureRequest, Meter, ScaleError, Unit};
+use super::{FleetSetting, Point, START};
+use crate::scale::{Emit, MeasureRequest, Meter, ScaleError, Unit};
 use merlinreel_core::decide::Limiter;
 use merlinreel_core::peer_message::{Head, Row, write};
 use merlinreel_core::{Job, PeerMessage, Round, Writer};
--- a/crates/merlinreel-testbed/src/scale/server_list/report.rs
+++ b/crates/merlinreel-testbed/src/scale/server_list/report.rs
@@ -1,6 +1,6 @@
 //! Figures of one size, and the processor time of work that is too short to be measured once.
 
-use crate::scale::{Figure, MeasureRequest, Meter, ScaleError, Source, Unit};
+use crate::scale::{Figure, MeasureRequest, Meter, ScaleError, Sheet, Source, Unit};
 use std::fs;
 
 const ROLE: &str = "server_list";
@@ -18,6 +18,11 @@
 }
 
 impl Report<'_, '_> {
+    fn sheet(&self) -> Sheet {
+        let Report { variable, size, .. } = *self;
+        Sheet { seed: self.request.seed, role: ROLE, variable, size, setting: self.setting.clone() }
+    }
+
     pub fn counted(&mut self, metric: &'static str, unit: Unit, value: u64) -> Result<(), ScaleError> {
         self.runs(metric, unit, Source::Counted, vec![value as f64])
     }
@@ -29,22 +34,8 @@
         source: Source,
         runs: Vec<f64>,
     ) -> Result<(), ScaleError> {
-        let form = Figure {
-            version: Figure::VERSION,
-            seed: self.request.seed,
-            role: ROLE,
-            variable: self.variable,
-            size: self.size,
-            setting: self.setting.clone(),
-            metric,
-            unit,
-            source,
-            value: 0.0,
-            least: 0.0,
-            most: 0.0,
-            runs: 0,
-        };
-        Figure::of_runs(runs, form).map_or(Ok(()), &mut *self.emit)
+        let sheet = self.sheet();
+        sheet.of_runs(metric, unit, source, runs).map_or(Ok(()), &mut *self.emit)
     }
 
     /// How often work is repeated in one measurement, so that each size has about as much of it as the largest: the
--- a/crates/merlinreel-testbed/src/scale/tenants/sheet.rs
+++ b/crates/merlinreel-testbed/src/scale/sheet.rs
@@ -1,9 +1,10 @@
 //! What the figures of one measured size have in common.
 
-use crate::scale::{Figure, Source, Unit};
+use super::{Figure, ScaleError, Source, Unit};
 
 /// The role, the variable and its size, and how all else stands.
-pub(in crate::scale) struct Sheet {
+#[derive(Clone, Debug)]
+pub struct Sheet {
     pub seed: u64,
     pub role: &'static str,
     pub variable: &'static str,
@@ -17,12 +18,29 @@
         Figure { value, least: value, most: value, ..self.form(metric, unit, Source::Counted) }
     }
 
+    /// A figure of some runs; none where there were no runs.
+    pub fn of_runs(
+        &self,
+        metric: &'static str,
+        unit: Unit,
+        source: Source,
+        runs: Vec<f64>,
+    ) -> Option<Figure> {
+        Figure::of_runs(runs, self.form(metric, unit, source))
+    }
+
     /// A figure of the kernel's, measured once or more.
     pub fn measured(&self, metric: &'static str, unit: Unit, runs: Vec<f64>) -> Option<Figure> {
-        Figure::of_runs(runs, self.form(metric, unit, Source::Kernel))
+        self.of_runs(metric, unit, Source::Kernel, runs)
+    }
+
+    /// A measurement that did not end at this size.
+    pub fn unsettled(&self, why: impl ToString) -> ScaleError {
+        ScaleError::Unsettled { role: self.role, size: self.size, why: why.to_string() }
     }
 
-    fn form(&self, metric: &'static str, unit: Unit, source: Source) -> Figure {
+    /// A figure without its value.
+    pub fn form(&self, metric: &'static str, unit: Unit, source: Source) -> Figure {
         Figure {
             version: Figure::VERSION,
             seed: self.seed,
--- a/crates/merlinreel-testbed/src/scale/tenants.rs
+++ b/crates/merlinreel-testbed/src/scale/tenants.rs
@@ -2,11 +2,9 @@
 //! requests and peer messages.
 
 mod hollow;
-mod sheet;
 
-use crate::scale::{Figure, MeasureRequest, Meter, ScaleError, Unit};
+use crate::scale::{Emit, Figure, MeasureRequest, Meter, ScaleError, Sheet, Unit};
 pub use hollow::{BEATS_PER_SWEEP, Fleet, HollowLimiter, Said};
-pub(in crate::scale) use sheet::Sheet;
 use std::time::Duration;
 
 /// Tenants known to one limiter.
@@ -45,8 +43,6 @@
 /// For the check of memory beforehand: an account with its place in the index, with room for lists that double.
 const ACCOUNT_KB: u64 = 3;
 
-type Emit<'a> = &'a mut dyn FnMut(Figure) -> Result<(), ScaleError>;
-
 /// Varies the tenants that a limiter knows, each of which comes through this limiter alone.
 pub fn measure(request: &MeasureRequest, emit: Emit) -> Result<(), ScaleError> {
     let fleet = Fleet { limiters: LIMITERS, set_size: 1 };
