--- a/crates/merlinreel/tests/sockets/operations.rs
+++ b/crates/merlinreel/tests/sockets/operations.rs
@@ -106,6 +106,20 @@
     assert_eq!(client.job("look", 8, 1).status(), 200);
 }
 
+/// A long answer that the client has whole counts as served, also where its told length makes nobody ask for its end.
+#[test]
+fn a_long_answer_that_went_on_whole_counts_as_served() {
+    const LENGTH: usize = 300 << 10;
+    let server = StandIn::start(|_| answer("200 OK", "", &"x".repeat(LENGTH)));
+    let mut config = config(&[listed("s-1", server.address, "up")]);
+    let ops: std::net::SocketAddr = free_address();
+    config["ops"] = ops.to_string().into();
+    let program = Program::start(&config);
+    assert_eq!(program.client().job("look", 7, 1).body.len(), LENGTH);
+    let told = stats(ops);
+    assert!(told.contains("limiter.requests.look.served:1|c\n"), "{told}");
+}
+
 /// Guards settings read again: a class added at SIGHUP is served under its own rules, a file that allows no
 /// attempts is turned down whole and changes nothing.
 #[test]
