--- a/crates/merlinreel-benchlink/src/host.rs
+++ b/crates/merlinreel-benchlink/src/host.rs
@@ -54,14 +54,22 @@
             "POOL" => {
                 let list = values.integer("list")?;
                 let missing = values.index("records", 1 << 20)? as usize;
-                self.pools.insert(list, Pool { missing, ..Pool::default() });
+                self.pools.insert(
+                    list,
+                    Pool {
+                        missing,
+                        ..Pool::default()
+                    },
+                );
                 self.filling = Some(list);
             }
             "ENTRY" => self.entry(&mut values)?,
             "INIT" => self.init(&mut values)?,
             "TEARDOWN" => {
                 let name = self.current.clone().ok_or("no instance is named")?;
-                self.instances.remove(&name).ok_or(format!("instance {name} is not known"))?;
+                self.instances
+                    .remove(&name)
+                    .ok_or(format!("instance {name} is not known"))?;
             }
             "ENDPOINTS" | "JOB_IN" | "ACCEPTED" | "LEFT" | "SAMPLED" | "MAIL" | "REPLY" | "DUE"
             | "LEDGER_REPLY" => self.event(message, &mut values)?,
@@ -71,7 +79,9 @@
     }
 
     fn end_list(&mut self) -> Result<(), String> {
-        let Some(list) = self.filling.take() else { return Ok(()) };
+        let Some(list) = self.filling.take() else {
+            return Ok(());
+        };
         match self.pools.get_mut(&list) {
             Some(pool) if pool.missing > 0 => {
                 pool.broken = true;
@@ -82,7 +92,10 @@
     }
 
     fn entry(&mut self, values: &mut Values) -> Result<(), String> {
-        let pool = self.filling.and_then(|list| self.pools.get_mut(&list)).ok_or("no list is open")?;
+        let pool = self
+            .filling
+            .and_then(|list| self.pools.get_mut(&list))
+            .ok_or("no list is open")?;
         if pool.missing == 0 {
             return Err("one entry more than the list states".to_owned());
         }
@@ -116,7 +129,10 @@
 
     fn event(&mut self, message: &str, values: &mut Values) -> Result<(), String> {
         let name = self.current.as_ref().ok_or("no instance is named")?;
-        let instance = self.instances.get_mut(name).ok_or(format!("instance {name} is not known"))?;
+        let instance = self
+            .instances
+            .get_mut(name)
+            .ok_or(format!("instance {name} is not known"))?;
         instance.touched = true;
         match message {
             "ENDPOINTS" => {
@@ -132,7 +148,10 @@
                     return Ok(());
                 }
                 let list = values.integer("list")?;
-                let pool = self.pools.get(&list).ok_or(format!("list {list} is not known"))?;
+                let pool = self
+                    .pools
+                    .get(&list)
+                    .ok_or(format!("list {list} is not known"))?;
                 if pool.broken || pool.missing > 0 {
                     return Err(format!("list {list} came in broken"));
                 }
@@ -145,9 +164,17 @@
                 let entries = pool
                     .lines
                     .iter()
-                    .map(|line| ServerEntry { server: instance.servers.add(&line.name), ..line.entry })
+                    .map(|line| ServerEntry {
+                        server: instance.servers.add(&line.name),
+                        ..line.entry
+                    })
                     .collect();
-                instance.round.server_list.push(ServerList { whole, restored, unavailable: false, entries });
+                instance.round.server_list.push(ServerList {
+                    whole,
+                    restored,
+                    unavailable: false,
+                    entries,
+                });
             }
             "JOB_IN" => {
                 let id = values.text("req")?;
@@ -194,25 +221,42 @@
             }
             "SAMPLED" => {
                 let name = values.text("server")?;
-                let server = instance.servers.get(name).ok_or(format!("server {name} is not known"))?;
+                let server = instance
+                    .servers
+                    .get(name)
+                    .ok_or(format!("server {name} is not known"))?;
                 let answered = ending(values.text("stateCode")?)? == Ending::Served;
                 let took = values.time("waitTimeS")?;
                 let load = values.load()?;
-                instance.round.probes.push(ProbeAnswer { server, answered, took, load });
+                instance.round.probes.push(ProbeAnswer {
+                    server,
+                    answered,
+                    took,
+                    load,
+                });
             }
             "MAIL" => {
                 let from = values.index("src", 1 << 16)? as u32;
                 let content = values.text("content")?;
                 let bytes = unhex(content).ok_or(format!("content: '{content}' is not hex"))?;
-                instance.round.peer_messages.push(PeerMessage { from, bytes });
+                instance
+                    .round
+                    .peer_messages
+                    .push(PeerMessage { from, bytes });
             }
             "REPLY" => {
                 let id = values.text("req")?;
-                let job = instance.jobs.get(id).ok_or(format!("job {id} is not known"))?;
+                let job = instance
+                    .jobs
+                    .get(id)
+                    .ok_or(format!("job {id} is not known"))?;
                 let finished = values.flag("finished")?;
                 let units = values.optional("cost")?.filter(|&cost| cost > 0.0);
                 let name = values.text("server")?;
-                let server = instance.servers.get(name).ok_or(format!("server {name} is not known"))?;
+                let server = instance
+                    .servers
+                    .get(name)
+                    .ok_or(format!("server {name} is not known"))?;
                 let ending = ending(values.text("stateCode")?)?;
                 let took = values.time("waitTimeS")?;
                 let attempt = values.integer("seqNo")? as u32;
@@ -246,7 +290,8 @@
                 let code = values.text("stateCode")?;
                 values.time("waitTimeS")?;
                 let name = values.text("cname")?;
-                let (customer, window) = count_parts(name).ok_or(format!("cname: unknown '{name}'"))?;
+                let (customer, window) =
+                    count_parts(name).ok_or(format!("cname: unknown '{name}'"))?;
                 let ending = ending(code)?;
                 instance.round.counts.push(CountAnswer {
                     customer,
@@ -264,7 +309,9 @@
         self.in_round = false;
         self.current = None;
         for name in &self.order {
-            let Some(instance) = self.instances.get_mut(name) else { continue };
+            let Some(instance) = self.instances.get_mut(name) else {
+                continue;
+            };
             if !std::mem::take(&mut instance.touched) {
                 continue;
             }
@@ -279,7 +326,10 @@
                 forgotten: &mut instance.forgotten,
             };
             instance.limiter.round(self.now, &round, &mut reply);
-            instance.forgotten.drain(..).for_each(|server| instance.servers.remove(server));
+            instance
+                .forgotten
+                .drain(..)
+                .for_each(|server| instance.servers.remove(server));
             for job in instance.freed.drain(..) {
                 instance.jobs.remove(job);
             }
--- a/crates/merlinreel-benchlink/src/host/tests.rs
+++ b/crates/merlinreel-benchlink/src/host/tests.rs
@@ -26,21 +26,31 @@
     let mut host = Host::default();
     let lines = format!("ROUND 8\nCONTEXT limiter/0\nINIT 7 {SETTINGS}\n{LIST}OVER_TO_YOU");
     let (replies, complaints) = play(&mut host, &lines);
-    assert!(replies.starts_with("FOR limiter/0\n") && replies.ends_with("READY\n"), "{replies}");
+    assert!(
+        replies.starts_with("FOR limiter/0\n") && replies.ends_with("READY\n"),
+        "{replies}"
+    );
     assert_eq!(complaints, [""; 0]);
     host
 }
 
 #[test]
 fn an_empty_batch_gets_an_empty_reply() {
-    assert_eq!(play(&mut Host::default(), "ROUND 8.41225\nOVER_TO_YOU").0, "READY\n");
+    assert_eq!(
+        play(&mut Host::default(), "ROUND 8.41225\nOVER_TO_YOU").0,
+        "READY\n"
+    );
 }
 
 #[test]
 fn a_job_is_sent_answered_and_forgotten() {
     let mut host = started();
     let job = "ROUND 9\nCONTEXT limiter/0\nJOB_IN j-1 2 1.4 77 0 0 0 0 1\nOVER_TO_YOU";
-    assert!(play(&mut host, job).0.contains("SUBMIT_TO j-1 server.abc 0.000000\n"));
+    assert!(
+        play(&mut host, job)
+            .0
+            .contains("SUBMIT_TO j-1 server.abc 0.000000\n")
+    );
     let end = "ROUND 9.1\nCONTEXT limiter/0\nREPLY j-1 1 0 server.abc delivered 0.1 0 0 busy_reqs:1,svc_ms:9\n\
         OVER_TO_YOU";
     let (reply, complaints) = play(&mut host, end);
@@ -66,7 +76,10 @@
         POOL 0 1\nENTRY server.new 0 0 0 U 1 -\nENDPOINTS update 3 0\nOVER_TO_YOU\n\
         ROUND 10\nCONTEXT limiter/0\nJOB_IN j-1 2 1.4 77 0 0 0 0 1\nOVER_TO_YOU";
     let (reply, complaints) = play(&mut host, lines);
-    assert!(reply.contains("SUBMIT_TO j-1 server.new") && complaints.is_empty(), "{reply}");
+    assert!(
+        reply.contains("SUBMIT_TO j-1 server.new") && complaints.is_empty(),
+        "{reply}"
+    );
 }
 
 #[test_case("HELLO 1", "unknown message 'HELLO'" ; "unknown message")]
@@ -100,10 +113,16 @@
 #[test_case(&[0x00, 0xff, 0x1a], "00ff1a" ; "bytes")]
 #[test_case(&[], "-" ; "none")]
 fn bytes_on_the_wire(bytes: &[u8], text: &str) {
-    assert_eq!((hex(bytes), unhex(text)), (text.to_owned(), Some(bytes.to_vec())));
+    assert_eq!(
+        (hex(bytes), unhex(text)),
+        (text.to_owned(), Some(bytes.to_vec()))
+    );
 }
 
 #[test]
 fn a_count_is_named_by_customer_and_window() {
-    assert_eq!(count_parts(&count_name(8_589_934_591, 100_020)), Some((8_589_934_591, 100_020)));
+    assert_eq!(
+        count_parts(&count_name(8_589_934_591, 100_020)),
+        Some((8_589_934_591, 100_020))
+    );
 }
--- a/crates/merlinreel-benchlink/src/host/values.rs
+++ b/crates/merlinreel-benchlink/src/host/values.rs
@@ -31,7 +31,8 @@
 
     pub fn integer(&mut self, name: &str) -> Result<u64, String> {
         let text = self.text(name)?;
-        text.parse().map_err(|_| format!("{name}: '{text}' is not a whole number"))
+        text.parse()
+            .map_err(|_| format!("{name}: '{text}' is not a whole number"))
     }
 
     pub fn index(&mut self, name: &str, below: u64) -> Result<u64, String> {
@@ -61,7 +62,9 @@
             Some(text) => text,
         };
         for pair in text.split(',') {
-            let (name, value) = pair.split_once(':').ok_or(format!("feedback: '{pair}' is no pair"))?;
+            let (name, value) = pair
+                .split_once(':')
+                .ok_or(format!("feedback: '{pair}' is no pair"))?;
             let value = match value.parse::<f64>() {
                 Ok(value) if value.is_finite() => value,
                 _ => return Err(format!("feedback: '{value}' is not a number")),
@@ -116,6 +119,14 @@
         Some(at) if at > 0.0 => Duration::try_from_secs_f64(at).ok(),
         _ => None,
     };
-    let entry = ServerEntry { server: 0, mark: mark(&name), zone, cell, standing, weight, up_since };
+    let entry = ServerEntry {
+        server: 0,
+        mark: mark(&name),
+        zone,
+        cell,
+        standing,
+        weight,
+        up_since,
+    };
     Ok(Line { name, entry })
 }
--- a/crates/merlinreel-benchlink/src/host/writer.rs
+++ b/crates/merlinreel-benchlink/src/host/writer.rs
@@ -123,7 +123,10 @@
     if !text.len().is_multiple_of(2) || !text.is_ascii() {
         return None;
     }
-    (0..text.len()).step_by(2).map(|i| u8::from_str_radix(&text[i..i + 2], 16).ok()).collect()
+    (0..text.len())
+        .step_by(2)
+        .map(|i| u8::from_str_radix(&text[i..i + 2], 16).ok())
+        .collect()
 }
 
 pub fn count_name(customer: u64, window: u64) -> String {
@@ -132,13 +135,19 @@
 
 pub fn count_parts(name: &str) -> Option<(u64, u64)> {
     let (customer, window) = name.split_once('.')?;
-    Some((u64::from_str_radix(customer, 16).ok()?, u64::from_str_radix(window, 16).ok()?))
+    Some((
+        u64::from_str_radix(customer, 16).ok()?,
+        u64::from_str_radix(window, 16).ok()?,
+    ))
 }
 
 impl Writer for Reply<'_> {
     /// A window runs to the sending here, so that nothing is late by the way there.
     fn send(&mut self, job: u32, server: u32, _within: Option<Duration>) {
-        let (id, name) = (&self.jobs.names[job as usize], &self.servers.names[server as usize]);
+        let (id, name) = (
+            &self.jobs.names[job as usize],
+            &self.servers.names[server as usize],
+        );
         let _ = writeln!(self.out, "SUBMIT_TO {id} {name} 0.000000");
         let state = &mut self.states[job as usize];
         state.out += 1;
@@ -158,7 +167,11 @@
     }
 
     fn revoke(&mut self, job: u32, attempt: u32) {
-        let _ = writeln!(self.out, "REVOKE {} {attempt}", self.jobs.names[job as usize]);
+        let _ = writeln!(
+            self.out,
+            "REVOKE {} {attempt}",
+            self.jobs.names[job as usize]
+        );
     }
 
     fn probe(&mut self, server: u32) {
@@ -171,7 +184,10 @@
 
     fn count(&mut self, customer: u64, window: u64, amount: f64, keep: Duration) {
         let name = count_name(customer, window);
-        self.line(format_args!("POST_AMOUNT {:.6} {amount} {name}", keep.as_secs_f64()));
+        self.line(format_args!(
+            "POST_AMOUNT {:.6} {amount} {name}",
+            keep.as_secs_f64()
+        ));
     }
 
     fn follow_discovery(&mut self, on: bool) {
@@ -183,7 +199,11 @@
     }
 
     fn close_idle(&mut self, server: u32) {
-        let _ = writeln!(self.out, "CLOSE_IDLE {}", self.servers.names[server as usize]);
+        let _ = writeln!(
+            self.out,
+            "CLOSE_IDLE {}",
+            self.servers.names[server as usize]
+        );
     }
 
     fn forget(&mut self, server: u32) {
--- a/crates/merlinreel-core/src/decide.rs
+++ b/crates/merlinreel-core/src/decide.rs
@@ -36,7 +36,10 @@
         job_rules: JobRules,
     ) -> Limiter {
         // Until answers are seen; two and a half of them do not bind then.
-        let fifth = classes.iter().map(|c| secs(c.target_time) / 5.0).fold(1.0, f64::min);
+        let fifth = classes
+            .iter()
+            .map(|c| secs(c.target_time) / 5.0)
+            .fold(1.0, f64::min);
         Limiter {
             usual: fifth,
             calm: fifth,
@@ -77,12 +80,31 @@
     pub fn round(&mut self, now: Duration, round: &Round, out: &mut dyn Writer) {
         self.discovery_lost |= self.started.is_none() && self.server_rules.discovery_on_request;
         self.started.get_or_insert(now);
-        round.server_list.iter().for_each(|server_list| self.follow(now, server_list));
-        round.peer_messages.iter().for_each(|peer_message| self.read_peer_message(now, peer_message));
-        round.counts.iter().for_each(|answer| self.read_count(now, answer));
-        round.attempt_ends.iter().for_each(|end| self.end_attempt(now, end, out));
-        round.streaming.iter().for_each(|&job| self.answer_begins(now, job));
-        for job in round.jobs.iter().filter(|job| !round.left.contains(&job.job)) {
+        round
+            .server_list
+            .iter()
+            .for_each(|server_list| self.follow(now, server_list));
+        round
+            .peer_messages
+            .iter()
+            .for_each(|peer_message| self.read_peer_message(now, peer_message));
+        round
+            .counts
+            .iter()
+            .for_each(|answer| self.read_count(now, answer));
+        round
+            .attempt_ends
+            .iter()
+            .for_each(|end| self.end_attempt(now, end, out));
+        round
+            .streaming
+            .iter()
+            .for_each(|&job| self.answer_begins(now, job));
+        for job in round
+            .jobs
+            .iter()
+            .filter(|job| !round.left.contains(&job.job))
+        {
             self.take(now, job, out);
         }
         round.left.iter().for_each(|&job| self.close(job, out));
@@ -102,7 +124,11 @@
         self.dispatch(now, out);
         if self.woken_at <= now {
             self.woken_at = self.beat_at;
-            out.wake(self.beat_at.saturating_sub(now).max(Duration::from_millis(1)));
+            out.wake(
+                self.beat_at
+                    .saturating_sub(now)
+                    .max(Duration::from_millis(1)),
+            );
         }
     }
 
@@ -116,17 +142,24 @@
         self.drop_accounts(|account, plan| {
             account.quiet += 1;
             // Both windows over, and a store as full as a new one's.
-            let quiet = f64::from(account.quiet) > (2.0 * window_length(plan)).max(30.0) && !account.stirred;
+            let quiet = f64::from(account.quiet) > (2.0 * window_length(plan)).max(30.0)
+                && !account.stirred;
             quiet && account.calling.is_none() && account.listeners.is_empty() && {
                 account.roll(now, plan);
                 account.left(now, plan) >= plan.burst
             }
         });
         let over = |server: &mut Server| {
-            server.quiet = if server.entry.standing == Standing::Gone { server.quiet + 1 } else { 0 };
+            server.quiet = if server.entry.standing == Standing::Gone {
+                server.quiet + 1
+            } else {
+                0
+            };
             server.quiet > 30
         };
-        self.drop_servers(over).into_iter().for_each(|server| out.forget(server));
+        self.drop_servers(over)
+            .into_iter()
+            .for_each(|server| out.forget(server));
     }
 }
 
--- a/crates/merlinreel-core/src/decide/quotas.rs
+++ b/crates/merlinreel-core/src/decide/quotas.rs
@@ -46,7 +46,11 @@
         let all = self.heard[0].len().max(self.heard[1].len());
         let told = (0..all).filter(|&p| told(0, p) || told(1, p)).count() as f64;
         let used = self.others(0) + self.others(1);
-        let others = if peers.counter && used > 0.0 { set - 1.0 } else { told };
+        let others = if peers.counter && used > 0.0 {
+            set - 1.0
+        } else {
+            told
+        };
         let seen_for = secs(now) - (self.window.saturating_sub(1)) as f64 * window_length(plan);
         let pace = (self.tries.iter().sum::<f64>() * others).max(used) / seen_for.max(0.1);
         // Twice what is expected of them, as they come in bursts.
@@ -97,7 +101,8 @@
         let set = u64::from(self.set_size.max(1));
         // A multiplier with well mixed bits spreads customers over their sets.
         let start = self.customer.wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 40;
-        let place = |k| (self.set_first % peers.limiters + ((start + k) % set) as u32) % peers.limiters;
+        let place =
+            |k| (self.set_first % peers.limiters + ((start + k) % set) as u32) % peers.limiters;
         // Five peer messages unanswered: some are lost, and two that gather for one customer tell too much.
         let fit = |&p: &u32| p == peers.me || owing[p as usize] < 5;
         (0..set).map(place).find(fit).unwrap_or(peers.me)
@@ -111,9 +116,12 @@
         // A third more or less is no more than use varies by chance.
         if (true_one - thought).abs() > 0.35 * true_one.max(thought) {
             (self.told_left, self.pace, self.told_at) = (left, Some(asked), now);
-            self.listeners.iter_mut().for_each(|listener| listener.owed = true);
+            self.listeners
+                .iter_mut()
+                .for_each(|listener| listener.owed = true);
         }
-        self.listeners.retain(|listener| now < listener.heard + LISTENED);
+        self.listeners
+            .retain(|listener| now < listener.heard + LISTENED);
     }
 }
 
@@ -121,7 +129,11 @@
     pub(super) fn take(&mut self, now: Duration, job: &Job, out: &mut dyn Writer) {
         let gathers = self.gathers();
         let counted = gathers || self.peers.counter && now >= self.behind_until;
-        let interval = if counted { self.beat() } else { self.message_interval() };
+        let interval = if counted {
+            self.beat()
+        } else {
+            self.message_interval()
+        };
         let blind = secs(interval) + 0.03; // And the way of a peer message or a call, some tens of ms.
         // Where one gathers no peer is heard directly: a new quota would seem whole at each of hundreds.
         let split = if gathers { LISTENED } else { interval };
@@ -147,7 +159,8 @@
         let beyond = account.left(now, plan) < job.units;
         let welcome = beyond && plan.beyond_gain > plan.beyond_cost && self.idle;
         let lot = self.chance.generate::<f64>();
-        let admitted = worth_it && (welcome || account.admits(now, plan, job.units, blind, peers, lot));
+        let admitted =
+            worth_it && (welcome || account.admits(now, plan, job.units, blind, peers, lot));
         if !admitted || !account.under_ceiling(now, plan, job.units) {
             account.due[0] = true;
             let wait = account.opens_in(now, plan, job.units);
@@ -166,7 +179,9 @@
             f64::from(u8::from(self.chance.generate::<f64>() < heard)) / heard
         };
         let window = (!welcome && stands_for > 0.0).then_some(account.window);
-        window.into_iter().for_each(|window| account.add_own(window, job.units * stands_for));
+        window
+            .into_iter()
+            .for_each(|window| account.add_own(window, job.units * stands_for));
         if !welcome {
             account.untold += job.units;
             account.told_left -= job.units;
@@ -174,8 +189,10 @@
         account.ceiling -= job.units;
         account.out += 1;
         let target = now + class.target_time.saturating_sub(elapsed);
-        *slot(&mut self.jobs, job.job) =
-            Some(OpenJob { stands_for, ..OpenJob::new(job, i, now, target, window) });
+        *slot(&mut self.jobs, job.job) = Some(OpenJob {
+            stands_for,
+            ..OpenJob::new(job, i, now, target, window)
+        });
         self.queue.push(job.job);
     }
 
@@ -222,7 +239,10 @@
             }
         }
         // Departure: peer messages beside a counter that cannot take all calls, as it is crowded, slow or gone.
-        if !self.peers.peer_messages || now < self.messages_at || counter && now >= self.behind_until {
+        if !self.peers.peer_messages
+            || now < self.messages_at
+            || counter && now >= self.behind_until
+        {
             return;
         }
         self.messages_at = now + self.message_interval();
@@ -249,8 +269,13 @@
         let peers = self.peers;
         // Few gather for customers that ask much, and must tell many at once: each has four times its even
         // share, while what it is told itself, as all are by all, leaves two thirds of its inbox to reports.
-        let more = if self.word.sum(now) < peers.inbox_per_s / 3.0 { 4.0 } else { 1.0 };
-        let room = more * f64::from(peers.limiters) * secs(self.beat()) / secs(self.message_interval());
+        let more = if self.word.sum(now) < peers.inbox_per_s / 3.0 {
+            4.0
+        } else {
+            1.0
+        };
+        let room =
+            more * f64::from(peers.limiters) * secs(self.beat()) / secs(self.message_interval());
         self.message_room = (self.message_room + room).min(room + 4.0);
         let mut mail: Vec<(f64, Vec<Row>)> = vec![(0.0, Vec::new()); peers.limiters as usize];
         let (accounts, plans, owing) = (&mut self.accounts, &self.plans, &self.owing);
@@ -261,7 +286,9 @@
             account.roll(now, plan);
             let to = account.gatherer(peers, owing);
             let gathers = account.set_size > 0 && to == peers.me;
-            let reading = account.reading(now, gathers, ASKED_OVER, plan).filter(|it| passed_on(it, plan));
+            let reading = account
+                .reading(now, gathers, ASKED_OVER, plan)
+                .filter(|it| passed_on(it, plan));
             said.extend(reading.map(|reading| (i, reading)));
             if gathers || account.set_size == 0 {
                 if gathers || !account.listeners.is_empty() {
@@ -272,7 +299,12 @@
             let (left, pace) = (account.left(now, plan), account.asked(now, ASKED_OVER));
             let need = 1.25 - (left / plan.burst.max(1.0)).clamp(0.0, 1.0);
             let mut add = |to: u32, i: usize, total, asked, left| {
-                let row = Row { total, asked: Some(asked), left, ..account.row(i) };
+                let row = Row {
+                    total,
+                    asked: Some(asked),
+                    left,
+                    ..account.row(i)
+                };
                 mail[to as usize].0 += need;
                 mail[to as usize].1.push(row);
             };
@@ -286,14 +318,21 @@
                 add(to, 0, account.own[0], account.unasked, None);
             }
             for listener in account.listeners.iter().filter(|listener| listener.owed) {
-                let total = account.heard[0].get(listener.peer as usize).copied().unwrap_or(0.0);
+                let total = account.heard[0]
+                    .get(listener.peer as usize)
+                    .copied()
+                    .unwrap_or(0.0);
                 add(listener.peer, 0, total, pace, Some(left));
             }
-            account.stirred = !account.listeners.is_empty() || account.news != [0, 0] || account.due[0];
+            account.stirred =
+                !account.listeners.is_empty() || account.news != [0, 0] || account.due[0];
             account.stirred
         });
-        let due = |p: u32| mail[p as usize].0 * secs(now.saturating_sub(self.told_peer[p as usize]));
-        let mut order: Vec<u32> = (0..peers.limiters).filter(|&p| mail[p as usize].0 > 0.0).collect();
+        let due =
+            |p: u32| mail[p as usize].0 * secs(now.saturating_sub(self.told_peer[p as usize]));
+        let mut order: Vec<u32> = (0..peers.limiters)
+            .filter(|&p| mail[p as usize].0 > 0.0)
+            .collect();
         order.sort_by(|&a, &b| due(b).total_cmp(&due(a)));
         order.truncate(self.message_room as usize);
         for p in order {
@@ -306,7 +345,11 @@
             for row in rows.iter() {
                 let account = &mut self.accounts[self.by_customer[&row.customer]];
                 if row.left.is_some() {
-                    account.listeners.iter_mut().filter(|l| l.peer == p).for_each(|l| l.owed = false);
+                    account
+                        .listeners
+                        .iter_mut()
+                        .filter(|l| l.peer == p)
+                        .for_each(|l| l.owed = false);
                 } else {
                     (account.news, account.due[0], account.unasked) = ([0, 0], false, 0.0);
                     account.asked_at = now;
@@ -323,7 +366,9 @@
 
     /// Malformed, stale and repeated peer messages change nothing.
     pub(super) fn read_peer_message(&mut self, now: Duration, peer_message: &PeerMessage) {
-        let Some((head, rows)) = peer_message::read(&peer_message.bytes) else { return };
+        let Some((head, rows)) = peer_message::read(&peer_message.bytes) else {
+            return;
+        };
         let from = peer_message.from as usize;
         if from >= self.last_peer_message.len() || peer_message.from == self.peers.me {
             return;
@@ -333,8 +378,13 @@
             return;
         }
         self.last_peer_message[from] = (head.life, head.number);
-        self.word
-            .add(now, f64::from(u8::from(rows.iter().any(|row| row.left.is_some() && row.age.is_none()))));
+        self.word.add(
+            now,
+            f64::from(u8::from(
+                rows.iter()
+                    .any(|row| row.left.is_some() && row.age.is_none()),
+            )),
+        );
         self.owing[from] = 0;
         if head.life > life {
             // A peer that started again tells its totals from nothing; what it told before stays counted.
@@ -354,18 +404,32 @@
                 continue;
             }
             // Settled units may leave a store below nothing, by one large job at most.
-            let floor = if self.peers.settles { self.peers.most_units } else { 0.0 };
+            let floor = if self.peers.settles {
+                self.peers.most_units
+            } else {
+                0.0
+            };
             account.roll(now, plan);
-            let window = account.window.saturating_sub(account.window.wrapping_sub(row.window) & 3);
+            let window = account
+                .window
+                .saturating_sub(account.window.wrapping_sub(row.window) & 3);
             let Some(left) = row.left else {
                 account.hear(now, plan, from, window, row.total, floor);
                 if let Some(asked) = row.asked {
                     account.asked_units.add(now, asked);
                     // Who reported of late was told of every change since.
-                    let known =
-                        account.listeners.iter().any(|one| one.peer == peer_message.from && !one.owed);
-                    account.listeners.retain(|listener| listener.peer != peer_message.from);
-                    account.listeners.push(Listener { peer: peer_message.from, heard: now, owed: !known });
+                    let known = account
+                        .listeners
+                        .iter()
+                        .any(|one| one.peer == peer_message.from && !one.owed);
+                    account
+                        .listeners
+                        .retain(|listener| listener.peer != peer_message.from);
+                    account.listeners.push(Listener {
+                        peer: peer_message.from,
+                        heard: now,
+                        owed: !known,
+                    });
                 }
                 continue;
             };
@@ -381,7 +445,8 @@
                 // The gatherer's reading, less what it could not know of yet.
                 account.told_left = left - account.own[..=i].iter().sum::<f64>() + row.total;
                 account.spilled += account.left(now, plan) - account.told_left;
-                (account.told_at, account.pace, account.split_until) = (now, row.asked, Duration::ZERO);
+                (account.told_at, account.pace, account.split_until) =
+                    (now, row.asked, Duration::ZERO);
             }
         }
     }
@@ -393,17 +458,28 @@
         let bound = if now < self.behind_until { 1.01 } else { 1.0 };
         self.calls *= if answer.total.is_some() { bound } else { 0.8 };
         self.calls = self.calls.clamp(0.01, 64.0);
-        let Some(&i) = self.by_customer.get(&answer.customer) else { return };
+        let Some(&i) = self.by_customer.get(&answer.customer) else {
+            return;
+        };
         let account = &mut self.accounts[i];
         account.stir(i, &mut self.stirred);
         let call = account.calling.filter(|call| call.0 == answer.window);
-        let Some((window, own, amount)) = call else { return };
+        let Some((window, own, amount)) = call else {
+            return;
+        };
         account.calling = None;
         account.roll(now, &self.plans[account.plan]);
         match (answer.total, account.place(window)) {
             (Some(total), _) => {
                 let (floor, me) = (self.peers.most_units, self.peers.me as usize);
-                account.hear(now, &self.plans[account.plan], me, window, total - own, floor);
+                account.hear(
+                    now,
+                    &self.plans[account.plan],
+                    me,
+                    window,
+                    total - own,
+                    floor,
+                );
             }
             (None, Some(i)) if answer.not_added => {
                 account.counted[i] -= amount;
--- a/crates/merlinreel-core/src/decide/requests.rs
+++ b/crates/merlinreel-core/src/decide/requests.rs
@@ -8,7 +8,12 @@
 /// How long the client has waited over earlier tries. First tries of a class come with one and the same
 /// time left; a rarer one is what the deadline leaves of a later try. Guards quota and servers against
 /// retries too late to earn. Clients that change their time-outs could suffer: so it forgets fast.
-pub(super) fn elapsed(left: Duration, seen: &mut [f64], firsts: &mut f64, deadline: Duration) -> Duration {
+pub(super) fn elapsed(
+    left: Duration,
+    seen: &mut [f64],
+    firsts: &mut f64,
+    deadline: Duration,
+) -> Duration {
     let steps = seen.len() - 2;
     let part = secs(left) / secs(deadline).max(0.001);
     let i = 1 + ((part * steps as f64) as usize).min(steps - 1);
@@ -21,16 +26,34 @@
         seen.iter_mut().for_each(|tries| *tries /= 2.0);
     }
     *firsts += (f64::from(u8::from(common)) - *firsts) * 0.02;
-    if common || *firsts < 0.15 { Duration::ZERO } else { deadline.saturating_sub(left) }
+    if common || *firsts < 0.15 {
+        Duration::ZERO
+    } else {
+        deadline.saturating_sub(left)
+    }
 }
 
 impl Limiter {
     pub(super) fn end_attempt(&mut self, now: Duration, end: &AttemptEnd, out: &mut dyn Writer) {
         let (took, pressed) = (secs(end.took), !self.queue.is_empty());
         // Where limiters hear each other, their own credits tell more.
-        let load = if self.gathers() { end.load } else { Load::default() };
-        let Some(open) = self.jobs.get_mut(end.job as usize).and_then(|open| open.as_mut()) else { return };
-        let Some(attempt) = open.attempts.get_mut(end.attempt as usize).filter(|attempt| attempt.out) else {
+        let load = if self.gathers() {
+            end.load
+        } else {
+            Load::default()
+        };
+        let Some(open) = self
+            .jobs
+            .get_mut(end.job as usize)
+            .and_then(|open| open.as_mut())
+        else {
+            return;
+        };
+        let Some(attempt) = open
+            .attempts
+            .get_mut(end.attempt as usize)
+            .filter(|attempt| attempt.out)
+        else {
             return;
         };
         attempt.out = false;
@@ -46,11 +69,18 @@
         // Two at a server over all limiters keep it at work, however long its answers take.
         let floor = 2.0 / f64::from(self.peers.limiters);
         let (sent, target) = (attempt.sent, secs(self.classes[open.job.class].target_time));
-        if let Some(server) = self.servers.get_mut(end.server as usize).and_then(|s| s.as_mut()) {
+        if let Some(server) = self
+            .servers
+            .get_mut(end.server as usize)
+            .and_then(|s| s.as_mut())
+        {
             if !overdue {
                 server.out = server.out.saturating_sub(1);
             }
-            if !matches!(end.ending, Ending::Revoked | Ending::Expired | Ending::Unsent) {
+            if !matches!(
+                end.ending,
+                Ending::Revoked | Ending::Expired | Ending::Unsent
+            ) {
                 server.owing_since = now;
             }
             if !end.ending.never_ran() && (!overdue || end.ending == Ending::Served) {
@@ -58,7 +88,11 @@
                 let long = (target * 0.4).min(self.calm * 2.5).max(0.001);
                 server.pace(now, took, long, floor, pressed);
                 // A client that gave up would have waited longer: thrice as long stands for it.
-                let felt = if end.ending == Ending::Expired { took.max(3.0 * long) } else { took };
+                let felt = if end.ending == Ending::Expired {
+                    took.max(3.0 * long)
+                } else {
+                    took
+                };
                 self.strain += (felt / long - self.strain) * 0.03;
                 self.level = next_level(self.level, self.strain, pressed, &load);
             }
@@ -74,7 +108,8 @@
                     (server.strikes, server.drops) = (0, 0);
                     // What no server could be reached for is this limiter's own doing: none has started anew by it.
                     let since = server.unreachable_since.take();
-                    let cut_off = since.is_some_and(|since| self.cut_off_at.is_some_and(|at| at >= since));
+                    let cut_off =
+                        since.is_some_and(|since| self.cut_off_at.is_some_and(|at| at >= since));
                     if std::mem::take(&mut server.down) && !cut_off {
                         server.cold_since = Some(now);
                     }
@@ -94,7 +129,8 @@
                 Ending::TurnedAway => {
                     // Never more than before: with many limiters credits are parts of an attempt.
                     server.credits = (server.credits * 0.7).max(floor.min(server.credits));
-                    server.benched_until = server.benched_until.max(now + Duration::from_millis(100));
+                    server.benched_until =
+                        server.benched_until.max(now + Duration::from_millis(100));
                 }
                 Ending::NoConnection => {
                     (server.down, server.unreachable_since) = (true, None);
@@ -124,7 +160,9 @@
         if end.finished || open.done {
             self.close(end.job, out);
         } else if stays && self.may_send_again(now, end.job) {
-            self.jobs[end.job as usize].iter_mut().for_each(|open| open.queued = true);
+            self.jobs[end.job as usize]
+                .iter_mut()
+                .for_each(|open| open.queued = true);
             self.queue.push(end.job);
         } else if stays {
             self.give_up(now, end.job, out);
@@ -132,7 +170,9 @@
     }
 
     pub(super) fn may_send_again(&self, now: Duration, job: u32) -> bool {
-        let Some(open) = self.jobs[job as usize].as_ref() else { return false };
+        let Some(open) = self.jobs[job as usize].as_ref() else {
+            return false;
+        };
         let class = &self.classes[open.job.class];
         let in_time = now < open.target || class.late_gain > 0.0 && now < open.give_up;
         let rule = match (class.repeats, open.ran) {
@@ -146,15 +186,22 @@
     /// A streamed answer has begun: its server is not silent, and the attempt is never taken back.
     pub(super) fn answer_begins(&mut self, now: Duration, job: u32) {
         let open = self.jobs.get_mut(job as usize).into_iter().flatten();
-        for attempt in open.flat_map(|open| &mut open.attempts).filter(|attempt| attempt.out) {
+        for attempt in open
+            .flat_map(|open| &mut open.attempts)
+            .filter(|attempt| attempt.out)
+        {
             attempt.revoked = true;
-            self.servers[attempt.server as usize].iter_mut().for_each(|server| server.owing_since = now);
+            self.servers[attempt.server as usize]
+                .iter_mut()
+                .for_each(|server| server.owing_since = now);
         }
     }
 
     /// The final answer of a job that is given up, at once: a refusal where that is harmless.
     pub(super) fn give_up(&mut self, now: Duration, job: u32, out: &mut dyn Writer) {
-        let Some(open) = self.jobs[job as usize].as_mut().filter(|open| !open.done) else { return };
+        let Some(open) = self.jobs[job as usize].as_mut().filter(|open| !open.done) else {
+            return;
+        };
         let harmless = match (self.classes[open.job.class].repeats, open.ran) {
             (_, None) | (Repeats::Replayable, _) => true,
             // Guards the effect against clients told to come back once no server knows the key any more.
@@ -183,13 +230,24 @@
 
     /// The job has its final answer: attempts still out are taken back, and nothing more is sent.
     pub(super) fn close(&mut self, job: u32, out: &mut dyn Writer) {
-        let Some(open) = self.jobs.get_mut(job as usize).and_then(|open| open.as_mut()) else { return };
+        let Some(open) = self
+            .jobs
+            .get_mut(job as usize)
+            .and_then(|open| open.as_mut())
+        else {
+            return;
+        };
         if !std::mem::replace(&mut open.done, true) {
             let account = &mut self.accounts[open.account];
             account.out = account.out.saturating_sub(1);
         }
         let mut still_out = false;
-        for (n, attempt) in open.attempts.iter_mut().enumerate().filter(|(_, attempt)| attempt.out) {
+        for (n, attempt) in open
+            .attempts
+            .iter_mut()
+            .enumerate()
+            .filter(|(_, attempt)| attempt.out)
+        {
             still_out = true;
             if self.job_rules.may_revoke && !std::mem::replace(&mut attempt.revoked, true) {
                 out.revoke(job, n as u32);
@@ -210,19 +268,33 @@
             let class = &self.classes[open.job.class];
             class.gain * self.plans[open.job.plan].price / secs(class.target_time).max(0.001)
         };
-        let most = queue.iter().flat_map(|&job| &self.jobs[job as usize]).map(worth).fold(0.0, f64::max);
+        let most = queue
+            .iter()
+            .flat_map(|&job| &self.jobs[job as usize])
+            .map(worth)
+            .fold(0.0, f64::max);
         queue.sort_by_cached_key(|&job| match &self.jobs[job as usize] {
-            Some(open) => ((most / worth(open).max(1e-9)).log2() as u32, std::cmp::Reverse(open.arrived)),
+            Some(open) => (
+                (most / worth(open).max(1e-9)).log2() as u32,
+                std::cmp::Reverse(open.arrived),
+            ),
             None => (0, std::cmp::Reverse(now)),
         });
         for job in queue {
-            let Some(open) = self.jobs[job as usize].as_ref().filter(|open| !open.done && open.queued) else {
+            let Some(open) = self.jobs[job as usize]
+                .as_ref()
+                .filter(|open| !open.done && open.queued)
+            else {
                 continue;
             };
             // Half the target time bounds it: slow answers must not stop all sending for good. Nor does a starting value,
             // before any answer was seen: nothing would be learnt where all have little time left.
             let least = secs(self.classes[open.job.class].target_time) / 2.0;
-            let needed = if answers_seen { (self.usual * 1.5).min(least) } else { 0.0 };
+            let needed = if answers_seen {
+                (self.usual * 1.5).min(least)
+            } else {
+                0.0
+            };
             let hopeless = now + span(needed) >= open.target.min(open.give_up);
             if hopeless || !self.may_send_again(now, job) {
                 self.give_up(now, job, out);
@@ -232,10 +304,21 @@
                 self.queue.push(job);
                 continue;
             };
-            let places = (&mut self.jobs[job as usize], &mut self.servers[server as usize]);
-            let (Some(open), Some(at)) = places else { continue };
+            let places = (
+                &mut self.jobs[job as usize],
+                &mut self.servers[server as usize],
+            );
+            let (Some(open), Some(at)) = places else {
+                continue;
+            };
             open.queued = false;
-            open.attempts.push(Attempt { server, sent: now, out: true, revoked: false, overdue: false });
+            open.attempts.push(Attempt {
+                server,
+                sent: now,
+                out: true,
+                revoked: false,
+                overdue: false,
+            });
             if at.out == 0 {
                 at.owing_since = now;
             }
--- a/crates/merlinreel-core/src/decide/servers.rs
+++ b/crates/merlinreel-core/src/decide/servers.rs
@@ -33,7 +33,10 @@
 /// detectors, Dadgar, Phillips and Currey, Lifeguard, 2017). A single server's own end looks alike: the list tells of
 /// its start then.
 pub(super) fn reaches_none(servers: &[Option<Server>]) -> bool {
-    let mut regular = servers.iter().flatten().filter(|server| server.listed && !server.aside);
+    let mut regular = servers
+        .iter()
+        .flatten()
+        .filter(|server| server.listed && !server.aside);
     regular.all(|server| server.unreachable_since.is_some())
 }
 
@@ -51,7 +54,9 @@
 
     /// The share of its capacity that it surely has, from its last known start.
     pub(super) fn warmth(&self, now: Duration, rules: &ServerRules) -> f64 {
-        let Some(since) = self.cold_since else { return 1.0 };
+        let Some(since) = self.cold_since else {
+            return 1.0;
+        };
         let part = secs(now.saturating_sub(since)) / secs(rules.warm_after).max(0.001);
         (rules.start_share + (1.0 - rules.start_share) * part).min(1.0)
     }
@@ -95,7 +100,12 @@
         if any_warm || !listed().any(|server| server.entry.up_since.is_some_and(long_ago)) {
             return;
         }
-        for server in self.servers.iter_mut().flatten().filter(|server| server.listed) {
+        for server in self
+            .servers
+            .iter_mut()
+            .flatten()
+            .filter(|server| server.listed)
+        {
             server.cold_since = server.entry.up_since.map(|start| start.min(now));
         }
     }
@@ -106,17 +116,27 @@
             return;
         }
         let first = !self.servers.iter().flatten().any(|server| server.listed);
-        let starts = server_list.entries.iter().filter_map(|entry| entry.up_since);
+        let starts = server_list
+            .entries
+            .iter()
+            .filter_map(|entry| entry.up_since);
         starts.for_each(|start| self.starts.hear(now, start));
-        for server in self.servers.iter_mut().flatten().filter(|_| server_list.whole) {
+        for server in self
+            .servers
+            .iter_mut()
+            .flatten()
+            .filter(|_| server_list.whole)
+        {
             (server.listed, server.entry.standing) = (false, Standing::Gone);
         }
         let limiters = self.peers.limiters;
         for entry in &server_list.entries {
             let place = slot(&mut self.servers, entry.server);
             let known = place.is_some();
-            let server = place.get_or_insert_with(|| Server::new(*entry, &self.server_rules, limiters));
-            let restarted = entry.up_since.is_some() && entry.up_since != server.entry.up_since || !known;
+            let server =
+                place.get_or_insert_with(|| Server::new(*entry, &self.server_rules, limiters));
+            let restarted =
+                entry.up_since.is_some() && entry.up_since != server.entry.up_since || !known;
             server.entry = *entry;
             server.listed = entry.standing == Standing::Up;
             if let Some(start) = entry.up_since.filter(|_| restarted) {
@@ -136,8 +156,19 @@
     /// Guards against a connection an attempt, and against views too thin to tell a good server from a bad one.
     pub(super) fn keep_regulars(&mut self, now: Duration) {
         let rules = self.server_rules;
-        let bears = |s: &Server| if now >= s.benched_until { s.warmth(now, &rules) } else { 0.0 };
-        let mut ring: Vec<&mut Server> = self.servers.iter_mut().flatten().filter(|s| s.listed).collect();
+        let bears = |s: &Server| {
+            if now >= s.benched_until {
+                s.warmth(now, &rules)
+            } else {
+                0.0
+            }
+        };
+        let mut ring: Vec<&mut Server> = self
+            .servers
+            .iter_mut()
+            .flatten()
+            .filter(|s| s.listed)
+            .collect();
         ring.sort_by_key(|server| server.entry.mark);
         // Ten limiters at each even out that some get several times the mean; six leave a choice in a zone.
         let most = (10.0 * ring.len() as f64 / f64::from(self.peers.limiters)).max(6.0);
@@ -149,17 +180,32 @@
             server.aside = kept >= most;
             kept += if server.aside { 0.0 } else { bears(server) };
         }
-        self.reach = if kept > 0.0 { (all / kept).max(1.0) } else { 1.0 };
+        self.reach = if kept > 0.0 {
+            (all / kept).max(1.0)
+        } else {
+            1.0
+        };
     }
 
     /// What a warm server was sent of late. While none is warm what was last holds, and a cold one gets a
     /// attempt: guards against a fleet taken for cold at a stroke, which would idle.
     pub(super) fn gauge(&mut self, now: Duration) {
-        let warm = |s: &&mut Server| s.listed && !s.aside && s.cold_since.is_none() && now >= s.benched_until;
-        let sends = self.servers.iter_mut().flatten().filter(warm).map(|server| server.sends.sum(now));
+        let warm = |s: &&mut Server| {
+            s.listed && !s.aside && s.cold_since.is_none() && now >= s.benched_until
+        };
+        let sends = self
+            .servers
+            .iter_mut()
+            .flatten()
+            .filter(warm)
+            .map(|server| server.sends.sum(now));
         let (count, sum) = sends.fold((0.0, 0.0), |(count, sum), sends| (count + 1.0, sum + sends));
         let least = 1.0 / self.server_rules.start_share.max(0.05);
-        self.warm_sends = if count > 0.0 { sum / count } else { self.warm_sends.max(least) };
+        self.warm_sends = if count > 0.0 {
+            sum / count
+        } else {
+            self.warm_sends.max(least)
+        };
     }
 
     /// The server for an attempt: credit left there, and the least work in hand for its pace.
@@ -180,11 +226,17 @@
         if busy + 1.0 > credits.max(1.0) {
             return None;
         }
-        let origin = open.ran.and_then(|(server, _)| self.servers[server as usize].as_ref()).map(|s| s.entry);
+        let origin = open
+            .ran
+            .and_then(|(server, _)| self.servers[server as usize].as_ref())
+            .map(|s| s.entry);
         let mut best: Option<(f64, u32)> = None;
         for (i, server) in self.servers.iter_mut().enumerate() {
             let Some(server) = server else { continue };
-            let has_one = open.attempts.iter().any(|attempt| attempt.out && attempt.server == i as u32);
+            let has_one = open
+                .attempts
+                .iter()
+                .any(|attempt| attempt.out && attempt.server == i as u32);
             // What may have run goes anywhere in its group, which may hold none of the regular ones.
             let aside = server.aside && origin.is_none();
             if has_one || aside || !server.listed || now < server.benched_until {
@@ -196,15 +248,21 @@
             {
                 continue;
             }
-            let tried = open.attempts.iter().filter(|attempt| attempt.server == i as u32).count();
+            let tried = open
+                .attempts
+                .iter()
+                .filter(|attempt| attempt.server == i as u32)
+                .count();
             let warmth = server.warmth(now, rules);
             if warmth >= 1.0 {
                 server.cold_since = None;
             }
             let trial = server.strikes > 0 || server.fails(self.erring);
-            let credits =
-                if trial { server.credits.min(1.0) } else { server.credits * self.level * self.reach }
-                    * warmth;
+            let credits = if trial {
+                server.credits.min(1.0)
+            } else {
+                server.credits * self.level * self.reach
+            } * warmth;
             // A part of a credit is a whole one for part of the time, by turns among the limiters: not all
             // send to one server at once. Half a second outlasts most attempts, the golden ratio is even.
             let turn = i as f64 * 0.618 + secs(now).div_euclid(0.5) * 0.382;
@@ -220,8 +278,16 @@
             if warmth < 1.0 && part < 1.0 && turn * secs(rules.fall_time) >= part * 0.5 {
                 continue;
             }
-            let took = if server.took > 0.0 { server.took } else { self.usual };
-            let far = if server.entry.zone == rules.zone { 1.0 } else { 1.02 };
+            let took = if server.took > 0.0 {
+                server.took
+            } else {
+                self.usual
+            };
+            let far = if server.entry.zone == rules.zone {
+                1.0
+            } else {
+                1.02
+            };
             let luck = 1.0 + 0.05 * self.chance.generate::<f64>();
             let doubt = (1.0 - server.errors).max(0.05).powi(4);
             let cost = took * f64::from(server.out + 1) * far * luck * (1 + tried) as f64 / doubt;
@@ -241,13 +307,19 @@
         for open in self.jobs.iter_mut().flatten() {
             let again = match self.classes[open.job.class].repeats {
                 Repeats::Replayable => true,
-                Repeats::Keyed(_, memory) => open.attempts.iter().all(|t| now < t.sent + memory / 2),
+                Repeats::Keyed(_, memory) => {
+                    open.attempts.iter().all(|t| now < t.sent + memory / 2)
+                }
                 Repeats::SingleUse => false,
             };
             let again = again && !open.done && open.attempts.len() < most && now < open.target;
             for (n, attempt) in open.attempts.iter_mut().enumerate() {
                 let full = watched(open.job.job);
-                let patience = if full { overdue_after(self.usual, 0.0) } else { patience };
+                let patience = if full {
+                    overdue_after(self.usual, 0.0)
+                } else {
+                    patience
+                };
                 if !attempt.out || attempt.overdue || now <= attempt.sent + patience {
                     continue;
                 }
@@ -261,7 +333,10 @@
                         server.strike(now);
                     }
                 }
-                if again && self.job_rules.may_revoke && !std::mem::replace(&mut attempt.revoked, true) {
+                if again
+                    && self.job_rules.may_revoke
+                    && !std::mem::replace(&mut attempt.revoked, true)
+                {
                     out.revoke(open.job.job, n as u32);
                 }
             }
--- a/crates/merlinreel-core/src/decide/start_clock.rs
+++ b/crates/merlinreel-core/src/decide/start_clock.rs
@@ -15,7 +15,8 @@
     /// The time by the lists: the newest start and what has passed since it was heard. The true time is later by as much
     /// as the news of that start was late, and never earlier.
     fn time(&self, now: Duration) -> Option<Duration> {
-        self.newest.map(|(start, heard)| start + now.saturating_sub(heard))
+        self.newest
+            .map(|(start, heard)| start + now.saturating_sub(heard))
     }
 
     /// A list told of a start.
@@ -30,7 +31,11 @@
     /// could make up. It costs a server as much of its capacity as the news of the newest start was late.
     pub fn age(&self, now: Duration, start: Duration) -> Duration {
         let time = self.time(now).unwrap_or(start);
-        let believed = if now > time + MOST_CLOCK_ERROR { now } else { time };
+        let believed = if now > time + MOST_CLOCK_ERROR {
+            now
+        } else {
+            time
+        };
         believed.saturating_sub(start)
     }
 }
--- a/crates/merlinreel-core/src/decide/tests/cold_servers.rs
+++ b/crates/merlinreel-core/src/decide/tests/cold_servers.rs
@@ -63,7 +63,10 @@
 }
 
 fn rules() -> ServerRules {
-    ServerRules { fall_factor: FALL_FACTOR, ..server_rules() }
+    ServerRules {
+        fall_factor: FALL_FACTOR,
+        ..server_rules()
+    }
 }
 
 /// The share of its capacity that the settings allow the cold server at a time.
@@ -93,7 +96,11 @@
 impl Place {
     /// Number `me`; `told` is the number of limiters that its settings name.
     fn new(me: u32, told: u32, seed: u64) -> Place {
-        let peers = Peers { limiters: told, me: me.min(told - 1), ..peers() };
+        let peers = Peers {
+            limiters: told,
+            me: me.min(told - 1),
+            ..peers()
+        };
         let class = Class {
             target_time: at(0.5),
             deadline: at(2.0),
@@ -110,16 +117,32 @@
             most_held: 1000,
         };
         // Quotas are none of this test's: each customer has more than it asks for.
-        let plan = Plan { rate: 1e6, burst: 1e6, price: 1.0, ..Plan::default() };
+        let plan = Plan {
+            rate: 1e6,
+            burst: 1e6,
+            price: 1.0,
+            ..Plan::default()
+        };
         let seed = seed.wrapping_mul(1000) + u64::from(me);
         let limiter = Limiter::new(seed, vec![plan], vec![class], peers, rules(), jobs);
-        Place { limiter, next: Round::default(), ends: BTreeMap::new(), jobs: 0 }
+        Place {
+            limiter,
+            next: Round::default(),
+            ends: BTreeMap::new(),
+            jobs: 0,
+        }
     }
 
     /// A job of a customer of its own.
     fn take(&mut self, limiters: u32, me: u32) {
         let customer = u64::from(self.jobs % 50) * u64::from(limiters) + u64::from(me);
-        self.next.jobs.push(Job { job: self.jobs, customer, set_size: 1, set_first: me, ..job() });
+        self.next.jobs.push(Job {
+            job: self.jobs,
+            customer,
+            set_size: 1,
+            set_first: me,
+            ..job()
+        });
         self.jobs += 1;
     }
 }
@@ -160,7 +183,8 @@
         let limiters = self.places.len() as u32;
         let mean = part * f64::from(SERVERS) * CORES as f64 / WORK * STEP;
         // Steps are short: jobs come evenly, with a part of one by chance.
-        let count = mean.floor() + f64::from(u8::from(self.chance.generate::<f64>() < mean.fract()));
+        let count =
+            mean.floor() + f64::from(u8::from(self.chance.generate::<f64>() < mean.fract()));
         for _ in 0..count as u32 {
             let me = self.chance.generate_range(0..limiters);
             self.places[me as usize].take(limiters, me);
@@ -169,10 +193,16 @@
 
     /// When a server ends an attempt that reaches it now: first come, first served, work by chance.
     fn work(&mut self, server: u32, now: f64) -> f64 {
-        let slower = if server == COLD && now >= COLD_AT { share(now) } else { 1.0 };
+        let slower = if server == COLD && now >= COLD_AT {
+            share(now)
+        } else {
+            1.0
+        };
         let work = -WORK * (1.0 - self.chance.generate::<f64>()).ln() / slower;
         let cores = &mut self.cores[server as usize];
-        let core = (0..CORES).min_by(|&one, &other| cores[one].total_cmp(&cores[other])).unwrap_or(0);
+        let core = (0..CORES)
+            .min_by(|&one, &other| cores[one].total_cmp(&cores[other]))
+            .unwrap_or(0);
         cores[core] = cores[core].max(now) + work;
         cores[core]
     }
@@ -184,22 +214,38 @@
             let place = &mut self.places[me];
             let mut round = std::mem::take(&mut place.next);
             let later = place.ends.split_off(&((now * 1e6) as u64, u32::MAX));
-            round.attempt_ends = std::mem::replace(&mut place.ends, later).into_values().collect();
+            round.attempt_ends = std::mem::replace(&mut place.ends, later)
+                .into_values()
+                .collect();
             let mut decisions = Decisions::default();
             place.limiter.round(at(now), &round, &mut decisions);
-            peer_messages
-                .extend(decisions.peer_messages.into_iter().map(|peer_message| (me as u32, peer_message)));
+            peer_messages.extend(
+                decisions
+                    .peer_messages
+                    .into_iter()
+                    .map(|peer_message| (me as u32, peer_message)),
+            );
             for (job, server) in decisions.attempts {
                 if server == COLD && now >= COLD_AT {
                     self.to_cold.push(now);
                 }
                 let took = self.work(server, now) - now;
-                let end = AttemptEnd { job, server, took: at(took), ..attempt_end(Ending::Served, true) };
-                self.places[me].ends.insert((((now + took) * 1e6) as u64, job), end);
+                let end = AttemptEnd {
+                    job,
+                    server,
+                    took: at(took),
+                    ..attempt_end(Ending::Served, true)
+                };
+                self.places[me]
+                    .ends
+                    .insert((((now + took) * 1e6) as u64, job), end);
             }
         }
         for (from, (to, bytes)) in peer_messages {
-            self.places[to as usize].next.peer_messages.push(PeerMessage { from, bytes });
+            self.places[to as usize]
+                .next
+                .peer_messages
+                .push(PeerMessage { from, bytes });
         }
     }
 
@@ -212,12 +258,18 @@
             let now = BEGIN + f64::from(step) * STEP;
             if !gone && now >= COLD_AT - 1.0 {
                 gone = true;
-                self.tell(&[ServerEntry { standing: Standing::Gone, ..entry(COLD) }]);
+                self.tell(&[ServerEntry {
+                    standing: Standing::Gone,
+                    ..entry(COLD)
+                }]);
             }
             if !cold && now >= COLD_AT {
                 cold = true;
                 self.cores[COLD as usize] = [now; CORES];
-                self.tell(&[ServerEntry { up_since: Some(at(COLD_AT)), ..entry(COLD) }]);
+                self.tell(&[ServerEntry {
+                    up_since: Some(at(COLD_AT)),
+                    ..entry(COLD)
+                }]);
             }
             self.ask(if cold { BURST } else { CALM });
             self.round(now);
@@ -230,7 +282,10 @@
 fn fullest(sends: &[f64]) -> f64 {
     let fall = secs(rules().fall_time);
     let part = |(i, &begin): (usize, &f64)| {
-        let within = sends[i..].iter().take_while(|&&sent| sent < begin + fall).count();
+        let within = sends[i..]
+            .iter()
+            .take_while(|&&sent| sent < begin + fall)
+            .count();
         within as f64 / bound(begin)
     };
     sends.iter().enumerate().map(part).fold(0.0, f64::max)
--- a/crates/merlinreel-core/src/decide/tests/gathering.rs
+++ b/crates/merlinreel-core/src/decide/tests/gathering.rs
@@ -39,7 +39,14 @@
     let gatherer = account.gatherer(many(), &[0; 90]);
     let mut notes = Notes::default();
     limiter.sync(at(1.0), &mut notes);
-    assert_eq!(notes.peer_messages.iter().map(|peer_message| peer_message.0).collect::<Vec<_>>(), [gatherer]);
+    assert_eq!(
+        notes
+            .peer_messages
+            .iter()
+            .map(|peer_message| peer_message.0)
+            .collect::<Vec<_>>(),
+        [gatherer]
+    );
 }
 
 /// Where one gathers, a new quota stays split over its set of sixty past a beat, until the gatherer tells
@@ -48,25 +55,48 @@
 #[test_case(true => 4 ; "the gatherer tells a full store: all of them")]
 fn jobs_let_in_before_the_gatherers_word(told: bool) -> usize {
     let (mut limiter, mut notes) = (limiter(Repeats::Replayable, many()), Notes::default());
-    let job = |n: u32| Job { job: n, set_size: 60, set_first: 1, ..job() };
+    let job = |n: u32| Job {
+        job: n,
+        set_size: 60,
+        set_first: 1,
+        ..job()
+    };
     limiter.take(at(1.0), &job(0), &mut notes);
-    let word = peer_message(1, 1, &[Row { asked: Some(1.0), ..row(0.0, Some(8.0)) }]);
+    let word = peer_message(
+        1,
+        1,
+        &[Row {
+            asked: Some(1.0),
+            ..row(0.0, Some(8.0))
+        }],
+    );
     let from = limiter.accounts[0].gatherer(many(), &[0; 90]);
     told.then(|| limiter.read_peer_message(at(1.2), &PeerMessage { from, ..word }));
     (1..4).for_each(|n| limiter.take(at(1.5), &job(n), &mut notes));
-    4 - notes.lines.iter().filter(|line| line.starts_with("refuse")).count()
+    4 - notes
+        .lines
+        .iter()
+        .filter(|line| line.starts_with("refuse"))
+        .count()
 }
 
 #[test]
 fn who_reports_is_told_what_is_left() {
     let mut limiter = limiter(Repeats::Replayable, many());
-    let report = Row { asked: Some(6.0), ..row(3.0, None) };
+    let report = Row {
+        asked: Some(6.0),
+        ..row(3.0, None)
+    };
     limiter.read_peer_message(at(1.0), &peer_message(1, 1, &[report]));
     let mut notes = Notes::default();
     limiter.sync(at(1.0), &mut notes);
-    let rows =
-        peer_message::read(&notes.peer_messages[0].1).map(|peer_message| peer_message.1).unwrap_or_default();
-    assert_eq!((notes.peer_messages[0].0, rows[0].total, rows[0].left), (1, 3.0, Some(5.0)));
+    let rows = peer_message::read(&notes.peer_messages[0].1)
+        .map(|peer_message| peer_message.1)
+        .unwrap_or_default();
+    assert_eq!(
+        (notes.peer_messages[0].0, rows[0].total, rows[0].left),
+        (1, 3.0, Some(5.0))
+    );
 }
 
 /// Peer messages to a limiter that reports again a little later: none where it was told all that changed, as each of
@@ -78,7 +108,10 @@
     let mut notes = Notes::default();
     for (number, when, asked) in [(1, 1.0, 6.0), (2, 1.5, asked)] {
         notes.peer_messages.clear();
-        let report = Row { asked: Some(asked), ..row(3.0, None) };
+        let report = Row {
+            asked: Some(asked),
+            ..row(3.0, None)
+        };
         limiter.read_peer_message(at(when), &peer_message(1, number, &[report]));
         limiter.sync(at(when), &mut notes);
     }
@@ -92,7 +125,13 @@
 #[test_case(20, 40.0, 5.0 => true ; "sooner in a smaller set")]
 #[test_case(60, 0.0, 7.0 => false ; "an inbox that takes nothing is none to divide by")]
 fn asking_again(set_size: u32, inbox_per_s: f64, after: f64) -> bool {
-    let mut limiter = limiter(Repeats::Replayable, Peers { inbox_per_s, ..many() });
+    let mut limiter = limiter(
+        Repeats::Replayable,
+        Peers {
+            inbox_per_s,
+            ..many()
+        },
+    );
     let account = account(&mut limiter);
     account.roll(at(10.0), &plan());
     (account.set_size, account.set_first, account.due[0]) = (set_size, 1, true);
@@ -108,9 +147,18 @@
 #[test_case(20.0 => 3 ; "inboxes fill")]
 fn messages_in_a_beat(words: f64) -> usize {
     let mut limiter = limiter(Repeats::Replayable, many());
-    let report = Row { asked: Some(6.0), ..row(3.0, None) };
+    let report = Row {
+        asked: Some(6.0),
+        ..row(3.0, None)
+    };
     (1..31).for_each(|from| {
-        limiter.read_peer_message(at(1.0), &PeerMessage { from, ..peer_message(1, 1, &[report]) })
+        limiter.read_peer_message(
+            at(1.0),
+            &PeerMessage {
+                from,
+                ..peer_message(1, 1, &[report])
+            },
+        )
     });
     limiter.word.add(at(1.0), words);
     let mut notes = Notes::default();
@@ -124,7 +172,10 @@
     let mut limiter = limiter(Repeats::Replayable, many());
     let account = account(&mut limiter);
     (account.set_size, account.set_first, account.own[0]) = (1, 1 + first, 3.0);
-    let told = Row { asked: Some(6.0), ..row(2.0, Some(3.0)) };
+    let told = Row {
+        asked: Some(6.0),
+        ..row(2.0, Some(3.0))
+    };
     limiter.read_peer_message(at(1.0), &peer_message(1, 1, &[told]));
     assert!((limiter.accounts[0].left(at(1.0), &plan()) - left).abs() < 1e-6);
 }
@@ -138,10 +189,22 @@
 fn what_is_passed_on_is_heeded(reading: Option<(f64, f64)>) -> bool {
     let (mut limiter, mut notes) = (limiter(Repeats::Replayable, many()), Notes::default());
     if let Some((left, age)) = reading {
-        let row = Row { asked: Some(3.0), age: Some(at(age)), ..row(0.0, Some(left)) };
+        let row = Row {
+            asked: Some(3.0),
+            age: Some(at(age)),
+            ..row(0.0, Some(left))
+        };
         limiter.read_peer_message(at(10.0), &peer_message(1, 1, &[row]));
     }
-    limiter.take(at(10.0), &Job { set_size: 60, set_first: 1, ..job() }, &mut notes);
+    limiter.take(
+        at(10.0),
+        &Job {
+            set_size: 60,
+            set_first: 1,
+            ..job()
+        },
+        &mut notes,
+    );
     notes.lines.is_empty()
 }
 
@@ -154,7 +217,11 @@
     let account = account(&mut limiter);
     (account.set_size, account.set_first) = (set_size, if set_size == 1 { 0 } else { 1 });
     for &(number, left, age) in told {
-        let row = Row { asked: Some(20.0), age: Some(at(age)), ..row(0.0, Some(left)) };
+        let row = Row {
+            asked: Some(20.0),
+            age: Some(at(age)),
+            ..row(0.0, Some(left))
+        };
         limiter.read_peer_message(at(3.0), &peer_message(1, number, &[row]));
     }
     limiter.accounts[0].left(at(3.0), &plan())
@@ -175,7 +242,11 @@
     let customer = pressed.customer;
     (limiter.by_customer, limiter.accounts[0].own[0]) = ([(customer, 0)].into(), 8.0);
     limiter.accounts[0].asked_units.add(at(1.0), asked);
-    let other = Row { customer: 1, asked: Some(1.0), ..row(1.0, None) };
+    let other = Row {
+        customer: 1,
+        asked: Some(1.0),
+        ..row(1.0, None)
+    };
     limiter.read_peer_message(at(1.0), &peer_message(1, 1, &[other]));
     let mut notes = Notes::default();
     limiter.sync(at(1.0), &mut notes);
@@ -183,7 +254,9 @@
         .peer_messages
         .iter()
         .flat_map(|(_, bytes)| peer_message::read(bytes).map(|peer_message| peer_message.1));
-    rows.flatten().filter(|row| row.customer == customer && row.age.is_some()).count()
+    rows.flatten()
+        .filter(|row| row.customer == customer && row.age.is_some())
+        .count()
 }
 
 /// Jobs reported, to the next hundred, of two thousand small ones of a plan that lets in far more than a gatherer's
@@ -192,14 +265,27 @@
 #[test_case(Some(100.0) => 200 ; "known: one in ten, each for ten")]
 fn one_report_stands_for_some(pace: Option<f64>) -> u32 {
     let mut limiter = limiter(Repeats::Replayable, many());
-    limiter.plans[0] = Plan { rate: 100.0, burst: 10_000.0, ..plan() };
+    limiter.plans[0] = Plan {
+        rate: 100.0,
+        burst: 10_000.0,
+        ..plan()
+    };
     let (mut reports, mut units) = (0, 0.0);
     for n in 0..2000 {
         let account = account(&mut limiter);
         // Each job alone: what was let in before is neither here nor there.
         (account.own, account.news, account.untold) = ([0.0; 2], [0, 0], 0.0);
         (account.pace, account.told_left, account.told_at) = (pace, 10_000.0, at(1.0));
-        limiter.take(at(1.0), &Job { job: n, set_size: 60, set_first: 1, ..job() }, &mut Notes::default());
+        limiter.take(
+            at(1.0),
+            &Job {
+                job: n,
+                set_size: 60,
+                set_first: 1,
+                ..job()
+            },
+            &mut Notes::default(),
+        );
         reports += u32::from(limiter.accounts[0].news[0] > 0);
         units += limiter.accounts[0].own[0];
     }
@@ -218,7 +304,9 @@
         (open.window, open.stands_for) = (window, stands_for);
         open.attempts.clear();
     }
-    window.into_iter().for_each(|window| limiter.accounts[0].add_own(window, stands_for));
+    window
+        .into_iter()
+        .for_each(|window| limiter.accounts[0].add_own(window, stands_for));
     limiter.give_up(at(1.0), 0, &mut Notes::default());
     assert!((limiter.accounts[0].left(at(1.0), &plan()) - left).abs() < 1e-6);
 }
--- a/crates/merlinreel-core/src/decide/tests/helpers.rs
+++ b/crates/merlinreel-core/src/decide/tests/helpers.rs
@@ -17,7 +17,9 @@
 
 impl Writer for Notes {
     fn send(&mut self, job: u32, server: u32, within: Option<Duration>) {
-        let within = within.map_or(String::new(), |within| format!(" within {:.2}", secs(within)));
+        let within = within.map_or(String::new(), |within| {
+            format!(" within {:.2}", secs(within))
+        });
         self.add(format!("send {job} to {server}{within}"));
     }
     fn refuse(&mut self, job: u32, retry_after: Option<Duration>) {
@@ -62,7 +64,12 @@
 
 /// Two units a second and a store of eight, so windows last four seconds.
 pub fn plan() -> Plan {
-    Plan { rate: 2.0, burst: 8.0, price: 1.0, ..Plan::default() }
+    Plan {
+        rate: 2.0,
+        burst: 8.0,
+        price: 1.0,
+        ..Plan::default()
+    }
 }
 
 pub fn peers() -> Peers {
@@ -79,7 +86,10 @@
 
 /// Too many to tell each other in time.
 pub fn many() -> Peers {
-    Peers { limiters: 90, ..peers() }
+    Peers {
+        limiters: 90,
+        ..peers()
+    }
 }
 
 pub fn server_rules() -> ServerRules {
@@ -97,7 +107,13 @@
 }
 
 pub fn limiter(repeats: Repeats, peers: Peers) -> Limiter {
-    let class = Class { target_time: at(0.5), deadline: at(2.0), gain: 1.0, late_gain: 0.0, repeats };
+    let class = Class {
+        target_time: at(0.5),
+        deadline: at(2.0),
+        gain: 1.0,
+        late_gain: 0.0,
+        repeats,
+    };
     let jobs = JobRules {
         most_attempts: 4,
         second_copies: false,
@@ -110,14 +126,23 @@
 }
 
 pub fn entry(server: u32) -> ServerEntry {
-    let entry =
-        ServerEntry { server, mark: mark(&server.to_string()), weight: 1.0, ..ServerEntry::default() };
-    ServerEntry { zone: server % 2, ..entry }
+    let entry = ServerEntry {
+        server,
+        mark: mark(&server.to_string()),
+        weight: 1.0,
+        ..ServerEntry::default()
+    };
+    ServerEntry {
+        zone: server % 2,
+        ..entry
+    }
 }
 
 /// Servers 0 and 1 in zones 0 and 1, up and warm, two credits each.
 pub fn with_servers(mut limiter: Limiter) -> Limiter {
-    limiter.servers = (0..2).map(|i| Some(Server::new(entry(i), &server_rules(), 2))).collect();
+    limiter.servers = (0..2)
+        .map(|i| Some(Server::new(entry(i), &server_rules(), 2)))
+        .collect();
     limiter
 }
 
@@ -147,7 +172,13 @@
 pub fn on_attempt(repeats: Repeats) -> Limiter {
     let mut limiter = with_servers(limiter(repeats, peers()));
     account(&mut limiter).add_own(0, 1.0);
-    let attempt = Attempt { server: 0, sent: at(1.0), out: true, revoked: false, overdue: false };
+    let attempt = Attempt {
+        server: 0,
+        sent: at(1.0),
+        out: true,
+        revoked: false,
+        overdue: false,
+    };
     limiter.jobs.push(Some(OpenJob {
         job: job(),
         account: 0,
@@ -182,7 +213,15 @@
 }
 
 pub fn row(total: f64, left: Option<f64>) -> Row {
-    Row { customer: 5, plan: 0, window: 0, total, asked: None, left, age: None }
+    Row {
+        customer: 5,
+        plan: 0,
+        window: 0,
+        total,
+        asked: None,
+        left,
+        age: None,
+    }
 }
 
 pub fn peer_message(life: u64, number: u64, rows: &[Row]) -> PeerMessage {
--- a/crates/merlinreel-core/src/decide/tests/quotas.rs
+++ b/crates/merlinreel-core/src/decide/tests/quotas.rs
@@ -19,10 +19,16 @@
     account.add_own(account.window, 8.0);
     account.asked_units.add(at(start + 0.5), 8.0);
     account.roll(at(start + 4.1), &plan());
-    assert_eq!((account.window, account.own), (start as u64 / 4 + 1, [0.0, 8.0]));
+    assert_eq!(
+        (account.window, account.own),
+        (start as u64 / 4 + 1, [0.0, 8.0])
+    );
     assert!((account.left(at(start + 4.5), &plan()) - 8.0).abs() < 1e-5);
     assert!((account.opens_in(at(start + 4.1), &plan(), 8.0) - 3.9).abs() < 1e-5);
-    assert_eq!((account.asked(at(start + 1.0), ASKED_OVER) * secs(ASKED_OVER)).round(), 8.0);
+    assert_eq!(
+        (account.asked(at(start + 1.0), ASKED_OVER) * secs(ASKED_OVER)).round(),
+        8.0
+    );
     assert_eq!(account.asked(at(start + 30.0), ASKED_OVER), 0.0);
 }
 
@@ -98,7 +104,12 @@
 #[test_case(4.0, 1.0 => true ; "its part fills with time")]
 #[test_case(60.0, 6.0 => false ; "up to its part of the depth")]
 fn ceiling(after: f64, units: f64) -> bool {
-    let plan = Plan { ceiling_rate: 1.0, ceiling_depth: 10.0, ceiling_slack: 1.0, ..plan() };
+    let plan = Plan {
+        ceiling_rate: 1.0,
+        ceiling_depth: 10.0,
+        ceiling_slack: 1.0,
+        ..plan()
+    };
     let mut account = Account::new(5, 0, &plan, peers(), at(0.0), ASKED_OVER);
     account.set_size = 2;
     account.under_ceiling(at(after), &plan, units)
@@ -110,7 +121,10 @@
 fn time_waited(left: f64, firsts: f64, waited: f64) {
     let mut seen = vec![0.0; 130];
     seen[90] = 50.0;
-    assert_eq!(elapsed(at(left), &mut seen, &mut firsts.clone(), at(2.0)), at(waited));
+    assert_eq!(
+        elapsed(at(left), &mut seen, &mut firsts.clone(), at(2.0)),
+        at(waited)
+    );
 }
 
 #[test]
@@ -127,7 +141,11 @@
     account(&mut limiter).add_own(0, 1.0);
     let mut notes = Notes::default();
     limiter.sync(at(1.0), &mut notes);
-    let told: Vec<u32> = notes.peer_messages.iter().map(|peer_message| peer_message.0).collect();
+    let told: Vec<u32> = notes
+        .peer_messages
+        .iter()
+        .map(|peer_message| peer_message.0)
+        .collect();
     assert_eq!(told, [1]);
 }
 
@@ -141,8 +159,9 @@
     }
     let mut notes = Notes::default();
     limiter.sync(at(1.0), &mut notes);
-    let rows =
-        peer_message::read(&notes.peer_messages[0].1).map(|peer_message| peer_message.1).unwrap_or_default();
+    let rows = peer_message::read(&notes.peer_messages[0].1)
+        .map(|peer_message| peer_message.1)
+        .unwrap_or_default();
     assert_eq!((notes.peer_messages.len(), rows[0].customer), (1, 59));
 }
 
@@ -165,26 +184,64 @@
 #[test_case(None, false => (0.0, 2.0, 0) ; "unanswered counts as made")]
 #[test_case(None, true => (0.0, 0.0, 1) ; "turned away is due again")]
 fn counter_answers(total: Option<f64>, not_added: bool) -> (f64, f64, u8) {
-    let mut limiter = limiter(Repeats::Replayable, Peers { counter: true, ..peers() });
+    let mut limiter = limiter(
+        Repeats::Replayable,
+        Peers {
+            counter: true,
+            ..peers()
+        },
+    );
     let account = account(&mut limiter);
     (account.own[0], account.counted[0], account.calling) = (4.0, 2.0, Some((0, 4.0, 2.0)));
-    limiter.read_count(at(1.0), &CountAnswer { customer: 5, window: 0, total, not_added });
+    limiter.read_count(
+        at(1.0),
+        &CountAnswer {
+            customer: 5,
+            window: 0,
+            total,
+            not_added,
+        },
+    );
     let account = &limiter.accounts[0];
-    (account.summed[0], account.counted[0], u8::from(account.due[0]))
+    (
+        account.summed[0],
+        account.counted[0],
+        u8::from(account.due[0]),
+    )
 }
 
 #[test_case(None => 0.8 ; "fewer where calls fail")]
 #[test_case(Some(1.0) => 1.01 ; "more where they are answered and too few")]
 fn calls_follow_the_counter(total: Option<f64>) -> f64 {
-    let mut limiter = limiter(Repeats::Replayable, Peers { counter: true, ..peers() });
+    let mut limiter = limiter(
+        Repeats::Replayable,
+        Peers {
+            counter: true,
+            ..peers()
+        },
+    );
     (limiter.calls, limiter.behind_until) = (1.0, at(2.0));
-    limiter.read_count(at(1.0), &CountAnswer { customer: 5, window: 0, total, not_added: false });
+    limiter.read_count(
+        at(1.0),
+        &CountAnswer {
+            customer: 5,
+            window: 0,
+            total,
+            not_added: false,
+        },
+    );
     limiter.calls
 }
 
 #[test]
 fn peer_messages_tell_what_the_budget_of_counter_calls_leaves() {
-    let mut limiter = limiter(Repeats::Replayable, Peers { counter: true, ..peers() });
+    let mut limiter = limiter(
+        Repeats::Replayable,
+        Peers {
+            counter: true,
+            ..peers()
+        },
+    );
     for customer in 0..60 {
         let i = limiter.account(at(1.0), customer, 0);
         limiter.accounts[i].set_size = 2;
--- a/crates/merlinreel-core/src/decide/tests/requests.rs
+++ b/crates/merlinreel-core/src/decide/tests/requests.rs
@@ -21,7 +21,10 @@
 #[test_case(ZONE => "fail 0" ; "nor outside the group that drops repeats")]
 fn giving_up(repeats: Repeats) -> String {
     let mut limiter = on_attempt(repeats);
-    limiter.jobs[0].as_mut().into_iter().for_each(|open| open.ran = Some((0, at(1.0))));
+    limiter.jobs[0]
+        .as_mut()
+        .into_iter()
+        .for_each(|open| open.ran = Some((0, at(1.0))));
     let mut notes = Notes::default();
     limiter.give_up(at(1.0), 0, &mut notes);
     notes.lines.remove(0)
@@ -30,7 +33,10 @@
 #[test]
 fn units_of_a_job_never_sent_are_given_back() {
     let mut limiter = on_attempt(Repeats::SingleUse);
-    limiter.jobs[0].as_mut().into_iter().for_each(|open| open.attempts.clear());
+    limiter.jobs[0]
+        .as_mut()
+        .into_iter()
+        .for_each(|open| open.attempts.clear());
     limiter.give_up(at(1.0), 0, &mut Notes::default());
     assert_eq!(limiter.accounts[0].own[0], 0.0);
 }
@@ -50,14 +56,21 @@
 fn a_server_that_streams_is_not_silent() {
     let mut limiter = on_attempt(Repeats::Replayable);
     limiter.answer_begins(at(4.0), 0);
-    assert!(limiter.servers[0].as_ref().is_some_and(|server| server.owing_since == at(4.0)));
+    assert!(
+        limiter.servers[0]
+            .as_ref()
+            .is_some_and(|server| server.owing_since == at(4.0))
+    );
 }
 
 #[test_case(Repeats::Replayable => 1 ; "what may go again is taken back")]
 #[test_case(Repeats::SingleUse => 0 ; "single-use waits")]
 fn silent_servers(repeats: Repeats) -> usize {
     let mut limiter = on_attempt(repeats);
-    limiter.jobs[0].as_mut().into_iter().for_each(|open| open.target = at(9.0));
+    limiter.jobs[0]
+        .as_mut()
+        .into_iter()
+        .for_each(|open| open.target = at(9.0));
     let mut notes = Notes::default();
     limiter.watch(at(4.0), &mut notes);
     notes.lines.len()
@@ -85,11 +98,22 @@
 #[test]
 fn what_the_regular_servers_bear_stands_for_all() {
     let mut limiter = on_attempt(Repeats::SingleUse);
-    limiter.servers.resize_with(20, || Some(Server::new(entry(9), &server_rules(), 100)));
-    limiter.servers.iter_mut().skip(2).flatten().for_each(|server| server.aside = true);
+    limiter
+        .servers
+        .resize_with(20, || Some(Server::new(entry(9), &server_rules(), 100)));
+    limiter
+        .servers
+        .iter_mut()
+        .skip(2)
+        .flatten()
+        .for_each(|server| server.aside = true);
     // One attempt is out, and two servers with two credits each stand for twenty.
-    limiter.servers[0].iter_mut().for_each(|server| server.credits = 0.2);
-    limiter.servers[1].iter_mut().for_each(|server| server.credits = 0.2);
+    limiter.servers[0]
+        .iter_mut()
+        .for_each(|server| server.credits = 0.2);
+    limiter.servers[1]
+        .iter_mut()
+        .for_each(|server| server.credits = 0.2);
     let chosen = [1.0, 10.0].map(|reach| {
         limiter.reach = reach;
         limiter.choose(at(1.1), 0)
@@ -108,9 +132,14 @@
 #[test_case(2.0 => (0, 0) ; "a lost answer: it answered others, its credit comes back")]
 fn overdue_attempts(answered: f64) -> (u32, u32) {
     let mut limiter = on_attempt(Repeats::SingleUse);
-    limiter.servers[0].as_mut().into_iter().for_each(|server| server.owing_since = at(answered));
+    limiter.servers[0]
+        .as_mut()
+        .into_iter()
+        .for_each(|server| server.owing_since = at(answered));
     limiter.watch(at(4.0), &mut Notes::default());
-    limiter.servers[0].as_ref().map_or((9, 9), |server| (server.out, server.strikes))
+    limiter.servers[0]
+        .as_ref()
+        .map_or((9, 9), |server| (server.out, server.strikes))
 }
 
 #[test_case(0.1, 2.0, "send 0 to 0" ; "sent where credit is left")]
@@ -121,7 +150,10 @@
     (limiter.usual, limiter.queue) = (usual, vec![0]);
     // It is what answers took.
     limiter.answers.add(at(1.0), 1.0);
-    limiter.servers[0].as_mut().into_iter().for_each(|server| server.out = 0);
+    limiter.servers[0]
+        .as_mut()
+        .into_iter()
+        .for_each(|server| server.out = 0);
     limiter.servers[1] = None;
     if let Some(open) = &mut limiter.jobs[0] {
         (open.queued, open.target, open.attempts) = (true, at(target), Vec::new());
@@ -148,8 +180,13 @@
 #[test_case(4.0, 1.0 => "send 0 to 0" ; "far more gain before the newest")]
 fn who_goes_first(older: f64, newer: f64) -> String {
     let mut limiter = on_attempt(Repeats::Replayable);
-    limiter.plans = [older, newer].map(|price| Plan { price, ..plan() }).to_vec();
-    limiter.servers[0].as_mut().into_iter().for_each(|server| (server.credits, server.out) = (1.0, 0));
+    limiter.plans = [older, newer]
+        .map(|price| Plan { price, ..plan() })
+        .to_vec();
+    limiter.servers[0]
+        .as_mut()
+        .into_iter()
+        .for_each(|server| (server.credits, server.out) = (1.0, 0));
     limiter.servers[1] = None;
     let second = on_attempt(Repeats::Replayable).jobs.remove(0);
     limiter.jobs.push(second);
@@ -178,7 +215,13 @@
 #[test_case(3 ; "a few limiters")]
 #[test_case(40 ; "many, with rare peer messages")]
 fn what_waits_is_looked_at_in_time(limiters: u32) {
-    let limiter = limiter(Repeats::Replayable, Peers { limiters, ..peers() });
+    let limiter = limiter(
+        Repeats::Replayable,
+        Peers {
+            limiters,
+            ..peers()
+        },
+    );
     assert!(limiter.beat() <= at(0.1));
 }
 
@@ -196,7 +239,10 @@
 fn the_answer_settles_the_units() {
     let mut limiter = on_attempt(Repeats::Replayable);
     limiter.peers.settles = true;
-    let end = AttemptEnd { units: Some(3.0), ..attempt_end(Ending::Served, true) };
+    let end = AttemptEnd {
+        units: Some(3.0),
+        ..attempt_end(Ending::Served, true)
+    };
     limiter.end_attempt(at(1.1), &end, &mut Notes::default());
     assert_eq!(limiter.accounts[0].own[0], 3.0);
 }
@@ -209,8 +255,14 @@
     let repeats = Repeats::Keyed(Group::Zone, at(0.6));
     let (mut limiter, mut notes) = (on_attempt(repeats), Notes::default());
     // All in one zone.
-    limiter.servers[1].as_mut().into_iter().for_each(|server| server.entry.zone = 0);
-    limiter.jobs[0].as_mut().into_iter().for_each(|open| open.target = at(2.5));
+    limiter.servers[1]
+        .as_mut()
+        .into_iter()
+        .for_each(|server| server.entry.zone = 0);
+    limiter.jobs[0]
+        .as_mut()
+        .into_iter()
+        .for_each(|open| open.target = at(2.5));
     limiter.end_attempt(at(when), &attempt_end(Ending::Dropped, false), &mut notes);
     limiter.dispatch(at(when), &mut notes);
     notes.lines.join(", ")
@@ -223,13 +275,26 @@
 fn little_time_left(seen: Option<f64>, left: f64) -> String {
     let mut limiter = with_servers(limiter(Repeats::Replayable, peers()));
     limiter.servers[1] = None;
-    for answer in seen.iter().cycle().take(if seen.is_some() { 60 } else { 0 }) {
+    for answer in seen
+        .iter()
+        .cycle()
+        .take(if seen.is_some() { 60 } else { 0 })
+    {
         limiter.jobs = on_attempt(Repeats::Replayable).jobs;
         account(&mut limiter);
-        let end = AttemptEnd { took: at(*answer), ..attempt_end(Ending::Served, true) };
+        let end = AttemptEnd {
+            took: at(*answer),
+            ..attempt_end(Ending::Served, true)
+        };
         limiter.end_attempt(at(1.0), &end, &mut Notes::default());
     }
-    let round = Round { jobs: vec![Job { time_left: at(left), ..job() }], ..Round::default() };
+    let round = Round {
+        jobs: vec![Job {
+            time_left: at(left),
+            ..job()
+        }],
+        ..Round::default()
+    };
     let mut notes = Notes::default();
     limiter.round(at(1.5), &round, &mut notes);
     notes.lines.remove(0)
@@ -240,12 +305,17 @@
 #[test_case(0.05 => true ; "less than a usual answer takes")]
 #[test_case(0.5 => false ; "more than that")]
 fn a_server_that_drops_what_is_over_keeps_its_credits(took: f64) -> bool {
-    let before = on_attempt(Repeats::Replayable).servers[0].as_ref().map(|server| server.credits);
+    let before = on_attempt(Repeats::Replayable).servers[0]
+        .as_ref()
+        .map(|server| server.credits);
     let mut limiter = on_attempt(Repeats::Replayable);
     limiter.usual = 0.1;
     for ends in 0..8 {
         limiter.jobs = on_attempt(Repeats::Replayable).jobs;
-        let end = AttemptEnd { took: at(took), ..attempt_end(Ending::Expired, true) };
+        let end = AttemptEnd {
+            took: at(took),
+            ..attempt_end(Ending::Expired, true)
+        };
         limiter.end_attempt(at(1.1 + f64::from(ends)), &end, &mut Notes::default());
     }
     limiter.servers[0].as_ref().map(|server| server.credits) == before
--- a/crates/merlinreel-core/src/decide/tests/servers.rs
+++ b/crates/merlinreel-core/src/decide/tests/servers.rs
@@ -17,9 +17,18 @@
 #[test_case(|s| s.errors = 0.2 => Some(1) ; "one that fails fast and so looks idle")]
 fn choosing(trouble: fn(&mut Server)) -> Option<u32> {
     let mut limiter = with_servers(on_attempt(Repeats::Replayable));
-    limiter.servers[1].as_mut().into_iter().for_each(|server| server.took = 0.25);
-    limiter.servers[0].as_mut().into_iter().for_each(|server| server.took = 0.2);
-    limiter.jobs[0].as_mut().into_iter().for_each(|open| open.attempts.clear());
+    limiter.servers[1]
+        .as_mut()
+        .into_iter()
+        .for_each(|server| server.took = 0.25);
+    limiter.servers[0]
+        .as_mut()
+        .into_iter()
+        .for_each(|server| server.took = 0.2);
+    limiter.jobs[0]
+        .as_mut()
+        .into_iter()
+        .for_each(|open| open.attempts.clear());
     limiter.servers[0].as_mut().into_iter().for_each(trouble);
     limiter.choose(at(2.0), 0)
 }
@@ -29,9 +38,14 @@
 fn many_limiters_do_not_all_try_a_weak_server_at_once(struck: bool) {
     let tries = |me: u32| {
         let mut limiter = limiter(Repeats::Replayable, Peers { me, ..many() });
-        limiter.servers = (0..2).map(|i| Some(Server::new(entry(i), &server_rules(), 90))).collect();
+        limiter.servers = (0..2)
+            .map(|i| Some(Server::new(entry(i), &server_rules(), 90)))
+            .collect();
         limiter.jobs = on_attempt(Repeats::Replayable).jobs;
-        limiter.jobs[0].as_mut().into_iter().for_each(|open| open.attempts.clear());
+        limiter.jobs[0]
+            .as_mut()
+            .into_iter()
+            .for_each(|open| open.attempts.clear());
         if let [Some(weak), Some(other)] = &mut limiter.servers[..] {
             (weak.cold_since, weak.strikes) = ((!struck).then_some(at(1.9)), u32::from(struck));
             other.out = 1;
@@ -46,7 +60,10 @@
 #[test_case(30.0 => Some(0) ; "it did not")]
 fn a_cold_server_gets_its_share_of_what_warm_ones_get(warm_sends: f64) -> Option<u32> {
     let mut limiter = on_attempt(Repeats::Replayable);
-    limiter.jobs[0].as_mut().into_iter().for_each(|open| open.attempts.clear());
+    limiter.jobs[0]
+        .as_mut()
+        .into_iter()
+        .for_each(|open| open.attempts.clear());
     limiter.warm_sends = warm_sends;
     if let [Some(cold), Some(warm)] = &mut limiter.servers[..] {
         (cold.cold_since, cold.out) = (Some(at(1.0)), 0);
@@ -88,7 +105,9 @@
         (server.drops, server.errors) = (drops, erring);
     }
     limiter.end_attempt(at(1.1), &attempt_end(ending, false), &mut Notes::default());
-    limiter.servers[0].as_ref().map_or((9, false), |server| (server.strikes, server.down))
+    limiter.servers[0]
+        .as_ref()
+        .map_or((9, false), |server| (server.strikes, server.down))
 }
 
 /// Server 0 could not be reached and then answers; whether it is taken for one that has just started.
@@ -104,7 +123,9 @@
     limiter.end_attempt(at(1.1), &attempt_end(ending, false), &mut notes);
     limiter.jobs = on_attempt(Repeats::Replayable).jobs;
     limiter.end_attempt(at(2.0), &attempt_end(Ending::Served, true), &mut notes);
-    limiter.servers[0].as_ref().is_some_and(|server| server.cold_since.is_some())
+    limiter.servers[0]
+        .as_ref()
+        .is_some_and(|server| server.cold_since.is_some())
 }
 
 #[test]
@@ -115,7 +136,10 @@
         for server in limiter.servers.iter_mut().flatten() {
             (server.credits, server.out) = (1.0 / 3.0, 0);
         }
-        limiter.jobs[0].as_mut().into_iter().for_each(|open| open.attempts.clear());
+        limiter.jobs[0]
+            .as_mut()
+            .into_iter()
+            .for_each(|open| open.attempts.clear());
         limiter.choose(at(2.0), 0) == Some(0)
     };
     assert_eq!((0..3).filter(|&me| sends(me)).count(), 1);
@@ -125,10 +149,22 @@
 #[test_case(Standing::Up, true => true ; "a whole list keeps who is on it")]
 fn following(standing: Standing, whole: bool) -> bool {
     let mut limiter = with_servers(limiter(Repeats::Replayable, peers()));
-    let entries = vec![ServerEntry { standing, ..entry(0) }];
-    let server_list = ServerList { whole, restored: false, unavailable: false, entries };
+    let entries = vec![ServerEntry {
+        standing,
+        ..entry(0)
+    }];
+    let server_list = ServerList {
+        whole,
+        restored: false,
+        unavailable: false,
+        entries,
+    };
     limiter.follow(at(1.0), &server_list);
-    let listed = |i: usize| limiter.servers[i].as_ref().is_some_and(|server| server.listed);
+    let listed = |i: usize| {
+        limiter.servers[i]
+            .as_ref()
+            .is_some_and(|server| server.listed)
+    };
     assert_eq!(listed(1), !whole);
     listed(0)
 }
@@ -141,17 +177,46 @@
 fn forgetting(seconds: u32, used: f64, open: bool) -> (usize, usize) {
     let mut limiter = with_servers(limiter(Repeats::Replayable, peers()));
     let entries = vec![entry(1)];
-    limiter.follow(at(1.0), &ServerList { whole: true, restored: false, unavailable: false, entries });
+    limiter.follow(
+        at(1.0),
+        &ServerList {
+            whole: true,
+            restored: false,
+            unavailable: false,
+            entries,
+        },
+    );
     account(&mut limiter).add_own(0, used);
     if open {
-        let attempts = vec![Attempt { server: 0, sent: at(1.0), out: true, revoked: true, overdue: true }];
+        let attempts = vec![Attempt {
+            server: 0,
+            sent: at(1.0),
+            out: true,
+            revoked: true,
+            overdue: true,
+        }];
         let job = OpenJob::new(&job(), 0, at(1.0), at(900.0), None);
-        limiter.jobs = vec![Some(OpenJob { attempts, queued: false, ..job })];
+        limiter.jobs = vec![Some(OpenJob {
+            attempts,
+            queued: false,
+            ..job
+        })];
     }
     let mut notes = Notes::default();
-    (1..=seconds).for_each(|second| limiter.round(at(f64::from(second)), &Round::default(), &mut notes));
-    let kept = (limiter.by_customer.len(), limiter.servers.iter().flatten().count());
-    assert_eq!(notes.lines.iter().filter(|line| *line == "forget 0").count(), 2 - kept.1);
+    (1..=seconds)
+        .for_each(|second| limiter.round(at(f64::from(second)), &Round::default(), &mut notes));
+    let kept = (
+        limiter.by_customer.len(),
+        limiter.servers.iter().flatten().count(),
+    );
+    assert_eq!(
+        notes
+            .lines
+            .iter()
+            .filter(|line| *line == "forget 0")
+            .count(),
+        2 - kept.1
+    );
     // The next customer takes the place of one that was forgotten.
     assert_eq!(limiter.account(at(99.0), 78, 0), kept.0);
     kept
@@ -160,7 +225,13 @@
 #[test_case(1.0, 1 ; "at once when it was not asked of late")]
 #[test_case(0.2, 0 ; "not again within half a second")]
 fn a_lost_server_list_is_asked_for_again(when: f64, calls: usize) {
-    let mut limiter = limiter(Repeats::Replayable, Peers { peer_messages: false, ..peers() });
+    let mut limiter = limiter(
+        Repeats::Replayable,
+        Peers {
+            peer_messages: false,
+            ..peers()
+        },
+    );
     (limiter.started, limiter.discovery_lost) = (Some(at(0.0)), true);
     let mut notes = Notes::default();
     limiter.round(at(when), &Round::default(), &mut notes);
@@ -179,24 +250,54 @@
 fn limiters_at_a_server(limiters: u32, servers: u32, cold: bool) -> (usize, usize) {
     let mut at_server = vec![0; servers as usize];
     for me in 0..limiters {
-        let mut limiter = limiter(Repeats::Replayable, Peers { limiters, me, ..peers() });
-        limiter.servers =
-            (0..servers).map(|i| Some(Server::new(entry(i), &server_rules(), limiters))).collect();
-        let starts = limiter.servers.iter_mut().step_by(2).flatten().filter(|_| cold);
+        let mut limiter = limiter(
+            Repeats::Replayable,
+            Peers {
+                limiters,
+                me,
+                ..peers()
+            },
+        );
+        limiter.servers = (0..servers)
+            .map(|i| Some(Server::new(entry(i), &server_rules(), limiters)))
+            .collect();
+        let starts = limiter
+            .servers
+            .iter_mut()
+            .step_by(2)
+            .flatten()
+            .filter(|_| cold);
         starts.for_each(|server| server.cold_since = Some(at(1.0)));
         limiter.keep_regulars(at(1.0));
-        let regulars = limiter.servers.iter().flatten().filter(|server| !server.aside);
+        let regulars = limiter
+            .servers
+            .iter()
+            .flatten()
+            .filter(|server| !server.aside);
         regulars.for_each(|server| at_server[server.entry.server as usize] += 1);
     }
-    (at_server.iter().copied().min().unwrap_or(0), at_server.iter().copied().max().unwrap_or(0))
+    (
+        at_server.iter().copied().min().unwrap_or(0),
+        at_server.iter().copied().max().unwrap_or(0),
+    )
 }
 
 #[test]
 fn a_start_told_by_discovery_makes_a_server_cold() {
     let mut limiter = with_servers(limiter(Repeats::Replayable, peers()));
-    let entries = vec![ServerEntry { up_since: Some(at(20.0)), ..entry(0) }];
-    let server_list = ServerList { whole: false, restored: false, unavailable: false, entries };
+    let entries = vec![ServerEntry {
+        up_since: Some(at(20.0)),
+        ..entry(0)
+    }];
+    let server_list = ServerList {
+        whole: false,
+        restored: false,
+        unavailable: false,
+        entries,
+    };
     limiter.follow(at(20.0), &server_list);
-    let warmth = limiter.servers[0].as_ref().map(|s| s.warmth(at(22.0), &server_rules()));
+    let warmth = limiter.servers[0]
+        .as_ref()
+        .map(|s| s.warmth(at(22.0), &server_rules()));
     assert!(warmth.is_some_and(|warmth| warmth < 0.4));
 }
--- a/crates/merlinreel-core/src/decide/tests/wall_clock.rs
+++ b/crates/merlinreel-core/src/decide/tests/wall_clock.rs
@@ -13,10 +13,21 @@
     let started = |ago: &Option<f64>| ago.map(|ago| at(NOW - ago));
     let entries = (0..)
         .zip(starts)
-        .map(|(server, ago)| ServerEntry { up_since: started(ago), ..entry(server) })
+        .map(|(server, ago)| ServerEntry {
+            up_since: started(ago),
+            ..entry(server)
+        })
         .collect();
-    let list = ServerList { whole: true, restored: false, unavailable: false, entries };
-    let round = Round { server_list: vec![list], ..Round::default() };
+    let list = ServerList {
+        whole: true,
+        restored: false,
+        unavailable: false,
+        entries,
+    };
+    let round = Round {
+        server_list: vec![list],
+        ..Round::default()
+    };
     limiter.round(at(NOW), &round, &mut Notes::default());
     let warmth = |server: &Server| server.warmth(at(NOW + later), &server_rules());
     limiter.servers.iter().flatten().map(warmth).collect()
@@ -31,7 +42,10 @@
 fn a_server_that_just_started_is_cold_and_then_warm(off: f64) {
     let starts = [Some(1.0 + off), None, None];
     let at_once = warmth(&starts, 0.0);
-    assert!(at_once[0] < 0.4 && at_once[1..] == [1.0, 1.0], "{at_once:?}");
+    assert!(
+        at_once[0] < 0.4 && at_once[1..] == [1.0, 1.0],
+        "{at_once:?}"
+    );
     let later = warmth(&starts, 10.0);
     assert_eq!(later, [1.0, 1.0, 1.0]);
 }
--- a/crates/merlinreel-core/src/job.rs
+++ b/crates/merlinreel-core/src/job.rs
@@ -31,7 +31,13 @@
 
 impl OpenJob {
     /// Admitted and waiting for its first attempt.
-    pub fn new(job: &Job, account: usize, now: Duration, target: Duration, window: Option<u64>) -> OpenJob {
+    pub fn new(
+        job: &Job,
+        account: usize,
+        now: Duration,
+        target: Duration,
+        window: Option<u64>,
+    ) -> OpenJob {
         OpenJob {
             job: *job,
             account,
--- a/crates/merlinreel-core/src/lib.rs
+++ b/crates/merlinreel-core/src/lib.rs
@@ -187,7 +187,10 @@
 
 impl Ending {
     pub fn never_ran(self) -> bool {
-        matches!(self, Ending::TurnedAway | Ending::NoConnection | Ending::Unreachable | Ending::Unsent)
+        matches!(
+            self,
+            Ending::TurnedAway | Ending::NoConnection | Ending::Unreachable | Ending::Unsent
+        )
     }
 }
 
--- a/crates/merlinreel-core/src/peer_message.rs
+++ b/crates/merlinreel-core/src/peer_message.rs
@@ -77,11 +77,16 @@
         let kind = u64::from(row.asked.is_some()) << 3 | u64::from(row.left.is_some()) << 2;
         put(&mut bytes, (row.plan as u64) << 4 | kind | row.window & 3);
         // A reading passed on tells no total: its age stands there, below nothing.
-        let total = row.age.map_or(row.total, |age| -(age.as_secs_f64() + 1.0 / STEPS));
+        let total = row
+            .age
+            .map_or(row.total, |age| -(age.as_secs_f64() + 1.0 / STEPS));
         for units in [Some(total), row.asked, row.left].into_iter().flatten() {
             put(&mut bytes, signed(units));
         }
-        if peer_messages.last().is_some_and(|peer_message| peer_message.len() + bytes.len() > MOST_BYTES) {
+        if peer_messages
+            .last()
+            .is_some_and(|peer_message| peer_message.len() + bytes.len() > MOST_BYTES)
+        {
             head.number += 1;
             peer_messages.push(begin(&head));
         }
@@ -94,7 +99,10 @@
 
 /// None where the bytes are no whole peer message.
 pub fn read(mut bytes: &[u8]) -> Option<(Head, Vec<Row>)> {
-    let head = Head { life: take(&mut bytes)?, number: take(&mut bytes)? };
+    let head = Head {
+        life: take(&mut bytes)?,
+        number: take(&mut bytes)?,
+    };
     let mut rows = Vec::new();
     while !bytes.is_empty() {
         let (customer, kind) = (take(&mut bytes)?, take(&mut bytes)?);
@@ -105,8 +113,16 @@
             window: kind & 3,
             total: total.max(if kind & 4 != 0 { 0.0 } else { f64::MIN }),
             age: (kind & 4 != 0 && total < 0.0).then(|| span(-total - 1.0 / STEPS)),
-            asked: if kind & 8 != 0 { Some(units(take(&mut bytes)?)) } else { None },
-            left: if kind & 4 != 0 { Some(units(take(&mut bytes)?)) } else { None },
+            asked: if kind & 8 != 0 {
+                Some(units(take(&mut bytes)?))
+            } else {
+                None
+            },
+            left: if kind & 4 != 0 {
+                Some(units(take(&mut bytes)?))
+            } else {
+                None
+            },
         });
     }
     Some((head, rows))
--- a/crates/merlinreel-core/src/remote_counts.rs
+++ b/crates/merlinreel-core/src/remote_counts.rs
@@ -44,10 +44,18 @@
     ) -> Option<Reading> {
         if gathers {
             let (left, pace) = (self.left(now, plan), self.asked(now, asked_over));
-            return Some(Reading { left, pace, age: Duration::ZERO });
+            return Some(Reading {
+                left,
+                pace,
+                age: Duration::ZERO,
+            });
         }
         let age = now.saturating_sub(self.told_at);
-        self.pace.map(|pace| Reading { left: self.told_left, pace, age })
+        self.pace.map(|pace| Reading {
+            left: self.told_left,
+            pace,
+            age,
+        })
     }
 
     /// Units asked for in a second of late.
--- a/crates/merlinreel-core/src/ring.rs
+++ b/crates/merlinreel-core/src/ring.rs
@@ -16,7 +16,12 @@
 
 impl Ring {
     pub fn new(length: Duration) -> Ring {
-        Ring { width: (secs(length) / BUCKETS as f64).max(0.001), slot: 0, sums: [0.0; BUCKETS], empty: true }
+        Ring {
+            width: (secs(length) / BUCKETS as f64).max(0.001),
+            slot: 0,
+            sums: [0.0; BUCKETS],
+            empty: true,
+        }
     }
 
     pub fn turn(&mut self, now: Duration) {
@@ -35,7 +40,11 @@
 
     /// The least mean of any bucket with that many counts.
     pub fn least_mean(&self, counts: &Ring, enough: f64) -> Option<f64> {
-        let full = self.sums.iter().zip(&counts.sums).filter(|(_, count)| **count >= enough);
+        let full = self
+            .sums
+            .iter()
+            .zip(&counts.sums)
+            .filter(|(_, count)| **count >= enough);
         full.map(|(sum, count)| sum / count).min_by(f64::total_cmp)
     }
 
--- a/crates/merlinreel-core/src/state.rs
+++ b/crates/merlinreel-core/src/state.rs
@@ -195,7 +195,12 @@
     /// A reading of it as it stands in a peer message that passes it on.
     pub fn passed_on(&self, reading: Reading) -> Row {
         let Reading { left, pace, age } = reading;
-        Row { asked: Some(pace), left: Some(left), age: Some(age), ..self.row(0) }
+        Row {
+            asked: Some(pace),
+            left: Some(left),
+            age: Some(age),
+            ..self.row(0)
+        }
     }
 
     /// What others used: by the counter, whose total stands in this limiter's own place, or by their
@@ -220,7 +225,13 @@
     /// The pairs turn to a later window; says whether it is the next one.
     pub fn shift(&mut self, window: u64) -> bool {
         let next = window == self.window + 1;
-        for pair in [&mut self.own, &mut self.counted, &mut self.tries, &mut self.told, &mut self.summed] {
+        for pair in [
+            &mut self.own,
+            &mut self.counted,
+            &mut self.tries,
+            &mut self.told,
+            &mut self.summed,
+        ] {
             *pair = [0.0, if next { pair[0] } else { 0.0 }];
         }
         self.heard.swap(0, 1);
@@ -323,7 +334,14 @@
     /// A customer's account, a new one where there is none.
     pub(crate) fn account(&mut self, now: Duration, customer: u64, plan: usize) -> usize {
         let i = self.by_customer.get(&customer).copied().unwrap_or_else(|| {
-            self.settle(Account::new(customer, plan, &self.plans[plan], self.peers, now, ASKED_OVER))
+            self.settle(Account::new(
+                customer,
+                plan,
+                &self.plans[plan],
+                self.peers,
+                now,
+                ASKED_OVER,
+            ))
         });
         self.accounts[i].stir(i, &mut self.stirred);
         i
@@ -332,7 +350,13 @@
     /// Rows to a peer, in as many peer messages as they need.
     pub(crate) fn post(&mut self, now: Duration, to: u32, rows: &[Row], out: &mut dyn Writer) {
         let life = self.started.unwrap_or(now).as_millis() as u64;
-        for peer_message in peer_message::write(Head { life, number: self.peer_messages + 1 }, rows) {
+        for peer_message in peer_message::write(
+            Head {
+                life,
+                number: self.peer_messages + 1,
+            },
+            rows,
+        ) {
             self.peer_messages += 1;
             out.tell(to, &peer_message);
         }
@@ -342,8 +366,14 @@
     pub(crate) fn drop_accounts(&mut self, mut over: impl FnMut(&mut Account, &Plan) -> bool) {
         let mut kept = vec![false; self.accounts.len()];
         let held = self.jobs.iter().flatten().map(|open| open.account);
-        held.chain(self.free_accounts.iter().copied()).for_each(|i| kept[i] = true);
-        for (i, account) in self.accounts.iter_mut().enumerate().filter(|(i, _)| !kept[*i]) {
+        held.chain(self.free_accounts.iter().copied())
+            .for_each(|i| kept[i] = true);
+        for (i, account) in self
+            .accounts
+            .iter_mut()
+            .enumerate()
+            .filter(|(i, _)| !kept[*i])
+        {
             if over(account, &self.plans[account.plan]) {
                 self.by_customer.remove(&account.customer);
                 // What it measured goes with it.
@@ -359,7 +389,12 @@
         let attempts = self.jobs.iter().flatten().flat_map(|open| &open.attempts);
         attempts.for_each(|attempt| kept[attempt.server as usize] = true);
         let mut dropped = Vec::new();
-        for (i, place) in self.servers.iter_mut().enumerate().filter(|(i, _)| !kept[*i]) {
+        for (i, place) in self
+            .servers
+            .iter_mut()
+            .enumerate()
+            .filter(|(i, _)| !kept[*i])
+        {
             if place.as_mut().is_some_and(&mut over) {
                 *place = None;
                 dropped.push(i as u32);
@@ -371,9 +406,16 @@
     /// Servers listed and not gone, and of those the ones avoided now: draining, or resting after failures, as
     /// the choice of a server reads them. For the operators' figures; decides nothing.
     pub fn servers_seen(&self, now: Duration) -> (usize, usize) {
-        let known = self.servers.iter().flatten().filter(|server| server.entry.standing != Standing::Gone);
+        let known = self
+            .servers
+            .iter()
+            .flatten()
+            .filter(|server| server.entry.standing != Standing::Gone);
         known.fold((0, 0), |(known, avoided), server| {
-            (known + 1, avoided + usize::from(!server.listed || now < server.benched_until))
+            (
+                known + 1,
+                avoided + usize::from(!server.listed || now < server.benched_until),
+            )
         })
     }
 
--- a/crates/merlinreel-core/src/store.rs
+++ b/crates/merlinreel-core/src/store.rs
@@ -8,7 +8,11 @@
 
 /// The window's length starts as the design has it: the store's size over its rate.
 pub fn window_length(plan: &Plan) -> f64 {
-    if plan.rate > 0.0 { (plan.burst / plan.rate).max(0.1) } else { 1.0 }
+    if plan.rate > 0.0 {
+        (plan.burst / plan.rate).max(0.1)
+    } else {
+        1.0
+    }
 }
 
 impl Account {
@@ -49,8 +53,10 @@
             let edge = span((self.window + 1) as f64 * length);
             let passed = (window - self.window - 1) as f64;
             self.carried = (self.left(edge, plan) + passed * plan.rate * length).min(plan.burst);
-            self.due =
-                [false, self.shift(window) && (self.due[0] || self.own[1] != 0.0 || self.others(1) != 0.0)];
+            self.due = [
+                false,
+                self.shift(window) && (self.due[0] || self.own[1] != 0.0 || self.others(1) != 0.0),
+            ];
         }
         let over = self.left(now, plan) - plan.burst;
         if over > 0.0 {
@@ -70,7 +76,15 @@
     }
 
     /// A peer's total of a window. What was admitted past an empty store took nothing from it.
-    pub fn hear(&mut self, now: Duration, plan: &Plan, from: usize, window: u64, total: f64, floor: f64) {
+    pub fn hear(
+        &mut self,
+        now: Duration,
+        plan: &Plan,
+        from: usize,
+        window: u64,
+        total: f64,
+        floor: f64,
+    ) {
         self.roll(now, plan);
         let Some(i) = self.place(window) else { return };
         let before = self.others(i);
--- a/crates/merlinreel-discovery/src/message.rs
+++ b/crates/merlinreel-discovery/src/message.rs
@@ -71,10 +71,18 @@
             "up" => Standing::Up,
             "draining" => Standing::Draining,
             "removed" => Standing::Gone,
-            other => return Err(MessageError::Lifecycle { place, given: other.to_owned() }),
+            other => {
+                return Err(MessageError::Lifecycle {
+                    place,
+                    given: other.to_owned(),
+                });
+            }
         };
         let address = self.host_port.parse();
-        let address = address.map_err(|_| MessageError::Address { place, given: self.host_port })?;
+        let address = address.map_err(|_| MessageError::Address {
+            place,
+            given: self.host_port,
+        })?;
         Ok(Listed {
             name: self.instance_id,
             address,
@@ -92,8 +100,14 @@
 
     fn try_from(message: Message) -> Result<DiscoveryNews, MessageError> {
         let instances = message.instances.into_iter().enumerate();
-        let servers = instances.map(|(place, instance)| instance.check(place)).collect::<Result<_, _>>()?;
-        Ok(DiscoveryNews { version: message.generation, whole: message.reset, servers })
+        let servers = instances
+            .map(|(place, instance)| instance.check(place))
+            .collect::<Result<_, _>>()?;
+        Ok(DiscoveryNews {
+            version: message.generation,
+            whole: message.reset,
+            servers,
+        })
     }
 }
 
--- a/crates/merlinreel-discovery/src/message/tests.rs
+++ b/crates/merlinreel-discovery/src/message/tests.rs
@@ -15,5 +15,12 @@
         weight: 1.5,
         up_since: Some(Duration::from_millis(1_800_000_000_250)),
     };
-    assert_eq!(news.ok(), Some(DiscoveryNews { version: 43, whole: false, servers: vec![listed] }));
+    assert_eq!(
+        news.ok(),
+        Some(DiscoveryNews {
+            version: 43,
+            whole: false,
+            servers: vec![listed]
+        })
+    );
 }
--- a/crates/merlinreel-discovery/src/table.rs
+++ b/crates/merlinreel-discovery/src/table.rs
@@ -34,7 +34,10 @@
 impl ServerTable {
     /// `zones` by their index in the settings; others are added as lists name them.
     pub fn new(zones: Vec<String>) -> ServerTable {
-        ServerTable { zones, ..ServerTable::default() }
+        ServerTable {
+            zones,
+            ..ServerTable::default()
+        }
     }
 
     /// How many indices are in use or free.
@@ -53,19 +56,28 @@
 
     /// Whether it is listed as up.
     pub fn is_up(&self, server: u32) -> bool {
-        self.places.get(server as usize).is_some_and(|place| place.entry.standing == Standing::Up)
+        self.places
+            .get(server as usize)
+            .is_some_and(|place| place.entry.standing == Standing::Up)
     }
 
     /// Takes a message in, and gives it back with indices in the place of names.
     pub fn apply(&mut self, news: DiscoveryNews, restored: bool) -> ServerList {
         let mut entries = Vec::with_capacity(news.servers.len());
         if news.whole {
-            self.places.iter_mut().for_each(|place| place.entry.standing = Standing::Gone);
+            self.places
+                .iter_mut()
+                .for_each(|place| place.entry.standing = Standing::Gone);
         }
         for listed in news.servers {
             self.take(listed, &mut entries);
         }
-        ServerList { whole: news.whole, restored, unavailable: false, entries }
+        ServerList {
+            whole: news.whole,
+            restored,
+            unavailable: false,
+            entries,
+        }
     }
 
     fn take(&mut self, listed: Listed, entries: &mut Vec<ServerEntry>) {
@@ -91,10 +103,14 @@
     }
 
     fn zone(&mut self, name: String) -> u32 {
-        let zone = self.zones.iter().position(|zone| *zone == name).unwrap_or_else(|| {
-            self.zones.push(name);
-            self.zones.len() - 1
-        });
+        let zone = self
+            .zones
+            .iter()
+            .position(|zone| *zone == name)
+            .unwrap_or_else(|| {
+                self.zones.push(name);
+                self.zones.len() - 1
+            });
         zone as u32
     }
 
@@ -116,7 +132,11 @@
     fn add(&mut self, name: String, entry: ServerEntry, address: SocketAddr) -> u32 {
         let server = self.free.pop().unwrap_or(self.places.len() as u32);
         self.names.insert(name.clone(), server);
-        let place = Place { name, entry, address };
+        let place = Place {
+            name,
+            entry,
+            address,
+        };
         match self.places.get_mut(server as usize) {
             Some(old) => *old = place,
             None => self.places.push(place),
@@ -143,7 +163,9 @@
 
     /// Its index is free for another. Guards the memory against servers replaced without end.
     pub fn forget(&mut self, server: u32) {
-        let Some(place) = self.places.get_mut(server as usize) else { return };
+        let Some(place) = self.places.get_mut(server as usize) else {
+            return;
+        };
         place.entry.standing = Standing::Gone;
         let (name, address) = (std::mem::take(&mut place.name), place.address);
         if self.names.get(&name) == Some(&server) {
--- a/crates/merlinreel-discovery/src/table/tests.rs
+++ b/crates/merlinreel-discovery/src/table/tests.rs
@@ -11,7 +11,11 @@
         weight: 1.0,
         up_since: None,
     };
-    DiscoveryNews { version: 1, whole, servers: vec![listed] }
+    DiscoveryNews {
+        version: 1,
+        whole,
+        servers: vec![listed],
+    }
 }
 
 /// Guards against growth with every server ever listed, and against attempts at one whose address another took.
@@ -24,10 +28,16 @@
         if whole {
             table.forget(0);
         }
-        entries.iter().map(|entry| (entry.server, entry.standing)).collect::<Vec<_>>()
+        entries
+            .iter()
+            .map(|entry| (entry.server, entry.standing))
+            .collect::<Vec<_>>()
     };
     assert_eq!(named("s-2", 1, false), [(1, Standing::Up)]);
-    assert_eq!(named("s-3", 1, false), [(1, Standing::Gone), (2, Standing::Up)]);
+    assert_eq!(
+        named("s-3", 1, false),
+        [(1, Standing::Gone), (2, Standing::Up)]
+    );
     // The list is whole, so the first server is gone, and forgotten.
     assert_eq!(named("s-3", 1, true), [(2, Standing::Up)]);
     assert_eq!(named("s-4", 2, false), [(0, Standing::Up)]);
@@ -39,10 +49,15 @@
     let mut table = ServerTable::new(Vec::new());
     table.apply(news("s-0", 9000, true), true);
     for port in 1..500 {
-        let entries = table.apply(news(&format!("s-{port}"), port, false), false).entries;
+        let entries = table
+            .apply(news(&format!("s-{port}"), port, false), false)
+            .entries;
         table.forget(1 - entries[0].server);
     }
-    assert_eq!((table.names.len(), table.addresses.len(), table.places.len()), (1, 1, 2));
+    assert_eq!(
+        (table.names.len(), table.addresses.len(), table.places.len()),
+        (1, 1, 2)
+    );
 }
 
 /// A server that moves leaves its address to others.
--- a/crates/merlinreel-mesh/src/budget.rs
+++ b/crates/merlinreel-mesh/src/budget.rs
@@ -23,12 +23,18 @@
 impl Budget {
     /// A store that fills by `a_second` bytes a second, up to `most`.
     pub fn new(a_second: u32, most: u32, now: Duration) -> Budget {
-        Budget { a_second: a_second.into(), most: most.into(), left: most.into(), at: now }
+        Budget {
+            a_second: a_second.into(),
+            most: most.into(),
+            left: most.into(),
+            at: now,
+        }
     }
 
     /// Whether that many bytes may go now; if so they count.
     pub fn takes(&mut self, bytes: usize, weight: Weight, now: Duration) -> bool {
-        self.left = (self.left + self.a_second * now.saturating_sub(self.at).as_secs_f64()).min(self.most);
+        self.left =
+            (self.left + self.a_second * now.saturating_sub(self.at).as_secs_f64()).min(self.most);
         self.at = self.at.max(now);
         let kept = match weight {
             Weight::Membership => 0.0,
--- a/crates/merlinreel-mesh/src/capacity.rs
+++ b/crates/merlinreel-mesh/src/capacity.rs
@@ -25,8 +25,14 @@
 impl Capacity {
     /// Room for a fleet of so many limiters.
     pub fn for_limiters(limiters: usize) -> Capacity {
-        let owners = limiters.saturating_mul(OWNERS_PER_LIMITER).max(LEAST_OWNERS);
-        Capacity { owners, senders: owners.saturating_mul(SENDERS_PER_OWNER), dead: owners }
+        let owners = limiters
+            .saturating_mul(OWNERS_PER_LIMITER)
+            .max(LEAST_OWNERS);
+        Capacity {
+            owners,
+            senders: owners.saturating_mul(SENDERS_PER_OWNER),
+            dead: owners,
+        }
     }
 }
 
--- a/crates/merlinreel-mesh/src/error.rs
+++ b/crates/merlinreel-mesh/src/error.rs
@@ -13,12 +13,26 @@
     KeyTwice(u8),
     #[error("mesh.sign_with: no key has the id {0}; name the id of a key in mesh.keys")]
     NoSuchKey(u8),
-    #[error("mesh.keys: {path}: {error}; the file must be there and readable by the limiter's user")]
-    KeyUnread { path: PathBuf, error: std::io::Error },
-    #[error("mesh.keys: {path} holds {bytes} bytes; a key needs at least {least}, from a source of chance")]
-    KeyShort { path: PathBuf, bytes: usize, least: usize },
+    #[error(
+        "mesh.keys: {path}: {error}; the file must be there and readable by the limiter's user"
+    )]
+    KeyUnread {
+        path: PathBuf,
+        error: std::io::Error,
+    },
+    #[error(
+        "mesh.keys: {path} holds {bytes} bytes; a key needs at least {least}, from a source of chance"
+    )]
+    KeyShort {
+        path: PathBuf,
+        bytes: usize,
+        least: usize,
+    },
     #[error("mesh.listen: {at}: {error}; the address must be this machine's, its port free")]
-    Listen { at: SocketAddr, error: std::io::Error },
+    Listen {
+        at: SocketAddr,
+        error: std::io::Error,
+    },
 }
 
 /// A record that was not published; nothing has changed.
@@ -55,7 +69,9 @@
     Own,
     #[error("its content makes no sense")]
     Content,
-    #[error("as many senders are remembered as there is room for; see the settings' number of limiters")]
+    #[error(
+        "as many senders are remembered as there is room for; see the settings' number of limiters"
+    )]
     SendersFull,
     #[error(
         "records are held of as many processes as there is room for; see the settings' number of limiters"
--- a/crates/merlinreel-mesh/src/member.rs
+++ b/crates/merlinreel-mesh/src/member.rs
@@ -31,7 +31,10 @@
 
     /// A process that was taken for dead comes back as its next incarnation.
     fn renew(&self) -> Option<Member> {
-        Some(Member { at: self.at, incarnation: self.incarnation + 1 })
+        Some(Member {
+            at: self.at,
+            incarnation: self.incarnation + 1,
+        })
     }
 
     fn addr(&self) -> SocketAddrV4 {
--- a/crates/merlinreel-mesh/src/node.rs
+++ b/crates/merlinreel-mesh/src/node.rs
@@ -134,7 +134,9 @@
         urgent: bool,
         now: Duration,
     ) -> Result<(), PublishError> {
-        let Some(number) = self.records.publish(kind, body, life, now)? else { return Ok(()) };
+        let Some(number) = self.records.publish(kind, body, life, now)? else {
+            return Ok(());
+        };
         self.records.beat(now);
         if urgent && let Some(telling) = self.urgent_telling(number, now) {
             self.spread(&telling, None, now);
@@ -170,7 +172,11 @@
     /// When it wants to be called next, at the latest.
     pub fn wakes_at(&self) -> Duration {
         let timer = self.timers.keys().next().map(|&(at, _)| at);
-        let own = self.compare_at.min(self.beat_at).min(self.rejoin_at).min(self.call_dead_at);
+        let own = self
+            .compare_at
+            .min(self.beat_at)
+            .min(self.rejoin_at)
+            .min(self.call_dead_at);
         timer.map_or(own, |at| at.min(own))
     }
 
@@ -180,7 +186,11 @@
         if self.left {
             return;
         }
-        while let Some(entry) = self.timers.first_entry().filter(|entry| entry.key().0 <= now) {
+        while let Some(entry) = self
+            .timers
+            .first_entry()
+            .filter(|entry| entry.key().0 <= now)
+        {
             let timer = entry.remove();
             // A timer of a member that is gone meanwhile is no fault.
             let _ = self.foca.handle_timer(timer, &mut self.swim);
@@ -189,7 +199,8 @@
         if self.beat_at <= now {
             self.beat_at = now + BEAT;
             self.records.beat(now);
-            self.records.note_alive(self.foca.iter_members().map(|member| *member.id()));
+            self.records
+                .note_alive(self.foca.iter_members().map(|member| *member.id()));
             self.records.tidy(now);
         }
         if self.rejoin_at <= now {
@@ -241,7 +252,10 @@
 
     fn note_no_room(&mut self, now: Duration) {
         self.counts.no_room += 1;
-        if self.no_room_told.is_none_or(|told| now >= told + TELL_NO_ROOM) {
+        if self
+            .no_room_told
+            .is_none_or(|told| now >= told + TELL_NO_ROOM)
+        {
             self.no_room_told = Some(now);
             self.events.push_back(Event::NoRoom(self.counts.no_room));
         }
@@ -261,10 +275,12 @@
     fn take(&mut self, from: Member, message: Message, now: Duration) -> Result<(), Dropped> {
         match message {
             Message::Swim(packet) => {
-                self.foca.handle_data(&packet, &mut self.swim).map_err(|error| match error {
-                    foca::Error::DataFromOurselves => Dropped::Own,
-                    _ => Dropped::Content,
-                })
+                self.foca
+                    .handle_data(&packet, &mut self.swim)
+                    .map_err(|error| match error {
+                        foca::Error::DataFromOurselves => Dropped::Own,
+                        _ => Dropped::Content,
+                    })
             }
             Message::Stamps(stamps) => {
                 let (mut asked, mut told) = (Vec::new(), Vec::new());
@@ -285,7 +301,10 @@
                 Ok(())
             }
             Message::Ask(asked) => {
-                let told = asked.into_iter().map(|(at, _, above)| (at, above)).collect();
+                let told = asked
+                    .into_iter()
+                    .map(|(at, _, above)| (at, above))
+                    .collect();
                 self.tell_all(from.at, told, now);
                 Ok(())
             }
@@ -306,17 +325,37 @@
     fn tell_all(&mut self, to: SocketAddrV4, of: Vec<(SocketAddrV4, u64)>, now: Duration) {
         for (at, above) in of {
             if let Some(telling) = self.records.tell(at, above, now, MOST_CONTENT - 8) {
-                self.send(to, &Message::Tell { urgent: false, telling }, Weight::Routine, now);
+                self.send(
+                    to,
+                    &Message::Tell {
+                        urgent: false,
+                        telling,
+                    },
+                    Weight::Routine,
+                    now,
+                );
             }
         }
     }
 
     /// To a few others, chosen by chance.
     fn spread(&mut self, telling: &Telling, but: Option<SocketAddrV4>, now: Duration) {
-        let mut others: Vec<_> = self.members().map(|other| other.at).filter(|at| Some(*at) != but).collect();
+        let mut others: Vec<_> = self
+            .members()
+            .map(|other| other.at)
+            .filter(|at| Some(*at) != but)
+            .collect();
         for _ in 0..FAN.min(others.len()) {
             let to = others.swap_remove(self.chance.random_range(0..others.len()));
-            self.send(to, &Message::Tell { urgent: true, telling: telling.clone() }, Weight::Urgent, now);
+            self.send(
+                to,
+                &Message::Tell {
+                    urgent: true,
+                    telling: telling.clone(),
+                },
+                Weight::Urgent,
+                now,
+            );
         }
     }
 
@@ -353,7 +392,12 @@
     /// Carries out what the membership wants.
     fn drain(&mut self, now: Duration) {
         while let Some((to, packet)) = self.swim.to_send() {
-            self.send(to.at, &Message::Swim(packet.to_vec()), Weight::Membership, now);
+            self.send(
+                to.at,
+                &Message::Swim(packet.to_vec()),
+                Weight::Membership,
+                now,
+            );
         }
         while let Some((after, timer)) = self.swim.to_schedule() {
             self.timer += 1;
@@ -371,7 +415,9 @@
                 }
                 // Taken for dead, and back as the next incarnation.
                 OwnedNotification::Rejoin(own) => self.records.renew(own.incarnation, now),
-                OwnedNotification::Defunct | OwnedNotification::Active | OwnedNotification::Idle => {}
+                OwnedNotification::Defunct
+                | OwnedNotification::Active
+                | OwnedNotification::Idle => {}
             }
         }
         // Records learnt of a later life of this process: the membership goes on under that, too.
--- a/crates/merlinreel-mesh/src/records.rs
+++ b/crates/merlinreel-mesh/src/records.rs
@@ -55,8 +55,15 @@
 impl Records {
     /// Holds this process's own records, and those of others up to `most_owners` processes in all.
     pub fn new(own: Member, most_owners: usize) -> Records {
-        let mut records = Records { own, owners: BTreeMap::new(), most_owners, turn: None };
-        records.owners.insert(own.at, Owner::new(own.incarnation, Duration::ZERO));
+        let mut records = Records {
+            own,
+            owners: BTreeMap::new(),
+            most_owners,
+            turn: None,
+        };
+        records
+            .owners
+            .insert(own.at, Owner::new(own.incarnation, Duration::ZERO));
         records
     }
 
@@ -84,10 +91,16 @@
         now: Duration,
     ) -> Result<Option<u64>, PublishError> {
         if body.len() > MOST_RECORD {
-            return Err(PublishError::TooLong { bytes: body.len(), most: MOST_RECORD });
+            return Err(PublishError::TooLong {
+                bytes: body.len(),
+                most: MOST_RECORD,
+            });
         }
         let own = self.own;
-        let owner = self.owners.entry(own.at).or_insert_with(|| Owner::new(own.incarnation, now));
+        let owner = self
+            .owners
+            .entry(own.at)
+            .or_insert_with(|| Owner::new(own.incarnation, now));
         owner.write(kind, body, life)
     }
 
@@ -100,7 +113,9 @@
 
     /// These and no others live, as the membership holds. Records of those that do outlast their time.
     pub fn note_alive(&mut self, members: impl Iterator<Item = Member>) {
-        self.owners.values_mut().for_each(|owner| owner.alive = false);
+        self.owners
+            .values_mut()
+            .for_each(|owner| owner.alive = false);
         for member in members {
             let owner = self.owners.get_mut(&member.at);
             if let Some(owner) = owner.filter(|owner| owner.incarnation == member.incarnation) {
@@ -112,7 +127,8 @@
     /// Lets go of what is over.
     pub fn tidy(&mut self, now: Duration) {
         let own = self.own.at;
-        self.owners.retain(|at, owner| *at == own || owner.tidy(now));
+        self.owners
+            .retain(|at, owner| *at == own || owner.tidy(now));
     }
 
     /// Stamps of as many processes as fit into `most` bytes, own first, the others in turn.
@@ -121,9 +137,10 @@
         let mut stamps = Vec::new();
         let mut left = most;
         let from = self.turn.take();
-        let after = from.map_or((std::ops::Bound::Unbounded, std::ops::Bound::Unbounded), |at| {
-            (std::ops::Bound::Included(at), std::ops::Bound::Unbounded)
-        });
+        let after = from.map_or(
+            (std::ops::Bound::Unbounded, std::ops::Bound::Unbounded),
+            |at| (std::ops::Bound::Included(at), std::ops::Bound::Unbounded),
+        );
         let later = self.owners.range::<SocketAddrV4, _>(after);
         let earlier = from.into_iter().flat_map(|at| self.owners.range(..at));
         let others = later.chain(earlier).filter(|(at, _)| **at != own);
@@ -148,38 +165,66 @@
             return match stamp.incarnation.cmp(&self.own.incarnation) {
                 std::cmp::Ordering::Greater => {
                     self.renew(stamp.incarnation + 1, now);
-                    Lead::Ours { incarnation: self.own.incarnation, above: 0 }
+                    Lead::Ours {
+                        incarnation: self.own.incarnation,
+                        above: 0,
+                    }
                 }
                 std::cmp::Ordering::Equal if stamp.top >= own => Lead::Level,
-                std::cmp::Ordering::Equal => {
-                    Lead::Ours { incarnation: self.own.incarnation, above: stamp.top }
-                }
-                std::cmp::Ordering::Less => Lead::Ours { incarnation: self.own.incarnation, above: 0 },
+                std::cmp::Ordering::Equal => Lead::Ours {
+                    incarnation: self.own.incarnation,
+                    above: stamp.top,
+                },
+                std::cmp::Ordering::Less => Lead::Ours {
+                    incarnation: self.own.incarnation,
+                    above: 0,
+                },
             };
         }
         if !self.has_room_for(stamp.at) {
             return Lead::NoRoom;
         }
         let Some(owner) = self.owners.get_mut(&stamp.at) else {
-            return Lead::Theirs { incarnation: stamp.incarnation, above: 0 };
+            return Lead::Theirs {
+                incarnation: stamp.incarnation,
+                above: 0,
+            };
         };
         if stamp.incarnation != owner.incarnation {
             return if stamp.incarnation > owner.incarnation {
-                Lead::Theirs { incarnation: stamp.incarnation, above: 0 }
+                Lead::Theirs {
+                    incarnation: stamp.incarnation,
+                    above: 0,
+                }
             } else {
-                Lead::Ours { incarnation: owner.incarnation, above: 0 }
+                Lead::Ours {
+                    incarnation: owner.incarnation,
+                    above: 0,
+                }
             };
         }
         owner.hear(stamp, now);
         match stamp.top.cmp(&owner.top) {
-            std::cmp::Ordering::Greater => Lead::Theirs { incarnation: owner.incarnation, above: owner.top },
+            std::cmp::Ordering::Greater => Lead::Theirs {
+                incarnation: owner.incarnation,
+                above: owner.top,
+            },
             std::cmp::Ordering::Equal => Lead::Level,
-            std::cmp::Ordering::Less => Lead::Ours { incarnation: owner.incarnation, above: stamp.top },
+            std::cmp::Ordering::Less => Lead::Ours {
+                incarnation: owner.incarnation,
+                above: stamp.top,
+            },
         }
     }
 
     /// What is held of a process above a number, as much as fits into `most` bytes, in the order of writing.
-    pub fn tell(&self, at: SocketAddrV4, above: u64, now: Duration, most: usize) -> Option<Telling> {
+    pub fn tell(
+        &self,
+        at: SocketAddrV4,
+        above: u64,
+        now: Duration,
+        most: usize,
+    ) -> Option<Telling> {
         self.owners.get(&at)?.tell(at, above, now, most)
     }
 
@@ -196,7 +241,10 @@
             self.hear(&stamp, now);
             return Ok(false);
         }
-        let floor = self.owners.get(&stamp.at).map_or(0, |owner| owner.incarnation);
+        let floor = self
+            .owners
+            .get(&stamp.at)
+            .map_or(0, |owner| owner.incarnation);
         if stamp.incarnation < floor || !telling.is_sound() {
             return Ok(false);
         }
@@ -205,7 +253,10 @@
         }
         // As old as the teller's last word of it: guards against copies that grow younger by being passed on.
         let as_of = now.saturating_sub(stamp.age());
-        let owner = self.owners.entry(stamp.at).or_insert_with(|| Owner::new(stamp.incarnation, as_of));
+        let owner = self
+            .owners
+            .entry(stamp.at)
+            .or_insert_with(|| Owner::new(stamp.incarnation, as_of));
         if stamp.incarnation > owner.incarnation {
             // Another life of that process: what it told before is over.
             *owner = Owner::new(stamp.incarnation, as_of);
--- a/crates/merlinreel-mesh/src/records/rows.rs
+++ b/crates/merlinreel-mesh/src/records/rows.rs
@@ -60,10 +60,16 @@
     /// Whether its numbers make sense: rising, between both ends, within the sizes.
     pub fn is_sound(&self) -> bool {
         let numbers = self.rows.iter().map(|row| row.number);
-        let rising = numbers.clone().zip(numbers.skip(1)).all(|(one, next)| one < next);
-        let within = self.rows.iter().all(|row| row.number > self.above && row.number <= self.stamp.top);
-        let small =
-            self.rows.iter().all(|row| row.body.len() <= MOST_RECORD) && self.rows.len() <= MOST_KINDS;
+        let rising = numbers
+            .clone()
+            .zip(numbers.skip(1))
+            .all(|(one, next)| one < next);
+        let within = self
+            .rows
+            .iter()
+            .all(|row| row.number > self.above && row.number <= self.stamp.top);
+        let small = self.rows.iter().all(|row| row.body.len() <= MOST_RECORD)
+            && self.rows.len() <= MOST_KINDS;
         rising && within && small && self.above <= self.stamp.top
     }
 }
@@ -106,7 +112,12 @@
         }
     }
 
-    pub fn write(&mut self, kind: Kind, body: Vec<u8>, life: Duration) -> Result<Option<u64>, PublishError> {
+    pub fn write(
+        &mut self,
+        kind: Kind,
+        body: Vec<u8>,
+        life: Duration,
+    ) -> Result<Option<u64>, PublishError> {
         let life_s = u16::try_from(life.as_secs()).unwrap_or(u16::MAX).max(1);
         match self.rows.get(&kind) {
             Some(row) if row.body == body && row.life_s == life_s => return Ok(None),
@@ -115,7 +126,15 @@
             _ => {}
         }
         self.top += 1;
-        self.rows.insert(kind, Row { kind, number: self.top, life_s, body });
+        self.rows.insert(
+            kind,
+            Row {
+                kind,
+                number: self.top,
+                life_s,
+                body,
+            },
+        );
         Ok(Some(self.top))
     }
 
@@ -158,8 +177,18 @@
         }
     }
 
-    pub fn tell(&self, at: SocketAddrV4, above: u64, now: Duration, most: usize) -> Option<Telling> {
-        let mut rows: Vec<&Row> = self.rows.values().filter(|row| row.number > above).collect();
+    pub fn tell(
+        &self,
+        at: SocketAddrV4,
+        above: u64,
+        now: Duration,
+        most: usize,
+    ) -> Option<Telling> {
+        let mut rows: Vec<&Row> = self
+            .rows
+            .values()
+            .filter(|row| row.number > above)
+            .collect();
         rows.sort_unstable_by_key(|row| row.number);
         let mut stamp = self.stamp(at, now);
         let (mut left, mut told) = (most.checked_sub(stamp.wire_bytes() + 16)?, Vec::new());
@@ -173,14 +202,22 @@
             left = rest;
             told.push(row.clone());
         }
-        Some(Telling { stamp, above, rows: told })
+        Some(Telling {
+            stamp,
+            above,
+            rows: told,
+        })
     }
 
     pub fn take(&mut self, telling: Telling, now: Duration) -> bool {
         let new = telling.above <= self.top && telling.stamp.top > self.top;
         if new {
             for row in telling.rows {
-                if self.rows.get(&row.kind).is_none_or(|held| held.number < row.number) {
+                if self
+                    .rows
+                    .get(&row.kind)
+                    .is_none_or(|held| held.number < row.number)
+                {
                     self.rows.insert(row.kind, row);
                 }
             }
--- a/crates/merlinreel-mesh/src/records/tests.rs
+++ b/crates/merlinreel-mesh/src/records/tests.rs
@@ -9,7 +9,13 @@
 }
 
 fn process(port: u16, incarnation: u64) -> Records {
-    Records::new(Member { at: at(port), incarnation }, Capacity::for_limiters(3).owners)
+    Records::new(
+        Member {
+            at: at(port),
+            incarnation,
+        },
+        Capacity::for_limiters(3).owners,
+    )
 }
 
 fn s(seconds: u64) -> Duration {
@@ -25,7 +31,9 @@
             Some(owner) if owner.incarnation == from.owners[&at(of)].incarnation => owner.top,
             _ => 0,
         };
-        let Some(telling) = from.tell(at(of), above, now, 1000) else { return };
+        let Some(telling) = from.tell(at(of), above, now, 1000) else {
+            return;
+        };
         let over = telling.stamp.top >= from.owners[&at(of)].top;
         to.take(telling, now).expect("room");
         if over {
@@ -79,7 +87,9 @@
     assert!(bodies(&two, 7, s(100)).is_empty());
     let mut again = process(1, 6);
     again.beat(s(100));
-    again.publish(7, b"again".to_vec(), LIFE, s(0)).expect("short");
+    again
+        .publish(7, b"again".to_vec(), LIFE, s(0))
+        .expect("short");
     pass(&again, &mut two, 1, s(101));
     assert_eq!(two.take(late, s(102)), Ok(false));
     assert_eq!(bodies(&two, 7, s(102))[0].1, b"again");
@@ -90,12 +100,20 @@
 #[test]
 fn a_process_with_no_memory_goes_on_above_its_last_life() {
     let (mut before, mut other) = (process(1, 9), process(2, 5));
-    before.publish(7, b"before".to_vec(), LIFE, s(0)).expect("short");
+    before
+        .publish(7, b"before".to_vec(), LIFE, s(0))
+        .expect("short");
     pass(&before, &mut other, 1, s(0));
     let mut now = process(1, 4);
     now.publish(7, b"now".to_vec(), LIFE, s(0)).expect("short");
     let stamp = other.owners[&at(1)].stamp(at(1), s(1));
-    assert_eq!(now.hear(&stamp, s(1)), Lead::Ours { incarnation: 10, above: 0 });
+    assert_eq!(
+        now.hear(&stamp, s(1)),
+        Lead::Ours {
+            incarnation: 10,
+            above: 0
+        }
+    );
     pass(&now, &mut other, 1, s(1));
     assert_eq!(bodies(&other, 7, s(1))[0].1, b"now");
 }
@@ -110,15 +128,26 @@
 #[test]
 fn what_a_newer_process_tells_does_no_harm() {
     let (mut new, mut old, mut third) = (process(1, 5), process(2, 5), process(3, 5));
-    new.publish(7, br#"{"load":3,"mood":"fine"}"#.to_vec(), LIFE, s(0)).expect("short");
-    new.publish(900, b"odd".to_vec(), LIFE, s(0)).expect("short");
+    new.publish(7, br#"{"load":3,"mood":"fine"}"#.to_vec(), LIFE, s(0))
+        .expect("short");
+    new.publish(900, b"odd".to_vec(), LIFE, s(0))
+        .expect("short");
     pass(&new, &mut old, 1, s(0));
-    old.publish(7, br#"{"load":4}"#.to_vec(), LIFE, s(0)).expect("short");
+    old.publish(7, br#"{"load":4}"#.to_vec(), LIFE, s(0))
+        .expect("short");
     pass(&old, &mut third, 1, s(0));
     pass(&old, &mut third, 2, s(0));
-    third.publish(7, br#"{"load":"none"}"#.to_vec(), LIFE, s(0)).expect("short");
+    third
+        .publish(7, br#"{"load":"none"}"#.to_vec(), LIFE, s(0))
+        .expect("short");
     let (read, unread) = third.view(s(0)).read::<Known>(7);
-    assert_eq!((read.iter().map(|held| held.body.load).collect::<Vec<_>>(), unread), (vec![3, 4], 1));
+    assert_eq!(
+        (
+            read.iter().map(|held| held.body.load).collect::<Vec<_>>(),
+            unread
+        ),
+        (vec![3, 4], 1)
+    );
     assert_eq!(bodies(&third, 900, s(0)), [(1, b"odd".to_vec(), 0)]);
 }
 
@@ -126,10 +155,14 @@
 #[test_case(3, MOST_KINDS => Err(PublishError::TooMany(MOST_KINDS)) ; "too many kinds")]
 #[test_case(0, 2 => Ok(None) ; "nothing to take back")]
 #[test_case(MOST_RECORD, 2 => Ok(Some(3)) ; "as long as it may be")]
-fn what_a_process_tells_is_bounded(bytes: usize, kinds: usize) -> Result<Option<u64>, PublishError> {
+fn what_a_process_tells_is_bounded(
+    bytes: usize,
+    kinds: usize,
+) -> Result<Option<u64>, PublishError> {
     let mut one = process(1, 5);
     for kind in 0..kinds {
-        one.publish(kind as Kind, vec![1], LIFE, s(0)).expect("room");
+        one.publish(kind as Kind, vec![1], LIFE, s(0))
+            .expect("room");
     }
     one.publish(500, vec![0; bytes], LIFE, s(0))
 }
@@ -139,18 +172,22 @@
 fn what_does_not_fit_goes_in_turn() {
     let (mut one, mut two) = (process(1, 5), process(2, 5));
     for kind in 0..10 {
-        one.publish(kind, vec![kind as u8; 800], LIFE, s(0)).expect("short");
+        one.publish(kind, vec![kind as u8; 800], LIFE, s(0))
+            .expect("short");
     }
     pass(&one, &mut two, 1, s(0));
     assert_eq!(two.owners[&at(1)].rows.len(), 10);
     for port in 10..300 {
         let other = process(port, 5);
-        two.take(other.tell(at(port), 0, s(0), 1000).expect("room"), s(0)).expect("room");
+        two.take(other.tell(at(port), 0, s(0), 1000).expect("room"), s(0))
+            .expect("room");
     }
     let mut seen = std::collections::BTreeSet::new();
     for _ in 0..8 {
         let stamps = two.stamps(s(0), 1000);
-        assert!(stamps.iter().map(Stamp::wire_bytes).sum::<usize>() <= 1000 && stamps[0].at == at(2));
+        assert!(
+            stamps.iter().map(Stamp::wire_bytes).sum::<usize>() <= 1000 && stamps[0].at == at(2)
+        );
         seen.extend(stamps.iter().map(|stamp| stamp.at));
     }
     assert_eq!(seen.len(), two.owners.len());
@@ -159,7 +196,8 @@
 /// What `port` tells of itself, for another process to take.
 fn told_by(port: u16) -> Telling {
     let mut one = process(port, 5);
-    one.publish(7, port.to_be_bytes().to_vec(), LIFE, s(0)).expect("short");
+    one.publish(7, port.to_be_bytes().to_vec(), LIFE, s(0))
+        .expect("short");
     one.tell(at(port), 0, s(0), 1000).expect("room")
 }
 
@@ -167,7 +205,10 @@
 #[test]
 fn a_large_fleet_is_held_whole() {
     const LIMITERS: u16 = 2300;
-    let own = Member { at: at(1), incarnation: 5 };
+    let own = Member {
+        at: at(1),
+        incarnation: 5,
+    };
     let mut records = Records::new(own, Capacity::for_limiters(LIMITERS.into()).owners);
     for port in 2..=LIMITERS {
         assert_eq!(records.take(told_by(port), s(0)), Ok(true), "{port}");
@@ -179,7 +220,13 @@
 /// free the newcomer gets it.
 #[test]
 fn a_process_beyond_the_bound_harms_nothing_that_is_held() {
-    let mut records = Records::new(Member { at: at(1), incarnation: 5 }, 3);
+    let mut records = Records::new(
+        Member {
+            at: at(1),
+            incarnation: 5,
+        },
+        3,
+    );
     for port in [2, 3] {
         assert_eq!(records.take(told_by(port), s(0)), Ok(true));
     }
--- a/crates/merlinreel-mesh/src/records/view.rs
+++ b/crates/merlinreel-mesh/src/records/view.rs
@@ -36,7 +36,10 @@
             let row = owner.rows.get(&kind).filter(|row| !row.body.is_empty())?;
             let age = now.saturating_sub(owner.confirmed);
             owner.is_good(row, now).then_some(Held {
-                owner: Member { at, incarnation: owner.incarnation },
+                owner: Member {
+                    at,
+                    incarnation: owner.incarnation,
+                },
                 age,
                 number: row.number,
                 body: row.body.as_slice(),
@@ -48,9 +51,20 @@
     /// can't: those of a process that is far newer, far older or wrong do no harm.
     pub fn read<T: DeserializeOwned>(&self, kind: Kind) -> (Vec<Held<T>>, usize) {
         let (mut read, mut unread) = (Vec::new(), 0);
-        for Held { owner, age, number, body } in self.raw(kind) {
+        for Held {
+            owner,
+            age,
+            number,
+            body,
+        } in self.raw(kind)
+        {
             match serde_json::from_slice(body) {
-                Ok(body) => read.push(Held { owner, age, number, body }),
+                Ok(body) => read.push(Held {
+                    owner,
+                    age,
+                    number,
+                    body,
+                }),
                 Err(_) => unread += 1,
             }
         }
--- a/crates/merlinreel-mesh/src/seal.rs
+++ b/crates/merlinreel-mesh/src/seal.rs
@@ -37,7 +37,12 @@
 
 impl std::fmt::Debug for Keys {
     fn fmt(&self, out: &mut std::fmt::Formatter) -> std::fmt::Result {
-        write!(out, "Keys {{ ids: {:?}, signs: {} }}", self.all.keys().collect::<Vec<_>>(), self.signs)
+        write!(
+            out,
+            "Keys {{ ids: {:?}, signs: {} }}",
+            self.all.keys().collect::<Vec<_>>(),
+            self.signs
+        )
     }
 }
 
@@ -52,7 +57,11 @@
             }
         }
         let signs = signs.unwrap_or(first);
-        if all.contains_key(&signs) { Ok(Keys { all, signs }) } else { Err(MeshError::NoSuchKey(signs)) }
+        if all.contains_key(&signs) {
+            Ok(Keys { all, signs })
+        } else {
+            Err(MeshError::NoSuchKey(signs))
+        }
     }
 
     /// Reads keys from files: their bytes as they are, but for white space at the end.
@@ -65,7 +74,11 @@
                 Err(error) => return Err(MeshError::KeyUnread { path, error }),
             };
             if key.len() < LEAST_KEY {
-                return Err(MeshError::KeyShort { path, bytes: key.len(), least: LEAST_KEY });
+                return Err(MeshError::KeyShort {
+                    path,
+                    bytes: key.len(),
+                    least: LEAST_KEY,
+                });
             }
             keys.push((*id, key));
         }
@@ -101,7 +114,11 @@
 impl Seal {
     /// Signs and checks with these keys; repeats are known of so many senders.
     pub fn new(keys: Keys, most_senders: usize) -> Seal {
-        Seal { keys, number: 0, repeats: Repeats::new(most_senders) }
+        Seal {
+            keys,
+            number: 0,
+            repeats: Repeats::new(most_senders),
+        }
     }
 
     /// Other keys from now on. What was seen stays seen.
@@ -110,10 +127,22 @@
     }
 
     /// The datagram that carries `content` from this process to the one at `to`; `unix` is the time.
-    pub fn close(&mut self, from: Member, to: SocketAddrV4, unix: Duration, content: &[u8]) -> Vec<u8> {
+    pub fn close(
+        &mut self,
+        from: Member,
+        to: SocketAddrV4,
+        unix: Duration,
+        content: &[u8],
+    ) -> Vec<u8> {
         self.number += 1;
         let (key, sent) = (self.keys.signs, unix.as_secs());
-        let head = Head { form: FORM, key, from, number: self.number, sent };
+        let head = Head {
+            form: FORM,
+            key,
+            from,
+            number: self.number,
+            sent,
+        };
         // Numbers and addresses into memory: there is nothing in them that postcard can't write.
         let mut bytes = postcard::to_stdvec(&head).unwrap_or_default();
         bytes.extend_from_slice(content);
@@ -142,9 +171,14 @@
         }
         let signed = bytes.len().checked_sub(TAG).ok_or(Dropped::Malformed)?;
         let (signed, tag) = bytes.split_at(signed);
-        let (head, content): (Head, _) = postcard::take_from_bytes(signed).map_err(|_| Dropped::Malformed)?;
-        let mac = self.keys.mac(head.key, signed, own.at).ok_or(Dropped::UnknownKey)?;
-        mac.verify_truncated_left(tag).map_err(|_| Dropped::Forged)?;
+        let (head, content): (Head, _) =
+            postcard::take_from_bytes(signed).map_err(|_| Dropped::Malformed)?;
+        let mac = self
+            .keys
+            .mac(head.key, signed, own.at)
+            .ok_or(Dropped::UnknownKey)?;
+        mac.verify_truncated_left(tag)
+            .map_err(|_| Dropped::Forged)?;
         if head.from.at == own.at {
             return Err(Dropped::Own);
         }
@@ -167,11 +201,18 @@
     }
 
     fn member(port: u16) -> Member {
-        Member { at: at(port), incarnation: 1_790_000_000_000 }
+        Member {
+            at: at(port),
+            incarnation: 1_790_000_000_000,
+        }
     }
 
     fn keys(ids: &[u8], signs: u8) -> Keys {
-        Keys::new(ids.iter().map(|&id| (id, vec![id; 32])).collect(), Some(signs)).expect("sound")
+        Keys::new(
+            ids.iter().map(|&id| (id, vec![id; 32])).collect(),
+            Some(signs),
+        )
+        .expect("sound")
     }
 
     const UNIX: Duration = Duration::from_secs(1_790_000_100);
@@ -185,9 +226,19 @@
     #[test]
     fn what_was_signed_is_read_once() {
         let (bytes, mut seal) = (sealed(), Seal::new(keys(&[1, 2], 2), SENDERS));
-        assert!(bytes.len() <= OVERHEAD + b"content".len(), "{}", bytes.len());
-        assert_eq!(seal.open(member(2), NOW, UNIX, &bytes), Ok((member(1), &b"content"[..])));
-        assert_eq!(seal.open(member(2), NOW, UNIX, &bytes), Err(Dropped::Repeated));
+        assert!(
+            bytes.len() <= OVERHEAD + b"content".len(),
+            "{}",
+            bytes.len()
+        );
+        assert_eq!(
+            seal.open(member(2), NOW, UNIX, &bytes),
+            Ok((member(1), &b"content"[..]))
+        );
+        assert_eq!(
+            seal.open(member(2), NOW, UNIX, &bytes),
+            Err(Dropped::Repeated)
+        );
     }
 
     /// Rotation: the new key is known everywhere before it signs, and the old one for as long as somebody signs so.
@@ -197,7 +248,9 @@
     #[test_case(&[1], &[2], 2 => false ; "a process that was left out")]
     fn keys_rotate_with_an_overlap(receiver: &[u8], sender: &[u8], signs: u8) -> bool {
         let bytes = Seal::new(keys(sender, signs), SENDERS).close(member(1), at(2), UNIX, b"x");
-        Seal::new(keys(receiver, receiver[0]), SENDERS).open(member(2), NOW, UNIX, &bytes).is_ok()
+        Seal::new(keys(receiver, receiver[0]), SENDERS)
+            .open(member(2), NOW, UNIX, &bytes)
+            .is_ok()
     }
 
     #[test_case(|b| b.truncate(10) => Dropped::Malformed ; "truncated")]
@@ -212,8 +265,13 @@
         let (sound, mut seal) = (sealed(), Seal::new(keys(&[1], 1), SENDERS));
         let mut bytes = sound.clone();
         spoil(&mut bytes);
-        let dropped = seal.open(member(2), NOW, UNIX, &bytes).expect_err("not sound");
-        assert!(seal.open(member(2), NOW, UNIX, &sound).is_ok(), "the sound one was noted as seen");
+        let dropped = seal
+            .open(member(2), NOW, UNIX, &bytes)
+            .expect_err("not sound");
+        assert!(
+            seal.open(member(2), NOW, UNIX, &sound).is_ok(),
+            "the sound one was noted as seen"
+        );
         dropped
     }
 
@@ -222,7 +280,9 @@
     #[test_case(member(1), 0 => Dropped::Forged ; "sent back")]
     fn a_datagram_is_good_for_one_place_and_time(own: Member, later: u64) -> Dropped {
         let unix = UNIX + Duration::from_secs(later);
-        Seal::new(keys(&[1], 1), SENDERS).open(own, NOW, unix, &sealed()).expect_err("not for it")
+        Seal::new(keys(&[1], 1), SENDERS)
+            .open(own, NOW, unix, &sealed())
+            .expect_err("not for it")
     }
 
     proptest! {
--- a/crates/merlinreel-mesh/src/seal/repeats.rs
+++ b/crates/merlinreel-mesh/src/seal/repeats.rs
@@ -31,7 +31,11 @@
 impl Repeats {
     /// Nothing seen yet, with room for so many senders.
     pub fn new(most_senders: usize) -> Repeats {
-        Repeats { seen: HashMap::new(), most_senders, full_until: Duration::ZERO }
+        Repeats {
+            seen: HashMap::new(),
+            most_senders,
+            full_until: Duration::ZERO,
+        }
     }
 
     /// Notes this number where it is new. Of an incarnation before the last one nothing is new. Where there is no room
@@ -40,14 +44,19 @@
         if !self.seen.contains_key(&from.at) && !self.makes_room(now) {
             return Err(Dropped::SendersFull);
         }
-        if self.is_new(from, number, now) { Ok(()) } else { Err(Dropped::Repeated) }
+        if self.is_new(from, number, now) {
+            Ok(())
+        } else {
+            Err(Dropped::Repeated)
+        }
     }
 
     /// Whether there is room for another sender, once those silent for long are let go of. While none can be, they are
     /// not looked through again: guards the processor against datagrams of many strangers.
     fn makes_room(&mut self, now: Duration) -> bool {
         if self.seen.len() >= self.most_senders && now >= self.full_until {
-            self.seen.retain(|_, seen| now.saturating_sub(seen.at) < MEMORY);
+            self.seen
+                .retain(|_, seen| now.saturating_sub(seen.at) < MEMORY);
             let oldest = self.seen.values().map(|seen| seen.at).min();
             self.full_until = oldest.unwrap_or(now) + MEMORY;
         }
@@ -55,7 +64,12 @@
     }
 
     fn is_new(&mut self, from: Member, number: u64, now: Duration) -> bool {
-        let new = Seen { incarnation: from.incarnation, greatest: number, came: 1, at: now };
+        let new = Seen {
+            incarnation: from.incarnation,
+            greatest: number,
+            came: 1,
+            at: now,
+        };
         let Some(seen) = self.seen.get_mut(&from.at) else {
             self.seen.insert(from.at, new);
             return true;
@@ -70,7 +84,11 @@
         seen.at = now;
         if number > seen.greatest {
             let ahead = number - seen.greatest;
-            seen.came = u32::try_from(ahead).ok().and_then(|n| seen.came.checked_shl(n)).unwrap_or(0) | 1;
+            seen.came = u32::try_from(ahead)
+                .ok()
+                .and_then(|n| seen.came.checked_shl(n))
+                .unwrap_or(0)
+                | 1;
             seen.greatest = number;
             return true;
         }
@@ -91,7 +109,10 @@
     use test_case::test_case;
 
     fn from(incarnation: u64) -> Member {
-        Member { at: SocketAddrV4::new([127, 0, 0, 1].into(), 9), incarnation }
+        Member {
+            at: SocketAddrV4::new([127, 0, 0, 1].into(), 9),
+            incarnation,
+        }
     }
 
     #[test_case(&[(5, 1), (5, 2), (5, 1)] => vec![true, true, false] ; "again")]
@@ -102,7 +123,11 @@
     fn numbers_are_new_once(numbers: &[(u64, u64)]) -> Vec<bool> {
         let mut repeats = Repeats::new(1);
         let note = |&(life, number): &(u64, u64)| repeats.note(from(life), number, Duration::ZERO);
-        numbers.iter().map(note).map(|noted| noted.is_ok()).collect()
+        numbers
+            .iter()
+            .map(note)
+            .map(|noted| noted.is_ok())
+            .collect()
     }
     fn sender(number: usize) -> Member {
         let at = SocketAddrV4::new((number as u32).to_be_bytes().into(), 9);
@@ -116,7 +141,8 @@
         let capacity = Capacity::for_limiters(limiters);
         let mut repeats = Repeats::new(capacity.senders);
         for round in [Ok(()), Err(Dropped::Repeated)] {
-            let noted = (0..capacity.senders).map(|one| repeats.note(sender(one), 1, Duration::ZERO));
+            let noted =
+                (0..capacity.senders).map(|one| repeats.note(sender(one), 1, Duration::ZERO));
             assert!({ noted }.all(|noted| noted == round));
         }
     }
@@ -126,7 +152,10 @@
     fn a_sender_beyond_the_bound_is_refused_and_harms_nobody() {
         let mut repeats = Repeats::new(3);
         for one in 0..3 {
-            assert_eq!(repeats.note(sender(one), 1, Duration::from_secs(one as u64)), Ok(()));
+            assert_eq!(
+                repeats.note(sender(one), 1, Duration::from_secs(one as u64)),
+                Ok(())
+            );
         }
         let late = Duration::from_secs(3);
         assert_eq!(repeats.note(sender(3), 1, late), Err(Dropped::SendersFull));
--- a/crates/merlinreel-mesh/src/shell.rs
+++ b/crates/merlinreel-mesh/src/shell.rs
@@ -20,7 +20,9 @@
 
 /// The time that all processes agree on.
 pub fn unix_now() -> Duration {
-    SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default()
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or_default()
 }
 
 #[derive(Debug)]
@@ -80,7 +82,8 @@
         life: Duration,
         urgent: bool,
     ) -> Result<(), PublishError> {
-        let body = serde_json::to_vec(what).map_err(|error| PublishError::Unwritable(error.to_string()))?;
+        let body = serde_json::to_vec(what)
+            .map_err(|error| PublishError::Unwritable(error.to_string()))?;
         let now = self.shared.now();
         self.shared.node().publish(kind, body, life, urgent, now)?;
         self.shared.wake.notify_one();
@@ -90,7 +93,9 @@
     /// Takes this process's record of that kind back.
     pub fn take_back(&self, kind: Kind) -> Result<(), PublishError> {
         let now = self.shared.now();
-        self.shared.node().publish(kind, Vec::new(), Duration::from_secs(60), false, now)?;
+        self.shared
+            .node()
+            .publish(kind, Vec::new(), Duration::from_secs(60), false, now)?;
         self.shared.wake.notify_one();
         Ok(())
     }
@@ -134,14 +139,25 @@
     listen: SocketAddr,
     routes: HashMap<SocketAddrV4, SocketAddr>,
 ) -> Result<(Mesh, Socket), MeshError> {
-    let socket = UdpSocket::bind(listen).await.map_err(|error| MeshError::Listen { at: listen, error })?;
+    let socket = UdpSocket::bind(listen)
+        .await
+        .map_err(|error| MeshError::Listen { at: listen, error })?;
     let shared = Arc::new(Shared {
         node: Mutex::new(Node::new(part, Duration::ZERO, unix_now())),
         started: Instant::now(),
         wake: Notify::new(),
         changes: watch::channel(0).0,
     });
-    Ok((Mesh { shared: shared.clone() }, Socket { shared, socket, routes }))
+    Ok((
+        Mesh {
+            shared: shared.clone(),
+        },
+        Socket {
+            shared,
+            socket,
+            routes,
+        },
+    ))
 }
 
 impl Socket {
@@ -181,9 +197,13 @@
     fn take(&self, buffer: &mut [u8]) {
         for _ in 0..IN_A_ROW {
             // What the network says of a process that is away is no trouble of this socket's.
-            let Ok((length, _)) = self.socket.try_recv_from(buffer) else { return };
+            let Ok((length, _)) = self.socket.try_recv_from(buffer) else {
+                return;
+            };
             let now = self.shared.now();
-            self.shared.node().receive(&buffer[..length], now, unix_now());
+            self.shared
+                .node()
+                .receive(&buffer[..length], now, unix_now());
         }
     }
 }
--- a/crates/merlinreel-mesh/src/wire.rs
+++ b/crates/merlinreel-mesh/src/wire.rs
@@ -33,7 +33,11 @@
         Message::Tell { telling, .. } => telling.is_sound(),
         Message::Swim(_) | Message::Stamps(_) => true,
     };
-    if rest.is_empty() && fits { Ok(message) } else { Err(Dropped::Content) }
+    if rest.is_empty() && fits {
+        Ok(message)
+    } else {
+        Err(Dropped::Content)
+    }
 }
 
 #[cfg(test)]
@@ -42,12 +46,24 @@
     use proptest::prelude::*;
 
     fn stamp() -> impl Strategy<Value = Stamp> {
-        (any::<[u8; 4]>(), any::<u16>(), any::<u64>(), any::<u64>(), any::<u64>(), any::<u16>()).prop_map(
-            |(ip, port, incarnation, top, beat, age_ds)| {
-                let at = SocketAddrV4::new(ip.into(), port);
-                Stamp { at, incarnation, top, beat, age_ds }
-            },
+        (
+            any::<[u8; 4]>(),
+            any::<u16>(),
+            any::<u64>(),
+            any::<u64>(),
+            any::<u64>(),
+            any::<u16>(),
         )
+            .prop_map(|(ip, port, incarnation, top, beat, age_ds)| {
+                let at = SocketAddrV4::new(ip.into(), port);
+                Stamp {
+                    at,
+                    incarnation,
+                    top,
+                    beat,
+                    age_ds,
+                }
+            })
     }
 
     proptest! {
--- a/crates/merlinreel-mesh/tests/village.rs
+++ b/crates/merlinreel-mesh/tests/village.rs
@@ -36,7 +36,10 @@
 
 fn part(i: usize, life: u64) -> Part {
     Part {
-        own: Member { at: at(1000 + i as u16), incarnation: 1_790_000_000_000 + life },
+        own: Member {
+            at: at(1000 + i as u16),
+            incarnation: 1_790_000_000_000 + life,
+        },
         seeds: vec![at(1000), at(1001)],
         keys: Keys::new(vec![(1, vec![7; 32])], None).expect("sound"),
         seed: i as u64 + life * 1000,
@@ -68,12 +71,15 @@
     }
 
     fn flush(&mut self, i: usize) {
-        let Some(node) = self.nodes[i].as_mut() else { return };
+        let Some(node) = self.nodes[i].as_mut() else {
+            return;
+        };
         while let Some((to, bytes)) = node.outgoing() {
             let to = usize::from(to.port() - 1000);
             if let Some(after) = (self.links)(&mut self.chance, i, to) {
                 self.number += 1;
-                self.due.insert((self.now + after, self.number), (to, bytes));
+                self.due
+                    .insert((self.now + after, self.number), (to, bytes));
             }
         }
     }
@@ -101,7 +107,10 @@
                 if self.stalled.contains_key(&i) {
                     continue;
                 }
-                if let Some(node) = self.nodes[i].as_mut().filter(|node| node.wakes_at() <= ahead(i) + step) {
+                if let Some(node) = self.nodes[i]
+                    .as_mut()
+                    .filter(|node| node.wakes_at() <= ahead(i) + step)
+                {
                     node.turn(ahead(i) + step, UNIX + step);
                 }
                 self.flush(i);
@@ -112,8 +121,14 @@
     fn publish(&mut self, i: usize, what: u32, urgent: bool) {
         let now = ahead(i) + self.now;
         if let Some(node) = self.nodes[i].as_mut() {
-            node.publish(KIND, serde_json::to_vec(&what).expect("a number"), LIFE, urgent, now)
-                .expect("short");
+            node.publish(
+                KIND,
+                serde_json::to_vec(&what).expect("a number"),
+                LIFE,
+                urgent,
+                now,
+            )
+            .expect("short");
         }
         self.flush(i);
     }
@@ -122,9 +137,16 @@
     fn known(&self, of: usize) -> Vec<Option<u32>> {
         let held = |(i, node): (usize, &Node)| {
             let (held, _) = node.view(ahead(i) + self.now).read::<u32>(KIND);
-            held.iter().find(|held| held.owner.at == at(1000 + of as u16)).map(|held| held.body)
+            held.iter()
+                .find(|held| held.owner.at == at(1000 + of as u16))
+                .map(|held| held.body)
         };
-        self.nodes.iter().enumerate().filter_map(|(i, node)| Some((i, node.as_ref()?))).map(held).collect()
+        self.nodes
+            .iter()
+            .enumerate()
+            .filter_map(|(i, node)| Some((i, node.as_ref()?)))
+            .map(held)
+            .collect()
     }
 
     fn all_know(&self, of: usize, what: u32) -> bool {
@@ -132,11 +154,17 @@
     }
 
     fn members(&self, i: usize) -> usize {
-        self.nodes[i].as_ref().map_or(0, |node| node.members().count())
+        self.nodes[i]
+            .as_ref()
+            .map_or(0, |node| node.members().count())
     }
 
     fn counts(&self) -> Vec<Counts> {
-        self.nodes.iter().flatten().map(|node| node.counts().clone()).collect()
+        self.nodes
+            .iter()
+            .flatten()
+            .map(|node| node.counts().clone())
+            .collect()
     }
 }
 
@@ -154,10 +182,18 @@
         assert!((0..20).all(|i| village.members(i) == 19), "seed {seed}");
         village.publish(3, 1, false);
         village.run(s(20));
-        assert!(village.all_know(3, 1), "seed {seed}: {:?}", village.known(3));
+        assert!(
+            village.all_know(3, 1),
+            "seed {seed}: {:?}",
+            village.known(3)
+        );
         village.publish(3, 2, true);
         village.run(s(5));
-        assert!(village.all_know(3, 2), "seed {seed}: {:?}", village.known(3));
+        assert!(
+            village.all_know(3, 2),
+            "seed {seed}: {:?}",
+            village.known(3)
+        );
     }
 }
 
@@ -171,18 +207,33 @@
     village.run(s(10));
     village.nodes[2] = None;
     let now = village.now;
-    village.nodes[3].as_mut().expect("runs").leave(ahead(3) + now);
+    village.nodes[3]
+        .as_mut()
+        .expect("runs")
+        .leave(ahead(3) + now);
     village.flush(3);
     village.nodes[3] = None;
     village.run(s(3));
     let knows = |village: &Village, of: u16| {
-        village.nodes.iter().flatten().filter(|node| node.members().any(|m| m.at == at(1000 + of))).count()
+        village
+            .nodes
+            .iter()
+            .flatten()
+            .filter(|node| node.members().any(|m| m.at == at(1000 + of)))
+            .count()
     };
     assert_eq!(knows(&village, 3), 0, "it left");
     village.run(s(30));
     assert_eq!(knows(&village, 2), 0, "it died");
-    assert!(village.known(2).iter().all(Option::is_none), "its time is over");
-    village.nodes[2] = Some(Node::new(part(2, 9), ahead(2) + village.now, UNIX + village.now));
+    assert!(
+        village.known(2).iter().all(Option::is_none),
+        "its time is over"
+    );
+    village.nodes[2] = Some(Node::new(
+        part(2, 9),
+        ahead(2) + village.now,
+        UNIX + village.now,
+    ));
     village.publish(2, 7, false);
     village.run(s(15));
     assert!(village.all_know(2, 7) && (0..8).filter(|i| *i != 3).all(|i| village.members(i) == 6));
@@ -242,10 +293,15 @@
     village.run(s(15));
     let now = ahead(4) + village.now;
     let node = village.nodes[4].as_mut().expect("runs");
-    node.publish(OTHER_KIND, b"1".to_vec(), LIFE, false, now).expect("short");
+    node.publish(OTHER_KIND, b"1".to_vec(), LIFE, false, now)
+        .expect("short");
     village.publish(4, 7, true);
     village.run(Duration::from_millis(100));
-    let known = village.known(4).into_iter().filter(|known| *known == Some(7)).count();
+    let known = village
+        .known(4)
+        .into_iter()
+        .filter(|known| *known == Some(7))
+        .count();
     assert!(known >= 18, "{known} of 20 know it");
 }
 
@@ -258,13 +314,20 @@
     village.run(s(15));
     let life = s(2);
     for i in 0..SIZE {
-        let (now, body) = (ahead(i) + village.now, serde_json::to_vec(&(i as u32)).expect("a number"));
+        let (now, body) = (
+            ahead(i) + village.now,
+            serde_json::to_vec(&(i as u32)).expect("a number"),
+        );
         let node = village.nodes[i].as_mut().expect("runs");
         node.publish(KIND, body, life, false, now).expect("short");
     }
     village.run(s(30));
     for of in 0..SIZE {
-        assert!(village.all_know(of, of as u32), "{of}: {:?}", village.known(of));
+        assert!(
+            village.all_know(of, of as u32),
+            "{of}: {:?}",
+            village.known(of)
+        );
     }
     village.nodes[3] = None;
     village.run(s(30));
@@ -277,19 +340,39 @@
 #[test]
 fn a_process_without_room_for_all_goes_on_with_those_it_has() {
     let mut village = Village::new(8, 6, lossy(0));
-    let capacity = Capacity { owners: 4, senders: 8, dead: 4 };
-    village.nodes[0] = Some(Node::new(Part { capacity, ..part(0, 0) }, ahead(0), UNIX));
-    let held = |village: &Village| (1..8).filter(|&of| village.known(of)[0].is_some()).collect::<Vec<_>>();
+    let capacity = Capacity {
+        owners: 4,
+        senders: 8,
+        dead: 4,
+    };
+    village.nodes[0] = Some(Node::new(
+        Part {
+            capacity,
+            ..part(0, 0)
+        },
+        ahead(0),
+        UNIX,
+    ));
+    let held = |village: &Village| {
+        (1..8)
+            .filter(|&of| village.known(of)[0].is_some())
+            .collect::<Vec<_>>()
+    };
     (1..8).for_each(|i| village.publish(i, i as u32, false));
     village.run(s(15));
     let before = held(&village);
     assert_eq!(before.len(), 3, "and its own");
     village.run(s(60));
     assert_eq!(held(&village), before);
-    assert!((1..8).all(|i| village.members(i) == 7), "the others miss nobody");
+    assert!(
+        (1..8).all(|i| village.members(i) == 7),
+        "the others miss nobody"
+    );
     let node = village.nodes[0].as_mut().expect("runs");
     assert!(node.counts().no_room > 10, "{}", node.counts().no_room);
-    let told = std::iter::from_fn(|| node.event()).filter(|event| matches!(event, Event::NoRoom(_))).count();
+    let told = std::iter::from_fn(|| node.event())
+        .filter(|event| matches!(event, Event::NoRoom(_)))
+        .count();
     assert!((1..=2).contains(&told), "{told}");
 }
 
@@ -312,14 +395,24 @@
     village.run(s(60));
     (0..50).for_each(|i| village.publish(i, i as u32, false));
     village.run(s(60));
-    let before: Vec<u64> = village.counts().iter().map(|counts| counts.sent_bytes).collect();
+    let before: Vec<u64> = village
+        .counts()
+        .iter()
+        .map(|counts| counts.sent_bytes)
+        .collect();
     village.run(s(60));
     let after = village.counts();
-    let quiet: Vec<u64> =
-        after.iter().zip(&before).map(|(now, before)| (now.sent_bytes - before) / 60).collect();
+    let quiet: Vec<u64> = after
+        .iter()
+        .zip(&before)
+        .map(|(now, before)| (now.sent_bytes - before) / 60)
+        .collect();
     let most = quiet.iter().max().copied().unwrap_or(0);
     assert!(most < 2000, "{most} bytes a second");
-    eprintln!("quiet: {most} bytes a second at most, {} on average", quiet.iter().sum::<u64>() / 50);
+    eprintln!(
+        "quiet: {most} bytes a second at most, {} on average",
+        quiet.iter().sum::<u64>() / 50
+    );
     // Every process writes urgent records without end: the store and its refill bound what goes.
     let before: Vec<u64> = after.iter().map(|counts| counts.sent_bytes).collect();
     for round in 0..200 {
--- a/crates/merlinreel-settings/src/lib.rs
+++ b/crates/merlinreel-settings/src/lib.rs
@@ -54,21 +54,27 @@
     fn positive(&self, path: &str) -> Result<f64, String> {
         let value = self.number(path)?;
         if value <= 0.0 && self.text(path) != "-" {
-            return Err(format!("setting {path}: '{}' is not a positive number", self.text(path)));
+            return Err(format!(
+                "setting {path}: '{}' is not a positive number",
+                self.text(path)
+            ));
         }
         Ok(value)
     }
 
     fn time(&self, path: &str) -> Result<Duration, String> {
         let seconds = self.number(path)?;
-        Duration::try_from_secs_f64(seconds).map_err(|_| format!("setting {path}: {seconds} is no time"))
+        Duration::try_from_secs_f64(seconds)
+            .map_err(|_| format!("setting {path}: {seconds} is no time"))
     }
 
     fn flag(&self, path: &str) -> Result<bool, String> {
         match self.text(path) {
             "true" | "1" => Ok(true),
             "false" | "0" | "-" | "" => Ok(false),
-            text => Err(format!("setting {path}: '{text}' is neither true nor false")),
+            text => Err(format!(
+                "setting {path}: '{text}' is neither true nor false"
+            )),
         }
     }
 
@@ -82,28 +88,45 @@
     /// A list of plain values.
     fn names(&self, path: &str) -> Vec<String> {
         let text = self.0.get(path).map_or("", String::as_str);
-        text.split(',').filter(|name| !name.is_empty()).map(str::to_owned).collect()
+        text.split(',')
+            .filter(|name| !name.is_empty())
+            .map(str::to_owned)
+            .collect()
     }
 }
 
 /// As the bench writes them: a list of objects by `.count` and numbers, one of plain values with commas.
 fn flatten(path: &str, value: &Value, map: &mut HashMap<String, String>) {
-    let below = |key: &str| if path.is_empty() { key.to_owned() } else { format!("{path}.{key}") };
+    let below = |key: &str| {
+        if path.is_empty() {
+            key.to_owned()
+        } else {
+            format!("{path}.{key}")
+        }
+    };
     let plain = |value: &Value| match value {
         Value::String(text) => text.clone(),
         Value::Null => "-".to_owned(),
         other => other.to_string(),
     };
     match value {
-        Value::Object(members) => members.iter().for_each(|(key, value)| flatten(&below(key), value, map)),
+        Value::Object(members) => members
+            .iter()
+            .for_each(|(key, value)| flatten(&below(key), value, map)),
         Value::Array(items) if items.iter().any(Value::is_object) => {
             map.insert(below("count"), items.len().to_string());
-            items.iter().enumerate().for_each(|(i, item)| flatten(&below(&i.to_string()), item, map));
+            items
+                .iter()
+                .enumerate()
+                .for_each(|(i, item)| flatten(&below(&i.to_string()), item, map));
         }
         Value::Array(items) => {
             // An empty list may stand for one of objects too.
             map.insert(below("count"), items.len().to_string());
-            map.insert(path.to_owned(), items.iter().map(plain).collect::<Vec<_>>().join(","));
+            map.insert(
+                path.to_owned(),
+                items.iter().map(plain).collect::<Vec<_>>().join(","),
+            );
         }
         other => {
             map.insert(path.to_owned(), plain(other));
@@ -141,14 +164,22 @@
 impl Terms {
     pub fn read(paths: &Paths) -> Result<Terms, String> {
         let each = |list: &str| -> Result<Vec<String>, String> {
-            Ok((0..paths.length(&format!("{list}.count"))?).map(|i| format!("{list}.{i}")).collect())
+            Ok((0..paths.length(&format!("{list}.count"))?)
+                .map(|i| format!("{list}.{i}"))
+                .collect())
         };
         let (lanes, tariffs) = (each("classes")?, each("packages")?);
         let name = |at: &String| paths.text(&format!("{at}.name")).to_owned();
         let how = paths.text("report.how");
         Ok(Terms {
-            plans: tariffs.iter().map(|at| plan(paths, at)).collect::<Result<_, _>>()?,
-            classes: lanes.iter().map(|at| class(paths, at)).collect::<Result<_, _>>()?,
+            plans: tariffs
+                .iter()
+                .map(|at| plan(paths, at))
+                .collect::<Result<_, _>>()?,
+            classes: lanes
+                .iter()
+                .map(|at| class(paths, at))
+                .collect::<Result<_, _>>()?,
             peers: peers(paths)?,
             servers: ServerRules {
                 zone: paths.number("zone")? as u32,
--- a/crates/merlinreel-settings/src/tests.rs
+++ b/crates/merlinreel-settings/src/tests.rs
@@ -19,9 +19,21 @@
         policyLimits.mayCancel=false policyLimits.mostHeld=20000 policyLimits.connIdleS=15.0 \
         report.how=answers report.fields=queue";
     let pairs: Vec<&str> = pairs.split_whitespace().collect();
-    let (nested, paired) = (terms(nested), Paths::from_pairs(&pairs).and_then(|paths| Terms::read(&paths)));
-    let Ok(terms) = &nested else { panic!("{nested:?}") };
-    assert_eq!((terms.classes.len(), terms.wire.zones.len(), terms.jobs.most_held), (1, 2, 20000));
+    let (nested, paired) = (
+        terms(nested),
+        Paths::from_pairs(&pairs).and_then(|paths| Terms::read(&paths)),
+    );
+    let Ok(terms) = &nested else {
+        panic!("{nested:?}")
+    };
+    assert_eq!(
+        (
+            terms.classes.len(),
+            terms.wire.zones.len(),
+            terms.jobs.most_held
+        ),
+        (1, 2, 20000)
+    );
     assert_eq!(format!("{nested:?}"), format!("{paired:?}"));
 }
 
--- a/crates/merlinreel-testbed/src/agent.rs
+++ b/crates/merlinreel-testbed/src/agent.rs
@@ -27,10 +27,18 @@
 impl Held {
     /// The whole list as discovery writes it.
     fn list(&self) -> Value {
-        let listed = self.workers.iter().enumerate().filter(|(_, (_, standing))| *standing != Standing::Gone);
+        let listed = self
+            .workers
+            .iter()
+            .enumerate()
+            .filter(|(_, (_, standing))| *standing != Standing::Gone);
         let instances: Vec<Value> = listed
             .map(|(i, (address, standing))| {
-                let state = if *standing == Standing::Up { "up" } else { "draining" };
+                let state = if *standing == Standing::Up {
+                    "up"
+                } else {
+                    "draining"
+                };
                 crate::listed(&format!("s-{i}"), *address, state)
             })
             .collect();
@@ -54,8 +62,16 @@
     pub fn start(limiter: usize, workers: Vec<SocketAddr>, record: &Record) -> Agent {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
         let address = listener.local_addr().expect("bound");
-        let workers = workers.into_iter().map(|address| (address, Standing::Up)).collect();
-        let held = Arc::new(Mutex::new(Held { generation: 1, silent: false, indented: false, workers }));
+        let workers = workers
+            .into_iter()
+            .map(|address| (address, Standing::Up))
+            .collect();
+        let held = Arc::new(Mutex::new(Held {
+            generation: 1,
+            silent: false,
+            indented: false,
+            workers,
+        }));
         let (serving, record) = (held.clone(), record.clone());
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
@@ -84,7 +100,12 @@
     }
 }
 
-fn attend(limiter: usize, mut stream: TcpStream, held: &Mutex<Held>, record: &Record) -> io::Result<()> {
+fn attend(
+    limiter: usize,
+    mut stream: TcpStream,
+    held: &Mutex<Held>,
+    record: &Record,
+) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let mut from = BufReader::new(stream.try_clone()?);
     while let Some(message) = read(&mut from, 0)? {
@@ -99,7 +120,12 @@
             let new = after.is_none_or(|after| held.generation > after);
             let over = begun.elapsed() >= Duration::from_millis(wait);
             if !held.silent && (new || over) {
-                for (worker, _) in held.workers.iter().enumerate().filter(|(_, (_, s))| *s != Standing::Up) {
+                for (worker, _) in held
+                    .workers
+                    .iter()
+                    .enumerate()
+                    .filter(|(_, (_, s))| *s != Standing::Up)
+                {
                     record.tell(What::Told { limiter, worker });
                 }
                 let list = held.list();
@@ -113,7 +139,11 @@
             drop(held);
             thread::sleep(Duration::from_millis(3));
         };
-        write!(stream, "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{text}", text.len())?;
+        write!(
+            stream,
+            "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{text}",
+            text.len()
+        )?;
     }
     Ok(())
 }
--- a/crates/merlinreel-testbed/src/asking.rs
+++ b/crates/merlinreel-testbed/src/asking.rs
@@ -48,7 +48,8 @@
             if fresh && !admits.load(Ordering::Relaxed) {
                 continue;
             }
-            let Some(mut client) = open.take().or_else(|| Client::connect(self.address).ok()) else {
+            let Some(mut client) = open.take().or_else(|| Client::connect(self.address).ok())
+            else {
                 continue;
             };
             turn += 1;
@@ -68,27 +69,61 @@
     /// A request, its id, and that it was asked.
     fn write(&self, turn: usize, record: &Record) -> (RequestId, String) {
         let class = CLASSES[turn % CLASSES.len()];
-        let text = request(class, self.customer, 1, &format!("{}m", self.patience.as_millis()));
-        let id = text.split("X-Txn: ").nth(1).and_then(|rest| rest.split("\r\n").next()).unwrap_or("");
+        let text = request(
+            class,
+            self.customer,
+            1,
+            &format!("{}m", self.patience.as_millis()),
+        );
+        let id = text
+            .split("X-Txn: ")
+            .nth(1)
+            .and_then(|rest| rest.split("\r\n").next())
+            .unwrap_or("");
         let (customer, limiter, patience) = (self.customer, self.limiter, self.patience);
-        record.tell(What::Asked { id: id.to_owned(), class, customer, limiter, patience });
+        record.tell(What::Asked {
+            id: id.to_owned(),
+            class,
+            customer,
+            limiter,
+            patience,
+        });
         (id.to_owned(), text)
     }
 
     /// Sends so many requests at once and reads their answers; whether the connection stays.
-    fn ask(&self, client: &mut Client, count: usize, turn: usize, fresh: bool, record: &Record) -> bool {
+    fn ask(
+        &self,
+        client: &mut Client,
+        count: usize,
+        turn: usize,
+        fresh: bool,
+        record: &Record,
+    ) -> bool {
         let _ = client.wait_at_most(self.patience + self.longer);
-        let requests: Vec<(RequestId, String)> = (0..count).map(|n| self.write(turn + n, record)).collect();
-        client.send(&requests.iter().map(|(_, text)| text.as_str()).collect::<String>());
+        let requests: Vec<(RequestId, String)> =
+            (0..count).map(|n| self.write(turn + n, record)).collect();
+        client.send(
+            &requests
+                .iter()
+                .map(|(_, text)| text.as_str())
+                .collect::<String>(),
+        );
         let mut stays = true;
         for (id, _) in requests {
             let answer = client.receive().filter(|_| stays);
-            stays = answer.as_ref().is_some_and(|answer| answer.header("connection") != Some("close"));
+            stays = answer
+                .as_ref()
+                .is_some_and(|answer| answer.header("connection") != Some("close"));
             record.tell(match answer {
                 None => What::Unanswered { id, fresh },
                 Some(answer) => {
                     let again = answer.header("retry-after").is_some();
-                    What::Answered { id, status: answer.status(), again }
+                    What::Answered {
+                        id,
+                        status: answer.status(),
+                        again,
+                    }
                 }
             });
         }
--- a/crates/merlinreel-testbed/src/bin/scale.rs
+++ b/crates/merlinreel-testbed/src/bin/scale.rs
@@ -68,7 +68,15 @@
 fn run(command: Command) -> Result<(), ScaleError> {
     match command {
         Command::List => list(),
-        Command::Measure { role, variable, sizes, seed, runs, memory_mb, output } => {
+        Command::Measure {
+            role,
+            variable,
+            sizes,
+            seed,
+            runs,
+            memory_mb,
+            output,
+        } => {
             let chosen = chosen(role.as_deref(), variable.as_deref())?;
             let requests = requests(&chosen, &sizes, seed, runs, memory_mb)?;
             let mut lines = writer(output.as_deref())?;
@@ -107,12 +115,17 @@
 fn writer(output: Option<&Path>) -> Result<Box<dyn Write>, ScaleError> {
     match output {
         None => Ok(Box::new(io::stdout())),
-        Some(path) => Ok(Box::new(BufWriter::new(File::create(path).map_err(|why| failed(path, why))?))),
+        Some(path) => Ok(Box::new(BufWriter::new(
+            File::create(path).map_err(|why| failed(path, why))?,
+        ))),
     }
 }
 
 fn failed(path: &Path, why: io::Error) -> ScaleError {
-    ScaleError::Output { path: path.display().to_string(), why }
+    ScaleError::Output {
+        path: path.display().to_string(),
+        why,
+    }
 }
 
 fn measure(
@@ -121,10 +134,15 @@
     lines: &mut dyn Write,
     output: &Path,
 ) -> Result<(), ScaleError> {
-    eprintln!("{} by {}: {:?}", measurement.role, measurement.variable, request.sizes);
+    eprintln!(
+        "{} by {}: {:?}",
+        measurement.role, measurement.variable, request.sizes
+    );
     (measurement.run)(request, &mut |figure: Figure| {
         let line = serde_json::to_string(&figure).map_err(|why| failed(output, why.into()))?;
-        writeln!(lines, "{line}").and_then(|()| lines.flush()).map_err(|why| failed(output, why))
+        writeln!(lines, "{line}")
+            .and_then(|()| lines.flush())
+            .map_err(|why| failed(output, why))
     })
 }
 
@@ -139,8 +157,14 @@
         let figure: serde_json::Value =
             serde_json::from_str(&line).map_err(|why| failed(file, why.into()))?;
         let text = |name: &str| figure[name].as_str().unwrap_or_default().to_owned();
-        let point = (figure["size"].as_f64().unwrap_or(0.0), figure["value"].as_f64().unwrap_or(0.0));
-        curves.entry((text("role"), text("variable"), text("metric"))).or_default().push(point);
+        let point = (
+            figure["size"].as_f64().unwrap_or(0.0),
+            figure["value"].as_f64().unwrap_or(0.0),
+        );
+        curves
+            .entry((text("role"), text("variable"), text("metric")))
+            .or_default()
+            .push(point);
     }
     println!("role variable metric: points, exponent, R2, size, value there");
     for ((role, variable, metric), points) in curves {
--- a/crates/merlinreel-testbed/src/checker.rs
+++ b/crates/merlinreel-testbed/src/checker.rs
@@ -87,16 +87,28 @@
             Broken::Lost { unanswered, of } => {
                 write!(out, "no request lost: {unanswered} of {of} had no answer")
             }
-            Broken::LostAtKill(id) => write!(out, "no request lost: request {id} was unanswered at the kill"),
+            Broken::LostAtKill(id) => write!(
+                out,
+                "no request lost: request {id} was unanswered at the kill"
+            ),
             Broken::ForGone(id) => write!(out, "no attempt for who has gone: request {id}"),
-            Broken::ToldTooMuch(id) => write!(out, "time told to servers: more than request {id} had left"),
+            Broken::ToldTooMuch(id) => {
+                write!(out, "time told to servers: more than request {id} had left")
+            }
             Broken::AnsweredTwice(id) => write!(out, "one final answer: request {id} had two"),
             Broken::Late(id) => write!(out, "an answer in time: request {id} had it later"),
             Broken::EffectTwice(id) => {
-                write!(out, "no effect twice: request {id} after an attempt that may have run")
+                write!(
+                    out,
+                    "no effect twice: request {id} after an attempt that may have run"
+                )
+            }
+            Broken::TwoAttemptsOut(id) => {
+                write!(out, "one attempt out at a time: request {id} had two")
+            }
+            Broken::AfterDrain { id, worker } => {
+                write!(out, "drains kept: request {id} at worker {worker}")
             }
-            Broken::TwoAttemptsOut(id) => write!(out, "one attempt out at a time: request {id} had two"),
-            Broken::AfterDrain { id, worker } => write!(out, "drains kept: request {id} at worker {worker}"),
             Broken::BeyondQuota { customer, units } => {
                 write!(out, "ceilings: customer {customer} by {units}")
             }
@@ -126,8 +138,8 @@
             }
             None if away.killed(request.limiter, request.asked, due) => {}
             // A client gives up on a process that stands still: nobody is there to be answered.
-            None if request.gave_up && away.stalled(request.limiter, request.asked, due) > Duration::ZERO => {
-            }
+            None if request.gave_up
+                && away.stalled(request.limiter, request.asked, due) > Duration::ZERO => {}
             // New connections may be shut unread where a crowd holds all places.
             None if request.fresh && away.crowded(request.limiter, request.asked, due) => {}
             None if request.gave_up => unanswered += 1,
@@ -136,14 +148,26 @@
         }
         broken.extend(request.effects().map(|()| Broken::EffectTwice(id.clone())));
         let hidden = |attempt: &requests::Attempt, at: Duration| {
-            attempt.over.is_some_and(|over| over <= at + bounds.seen_late)
+            attempt
+                .over
+                .is_some_and(|over| over <= at + bounds.seen_late)
                 || away.cut(request.limiter, attempt.worker, attempt.came, at)
         };
-        broken.extend(request.two_out(hidden).then(|| Broken::TwoAttemptsOut(id.clone())));
+        broken.extend(
+            request
+                .two_out(hidden)
+                .then(|| Broken::TwoAttemptsOut(id.clone())),
+        );
         for attempt in &request.attempts {
-            let undisturbed = away.stalled(request.limiter, request.asked, attempt.came).is_zero()
+            let undisturbed = away
+                .stalled(request.limiter, request.asked, attempt.came)
+                .is_zero()
                 && !away.cut(request.limiter, attempt.worker, request.asked, attempt.came);
-            if undisturbed && request.gone.is_some_and(|gone| attempt.came > gone + bounds.gone) {
+            if undisturbed
+                && request
+                    .gone
+                    .is_some_and(|gone| attempt.came > gone + bounds.gone)
+            {
                 broken.push(Broken::ForGone(id.clone()));
             }
             let left = (request.asked + request.patience).saturating_sub(attempt.came);
@@ -151,16 +175,28 @@
                 broken.push(Broken::ToldTooMuch(id.clone()));
             }
             if let Some(told) = away.told.get(&(request.limiter, attempt.worker))
-                && attempt.came > *told + bounds.grace + away.stalled(request.limiter, *told, attempt.came)
+                && attempt.came
+                    > *told + bounds.grace + away.stalled(request.limiter, *told, attempt.came)
             {
-                broken.push(Broken::AfterDrain { id: id.clone(), worker: attempt.worker });
+                broken.push(Broken::AfterDrain {
+                    id: id.clone(),
+                    worker: attempt.worker,
+                });
             }
         }
     }
     if unanswered * bounds.unanswered_one_in > requests.len() {
-        broken.push(Broken::Lost { unanswered, of: requests.len() });
+        broken.push(Broken::Lost {
+            unanswered,
+            of: requests.len(),
+        });
     }
-    broken.extend(bounds.quota.into_iter().flat_map(|quota| beyond(&requests, quota)));
+    broken.extend(
+        bounds
+            .quota
+            .into_iter()
+            .flat_map(|quota| beyond(&requests, quota)),
+    );
     broken
 }
 
@@ -184,7 +220,10 @@
             over = over.max(-store);
         }
         if over >= 1.0 {
-            broken.push(Broken::BeyondQuota { customer, units: over as u64 });
+            broken.push(Broken::BeyondQuota {
+                customer,
+                units: over as u64,
+            });
         }
     }
     broken
@@ -218,14 +257,25 @@
                 }
                 What::Stopped { limiter } => away.stalls.push((*limiter, *at, Duration::MAX)),
                 What::Woken { limiter } => {
-                    let open =
-                        |stall: &&mut (usize, _, Duration)| stall.0 == *limiter && stall.2 == Duration::MAX;
-                    away.stalls.iter_mut().rev().find(open).into_iter().for_each(|stall| stall.2 = *at);
+                    let open = |stall: &&mut (usize, _, Duration)| {
+                        stall.0 == *limiter && stall.2 == Duration::MAX
+                    };
+                    away.stalls
+                        .iter_mut()
+                        .rev()
+                        .find(open)
+                        .into_iter()
+                        .for_each(|stall| stall.2 = *at);
+                }
+                What::Cut { limiter, worker } => {
+                    away.cuts.push(((*limiter, *worker), *at, Duration::MAX))
                 }
-                What::Cut { limiter, worker } => away.cuts.push(((*limiter, *worker), *at, Duration::MAX)),
                 What::Healed { limiter, worker } => {
                     let way = (*limiter, *worker);
-                    let open = away.cuts.iter_mut().filter(|cut| cut.0 == way && cut.2 == Duration::MAX);
+                    let open = away
+                        .cuts
+                        .iter_mut()
+                        .filter(|cut| cut.0 == way && cut.2 == Duration::MAX);
                     open.for_each(|cut| cut.2 = *at);
                 }
                 What::Told { limiter, worker } => {
@@ -240,25 +290,37 @@
     /// Whether the way was cut at any time between, or just before, as what it held back comes late.
     fn cut(&self, limiter: usize, worker: usize, from: Duration, to: Duration) -> bool {
         let way = (limiter, worker);
-        self.cuts.iter().any(|&(which, begun, ended)| which == way && begun <= to && ended >= from)
+        self.cuts
+            .iter()
+            .any(|&(which, begun, ended)| which == way && begun <= to && ended >= from)
     }
 
     fn crowded(&self, limiter: usize, from: Duration, to: Duration) -> bool {
-        self.crowds.iter().any(|&(who, begun, ended)| who == limiter && begun <= to && ended >= from)
+        self.crowds
+            .iter()
+            .any(|&(who, begun, ended)| who == limiter && begun <= to && ended >= from)
     }
 
     /// Whether a stop's kill came within that time, and what was asked from then on came late in the stop.
     fn late_at_kill(&self, limiter: usize, from: Duration, to: Duration) -> bool {
-        let kills = self.killed.iter().filter(|&&(who, at)| who == limiter && at >= from && at <= to);
+        let kills = self
+            .killed
+            .iter()
+            .filter(|&&(who, at)| who == limiter && at >= from && at <= to);
         kills.copied().any(|(_, killed)| {
-            let asked = self.terminated.iter().filter(|&&(who, at)| who == limiter && at <= from);
+            let asked = self
+                .terminated
+                .iter()
+                .filter(|&&(who, at)| who == limiter && at <= from);
             let last = asked.map(|&(_, at)| at).max();
             last.is_some_and(|at| from > at + LATE_IN_A_STOP && killed < at + KILL_FOLLOWS)
         })
     }
 
     fn killed(&self, limiter: usize, from: Duration, to: Duration) -> bool {
-        self.killed.iter().any(|&(who, at)| who == limiter && at >= from && at <= to)
+        self.killed
+            .iter()
+            .any(|&(who, at)| who == limiter && at >= from && at <= to)
     }
 
     /// How long it stood still within that time.
