--- a/crates/merlinreel-testbed/src/checker/requests.rs
+++ b/crates/merlinreel-testbed/src/checker/requests.rs
@@ -34,17 +34,25 @@
     /// Whether a single-use request went out again, or was refused, after an attempt that may have run.
     pub fn effects(&self) -> Option<()> {
         let single_use = self.class == "pay";
-        let first = self.attempts.iter().position(|attempt| !attempt.never_ran)?;
+        let first = self
+            .attempts
+            .iter()
+            .position(|attempt| !attempt.never_ran)?;
         let again = self.attempts.len() > first + 1;
         let came = self.attempts[first].came;
-        let refused = self.answers.iter().any(|(at, status)| matches!(status, 429 | 503) && *at > came);
+        let refused = self
+            .answers
+            .iter()
+            .any(|(at, status)| matches!(status, 429 | 503) && *at > came);
         (single_use && (again || refused)).then_some(())
     }
 
     /// Whether an attempt came while one before it was still out, as far as its worker could tell: `hidden` says whether
     /// an end might not have been seen there.
     pub fn two_out(&self, hidden: impl Fn(&Attempt, Duration) -> bool) -> bool {
-        let out = |attempt: &Attempt, at| attempt.over.is_none_or(|over| over > at) && !hidden(attempt, at);
+        let out = |attempt: &Attempt, at| {
+            attempt.over.is_none_or(|over| over > at) && !hidden(attempt, at)
+        };
         self.attempts
             .iter()
             .enumerate()
@@ -59,7 +67,13 @@
     let mut attempts: BTreeMap<u64, (RequestId, usize)> = BTreeMap::new();
     for Entry { at, what } in entries {
         match what {
-            What::Asked { id, class, customer, limiter, patience } => {
+            What::Asked {
+                id,
+                class,
+                customer,
+                limiter,
+                patience,
+            } => {
                 let request = Request {
                     class,
                     customer: *customer,
@@ -75,7 +89,10 @@
                 requests.insert(id.clone(), request);
             }
             What::Answered { id, status, .. } => {
-                requests.get_mut(id).into_iter().for_each(|request| request.answers.push((*at, *status)));
+                requests
+                    .get_mut(id)
+                    .into_iter()
+                    .for_each(|request| request.answers.push((*at, *status)));
             }
             What::Unanswered { id, fresh } => {
                 requests
@@ -83,19 +100,32 @@
                     .into_iter()
                     .for_each(|request| (request.gave_up, request.fresh) = (true, *fresh));
             }
-            What::Gone { id } => {
-                requests.get_mut(id).into_iter().for_each(|request| request.gone = Some(*at))
-            }
-            What::Came { id, worker, attempt, told } => {
+            What::Gone { id } => requests
+                .get_mut(id)
+                .into_iter()
+                .for_each(|request| request.gone = Some(*at)),
+            What::Came {
+                id,
+                worker,
+                attempt,
+                told,
+            } => {
                 if let Some(request) = requests.get_mut(id) {
                     attempts.insert(*attempt, (id.clone(), request.attempts.len()));
                     let (worker, told) = (*worker, *told);
-                    request.attempts.push(Attempt { worker, came: *at, told, over: None, never_ran: false });
+                    request.attempts.push(Attempt {
+                        worker,
+                        came: *at,
+                        told,
+                        over: None,
+                        never_ran: false,
+                    });
                 }
             }
             What::TurnedAway { attempt } | What::Ran { attempt } | What::Left { attempt } => {
                 let place = attempts.get(attempt);
-                let found = place.and_then(|(id, place)| requests.get_mut(id)?.attempts.get_mut(*place));
+                let found =
+                    place.and_then(|(id, place)| requests.get_mut(id)?.attempts.get_mut(*place));
                 if let Some(found) = found {
                     found.over.get_or_insert(*at);
                     found.never_ran |= matches!(what, What::TurnedAway { .. });
--- a/crates/merlinreel-testbed/src/checker/tests.rs
+++ b/crates/merlinreel-testbed/src/checker/tests.rs
@@ -6,31 +6,68 @@
 }
 
 fn asked(class: &'static str) -> What {
-    What::Asked { id: "a".into(), class, customer: 7, limiter: 0, patience: ms(1000) }
+    What::Asked {
+        id: "a".into(),
+        class,
+        customer: 7,
+        limiter: 0,
+        patience: ms(1000),
+    }
 }
 
 fn came(worker: usize, attempt: u64) -> What {
-    What::Came { id: "a".into(), worker, attempt, told: None }
+    What::Came {
+        id: "a".into(),
+        worker,
+        attempt,
+        told: None,
+    }
 }
 
 fn told(milliseconds: u64) -> What {
-    What::Came { id: "a".into(), worker: 0, attempt: 1, told: Some(ms(milliseconds)) }
+    What::Came {
+        id: "a".into(),
+        worker: 0,
+        attempt: 1,
+        told: Some(ms(milliseconds)),
+    }
 }
 
 fn unanswered(fresh: bool) -> What {
-    What::Unanswered { id: "a".into(), fresh }
+    What::Unanswered {
+        id: "a".into(),
+        fresh,
+    }
 }
 
 fn answered(status: u16) -> What {
-    What::Answered { id: "a".into(), status, again: false }
+    What::Answered {
+        id: "a".into(),
+        status,
+        again: false,
+    }
 }
 
 /// The rules that a course of events breaks, by their names in the text that an operator reads.
 fn broken(course: &[(u64, What)]) -> Vec<String> {
-    let entries: Vec<Entry> =
-        course.iter().map(|(at, what)| Entry { at: ms(*at), what: what.clone() }).collect();
-    let found = check(&entries, &Bounds { quota: Some((2.0, 1.0)), ..Bounds::default() });
-    found.iter().map(|one| one.to_string().split(':').next().unwrap_or("").to_owned()).collect()
+    let entries: Vec<Entry> = course
+        .iter()
+        .map(|(at, what)| Entry {
+            at: ms(*at),
+            what: what.clone(),
+        })
+        .collect();
+    let found = check(
+        &entries,
+        &Bounds {
+            quota: Some((2.0, 1.0)),
+            ..Bounds::default()
+        },
+    );
+    found
+        .iter()
+        .map(|one| one.to_string().split(':').next().unwrap_or("").to_owned())
+        .collect()
 }
 
 /// Planted violations: the checker finds each, and nothing in a course that holds.
@@ -70,10 +107,34 @@
     for n in 0..3u64 {
         let (id, at) = (format!("j{n}"), n * apart);
         let patience = ms(1000);
-        course.push((at, What::Asked { id: id.clone(), class: "look", customer: 7, limiter: 0, patience }));
-        course.push((at + 1, What::Came { id: id.clone(), worker: 0, attempt: n, told: None }));
+        course.push((
+            at,
+            What::Asked {
+                id: id.clone(),
+                class: "look",
+                customer: 7,
+                limiter: 0,
+                patience,
+            },
+        ));
+        course.push((
+            at + 1,
+            What::Came {
+                id: id.clone(),
+                worker: 0,
+                attempt: n,
+                told: None,
+            },
+        ));
         course.push((at + 2, What::Ran { attempt: n }));
-        course.push((at + 3, What::Answered { id, status: 200, again: false }));
+        course.push((
+            at + 3,
+            What::Answered {
+                id,
+                status: 200,
+                again: false,
+            },
+        ));
     }
     broken(&course)
 }
--- a/crates/merlinreel-testbed/src/client.rs
+++ b/crates/merlinreel-testbed/src/client.rs
@@ -25,7 +25,10 @@
     pub fn connect_within(address: SocketAddr, span: Duration) -> io::Result<Client> {
         let to = TcpStream::connect_timeout(&address, span)?;
         to.set_read_timeout(Some(PATIENCE))?;
-        Ok(Client { from: BufReader::new(to.try_clone()?), to })
+        Ok(Client {
+            from: BufReader::new(to.try_clone()?),
+            to,
+        })
     }
 
     /// Waits so long at most for each further read.
@@ -66,7 +69,8 @@
 
     /// The answer to one request of that customer.
     pub fn request(&mut self, class: &str, customer: u32, units: u32) -> Message {
-        self.call(&request(class, customer, units, "3000m")).expect("an answer")
+        self.call(&request(class, customer, units, "3000m"))
+            .expect("an answer")
     }
 }
 
--- a/crates/merlinreel-testbed/src/field.rs
+++ b/crates/merlinreel-testbed/src/field.rs
@@ -1,7 +1,9 @@
 //! Several limiters at work: workers, an agent each, clients, and a link on each way.
 
 use crate::link::{TcpLink, UdpLink, Weather};
-use crate::{Agent, Asking, Client, Deed, Entry, Manner, Program, Record, Script, Standing, What, Worker};
+use crate::{
+    Agent, Asking, Client, Deed, Entry, Manner, Program, Record, Script, Standing, What, Worker,
+};
 use crate::{WorkerKind, config, free_address, listed};
 use serde_json::Value;
 use std::net::SocketAddr;
@@ -43,24 +45,55 @@
     /// Starts so many of each, and waits until all serve.
     pub fn start(seed: u64, limiters: usize, workers: usize) -> Field {
         let record = Record::default();
-        let kind = WorkerKind { cold: 2.0, warm_after: Duration::from_secs(1), ..WorkerKind::default() };
-        let workers: Vec<Worker> = (0..workers).map(|number| Worker::start(number, kind, &record)).collect();
-        let way =
-            |i: usize, j: usize| TcpLink::to(workers[j].address, seed * 100 + (i * workers.len() + j) as u64);
-        let ways: Vec<Vec<TcpLink>> =
-            (0..limiters).map(|i| (0..workers.len()).map(|j| way(i, j)).collect()).collect();
-        let addresses = |i: usize| ways[i].iter().map(|way| way.address).collect::<Vec<SocketAddr>>();
-        let agents: Vec<Agent> = (0..limiters).map(|i| Agent::start(i, addresses(i), &record)).collect();
+        let kind = WorkerKind {
+            cold: 2.0,
+            warm_after: Duration::from_secs(1),
+            ..WorkerKind::default()
+        };
+        let workers: Vec<Worker> = (0..workers)
+            .map(|number| Worker::start(number, kind, &record))
+            .collect();
+        let way = |i: usize, j: usize| {
+            TcpLink::to(
+                workers[j].address,
+                seed * 100 + (i * workers.len() + j) as u64,
+            )
+        };
+        let ways: Vec<Vec<TcpLink>> = (0..limiters)
+            .map(|i| (0..workers.len()).map(|j| way(i, j)).collect())
+            .collect();
+        let addresses = |i: usize| {
+            ways[i]
+                .iter()
+                .map(|way| way.address)
+                .collect::<Vec<SocketAddr>>()
+        };
+        let agents: Vec<Agent> = (0..limiters)
+            .map(|i| Agent::start(i, addresses(i), &record))
+            .collect();
         agents[0].indent();
         let places: Vec<SocketAddr> = (0..limiters).map(|_| free_address()).collect();
         let mut peer_messages = Vec::new();
         let mut peers: Vec<Vec<SocketAddr>> = vec![places.clone(); limiters];
         for i in 0..limiters {
             for j in i + 1..limiters {
-                let link = UdpLink::between(places[i], places[j], seed * 1000 + (i * limiters + j) as u64);
+                let link = UdpLink::between(
+                    places[i],
+                    places[j],
+                    seed * 1000 + (i * limiters + j) as u64,
+                );
                 (peers[i][j], peers[j][i]) = (link.for_one, link.for_other);
-                link.there.set(Weather { lose: 20, repeat: 5, ..Weather::default() });
-                link.back.set(Weather { lose: 20, repeat: 5, reorder: 5, ..Weather::default() });
+                link.there.set(Weather {
+                    lose: 20,
+                    repeat: 5,
+                    ..Weather::default()
+                });
+                link.back.set(Weather {
+                    lose: 20,
+                    repeat: 5,
+                    reorder: 5,
+                    ..Weather::default()
+                });
                 peer_messages.push(link);
             }
         }
@@ -75,8 +108,13 @@
                 config["discovery"] = agents[i].address.to_string().into();
                 config["peer_listen"] = places[i].to_string().into();
                 config["peers"] = peers[i].iter().map(ToString::to_string).collect();
-                (config["settings"]["balancers"], config["settings"]["rank"]) = (limiters.into(), i.into());
-                for class in config["settings"]["classes"].as_array_mut().into_iter().flatten() {
+                (config["settings"]["balancers"], config["settings"]["rank"]) =
+                    (limiters.into(), i.into());
+                for class in config["settings"]["classes"]
+                    .as_array_mut()
+                    .into_iter()
+                    .flatten()
+                {
                     class["hardLimitS"] = DEADLINE.as_secs_f64().into();
                     class["promiseS"] = (DEADLINE.as_secs_f64() / 2.0).into();
                 }
@@ -85,7 +123,10 @@
                 config
             })
             .collect();
-        let programs = configs.iter().map(|config| Some(Program::start(config))).collect();
+        let programs = configs
+            .iter()
+            .map(|config| Some(Program::start(config)))
+            .collect();
         Field {
             record,
             workers,
@@ -94,14 +135,18 @@
             _messages: peer_messages,
             configs,
             programs,
-            admits: (0..limiters).map(|_| Arc::new(AtomicBool::new(true))).collect(),
+            admits: (0..limiters)
+                .map(|_| Arc::new(AtomicBool::new(true)))
+                .collect(),
             crowds: (0..limiters).map(|_| Vec::new()).collect(),
             kills: vec![None; limiters],
         }
     }
 
     fn address(&self, i: usize) -> SocketAddr {
-        let address = self.configs[i]["listen"].as_str().and_then(|text| text.parse().ok());
+        let address = self.configs[i]["listen"]
+            .as_str()
+            .and_then(|text| text.parse().ok());
         address.expect("an address")
     }
 
@@ -127,11 +172,18 @@
     /// Waits until then, and kills whoever is due meanwhile.
     fn wait(&mut self, until: Instant) {
         loop {
-            let due = (0..self.kills.len()).filter_map(|i| Some((self.kills[i]?, i))).min();
-            let Some((at, i)) = due.filter(|(at, _)| *at <= until) else { break };
+            let due = (0..self.kills.len())
+                .filter_map(|i| Some((self.kills[i]?, i)))
+                .min();
+            let Some((at, i)) = due.filter(|(at, _)| *at <= until) else {
+                break;
+            };
             thread::sleep(at.saturating_duration_since(Instant::now()));
             self.kills[i] = None;
-            if self.programs[i].as_mut().is_some_and(Program::kill_if_running) {
+            if self.programs[i]
+                .as_mut()
+                .is_some_and(Program::kill_if_running)
+            {
                 self.record.tell(What::Killed { limiter: i });
             }
             // Nobody is there to be signalled until its next start.
@@ -146,14 +198,20 @@
         let address = self.address(i);
         let come = |n: usize| {
             let mut client = Client::connect_within(address, CROWD_WAITS).ok()?;
-            client.send(if n.is_multiple_of(2) { "GET /look?key=7 HTTP/1.1\r\nHost:" } else { "" });
+            client.send(if n.is_multiple_of(2) {
+                "GET /look?key=7 HTTP/1.1\r\nHost:"
+            } else {
+                ""
+            });
             Some(client)
         };
         self.crowds[i] = (0..CROWD).map_while(come).collect();
     }
 
     fn signal(&self, i: usize, name: &str) {
-        self.programs[i].iter().for_each(|program| program.signal(name));
+        self.programs[i]
+            .iter()
+            .for_each(|program| program.signal(name));
     }
 
     /// The weather from a limiter to a worker, and back.
@@ -163,7 +221,13 @@
     }
 
     fn befall(&mut self, deed: Deed) {
-        let (fair, cut) = (Weather::default(), Weather { cut: true, ..Weather::default() });
+        let (fair, cut) = (
+            Weather::default(),
+            Weather {
+                cut: true,
+                ..Weather::default()
+            },
+        );
         match deed {
             Deed::Kill(i) => {
                 self.record.tell(What::Killed { limiter: i });
@@ -187,18 +251,30 @@
             }
             Deed::Drain(j) => {
                 self.workers[j].drain();
-                self.agents.iter().for_each(|agent| agent.set(j, Standing::Draining));
+                self.agents
+                    .iter()
+                    .for_each(|agent| agent.set(j, Standing::Draining));
             }
             Deed::Pause(j) => self.workers[j].pause(true),
             Deed::Resume(j) => self.workers[j].pause(false),
             Deed::Cut(i, j) | Deed::CutBack(i, j) => {
-                self.record.tell(What::Cut { limiter: i, worker: j });
-                let there = if matches!(deed, Deed::Cut(..)) { cut } else { fair };
+                self.record.tell(What::Cut {
+                    limiter: i,
+                    worker: j,
+                });
+                let there = if matches!(deed, Deed::Cut(..)) {
+                    cut
+                } else {
+                    fair
+                };
                 self.weather(i, j, there, cut);
             }
             Deed::Heal(i, j) => {
                 self.weather(i, j, fair, fair);
-                self.record.tell(What::Healed { limiter: i, worker: j });
+                self.record.tell(What::Healed {
+                    limiter: i,
+                    worker: j,
+                });
             }
             Deed::Break(i, j) => self.ways[i][j].break_all(),
             Deed::Terminate(i, times) => self.terminate(i, times),
@@ -252,7 +328,9 @@
         }
         self.wait(begun + span);
         stop.store(true, Ordering::Relaxed);
-        clients.into_iter().for_each(|client| client.join().expect("a client"));
+        clients
+            .into_iter()
+            .for_each(|client| client.join().expect("a client"));
         self.record.entries()
     }
 }
--- a/crates/merlinreel-testbed/src/http.rs
+++ b/crates/merlinreel-testbed/src/http.rs
@@ -20,11 +20,18 @@
 
 impl Message {
     pub fn header(&self, name: &str) -> Option<&str> {
-        self.headers.iter().find(|(key, _)| key.eq_ignore_ascii_case(name)).map(|(_, value)| value.as_str())
+        self.headers
+            .iter()
+            .find(|(key, _)| key.eq_ignore_ascii_case(name))
+            .map(|(_, value)| value.as_str())
     }
 
     pub fn status(&self) -> u16 {
-        self.first.split(' ').nth(1).and_then(|code| code.parse().ok()).unwrap_or(0)
+        self.first
+            .split(' ')
+            .nth(1)
+            .and_then(|code| code.parse().ok())
+            .unwrap_or(0)
     }
 
     /// Its status allows no body, whatever its headers say.
@@ -46,7 +53,12 @@
     fn fmt(&self, out: &mut fmt::Formatter) -> fmt::Result {
         match self {
             ReadError::Incomplete(message) => {
-                write!(out, "`{}` broke off after {} bytes of its body", message.first, message.body.len())
+                write!(
+                    out,
+                    "`{}` broke off after {} bytes of its body",
+                    message.first,
+                    message.body.len()
+                )
             }
             ReadError::Io(error) => error.fmt(out),
         }
@@ -80,11 +92,17 @@
 
 impl Framing {
     fn of(message: &Message) -> io::Result<Framing> {
-        if message.header("transfer-encoding").is_some_and(|coding| coding.eq_ignore_ascii_case("chunked")) {
+        if message
+            .header("transfer-encoding")
+            .is_some_and(|coding| coding.eq_ignore_ascii_case("chunked"))
+        {
             return Ok(Framing::Chunked);
         }
         match message.header("content-length") {
-            Some(text) => text.parse().map(Framing::Length).map_err(|_| malformed("a length")),
+            Some(text) => text
+                .parse()
+                .map(Framing::Length)
+                .map_err(|_| malformed("a length")),
             None if message.first.starts_with(STATUS_LINE) && !message.is_without_body() => {
                 Ok(Framing::UntilClose)
             }
@@ -109,7 +127,12 @@
     }
     let first = read_whole_line(from)?;
     let headers = read_headers(from)?;
-    let mut message = Message { first, headers, body: String::new(), connection };
+    let mut message = Message {
+        first,
+        headers,
+        body: String::new(),
+        connection,
+    };
     let mut body = Vec::new();
     let outcome = Framing::of(&message)?.read_body(from, &mut body);
     message.body = String::from_utf8_lossy(&body).into_owned();
@@ -134,19 +157,27 @@
 
 /// An orderly end or a reset; not a wait that was too long.
 fn is_end_of_connection(error: &io::Error) -> bool {
-    matches!(error.kind(), ErrorKind::UnexpectedEof | ErrorKind::ConnectionReset)
+    matches!(
+        error.kind(),
+        ErrorKind::UnexpectedEof | ErrorKind::ConnectionReset
+    )
 }
 
 fn read_exactly(from: &mut impl BufRead, length: u64, body: &mut Vec<u8>) -> io::Result<()> {
     let came = from.by_ref().take(length).read_to_end(body)?;
-    if came as u64 == length { Ok(()) } else { Err(ErrorKind::UnexpectedEof.into()) }
+    if came as u64 == length {
+        Ok(())
+    } else {
+        Err(ErrorKind::UnexpectedEof.into())
+    }
 }
 
 fn read_chunks(from: &mut impl BufRead, body: &mut Vec<u8>) -> io::Result<()> {
     loop {
         let line = read_whole_line(from)?;
         let digits = line.split(';').next().unwrap_or_default();
-        let size = u64::from_str_radix(digits, HEXADECIMAL).map_err(|_| malformed("a chunk's size"))?;
+        let size =
+            u64::from_str_radix(digits, HEXADECIMAL).map_err(|_| malformed("a chunk's size"))?;
         if size == 0 {
             break;
         }
--- a/crates/merlinreel-testbed/src/http/tests.rs
+++ b/crates/merlinreel-testbed/src/http/tests.rs
@@ -35,7 +35,10 @@
 #[test_case("HTTP/1.1 204 No Content\r\n\r\n", "next" => "" ; "no body by its status")]
 #[test_case("GET / HTTP/1.1\r\nHost: svc\r\n\r\n", "next" => "" ; "a request without a body")]
 fn whole_messages(head: &str, body: &str) -> String {
-    message([head, body], None).expect("whole").expect("a message").body
+    message([head, body], None)
+        .expect("whole")
+        .expect("a message")
+        .body
 }
 
 #[test_case(TOLD, "" => "" ; "length told, head only")]
@@ -82,10 +85,18 @@
 
 #[test]
 fn headers_without_a_value_or_a_space() {
-    let message =
-        message(["HTTP/1.1 200 OK\r\nX-Empty:\r\nX-Kind:blue\r\nContent-Length: 0\r\n\r\n", ""], None);
+    let message = message(
+        [
+            "HTTP/1.1 200 OK\r\nX-Empty:\r\nX-Kind:blue\r\nContent-Length: 0\r\n\r\n",
+            "",
+        ],
+        None,
+    );
     let message = message.expect("whole").expect("a message");
-    assert_eq!((message.header("x-empty"), message.header("x-kind")), (Some(""), Some("blue")));
+    assert_eq!(
+        (message.header("x-empty"), message.header("x-kind")),
+        (Some(""), Some("blue"))
+    );
 }
 
 #[test]
--- a/crates/merlinreel-testbed/src/link.rs
+++ b/crates/merlinreel-testbed/src/link.rs
@@ -36,7 +36,12 @@
 
 impl Sky {
     pub fn new(seed: u64) -> Sky {
-        Sky { held: Arc::new(Mutex::new((Weather::default(), ChaCha8Rng::seed_from_u64(seed)))) }
+        Sky {
+            held: Arc::new(Mutex::new((
+                Weather::default(),
+                ChaCha8Rng::seed_from_u64(seed),
+            ))),
+        }
     }
 
     fn lock(&self) -> MutexGuard<'_, (Weather, ChaCha8Rng)> {
@@ -66,7 +71,11 @@
             return Vec::new();
         }
         // Behind what comes in the next moments.
-        let first = if falls(weather.reorder) { late + Duration::from_millis(20) } else { late };
+        let first = if falls(weather.reorder) {
+            late + Duration::from_millis(20)
+        } else {
+            late
+        };
         let again = falls(weather.repeat).then(|| first + Duration::from_millis(7));
         [first].into_iter().chain(again).collect()
     }
--- a/crates/merlinreel-testbed/src/link/tcp.rs
+++ b/crates/merlinreel-testbed/src/link/tcp.rs
@@ -26,7 +26,12 @@
         let address = listener.local_addr().expect("bound");
         let (there, back) = (Sky::new(seed), Sky::new(seed ^ 0xb4c4));
         let open: Arc<Mutex<Vec<TcpStream>>> = Arc::default();
-        let link = TcpLink { address, there: there.clone(), back: back.clone(), open: open.clone() };
+        let link = TcpLink {
+            address,
+            there: there.clone(),
+            back: back.clone(),
+            open: open.clone(),
+        };
         thread::spawn(move || {
             for near in listener.incoming().flatten() {
                 let (there, back, open) = (there.clone(), back.clone(), open.clone());
@@ -35,8 +40,12 @@
                         thread::sleep(LOOK);
                     }
                     // Refused there is refused here: the connection ends with nothing said.
-                    let Ok(far) = TcpStream::connect(target) else { return };
-                    let (Ok(near_too), Ok(far_too)) = (near.try_clone(), far.try_clone()) else { return };
+                    let Ok(far) = TcpStream::connect(target) else {
+                        return;
+                    };
+                    let (Ok(near_too), Ok(far_too)) = (near.try_clone(), far.try_clone()) else {
+                        return;
+                    };
                     if let (Ok(one), Ok(two)) = (near.try_clone(), far.try_clone()) {
                         let mut open = open.lock().unwrap_or_else(PoisonError::into_inner);
                         open.retain(|stream| stream.peer_addr().is_ok());
@@ -53,7 +62,8 @@
     /// Ends all connections that are open.
     pub fn break_all(&self) {
         let mut open = self.open.lock().unwrap_or_else(PoisonError::into_inner);
-        open.drain(..).for_each(|stream| drop(stream.shutdown(Shutdown::Both)));
+        open.drain(..)
+            .for_each(|stream| drop(stream.shutdown(Shutdown::Both)));
     }
 }
 
@@ -77,7 +87,9 @@
             return;
         }
         if let Some(rate) = sky.weather().bytes_a_second {
-            thread::sleep(Duration::from_secs_f64(read as f64 / f64::from(rate.max(1))));
+            thread::sleep(Duration::from_secs_f64(
+                read as f64 / f64::from(rate.max(1)),
+            ));
         }
     }
 }
--- a/crates/merlinreel-testbed/src/link/udp.rs
+++ b/crates/merlinreel-testbed/src/link/udp.rs
@@ -28,7 +28,12 @@
         let (there, back) = (Sky::new(seed), Sky::new(seed ^ 0xb4c4));
         pass(near_one.clone(), near_other.clone(), other, there.clone());
         pass(near_other, near_one, one, back.clone());
-        UdpLink { for_one, for_other, there, back }
+        UdpLink {
+            for_one,
+            for_other,
+            there,
+            back,
+        }
     }
 }
 
@@ -43,9 +48,14 @@
             while let Some(entry) = due.first_entry().filter(|entry| entry.key().0 <= now) {
                 let _ = to.send_to(&entry.remove(), target);
             }
-            let wait = due.keys().next().map_or(Duration::from_secs(1), |(at, _)| *at - now);
+            let wait = due
+                .keys()
+                .next()
+                .map_or(Duration::from_secs(1), |(at, _)| *at - now);
             let _ = from.set_read_timeout(Some(wait.max(Duration::from_micros(100))));
-            let Ok((length, _)) = from.recv_from(&mut buffer) else { continue };
+            let Ok((length, _)) = from.recv_from(&mut buffer) else {
+                continue;
+            };
             for late in sky.fates() {
                 number += 1;
                 due.insert((Instant::now() + late, number), buffer[..length].to_vec());
--- a/crates/merlinreel-testbed/src/record.rs
+++ b/crates/merlinreel-testbed/src/record.rs
@@ -105,7 +105,10 @@
 
 impl Default for Record {
     fn default() -> Record {
-        Record { began: Instant::now(), entries: Arc::default() }
+        Record {
+            began: Instant::now(),
+            entries: Arc::default(),
+        }
     }
 }
 
@@ -114,10 +117,16 @@
     pub fn tell(&self, what: What) {
         let mut entries = self.entries.lock().unwrap_or_else(PoisonError::into_inner);
         // Under the lock: in the order of time.
-        entries.push(Entry { at: self.began.elapsed(), what });
+        entries.push(Entry {
+            at: self.began.elapsed(),
+            what,
+        });
     }
 
     pub fn entries(&self) -> Vec<Entry> {
-        self.entries.lock().unwrap_or_else(PoisonError::into_inner).clone()
+        self.entries
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .clone()
     }
 }
--- a/crates/merlinreel-testbed/src/scale/catalogue.rs
+++ b/crates/merlinreel-testbed/src/scale/catalogue.rs
@@ -32,34 +32,129 @@
 /// Every measurement, in the order in which a run of all makes them: the one that wants a quiet machine first.
 pub fn measurements() -> Vec<Measurement> {
     vec![
-        measurement!("request_path", "rate", latency::RATE_SIZES, latency::measure_rate),
-        measurement!("request_path", "servers", latency::SERVERS_SIZES, latency::measure_servers),
-        measurement!("request_path", "answer", latency::ANSWER_SIZES, latency::measure_answers),
-        measurement!("server_list", "servers", server_list::DEFAULT_SIZES, server_list::measure),
-        measurement!("server_list", "restarts", server_list::LIMITERS_RESTARTING_SIZES, |request, emit| {
-            server_list::measure_limiters_restarting(request, SERVERS_AT_RESTARTS, emit)
-        }),
-        measurement!("tenants", "tenants", tenants::DEFAULT_SIZES, tenants::measure),
-        measurement!("tenants", "set_size", tenants::SET_SIZES, tenants::measure_sets),
-        measurement!("tenants", "fleet", tenants::FLEET_SIZES, tenants::measure_fleet),
-        measurement!("configuration", "routes", configuration::DEFAULT_SIZES, configuration::measure),
-        measurement!("configuration", "plans", configuration::PLAN_SIZES, configuration::measure_plans),
-        measurement!("configuration", "reloads", configuration::RELOAD_SIZES, configuration::measure_reloads),
+        measurement!(
+            "request_path",
+            "rate",
+            latency::RATE_SIZES,
+            latency::measure_rate
+        ),
+        measurement!(
+            "request_path",
+            "servers",
+            latency::SERVERS_SIZES,
+            latency::measure_servers
+        ),
+        measurement!(
+            "request_path",
+            "answer",
+            latency::ANSWER_SIZES,
+            latency::measure_answers
+        ),
+        measurement!(
+            "server_list",
+            "servers",
+            server_list::DEFAULT_SIZES,
+            server_list::measure
+        ),
+        measurement!(
+            "server_list",
+            "restarts",
+            server_list::LIMITERS_RESTARTING_SIZES,
+            |request, emit| {
+                server_list::measure_limiters_restarting(request, SERVERS_AT_RESTARTS, emit)
+            }
+        ),
+        measurement!(
+            "tenants",
+            "tenants",
+            tenants::DEFAULT_SIZES,
+            tenants::measure
+        ),
+        measurement!(
+            "tenants",
+            "set_size",
+            tenants::SET_SIZES,
+            tenants::measure_sets
+        ),
+        measurement!(
+            "tenants",
+            "fleet",
+            tenants::FLEET_SIZES,
+            tenants::measure_fleet
+        ),
+        measurement!(
+            "configuration",
+            "routes",
+            configuration::DEFAULT_SIZES,
+            configuration::measure
+        ),
+        measurement!(
+            "configuration",
+            "plans",
+            configuration::PLAN_SIZES,
+            configuration::measure_plans
+        ),
+        measurement!(
+            "configuration",
+            "reloads",
+            configuration::RELOAD_SIZES,
+            configuration::measure_reloads
+        ),
         measurement!("quotas", "limiters", quotas::DEFAULT_SIZES, quotas::measure),
-        measurement!("quotas", "set_size", quotas::SET_SIZES, quotas::measure_set_sizes),
-        measurement!("quotas", "customers", quotas::CUSTOMER_SIZES, quotas::measure_customers),
-        measurement!("quotas", "pressed", quotas::PRESSED_SIZES, quotas::measure_pressed),
-        measurement!("quotas", "restarts", quotas::RESTART_SIZES, quotas::measure_restarts),
-        measurement!("quotas", "tenants", quotas::TENANT_SIZES, quotas::measure_tenants),
+        measurement!(
+            "quotas",
+            "set_size",
+            quotas::SET_SIZES,
+            quotas::measure_set_sizes
+        ),
+        measurement!(
+            "quotas",
+            "customers",
+            quotas::CUSTOMER_SIZES,
+            quotas::measure_customers
+        ),
+        measurement!(
+            "quotas",
+            "pressed",
+            quotas::PRESSED_SIZES,
+            quotas::measure_pressed
+        ),
+        measurement!(
+            "quotas",
+            "restarts",
+            quotas::RESTART_SIZES,
+            quotas::measure_restarts
+        ),
+        measurement!(
+            "quotas",
+            "tenants",
+            quotas::TENANT_SIZES,
+            quotas::measure_tenants
+        ),
         measurement!(
             "quotas",
             "reported_tenants",
             quotas::REPORTED_TENANT_SIZES,
             quotas::measure_reported_tenants
         ),
-        measurement!("membership", "limiters", membership::DEFAULT_SIZES, membership::measure),
-        measurement!("membership", "changes", membership::CHANGES_SIZES, membership::measure_changes),
-        measurement!("membership", "restarts", membership::RESTARTS_SIZES, membership::measure_restarts),
+        measurement!(
+            "membership",
+            "limiters",
+            membership::DEFAULT_SIZES,
+            membership::measure
+        ),
+        measurement!(
+            "membership",
+            "changes",
+            membership::CHANGES_SIZES,
+            membership::measure_changes
+        ),
+        measurement!(
+            "membership",
+            "restarts",
+            membership::RESTARTS_SIZES,
+            membership::measure_restarts
+        ),
         measurement!(
             "membership",
             "restart_of_one",
@@ -72,13 +167,18 @@
 /// Those of a role, and of a variable where one is named.
 pub fn chosen(role: Option<&str>, variable: Option<&str>) -> Result<Vec<Measurement>, ScaleError> {
     let wanted = |one: &Measurement| {
-        role.is_none_or(|role| role == one.role) && variable.is_none_or(|variable| variable == one.variable)
+        role.is_none_or(|role| role == one.role)
+            && variable.is_none_or(|variable| variable == one.variable)
     };
     let chosen: Vec<Measurement> = measurements().into_iter().filter(wanted).collect();
     if !chosen.is_empty() {
         return Ok(chosen);
     }
-    let given = [role, variable].into_iter().flatten().collect::<Vec<_>>().join(" ");
+    let given = [role, variable]
+        .into_iter()
+        .flatten()
+        .collect::<Vec<_>>()
+        .join(" ");
     Err(ScaleError::Argument {
         option: "role",
         given,
@@ -107,8 +207,16 @@
 
     #[test]
     fn a_measurement_that_is_not_there_is_refused() {
-        assert_eq!(chosen(Some("quotas"), Some("limiters")).map(|chosen| chosen.len()).ok(), Some(1));
+        assert_eq!(
+            chosen(Some("quotas"), Some("limiters"))
+                .map(|chosen| chosen.len())
+                .ok(),
+            Some(1)
+        );
         assert!(chosen(Some("quotas"), None).is_ok_and(|chosen| chosen.len() > 1));
-        assert!(matches!(chosen(Some("quota"), None), Err(ScaleError::Argument { option: "role", .. })));
+        assert!(matches!(
+            chosen(Some("quota"), None),
+            Err(ScaleError::Argument { option: "role", .. })
+        ));
     }
 }
--- a/crates/merlinreel-testbed/src/scale/configuration.rs
+++ b/crates/merlinreel-testbed/src/scale/configuration.rs
@@ -45,10 +45,17 @@
 impl Entries {
     pub fn new(classes: u64, plans: u64, seed: u64) -> Entries {
         let mut chance = ChaCha8Rng::seed_from_u64(seed);
-        let classes = (0..classes).map(|number| class(number, number, &mut chance)).collect::<Vec<_>>();
+        let classes = (0..classes)
+            .map(|number| class(number, number, &mut chance))
+            .collect::<Vec<_>>();
         let plans = (0..plans).map(|number| plan(number, &mut chance)).collect();
         let changes = classes.len() as u64;
-        Entries { classes, plans, chance, changes }
+        Entries {
+            classes,
+            plans,
+            chance,
+            changes,
+        }
     }
 
     /// A class drawn at random gets rules that no class had before.
@@ -105,7 +112,12 @@
     for &size in &request.sizes {
         let entries = Entries::new(size, FEW, request.seed);
         let setting = format!("{FEW} plans, all classes differ, a change each 3.6 s");
-        read.push(measure_file(request, sheet(request, "routes", size, setting), &entries, emit)?);
+        read.push(measure_file(
+            request,
+            sheet(request, "routes", size, setting),
+            &entries,
+            emit,
+        )?);
     }
     Ok(())
 }
@@ -116,7 +128,12 @@
     for &size in &request.sizes {
         let entries = Entries::new(FEW, size, request.seed);
         let setting = format!("{FEW} classes, a change each 3.6 s");
-        read.push(measure_file(request, sheet(request, "plans", size, setting), &entries, emit)?);
+        read.push(measure_file(
+            request,
+            sheet(request, "plans", size, setting),
+            &entries,
+            emit,
+        )?);
     }
     Ok(())
 }
@@ -127,7 +144,10 @@
     for &size in &request.sizes {
         let setting = format!("{RELOADED_CLASSES} classes, one changed each reload");
         let sheet = sheet(request, "reloads", size, setting);
-        request.check_memory(&format!("{size} reloads"), (RELOADED_CLASSES + size) * ENTRY_KB / 1024 + 64)?;
+        request.check_memory(
+            &format!("{size} reloads"),
+            (RELOADED_CLASSES + size) * ENTRY_KB / 1024 + 64,
+        )?;
         let mut classes = distinct_categories(RELOADED_CLASSES);
         let mut limiter = limiter_of(request.seed, &classes, size)?;
         let meter = Meter::start();
@@ -149,7 +169,10 @@
             ("all_retunes_cpu", Unit::CpuSeconds, used.cpu_seconds),
         ];
         for (metric, unit, value) in kernel {
-            sheet.measured(metric, unit, vec![value]).map(&mut *emit).transpose()?;
+            sheet
+                .measured(metric, unit, vec![value])
+                .map(&mut *emit)
+                .transpose()?;
         }
         kept.push(limiter);
     }
@@ -185,7 +208,11 @@
         self.paths.push(flat);
         self.terms.push(read);
         self.whole.push(json + flat + read);
-        Ok(FileRead { _value: value, _paths: paths, terms })
+        Ok(FileRead {
+            _value: value,
+            _paths: paths,
+            terms,
+        })
     }
 }
 
@@ -204,10 +231,17 @@
     entries: &Entries,
     emit: Emit,
 ) -> Result<FileRead, ScaleError> {
-    request.check_memory(&format!("{} entries", sheet.size), sheet.size * ENTRY_KB / 1024 + 64)?;
+    request.check_memory(
+        &format!("{} entries", sheet.size),
+        sheet.size * ENTRY_KB / 1024 + 64,
+    )?;
     let text = entries.text();
     let mut times = ReadTimes::default();
-    let mut read = |repeats| times.take(&text, repeats).map_err(|why| unsettled(&sheet, why));
+    let mut read = |repeats| {
+        times
+            .take(&text, repeats)
+            .map_err(|why| unsettled(&sheet, why))
+    };
     let meter = Meter::start();
     let first = read(1)?;
     let memory = meter.read().memory_bytes as f64;
@@ -215,10 +249,22 @@
         read(ENTRIES_MEASURED.div_ceil(sheet.size))?;
     }
     emit(sheet.counted("file", Unit::Bytes, text.len() as f64))?;
-    emit(sheet.counted("refused", Unit::Count, f64::from(u8::from(first.terms.is_err()))))?;
+    emit(sheet.counted(
+        "refused",
+        Unit::Count,
+        f64::from(u8::from(first.terms.is_err())),
+    ))?;
     // The first reading was for the memory alone.
-    let ReadTimes { json, paths, terms, whole } = times;
-    let share = whole.iter().map(|cpu| cpu / CHANGE_EVERY.as_secs_f64()).collect();
+    let ReadTimes {
+        json,
+        paths,
+        terms,
+        whole,
+    } = times;
+    let share = whole
+        .iter()
+        .map(|cpu| cpu / CHANGE_EVERY.as_secs_f64())
+        .collect();
     let figures = [
         ("json_cpu", Unit::CpuSeconds, json),
         ("paths_cpu", Unit::CpuSeconds, paths),
@@ -227,30 +273,55 @@
         ("reload_share", Unit::CpuShare, share),
     ];
     for (metric, unit, runs) in figures {
-        sheet.measured(metric, unit, runs[1..].to_vec()).map(&mut *emit).transpose()?;
+        sheet
+            .measured(metric, unit, runs[1..].to_vec())
+            .map(&mut *emit)
+            .transpose()?;
     }
-    sheet.measured("reading_memory", Unit::Bytes, vec![memory]).map(&mut *emit).transpose()?;
+    sheet
+        .measured("reading_memory", Unit::Bytes, vec![memory])
+        .map(&mut *emit)
+        .transpose()?;
     Ok(first)
 }
 
 /// The decision module's part, which has no bound of its own: memory of the classes, and rules given again.
 fn measure_module(request: &MeasureRequest, size: u64, emit: Emit) -> Result<Limiter, ScaleError> {
     request.check_memory(&format!("{size} classes"), size * ENTRY_KB / 1024 + 64)?;
-    let sheet = sheet(request, "routes", size, "decision module alone, all classes differ".to_owned());
+    let sheet = sheet(
+        request,
+        "routes",
+        size,
+        "decision module alone, all classes differ".to_owned(),
+    );
     let mut classes = distinct_categories(size);
     let meter = Meter::start();
     let mut limiter = limiter_of(request.seed, &classes, size)?;
     let memory = meter.read().memory_bytes as f64;
-    sheet.measured("module_memory", Unit::Bytes, vec![memory]).map(&mut *emit).transpose()?;
+    sheet
+        .measured("module_memory", Unit::Bytes, vec![memory])
+        .map(&mut *emit)
+        .transpose()?;
     classes[0] = distinct_class(size);
     retune(&mut limiter, &classes);
     emit(sheet.counted("classes_kept", Unit::Count, limiter.sizes().1 as f64))?;
     let repeats = (COMPARISONS_MEASURED / (size * size)).clamp(1, MOST_RETUNES);
     let runs = if size > ONCE_BEYOND { 1 } else { request.runs };
-    let times: Vec<f64> = (0..runs).map(|_| repeated(repeats, || retune(&mut limiter, &classes)).0).collect();
-    let share = times.iter().map(|cpu| cpu / CHANGE_EVERY.as_secs_f64()).collect();
-    sheet.measured("retune_cpu", Unit::CpuSeconds, times).map(&mut *emit).transpose()?;
-    sheet.measured("retune_share", Unit::CpuShare, share).map(&mut *emit).transpose()?;
+    let times: Vec<f64> = (0..runs)
+        .map(|_| repeated(repeats, || retune(&mut limiter, &classes)).0)
+        .collect();
+    let share = times
+        .iter()
+        .map(|cpu| cpu / CHANGE_EVERY.as_secs_f64())
+        .collect();
+    sheet
+        .measured("retune_cpu", Unit::CpuSeconds, times)
+        .map(&mut *emit)
+        .transpose()?;
+    sheet
+        .measured("retune_share", Unit::CpuShare, share)
+        .map(&mut *emit)
+        .transpose()?;
     Ok(limiter)
 }
 
@@ -286,15 +357,33 @@
 }
 
 fn limiter_of(seed: u64, classes: &[Class], size: u64) -> Result<Limiter, ScaleError> {
-    let refused = |why| ScaleError::Unsettled { role: ROLE, size, why };
+    let refused = |why| ScaleError::Unsettled {
+        role: ROLE,
+        size,
+        why,
+    };
     let terms = read(&Entries::new(FEW, FEW, seed).text()).map_err(refused)?;
-    Ok(Terms { classes: classes.to_vec(), ..terms }.limiter(seed))
+    Ok(Terms {
+        classes: classes.to_vec(),
+        ..terms
+    }
+    .limiter(seed))
 }
 
 fn sheet(request: &MeasureRequest, variable: &'static str, size: u64, setting: String) -> Sheet {
-    Sheet { seed: request.seed, role: ROLE, variable, size, setting }
+    Sheet {
+        seed: request.seed,
+        role: ROLE,
+        variable,
+        size,
+        setting,
+    }
 }
 
 fn unsettled(sheet: &Sheet, why: String) -> ScaleError {
-    ScaleError::Unsettled { role: sheet.role, size: sheet.size, why }
+    ScaleError::Unsettled {
+        role: sheet.role,
+        size: sheet.size,
+        why,
+    }
 }
--- a/crates/merlinreel-testbed/src/scale/figure.rs
+++ b/crates/merlinreel-testbed/src/scale/figure.rs
@@ -60,6 +60,12 @@
         runs.sort_by(f64::total_cmp);
         let (least, most) = (*runs.first()?, *runs.last()?);
         let value = runs[runs.len() / 2];
-        Some(Figure { value, least, most, runs: runs.len() as u32, ..form })
+        Some(Figure {
+            value,
+            least,
+            most,
+            runs: runs.len() as u32,
+            ..form
+        })
     }
 }
--- a/crates/merlinreel-testbed/src/scale/fit.rs
+++ b/crates/merlinreel-testbed/src/scale/fit.rs
@@ -39,9 +39,20 @@
         let exponent = common / spread;
         let intercept = mean_y - exponent * mean_x;
         let total: f64 = logs.iter().map(|(_, y)| (y - mean_y).powi(2)).sum();
-        let left: f64 = logs.iter().map(|(x, y)| (y - intercept - exponent * x).powi(2)).sum();
-        let r_squared = if total <= f64::EPSILON { 1.0 } else { 1.0 - left / total };
-        Ok(PowerLaw { factor: intercept.exp(), exponent, r_squared })
+        let left: f64 = logs
+            .iter()
+            .map(|(x, y)| (y - intercept - exponent * x).powi(2))
+            .sum();
+        let r_squared = if total <= f64::EPSILON {
+            1.0
+        } else {
+            1.0 - left / total
+        };
+        Ok(PowerLaw {
+            factor: intercept.exp(),
+            exponent,
+            r_squared,
+        })
     }
 
     /// What it tells of a size.
@@ -54,7 +65,10 @@
 pub fn check_slope(points: &[(f64, f64)], most: f64) -> Result<PowerLaw, SlopeError> {
     let law = PowerLaw::through(points)?;
     if law.exponent > most {
-        return Err(SlopeError::TooSteep { exponent: law.exponent, most });
+        return Err(SlopeError::TooSteep {
+            exponent: law.exponent,
+            most,
+        });
     }
     Ok(law)
 }
--- a/crates/merlinreel-testbed/src/scale/fit/tests.rs
+++ b/crates/merlinreel-testbed/src/scale/fit/tests.rs
@@ -23,12 +23,24 @@
     let sound = points(|size| 400.0 * size);
     let planted = points(|size| 400.0 * size + size * size);
     assert!(check_slope(&sound, 1.1).is_ok());
-    assert!(matches!(check_slope(&planted, 1.1), Err(SlopeError::TooSteep { .. })));
+    assert!(matches!(
+        check_slope(&planted, 1.1),
+        Err(SlopeError::TooSteep { .. })
+    ));
 }
 
 #[test]
 fn one_size_tells_no_slope() {
-    assert_eq!(PowerLaw::through(&[(50.0, 1.0)]), Err(SlopeError::TooFewPoints(1)));
-    assert_eq!(PowerLaw::through(&[(50.0, 1.0), (50.0, 2.0)]), Err(SlopeError::TooFewPoints(2)));
-    assert_eq!(PowerLaw::through(&[(50.0, 0.0), (60.0, 2.0)]), Err(SlopeError::TooFewPoints(1)));
+    assert_eq!(
+        PowerLaw::through(&[(50.0, 1.0)]),
+        Err(SlopeError::TooFewPoints(1))
+    );
+    assert_eq!(
+        PowerLaw::through(&[(50.0, 1.0), (50.0, 2.0)]),
+        Err(SlopeError::TooFewPoints(2))
+    );
+    assert_eq!(
+        PowerLaw::through(&[(50.0, 0.0), (60.0, 2.0)]),
+        Err(SlopeError::TooFewPoints(1))
+    );
 }
--- a/crates/merlinreel-testbed/src/scale/latency.rs
+++ b/crates/merlinreel-testbed/src/scale/latency.rs
@@ -79,7 +79,12 @@
     }
 
     fn plan(&self, requests: u64, seed: u64) -> RequestPlan {
-        RequestPlan::new(self.requests_per_second, requests, self.client_connections, seed)
+        RequestPlan::new(
+            self.requests_per_second,
+            requests,
+            self.client_connections,
+            seed,
+        )
     }
 }
 
@@ -103,7 +108,10 @@
     request: &MeasureRequest,
     emit: &mut dyn FnMut(Figure) -> Result<(), ScaleError>,
 ) -> Result<(), ScaleError> {
-    let at = |size| LatencySetting { requests_per_second: size, ..LatencySetting::default() };
+    let at = |size| LatencySetting {
+        requests_per_second: size,
+        ..LatencySetting::default()
+    };
     measure_each("requests_per_second", request, at, emit)
 }
 
@@ -112,7 +120,10 @@
     request: &MeasureRequest,
     emit: &mut dyn FnMut(Figure) -> Result<(), ScaleError>,
 ) -> Result<(), ScaleError> {
-    let at = |size| LatencySetting { servers: size, ..LatencySetting::default() };
+    let at = |size| LatencySetting {
+        servers: size,
+        ..LatencySetting::default()
+    };
     measure_each("servers", request, at, emit)
 }
 
@@ -121,8 +132,11 @@
     request: &MeasureRequest,
     emit: &mut dyn FnMut(Figure) -> Result<(), ScaleError>,
 ) -> Result<(), ScaleError> {
-    let at =
-        |size| LatencySetting { answer_bytes: size, requests_per_second: 200, ..LatencySetting::default() };
+    let at = |size| LatencySetting {
+        answer_bytes: size,
+        requests_per_second: 200,
+        ..LatencySetting::default()
+    };
     measure_each("answer_bytes", request, at, emit)
 }
 
@@ -134,9 +148,16 @@
 ) -> Result<(), ScaleError> {
     for &size in &request.sizes {
         let setting = setting_at(size);
-        request.check_memory("the servers and clients", BASE_MB + setting.servers / SERVERS_PER_MB)?;
+        request.check_memory(
+            "the servers and clients",
+            BASE_MB + setting.servers / SERVERS_PER_MB,
+        )?;
         let figures = measure_setting(variable, size, &setting, request.seed, request.runs)
-            .map_err(|error| ScaleError::Unsettled { role: report::ROLE, size, why: error.to_string() })?;
+            .map_err(|error| ScaleError::Unsettled {
+                role: report::ROLE,
+                size,
+                why: error.to_string(),
+            })?;
         figures.into_iter().try_for_each(&mut *emit)?;
     }
     Ok(())
@@ -158,7 +179,10 @@
         let through = drive_warm(setting, seed, &[limiter.address()])?;
         pairs.push(Pair { direct, through });
     }
-    Ok(report::figures(&pairs, &report::form(variable, size, seed, setting)))
+    Ok(report::figures(
+        &pairs,
+        &report::form(variable, size, seed, setting),
+    ))
 }
 
 /// On connections of its own, as the limiter closes those that are idle while the servers are asked directly; what is
@@ -184,7 +208,10 @@
     /// Waits until it is ready.
     pub fn start(servers: &LoopbackServers) -> Limiter {
         let agent = Agent::start(0, servers.addresses.clone(), &Record::default());
-        Limiter { program: Program::start(&limiter_config(&servers.addresses, agent.address)), _agent: agent }
+        Limiter {
+            program: Program::start(&limiter_config(&servers.addresses, agent.address)),
+            _agent: agent,
+        }
     }
 
     pub fn address(&self) -> SocketAddr {
@@ -193,8 +220,11 @@
 }
 
 fn limiter_config(servers: &[SocketAddr], discovery: SocketAddr) -> Value {
-    let known: Vec<Value> =
-        servers.iter().enumerate().map(|(i, at)| listed(&format!("s-{i}"), *at, "up")).collect();
+    let known: Vec<Value> = servers
+        .iter()
+        .enumerate()
+        .map(|(i, at)| listed(&format!("s-{i}"), *at, "up"))
+        .collect();
     let mut config = config(&known);
     config["discovery"] = discovery.to_string().into();
     config["limits"] = json!({"memory_mb": LIMITER_MEMORY_MB, "sockets": LIMITER_SOCKETS});
--- a/crates/merlinreel-testbed/src/scale/latency/client.rs
+++ b/crates/merlinreel-testbed/src/scale/latency/client.rs
@@ -40,10 +40,13 @@
 impl LoadResult {
     pub fn new(samples: Vec<Sample>) -> Result<LoadResult, LatencyError> {
         let unrecorded = |error: &dyn std::fmt::Display| LatencyError::Histogram(error.to_string());
-        let mut histogram = Histogram::new(SIGNIFICANT_DIGITS).map_err(|error| unrecorded(&error))?;
+        let mut histogram =
+            Histogram::new(SIGNIFICANT_DIGITS).map_err(|error| unrecorded(&error))?;
         for sample in &samples {
             let microseconds = sample.latency().as_micros() as u64;
-            histogram.record(microseconds).map_err(|error| unrecorded(&error))?;
+            histogram
+                .record(microseconds)
+                .map_err(|error| unrecorded(&error))?;
         }
         Ok(LoadResult { samples, histogram })
     }
@@ -57,10 +60,14 @@
 
 impl ClientConnections {
     /// Connects to the targets in turn.
-    pub fn open(targets: &[SocketAddr], connections: usize) -> Result<ClientConnections, LatencyError> {
+    pub fn open(
+        targets: &[SocketAddr],
+        connections: usize,
+    ) -> Result<ClientConnections, LatencyError> {
         let targets = targets.iter().cycle().take(connections);
-        let connections =
-            targets.map(|&address| ClientConnection::open(address)).collect::<Result<_, _>>()?;
+        let connections = targets
+            .map(|&address| ClientConnection::open(address))
+            .collect::<Result<_, _>>()?;
         Ok(ClientConnections { connections })
     }
 
@@ -71,7 +78,11 @@
 
     /// Sends a plan's requests at their times, counted from `start`; a connection that waits for an answer sends its
     /// next requests late.
-    pub fn drive_from(&mut self, plan: &RequestPlan, start: Instant) -> Result<LoadResult, LatencyError> {
+    pub fn drive_from(
+        &mut self,
+        plan: &RequestPlan,
+        start: Instant,
+    ) -> Result<LoadResult, LatencyError> {
         let outcomes: Vec<Result<Vec<Sample>, LatencyError>> = thread::scope(|scope| {
             let threads: Vec<_> = self
                 .connections
@@ -82,7 +93,10 @@
                     scope.spawn(move || connection.send_all(requests, start))
                 })
                 .collect();
-            threads.into_iter().map(|thread| thread.join().unwrap_or(Err(LatencyError::Panicked))).collect()
+            threads
+                .into_iter()
+                .map(|thread| thread.join().unwrap_or(Err(LatencyError::Panicked)))
+                .collect()
         });
         let mut samples = Vec::with_capacity(plan.requests.len());
         for outcome in outcomes {
@@ -105,7 +119,10 @@
             let to = TcpStream::connect(address)?;
             to.set_nodelay(true)?;
             to.set_read_timeout(Some(PATIENCE))?;
-            Ok(ClientConnection { from: BufReader::new(to.try_clone()?), to })
+            Ok(ClientConnection {
+                from: BufReader::new(to.try_clone()?),
+                to,
+            })
         };
         open().map_err(|source| LatencyError::Connect { address, source })
     }
@@ -121,7 +138,11 @@
             thread::sleep((start + request.at).saturating_duration_since(Instant::now()));
             let sent = start.elapsed();
             self.exchange(request, &text)?;
-            samples.push(Sample { planned: request.at, sent, answered: start.elapsed() });
+            samples.push(Sample {
+                planned: request.at,
+                sent,
+                answered: start.elapsed(),
+            });
             self.check_nothing_unasked(request)?;
         }
         Ok(samples)
@@ -131,15 +152,21 @@
         let txn = || request.txn.clone();
         let sent = self.to.write_all(text.as_bytes());
         sent.map_err(|source| LatencyError::Send { txn: txn(), source })?;
-        let answer =
-            read(&mut self.from, 0).map_err(|source| LatencyError::Receive { txn: txn(), source })?;
+        let answer = read(&mut self.from, 0)
+            .map_err(|source| LatencyError::Receive { txn: txn(), source })?;
         let answer = answer.ok_or_else(|| LatencyError::Ended { txn: txn() })?;
         if answer.status() != 200 {
-            return Err(LatencyError::Status { txn: txn(), status: answer.status() });
+            return Err(LatencyError::Status {
+                txn: txn(),
+                status: answer.status(),
+            });
         }
         match answer.header("x-txn") {
             Some(got) if got == request.txn => Ok(()),
-            got => Err(LatencyError::OtherAnswer { txn: txn(), got: got.unwrap_or("none").to_owned() }),
+            got => Err(LatencyError::OtherAnswer {
+                txn: txn(),
+                got: got.unwrap_or("none").to_owned(),
+            }),
         }
     }
 
@@ -148,6 +175,8 @@
         if self.from.buffer().is_empty() {
             return Ok(());
         }
-        Err(LatencyError::Unasked { txn: request.txn.clone() })
+        Err(LatencyError::Unasked {
+            txn: request.txn.clone(),
+        })
     }
 }
--- a/crates/merlinreel-testbed/src/scale/latency/error.rs
+++ b/crates/merlinreel-testbed/src/scale/latency/error.rs
@@ -11,7 +11,10 @@
     #[error("the servers cannot listen: {0}")]
     Listen(#[source] io::Error),
     #[error("no connection to {address}: {source}; see that descriptors are enough")]
-    Connect { address: SocketAddr, source: io::Error },
+    Connect {
+        address: SocketAddr,
+        source: io::Error,
+    },
     #[error("request {txn} was not sent: {source}")]
     Send { txn: String, source: io::Error },
     #[error("request {txn} has no whole answer: {source}")]
--- a/crates/merlinreel-testbed/src/scale/latency/plan.rs
+++ b/crates/merlinreel-testbed/src/scale/latency/plan.rs
@@ -45,17 +45,24 @@
             txn: format!("{number:08x}"),
             customer: chance.random_range(0..CUSTOMERS),
         };
-        RequestPlan { requests: (0..requests).map(planned).collect() }
+        RequestPlan {
+            requests: (0..requests).map(planned).collect(),
+        }
     }
 
     /// The last request's send time.
     pub fn last_at(&self) -> Duration {
-        self.requests.last().map(|request| request.at).unwrap_or_default()
+        self.requests
+            .last()
+            .map(|request| request.at)
+            .unwrap_or_default()
     }
 
     /// Those of one connection, in the order of their times.
     pub fn on_connection(&self, connection: usize) -> impl Iterator<Item = &PlannedRequest> {
-        self.requests.iter().filter(move |request| request.connection == connection)
+        self.requests
+            .iter()
+            .filter(move |request| request.connection == connection)
     }
 }
 
--- a/crates/merlinreel-testbed/src/scale/latency/report.rs
+++ b/crates/merlinreel-testbed/src/scale/latency/report.rs
@@ -21,11 +21,36 @@
 }
 
 const PERCENTILES: [Percentile; 5] = [
-    Percentile { quantile: 0.5, direct: "direct_p50", through: "through_p50", added: "added_p50" },
-    Percentile { quantile: 0.9, direct: "direct_p90", through: "through_p90", added: "added_p90" },
-    Percentile { quantile: 0.99, direct: "direct_p99", through: "through_p99", added: "added_p99" },
-    Percentile { quantile: 0.999, direct: "direct_p99_9", through: "through_p99_9", added: "added_p99_9" },
-    Percentile { quantile: 1.0, direct: "direct_max", through: "through_max", added: "added_max" },
+    Percentile {
+        quantile: 0.5,
+        direct: "direct_p50",
+        through: "through_p50",
+        added: "added_p50",
+    },
+    Percentile {
+        quantile: 0.9,
+        direct: "direct_p90",
+        through: "through_p90",
+        added: "added_p90",
+    },
+    Percentile {
+        quantile: 0.99,
+        direct: "direct_p99",
+        through: "through_p99",
+        added: "added_p99",
+    },
+    Percentile {
+        quantile: 0.999,
+        direct: "direct_p99_9",
+        through: "through_p99_9",
+        added: "added_p99_9",
+    },
+    Percentile {
+        quantile: 1.0,
+        direct: "direct_max",
+        through: "through_max",
+        added: "added_max",
+    },
 ];
 
 impl Percentile {
@@ -41,23 +66,47 @@
 
 /// A figure without its value.
 pub fn form(variable: &'static str, size: u64, seed: u64, setting: &LatencySetting) -> Figure {
-    let sheet = Sheet { seed, role: ROLE, variable, size, setting: setting.to_string() };
+    let sheet = Sheet {
+        seed,
+        role: ROLE,
+        variable,
+        size,
+        setting: setting.to_string(),
+    };
     sheet.form("", Unit::Microseconds, Source::Clock)
 }
 
 pub fn figures(pairs: &[Pair], form: &Figure) -> Vec<Figure> {
     let timed = |metric, value: &dyn Fn(&Pair) -> f64| {
         let runs = pairs.iter().map(value).collect();
-        Figure::of_runs(runs, Figure { metric, ..form.clone() })
+        Figure::of_runs(
+            runs,
+            Figure {
+                metric,
+                ..form.clone()
+            },
+        )
     };
     let mut figures = Vec::new();
     for percentile in &PERCENTILES {
-        figures.extend(timed(percentile.direct, &|pair| percentile.of(&pair.direct)));
-        figures.extend(timed(percentile.through, &|pair| percentile.of(&pair.through)));
+        figures.extend(timed(percentile.direct, &|pair| {
+            percentile.of(&pair.direct)
+        }));
+        figures.extend(timed(percentile.through, &|pair| {
+            percentile.of(&pair.through)
+        }));
         figures.extend(timed(percentile.added, &|pair| percentile.added(pair)));
     }
-    let answered = pairs.iter().map(|pair| pair.through.histogram.len() as f64).collect();
-    let counted = Figure { metric: "answered", unit: Unit::Count, source: Source::Counted, ..form.clone() };
+    let answered = pairs
+        .iter()
+        .map(|pair| pair.through.histogram.len() as f64)
+        .collect();
+    let counted = Figure {
+        metric: "answered",
+        unit: Unit::Count,
+        source: Source::Counted,
+        ..form.clone()
+    };
     figures.extend(Figure::of_runs(answered, counted));
     figures
 }
--- a/crates/merlinreel-testbed/src/scale/latency/server.rs
+++ b/crates/merlinreel-testbed/src/scale/latency/server.rs
@@ -67,7 +67,11 @@
         txn: &str,
     ) -> Result<(LoopbackServers, Hold), LatencyError> {
         let ((tell, held), (release, released)) = (channel(), channel());
-        let answer = HeldAnswer { txn: txn.to_owned(), tell, released: Mutex::new(released) };
+        let answer = HeldAnswer {
+            txn: txn.to_owned(),
+            tell,
+            released: Mutex::new(released),
+        };
         let servers = LoopbackServers::start_with(servers, answer_bytes, Some(answer))?;
         Ok((servers, Hold { held, release }))
     }
@@ -78,10 +82,17 @@
         answer_bytes: usize,
         held: Option<HeldAnswer>,
     ) -> Result<LoopbackServers, LatencyError> {
-        let listener = TcpListener::bind((Ipv4Addr::UNSPECIFIED, 0)).map_err(LatencyError::Listen)?;
+        let listener =
+            TcpListener::bind((Ipv4Addr::UNSPECIFIED, 0)).map_err(LatencyError::Listen)?;
         let port = listener.local_addr().map_err(LatencyError::Listen)?.port();
-        let addresses = (0..servers).map(|i| SocketAddr::from((loopback(i), port))).collect();
-        let state = Arc::new(State { body: "x".repeat(answer_bytes), requests: AtomicU64::new(0), held });
+        let addresses = (0..servers)
+            .map(|i| SocketAddr::from((loopback(i), port)))
+            .collect();
+        let state = Arc::new(State {
+            body: "x".repeat(answer_bytes),
+            requests: AtomicU64::new(0),
+            held,
+        });
         let serving = state.clone();
         thread::spawn(move || accept(&listener, &serving));
         Ok(LoopbackServers { addresses, state })
@@ -94,7 +105,12 @@
 }
 
 fn loopback(number: usize) -> [u8; 4] {
-    [127, 1, (number / ADDRESSES_A_ROW) as u8, (number % ADDRESSES_A_ROW) as u8 + 1]
+    [
+        127,
+        1,
+        (number / ADDRESSES_A_ROW) as u8,
+        (number % ADDRESSES_A_ROW) as u8 + 1,
+    ]
 }
 
 fn accept(listener: &TcpListener, state: &Arc<State>) {
@@ -126,14 +142,23 @@
 
     fn answer(&self, txn: &str) -> String {
         let length = self.body.len();
-        format!("HTTP/1.1 200 OK\r\nX-Txn: {txn}\r\nContent-Length: {length}\r\n\r\n{}", self.body)
+        format!(
+            "HTTP/1.1 200 OK\r\nX-Txn: {txn}\r\nContent-Length: {length}\r\n\r\n{}",
+            self.body
+        )
     }
 
     /// Waits where this is the request whose answer is held.
     fn hold(&self, txn: &str) {
-        let Some(held) = self.held.as_ref().filter(|held| held.txn == txn) else { return };
+        let Some(held) = self.held.as_ref().filter(|held| held.txn == txn) else {
+            return;
+        };
         let _ = held.tell.send(());
         // An error where the test has ended without a release.
-        let _ = held.released.lock().unwrap_or_else(PoisonError::into_inner).recv();
+        let _ = held
+            .released
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .recv();
     }
 }
--- a/crates/merlinreel-testbed/src/scale/membership.rs
+++ b/crates/merlinreel-testbed/src/scale/membership.rs
@@ -72,11 +72,21 @@
             _ => [25, 1, 2, 15],
         }
         .map(Duration::from_secs);
-        Spans { settle, rest, quiet, watch }
+        Spans {
+            settle,
+            rest,
+            quiet,
+            watch,
+        }
     }
 
     fn told(&self) -> String {
-        let Spans { settle, rest, quiet, watch } = self;
+        let Spans {
+            settle,
+            rest,
+            quiet,
+            watch,
+        } = self;
         format!(
             "settles for {settle:?} at most, rests for {rest:?}, quiet for {quiet:?}, watched for {watch:?}"
         )
@@ -88,15 +98,30 @@
     for &size in &request.sizes {
         check_memory(request, size)?;
         let spans = Spans::of(size);
-        let setting = format!("{}; 3 seeds; 8,000 bytes/s each; {}", ways_told(), spans.told());
-        let mut report =
-            Report { request, role: ROLE, variable: "limiters", size, setting, emit: &mut *emit };
+        let setting = format!(
+            "{}; 3 seeds; 8,000 bytes/s each; {}",
+            ways_told(),
+            spans.told()
+        );
+        let mut report = Report {
+            request,
+            role: ROLE,
+            variable: "limiters",
+            size,
+            setting,
+            emit: &mut *emit,
+        };
         let meter = Meter::start();
         let mut fleet = start_fleet(size as usize, request.seed)?;
         report_settling(&mut fleet, &mut report, spans.settle)?;
         report_quiet(&mut fleet, &mut report, spans)?;
         let memory = meter.read().memory_bytes as f64 / size as f64;
-        report.runs("resident_bytes_per_limiter", Unit::Bytes, Source::Kernel, vec![memory])?;
+        report.runs(
+            "resident_bytes_per_limiter",
+            Unit::Bytes,
+            Source::Kernel,
+            vec![memory],
+        )?;
         report_records(&mut fleet, &mut report, spans.watch)?;
     }
     Ok(())
@@ -111,7 +136,14 @@
     for &size in &request.sizes {
         let setting = format!("{FIXED_LIMITERS} limiters; urgent records; {}", ways_told());
         let variable = "changes_a_day";
-        let mut report = Report { request, role: ROLE, variable, size, setting, emit: &mut *emit };
+        let mut report = Report {
+            request,
+            role: ROLE,
+            variable,
+            size,
+            setting,
+            emit: &mut *emit,
+        };
         report_changes(&mut fleet, &mut report)?;
         fleet.run(REST);
     }
@@ -123,16 +155,30 @@
     check_memory(request, FIXED_LIMITERS as u64)?;
     for &size in &request.sizes {
         let restarted = (size as u32).min(FIXED_LIMITERS as u32);
-        let setting = format!("{FIXED_LIMITERS} limiters, away for {AWAY:?}; {}", ways_told());
+        let setting = format!(
+            "{FIXED_LIMITERS} limiters, away for {AWAY:?}; {}",
+            ways_told()
+        );
         let variable = "restarted_at_once";
-        let mut report = Report { request, role: ROLE, variable, size, setting, emit: &mut *emit };
+        let mut report = Report {
+            request,
+            role: ROLE,
+            variable,
+            size,
+            setting,
+            emit: &mut *emit,
+        };
         let mut fleet = start_fleet(FIXED_LIMITERS, request.seed)?;
         fleet.run_until_whole(Spans::of(FIXED_LIMITERS as u64).settle);
         fleet.run(REST);
         // The last ones by number: the seeds go only where all do.
         let first = FIXED_LIMITERS as u32 - restarted;
         fleet.restart(first..FIXED_LIMITERS as u32, AWAY);
-        report_settling(&mut fleet, &mut report, Spans::of(FIXED_LIMITERS as u64).settle)?;
+        report_settling(
+            &mut fleet,
+            &mut report,
+            Spans::of(FIXED_LIMITERS as u64).settle,
+        )?;
     }
     Ok(())
 }
@@ -143,7 +189,14 @@
         check_memory(request, size)?;
         let setting = format!("one limiter is away for {AWAY:?}; {}", ways_told());
         let role = "membership_restart_of_one";
-        let mut report = Report { request, role, variable: "limiters", size, setting, emit: &mut *emit };
+        let mut report = Report {
+            request,
+            role,
+            variable: "limiters",
+            size,
+            setting,
+            emit: &mut *emit,
+        };
         let mut fleet = start_fleet(size as usize, request.seed)?;
         fleet.run_until_whole(Spans::of(size).settle);
         fleet.run(REST);
@@ -158,35 +211,61 @@
 }
 
 fn check_memory(request: &MeasureRequest, limiters: u64) -> Result<(), ScaleError> {
-    let megabytes = limiters.saturating_mul(limiters).saturating_mul(BYTES_A_PAIR) >> 20;
+    let megabytes = limiters
+        .saturating_mul(limiters)
+        .saturating_mul(BYTES_A_PAIR)
+        >> 20;
     request.check_memory(&format!("a fleet of {limiters} limiters"), megabytes + 16)
 }
 
 fn start_fleet(limiters: usize, seed: u64) -> Result<Fleet, ScaleError> {
-    let unsettled = |why: String| ScaleError::Unsettled { role: ROLE, size: limiters as u64, why };
+    let unsettled = |why: String| ScaleError::Unsettled {
+        role: ROLE,
+        size: limiters as u64,
+        why,
+    };
     Fleet::start(FleetSetting::of(limiters), seed).map_err(|error| unsettled(error.to_string()))
 }
 
 /// Until the fleet is whole, and what that took.
-fn report_settling(fleet: &mut Fleet, report: &mut Report, most: Duration) -> Result<(), ScaleError> {
+fn report_settling(
+    fleet: &mut Fleet,
+    report: &mut Report,
+    most: Duration,
+) -> Result<(), ScaleError> {
     let begun = fleet.now();
     fleet.network_mut().reset_traffic();
-    let nearly = fleet.run_until(most, NEARLY_CHECK, |fleet| fleet.knowledge().is_nearly_whole());
+    let nearly = fleet.run_until(most, NEARLY_CHECK, |fleet| {
+        fleet.knowledge().is_nearly_whole()
+    });
     if nearly {
         let took = (fleet.now() - begun).as_secs_f64();
         report.counted("seconds_until_all_know_99_percent", Unit::Seconds, took)?;
     }
     let whole = fleet.run_until_whole((begun + most).saturating_sub(fleet.now()));
     let took = (fleet.now() - begun).as_secs_f64();
-    let metric = if whole { "seconds_until_whole" } else { "seconds_not_whole" };
+    let metric = if whole {
+        "seconds_until_whole"
+    } else {
+        "seconds_not_whole"
+    };
     report.counted(metric, Unit::Seconds, took)?;
-    let sent: Vec<f64> = fleet.network().traffic().iter().map(|one| one.sent_bytes as f64).collect();
+    let sent: Vec<f64> = fleet
+        .network()
+        .traffic()
+        .iter()
+        .map(|one| one.sent_bytes as f64)
+        .collect();
     report.counted("settling_bytes_of_all", Unit::Bytes, sent.iter().sum())?;
     report.counted("settling_bytes_per_limiter", Unit::Bytes, mean(&sent))?;
     report.counted("settling_bytes_of_greatest", Unit::Bytes, most_of(&sent))?;
     let known = fleet.knowledge();
     report.counted("members_known_share", Unit::Count, known.members)?;
-    report.counted("members_known_share_least", Unit::Count, known.least_members)?;
+    report.counted(
+        "members_known_share_least",
+        Unit::Count,
+        known.least_members,
+    )?;
     report.counted("records_held_share", Unit::Count, known.records)?;
     report.counted("records_held_share_least", Unit::Count, known.least_records)
 }
@@ -199,16 +278,28 @@
     fleet.network_mut().reset_traffic();
     let begun = fleet.now();
     for _ in 0..report.request.runs {
-        shares.push(cpu_share(fleet, report.size, spans.quiet, |fleet| fleet.run(spans.quiet)));
+        shares.push(cpu_share(fleet, report.size, spans.quiet, |fleet| {
+            fleet.run(spans.quiet)
+        }));
     }
     let seconds = (fleet.now() - begun).as_secs_f64();
     report_traffic(fleet, report, seconds)?;
     report_held_back(fleet, report, before)?;
-    report.runs("cpu_share_per_limiter", Unit::CpuShare, Source::Kernel, shares)
+    report.runs(
+        "cpu_share_per_limiter",
+        Unit::CpuShare,
+        Source::Kernel,
+        shares,
+    )
 }
 
 /// Processor time of one limiter as a share of a core, the network in memory included.
-fn cpu_share(fleet: &mut Fleet, limiters: u64, span: Duration, run: impl FnOnce(&mut Fleet)) -> f64 {
+fn cpu_share(
+    fleet: &mut Fleet,
+    limiters: u64,
+    span: Duration,
+    run: impl FnOnce(&mut Fleet),
+) -> f64 {
     let meter = Meter::start();
     run(fleet);
     meter.read().cpu_seconds / limiters as f64 / span.as_secs_f64()
@@ -216,15 +307,37 @@
 
 fn report_traffic(fleet: &Fleet, report: &mut Report, seconds: f64) -> Result<(), ScaleError> {
     let traffic = fleet.network().traffic();
-    let bytes: Vec<f64> = traffic.iter().map(|one| one.sent_bytes as f64 / seconds).collect();
-    let messages: Vec<f64> = traffic.iter().map(|one| one.sent_messages as f64 / seconds).collect();
+    let bytes: Vec<f64> = traffic
+        .iter()
+        .map(|one| one.sent_bytes as f64 / seconds)
+        .collect();
+    let messages: Vec<f64> = traffic
+        .iter()
+        .map(|one| one.sent_messages as f64 / seconds)
+        .collect();
     report.counted("sent_bytes_per_limiter", Unit::BytesPerSecond, mean(&bytes))?;
-    report.counted("sent_bytes_of_greatest", Unit::BytesPerSecond, most_of(&bytes))?;
-    report.counted("sent_messages_per_limiter", Unit::MessagesPerSecond, mean(&messages))?;
-    report.counted("sent_messages_of_greatest", Unit::MessagesPerSecond, most_of(&messages))
+    report.counted(
+        "sent_bytes_of_greatest",
+        Unit::BytesPerSecond,
+        most_of(&bytes),
+    )?;
+    report.counted(
+        "sent_messages_per_limiter",
+        Unit::MessagesPerSecond,
+        mean(&messages),
+    )?;
+    report.counted(
+        "sent_messages_of_greatest",
+        Unit::MessagesPerSecond,
+        most_of(&messages),
+    )
 }
 
-fn report_held_back(fleet: &Fleet, report: &mut Report, before: FleetCounts) -> Result<(), ScaleError> {
+fn report_held_back(
+    fleet: &Fleet,
+    report: &mut Report,
+    before: FleetCounts,
+) -> Result<(), ScaleError> {
     let after = fleet.counts();
     let (sent, held_back) = (after.sent - before.sent, after.held_back - before.held_back);
     let share = held_back as f64 / (sent + held_back).max(1) as f64;
@@ -232,21 +345,45 @@
 }
 
 /// Some urgent and some routine records, all published at one moment.
-fn report_records(fleet: &mut Fleet, report: &mut Report, span: Duration) -> Result<(), ScaleError> {
+fn report_records(
+    fleet: &mut Fleet,
+    report: &mut Report,
+    span: Duration,
+) -> Result<(), ScaleError> {
     let urgent = publish_several(fleet, report.size, URGENT_RECORDS, true)?;
     let routine = publish_several(fleet, report.size, ROUTINE_RECORDS, false)?;
     fleet.run_until(span, WATCH_CHECK, |fleet| {
-        urgent.iter().chain(&routine).all(|watch| fleet.watch(*watch).is_held_by_all())
+        urgent
+            .iter()
+            .chain(&routine)
+            .all(|watch| fleet.watch(*watch).is_held_by_all())
     });
     report_urgent(fleet, report, &urgent)?;
-    for (after, metric) in ROUTINE_SHARES.into_iter().filter(|(after, _)| *after <= span) {
-        let shares = routine.iter().map(|watch| fleet.watch(*watch).share_after(after)).collect();
+    for (after, metric) in ROUTINE_SHARES
+        .into_iter()
+        .filter(|(after, _)| *after <= span)
+    {
+        let shares = routine
+            .iter()
+            .map(|watch| fleet.watch(*watch).share_after(after))
+            .collect();
         report.runs(metric, Unit::Count, Source::Counted, shares)?;
     }
-    let times = routine.iter().filter_map(|watch| fleet.watch(*watch).time_to_all());
+    let times = routine
+        .iter()
+        .filter_map(|watch| fleet.watch(*watch).time_to_all());
     let times: Vec<f64> = times.map(|time| time.as_secs_f64()).collect();
-    report.counted("routine_records_held_by_all", Unit::Count, times.len() as f64)?;
-    report.runs("routine_seconds_until_last", Unit::Seconds, Source::Counted, times)?;
+    report.counted(
+        "routine_records_held_by_all",
+        Unit::Count,
+        times.len() as f64,
+    )?;
+    report.runs(
+        "routine_seconds_until_last",
+        Unit::Seconds,
+        Source::Counted,
+        times,
+    )?;
     report_urgent_after_routine(fleet, report)
 }
 
@@ -261,16 +398,40 @@
         fleet.run(IN_FORCE);
         shares.push(fleet.watch(watch).share_after(IN_FORCE));
     }
-    report.runs("urgent_after_routine_share_after_4_s", Unit::Count, Source::Counted, shares)
+    report.runs(
+        "urgent_after_routine_share_after_4_s",
+        Unit::Count,
+        Source::Counted,
+        shares,
+    )
 }
 
 fn report_urgent(fleet: &Fleet, report: &mut Report, watches: &[usize]) -> Result<(), ScaleError> {
-    let shares = watches.iter().map(|watch| fleet.watch(*watch).share_after(IN_FORCE)).collect();
-    report.runs("urgent_share_after_4_s", Unit::Count, Source::Counted, shares)?;
-    let times = watches.iter().filter_map(|watch| fleet.watch(*watch).time_to_all());
+    let shares = watches
+        .iter()
+        .map(|watch| fleet.watch(*watch).share_after(IN_FORCE))
+        .collect();
+    report.runs(
+        "urgent_share_after_4_s",
+        Unit::Count,
+        Source::Counted,
+        shares,
+    )?;
+    let times = watches
+        .iter()
+        .filter_map(|watch| fleet.watch(*watch).time_to_all());
     let times: Vec<f64> = times.map(|time| time.as_secs_f64()).collect();
-    report.counted("urgent_records_held_by_all", Unit::Count, times.len() as f64)?;
-    report.runs("urgent_seconds_until_last", Unit::Seconds, Source::Counted, times)
+    report.counted(
+        "urgent_records_held_by_all",
+        Unit::Count,
+        times.len() as f64,
+    )?;
+    report.runs(
+        "urgent_seconds_until_last",
+        Unit::Seconds,
+        Source::Counted,
+        times,
+    )
 }
 
 fn publish_several(
@@ -287,7 +448,12 @@
     Ok(watches)
 }
 
-fn publish_watched(fleet: &mut Fleet, size: u64, owner: u32, urgent: bool) -> Result<usize, ScaleError> {
+fn publish_watched(
+    fleet: &mut Fleet,
+    size: u64,
+    owner: u32,
+    urgent: bool,
+) -> Result<usize, ScaleError> {
     let unsettled = |error: merlinreel_mesh::PublishError| ScaleError::Unsettled {
         role: ROLE,
         size,
@@ -304,23 +470,47 @@
     fleet.network_mut().reset_traffic();
     let mut refused = None;
     let share = cpu_share(fleet, limiters, CHANGES, |fleet| {
-        refused = run_with_changes(fleet, gap, |fleet, owner| fleet.publish(owner, true).map(|_| ())).err();
+        refused = run_with_changes(fleet, gap, |fleet, owner| {
+            fleet.publish(owner, true).map(|_| ())
+        })
+        .err();
     });
     if let Some(error) = refused {
-        return Err(ScaleError::Unsettled { role: ROLE, size: report.size, why: error.to_string() });
+        return Err(ScaleError::Unsettled {
+            role: ROLE,
+            size: report.size,
+            why: error.to_string(),
+        });
     }
     report_traffic(fleet, report, CHANGES.as_secs_f64())?;
     report_held_back(fleet, report, before)?;
-    report.runs("cpu_share_per_limiter", Unit::CpuShare, Source::Kernel, vec![share])?;
+    report.runs(
+        "cpu_share_per_limiter",
+        Unit::CpuShare,
+        Source::Kernel,
+        vec![share],
+    )?;
     let mut watches = Vec::new();
     run_with_changes(fleet, gap, |fleet, owner| {
         watches.push(fleet.publish_watched(owner, true)?);
         Ok(())
     })
-    .map_err(|error| ScaleError::Unsettled { role: ROLE, size: report.size, why: error.to_string() })?;
+    .map_err(|error| ScaleError::Unsettled {
+        role: ROLE,
+        size: report.size,
+        why: error.to_string(),
+    })?;
     fleet.run(IN_FORCE);
-    let shares = watches.iter().map(|watch| fleet.watch(*watch).share_after(IN_FORCE)).collect();
-    report.runs("urgent_share_after_4_s", Unit::Count, Source::Counted, shares)
+    let shares = watches
+        .iter()
+        .map(|watch| fleet.watch(*watch).share_after(IN_FORCE))
+        .collect();
+    report.runs(
+        "urgent_share_after_4_s",
+        Unit::Count,
+        Source::Counted,
+        shares,
+    )
 }
 
 fn run_with_changes(
--- a/crates/merlinreel-testbed/src/scale/membership/fleet.rs
+++ b/crates/merlinreel-testbed/src/scale/membership/fleet.rs
@@ -40,7 +40,12 @@
 impl FleetSetting {
     /// The program's own defaults, and three seeds.
     pub fn of(limiters: usize) -> FleetSetting {
-        FleetSetting { limiters, seeds: 3, bytes_a_second: 8000, ways: Ways::default() }
+        FleetSetting {
+            limiters,
+            seeds: 3,
+            bytes_a_second: 8000,
+            ways: Ways::default(),
+        }
     }
 }
 
@@ -101,7 +106,9 @@
             keys: Keys::new(vec![(1, vec![7; 32])], None)?,
             network: Network::new(setting.limiters, chance.random(), setting.ways),
             chance,
-            nodes: std::iter::repeat_with(|| None).take(setting.limiters).collect(),
+            nodes: std::iter::repeat_with(|| None)
+                .take(setting.limiters)
+                .collect(),
             incarnations: vec![0; setting.limiters],
             now: Duration::ZERO,
             wakes: BTreeSet::new(),
@@ -164,7 +171,13 @@
         self.published += 1;
         let now = self.now;
         if let Some(node) = self.nodes[owner as usize].as_mut() {
-            node.publish(WATCHED_KIND, body_of(self.published), WATCHED_LIFE, urgent, now)?;
+            node.publish(
+                WATCHED_KIND,
+                body_of(self.published),
+                WATCHED_LIFE,
+                urgent,
+                now,
+            )?;
         }
         self.after_call(owner);
         Ok(self.published)
@@ -203,7 +216,9 @@
         let mut first_not_whole = 0;
         self.run_until(most, WHOLE_CHECK, |fleet| {
             let others = first_not_whole..fleet.nodes.len();
-            let next = others.chain(0..first_not_whole).find(|&limiter| !fleet.is_whole(limiter));
+            let next = others
+                .chain(0..first_not_whole)
+                .find(|&limiter| !fleet.is_whole(limiter));
             first_not_whole = next.unwrap_or(0);
             next.is_none()
         })
@@ -220,27 +235,46 @@
         let others = (limiters - 1).max(1) as f64;
         let shares = |known: Vec<usize>| {
             let mean = known.iter().sum::<usize>() as f64 / limiters as f64 / others;
-            (mean, known.iter().min().copied().unwrap_or(0) as f64 / others)
+            (
+                mean,
+                known.iter().min().copied().unwrap_or(0) as f64 / others,
+            )
         };
-        let (members, least_members) = shares((0..limiters).map(|one| self.members_known(one)).collect());
-        let (records, least_records) = shares((0..limiters).map(|one| self.records_held(one)).collect());
-        Knowledge { members, records, least_members, least_records }
+        let (members, least_members) =
+            shares((0..limiters).map(|one| self.members_known(one)).collect());
+        let (records, least_records) =
+            shares((0..limiters).map(|one| self.records_held(one)).collect());
+        Knowledge {
+            members,
+            records,
+            least_members,
+            least_records,
+        }
     }
 
     /// Others that run, in their present incarnation or a later one.
     fn members_known(&self, limiter: usize) -> usize {
-        let Some(node) = &self.nodes[limiter] else { return 0 };
-        node.members().filter(|member| self.is_present(member)).count()
+        let Some(node) = &self.nodes[limiter] else {
+            return 0;
+        };
+        node.members()
+            .filter(|member| self.is_present(member))
+            .count()
     }
 
     fn records_held(&self, limiter: usize) -> usize {
-        let Some(node) = &self.nodes[limiter] else { return 0 };
+        let Some(node) = &self.nodes[limiter] else {
+            return 0;
+        };
         let held = node.view(self.now).raw(LIMITER_KIND).map(|held| held.owner);
-        held.filter(|owner| *owner != node.own() && self.is_present(owner)).count()
+        held.filter(|owner| *owner != node.own() && self.is_present(owner))
+            .count()
     }
 
     fn is_present(&self, member: &Member) -> bool {
-        let Some(limiter) = limiter_at(member.at) else { return false };
+        let Some(limiter) = limiter_at(member.at) else {
+            return false;
+        };
         let limiter = limiter as usize;
         self.nodes[limiter].is_some() && member.incarnation >= self.incarnations[limiter]
     }
@@ -249,8 +283,13 @@
     fn step(&mut self, end: Duration) -> bool {
         let start = self.starts.first().map(|(at, _)| *at);
         let wake = self.wakes.first().map(|(at, _)| *at);
-        let next = [self.network.next_at(), start, wake].into_iter().flatten().min();
-        let Some(next) = next.filter(|next| *next <= end) else { return false };
+        let next = [self.network.next_at(), start, wake]
+            .into_iter()
+            .flatten()
+            .min();
+        let Some(next) = next.filter(|next| *next <= end) else {
+            return false;
+        };
         self.now = self.now.max(next);
         if start == Some(next) {
             self.start_next();
@@ -263,12 +302,17 @@
     }
 
     fn start_next(&mut self) {
-        let Some((_, limiter)) = self.starts.pop_first() else { return };
+        let Some((_, limiter)) = self.starts.pop_first() else {
+            return;
+        };
         let unix = UNIX_START + self.now;
         let incarnation = u64::try_from(unix.as_millis()).unwrap_or(u64::MAX);
         self.incarnations[limiter as usize] = incarnation;
         let part = Part {
-            own: Member { at: address(limiter), incarnation },
+            own: Member {
+                at: address(limiter),
+                incarnation,
+            },
             seeds: (0..self.setting.seeds as u32).map(address).collect(),
             keys: self.keys.clone(),
             seed: self.chance.random(),
@@ -277,15 +321,24 @@
             capacity: Capacity::for_limiters(self.setting.limiters),
         };
         let mut node = Node::new(part, self.now, unix);
-        let own = format!("{{\"name\":\"limiter-{limiter:05}\",\"program\":\"0.1.0\",\"serves\":true}}");
+        let own =
+            format!("{{\"name\":\"limiter-{limiter:05}\",\"program\":\"0.1.0\",\"serves\":true}}");
         // Short, and the first of its kind: there is nothing in it that is refused.
-        let _ = node.publish(LIMITER_KIND, own.into_bytes(), LIMITER_LIFE, false, self.now);
+        let _ = node.publish(
+            LIMITER_KIND,
+            own.into_bytes(),
+            LIMITER_LIFE,
+            false,
+            self.now,
+        );
         self.nodes[limiter as usize] = Some(node);
         self.after_call(limiter);
     }
 
     fn wake_next(&mut self) {
-        let Some((_, limiter)) = self.wakes.pop_first() else { return };
+        let Some((_, limiter)) = self.wakes.pop_first() else {
+            return;
+        };
         self.wakes_at[limiter as usize] = None;
         let now = self.now;
         if let Some(node) = self.nodes[limiter as usize].as_mut() {
@@ -296,15 +349,21 @@
 
     fn deliver_next(&mut self) {
         let now = self.now;
-        let Some(delivery) = self.network.arrived(now) else { return };
-        let Some(node) = self.nodes[delivery.to as usize].as_mut() else { return };
+        let Some(delivery) = self.network.arrived(now) else {
+            return;
+        };
+        let Some(node) = self.nodes[delivery.to as usize].as_mut() else {
+            return;
+        };
         node.receive(&delivery.bytes, now, UNIX_START + now);
         self.after_call(delivery.to);
     }
 
     /// Sends what a node wants sent, notes its events, and when it is to be called next.
     fn after_call(&mut self, limiter: u32) {
-        let Some(node) = self.nodes[limiter as usize].as_mut() else { return };
+        let Some(node) = self.nodes[limiter as usize].as_mut() else {
+            return;
+        };
         while let Some((to, bytes)) = node.outgoing() {
             if let Some(to) = limiter_at(to) {
                 self.network.send(self.now, limiter, to, bytes);
@@ -334,9 +393,14 @@
 }
 
 fn address(limiter: u32) -> SocketAddrV4 {
-    SocketAddrV4::new(Ipv4Addr::from_bits(u32::from_be_bytes([10, 0, 0, 0]) + limiter), PORT)
+    SocketAddrV4::new(
+        Ipv4Addr::from_bits(u32::from_be_bytes([10, 0, 0, 0]) + limiter),
+        PORT,
+    )
 }
 
 fn limiter_at(at: SocketAddrV4) -> Option<u32> {
-    at.ip().to_bits().checked_sub(u32::from_be_bytes([10, 0, 0, 0]))
+    at.ip()
+        .to_bits()
+        .checked_sub(u32::from_be_bytes([10, 0, 0, 0]))
 }
--- a/crates/merlinreel-testbed/src/scale/membership/report.rs
+++ b/crates/merlinreel-testbed/src/scale/membership/report.rs
@@ -14,12 +14,28 @@
 
 impl Report<'_> {
     fn sheet(&self) -> Sheet {
-        let Report { role, variable, size, .. } = *self;
-        Sheet { seed: self.request.seed, role, variable, size, setting: self.setting.clone() }
+        let Report {
+            role,
+            variable,
+            size,
+            ..
+        } = *self;
+        Sheet {
+            seed: self.request.seed,
+            role,
+            variable,
+            size,
+            setting: self.setting.clone(),
+        }
     }
 
     /// A counted value.
-    pub fn counted(&mut self, metric: &'static str, unit: Unit, value: f64) -> Result<(), ScaleError> {
+    pub fn counted(
+        &mut self,
+        metric: &'static str,
+        unit: Unit,
+        value: f64,
+    ) -> Result<(), ScaleError> {
         self.runs(metric, unit, Source::Counted, vec![value])
     }
 
@@ -32,6 +48,8 @@
         runs: Vec<f64>,
     ) -> Result<(), ScaleError> {
         let sheet = self.sheet();
-        sheet.of_runs(metric, unit, source, runs).map_or(Ok(()), &mut *self.emit)
+        sheet
+            .of_runs(metric, unit, source, runs)
+            .map_or(Ok(()), &mut *self.emit)
     }
 }
--- a/crates/merlinreel-testbed/src/scale/membership/watch.rs
+++ b/crates/merlinreel-testbed/src/scale/membership/watch.rs
@@ -17,8 +17,19 @@
 }
 
 impl RecordWatch {
-    pub fn new(owner: SocketAddrV4, number: u64, published: Duration, limiters: usize) -> RecordWatch {
-        RecordWatch { owner, number, published, held_at: vec![None; limiters], holders: 0 }
+    pub fn new(
+        owner: SocketAddrV4,
+        number: u64,
+        published: Duration,
+        limiters: usize,
+    ) -> RecordWatch {
+        RecordWatch {
+            owner,
+            number,
+            published,
+            held_at: vec![None; limiters],
+            holders: 0,
+        }
     }
 
     /// Notes a limiter as holder from now on.
@@ -35,7 +46,10 @@
         if of != self.owner || self.held_at[limiter as usize].is_some() {
             return;
         }
-        let held = node.view(now).raw(WATCHED_KIND).find(|held| held.owner.at == of);
+        let held = node
+            .view(now)
+            .raw(WATCHED_KIND)
+            .find(|held| held.owner.at == of);
         if held.is_some_and(|held| number_in(held.body) >= Some(self.number)) {
             self.note(limiter, now);
         }
@@ -48,13 +62,24 @@
     /// Share of the limiters that held it so long after it was published.
     pub fn share_after(&self, span: Duration) -> f64 {
         let by = self.published + span;
-        let holders = self.held_at.iter().flatten().filter(|at| **at <= by).count();
+        let holders = self
+            .held_at
+            .iter()
+            .flatten()
+            .filter(|at| **at <= by)
+            .count();
         holders as f64 / self.held_at.len() as f64
     }
 
     /// How long it took until the last limiter held it, if all do.
     pub fn time_to_all(&self) -> Option<Duration> {
-        let last = self.held_at.iter().copied().collect::<Option<Vec<Duration>>>()?.into_iter().max()?;
+        let last = self
+            .held_at
+            .iter()
+            .copied()
+            .collect::<Option<Vec<Duration>>>()?
+            .into_iter()
+            .max()?;
         Some(last.saturating_sub(self.published))
     }
 }
--- a/crates/merlinreel-testbed/src/scale/meter.rs
+++ b/crates/merlinreel-testbed/src/scale/meter.rs
@@ -20,7 +20,10 @@
 
 impl Meter {
     pub fn start() -> Meter {
-        Meter { cpu_nanoseconds: cpu_nanoseconds(), memory_bytes: resident_bytes() }
+        Meter {
+            cpu_nanoseconds: cpu_nanoseconds(),
+            memory_bytes: resident_bytes(),
+        }
     }
 
     pub fn read(&self) -> Used {
@@ -35,7 +38,11 @@
 /// The first field of the kernel's scheduling figures of this thread.
 fn cpu_nanoseconds() -> u64 {
     let figures = fs::read_to_string("/proc/thread-self/schedstat").unwrap_or_default();
-    figures.split_whitespace().next().and_then(|field| field.parse().ok()).unwrap_or(0)
+    figures
+        .split_whitespace()
+        .next()
+        .and_then(|field| field.parse().ok())
+        .unwrap_or(0)
 }
 
 fn resident_bytes() -> u64 {
--- a/crates/merlinreel-testbed/src/scale/network.rs
+++ b/crates/merlinreel-testbed/src/scale/network.rs
@@ -17,7 +17,11 @@
 
 impl Default for Ways {
     fn default() -> Ways {
-        Ways { delay: Duration::from_millis(1), jitter: Duration::from_millis(2), loss: 0.01 }
+        Ways {
+            delay: Duration::from_millis(1),
+            jitter: Duration::from_millis(2),
+            loss: 0.01,
+        }
     }
 }
 
@@ -91,11 +95,14 @@
         }
         self.number += 1;
         let at = now + self.ways.delay + jitter;
-        self.on_their_way.insert((at, self.number), Delivery { from, to, bytes });
+        self.on_their_way
+            .insert((at, self.number), Delivery { from, to, bytes });
     }
 
     fn is_cut(&self, from: u32, to: u32) -> bool {
-        self.islands.iter().any(|island| island.contains(&from) != island.contains(&to))
+        self.islands
+            .iter()
+            .any(|island| island.contains(&from) != island.contains(&to))
     }
 
     /// When the next datagram arrives.
@@ -105,7 +112,10 @@
 
     /// The next datagram that has arrived by `now`.
     pub fn arrived(&mut self, now: Duration) -> Option<Delivery> {
-        let next = self.on_their_way.first_entry().filter(|next| next.key().0 <= now)?;
+        let next = self
+            .on_their_way
+            .first_entry()
+            .filter(|next| next.key().0 <= now)?;
         let delivery = next.remove();
         let receiver = &mut self.traffic[delivery.to as usize];
         receiver.received_messages += 1;
--- a/crates/merlinreel-testbed/src/scale/quotas.rs
+++ b/crates/merlinreel-testbed/src/scale/quotas.rs
@@ -55,7 +55,13 @@
 impl Point<'_> {
     fn sheet(&self) -> Sheet {
         let Point { variable, size, .. } = *self;
-        Sheet { seed: self.request.seed, role: ROLE, variable, size, setting: self.setting.clone() }
+        Sheet {
+            seed: self.request.seed,
+            role: ROLE,
+            variable,
+            size,
+            setting: self.setting.clone(),
+        }
     }
 
     fn counted(&self, metric: &'static str, unit: Unit, value: f64) -> Figure {
@@ -110,7 +116,12 @@
 }
 
 /// Runs a fleet until it is warm, and then counts for some time.
-pub fn count(setting: FleetSetting, seed: u64, warm_up: Duration, time: Duration) -> Result<Counts, String> {
+pub fn count(
+    setting: FleetSetting,
+    seed: u64,
+    warm_up: Duration,
+    time: Duration,
+) -> Result<Counts, String> {
     let mut fleet = Fleet::new(setting, seed)?;
     fleet.run(warm_up);
     fleet.reset_counts();
@@ -122,7 +133,8 @@
     let seconds = time.as_secs_f64();
     let (limiters, traffic) = (f64::from(setting.limiters), fleet.traffic());
     let sum = |count: fn(&super::Traffic) -> u64| traffic.iter().map(count).sum::<u64>() as f64;
-    let greatest = |count: fn(&super::Traffic) -> u64| traffic.iter().map(count).max().unwrap_or(0) as f64;
+    let greatest =
+        |count: fn(&super::Traffic) -> u64| traffic.iter().map(count).max().unwrap_or(0) as f64;
     let pressed = pressed_use(fleet);
     let refill = setting.rate(PRESSED) * seconds * pressed_customers(fleet);
     Counts {
@@ -138,11 +150,18 @@
 }
 
 fn pressed_customers(fleet: &Fleet) -> f64 {
-    fleet.customers.iter().filter(|customer| customer.plan == PRESSED).count() as f64
+    fleet
+        .customers
+        .iter()
+        .filter(|customer| customer.plan == PRESSED)
+        .count() as f64
 }
 
 fn pressed_use(fleet: &Fleet) -> Use {
-    let pressed = fleet.customers.iter().filter(|customer| customer.plan == PRESSED);
+    let pressed = fleet
+        .customers
+        .iter()
+        .filter(|customer| customer.plan == PRESSED);
     pressed.fold(Use::default(), |sum, customer| Use {
         asked: sum.asked + customer.used.asked,
         admitted: sum.admitted + customer.used.admitted,
@@ -155,31 +174,48 @@
     let mut fleet = Fleet::new(setting, seed)?;
     fleet.run(WARM_UP);
     let first = |probe| probe * setting.limiters / probes;
-    let probed: Vec<usize> =
-        (0..probes).map(|probe| fleet.probe_at_first(first(probe), PROBE_REQUESTS)).collect();
+    let probed: Vec<usize> = (0..probes)
+        .map(|probe| fleet.probe_at_first(first(probe), PROBE_REQUESTS))
+        .collect();
     fleet.run(PROBED_ALONE);
     fleet.reset_counts();
     let begin = fleet.now();
-    probed.iter().for_each(|&customer| fleet.probe_at_others(customer));
+    probed
+        .iter()
+        .for_each(|&customer| fleet.probe_at_others(customer));
     fleet.run(PROBED_AT_ALL);
-    Ok(probed.iter().map(|&customer| spread(&fleet, customer, begin)).collect())
+    Ok(probed
+        .iter()
+        .map(|&customer| spread(&fleet, customer, begin))
+        .collect())
 }
 
 fn spread(fleet: &Fleet, customer: usize, begin: Duration) -> Spread {
     let probed = &fleet.customers[customer];
     let others = probed.set_size as usize - 1;
-    let refused: Vec<Duration> = fleet.first_refusals(customer).into_iter().skip(1).flatten().collect();
+    let refused: Vec<Duration> = fleet
+        .first_refusals(customer)
+        .into_iter()
+        .skip(1)
+        .flatten()
+        .collect();
     let last = refused.iter().max().copied().unwrap_or(begin);
     let refill = PROBED_RATE * PROBED_AT_ALL.as_secs_f64();
     Spread {
         all_refused_after: (refused.len() == others).then(|| last.saturating_sub(begin)),
-        last_beyond_after: probed.last_beyond.map_or(Duration::ZERO, |at| at.saturating_sub(begin)),
+        last_beyond_after: probed
+            .last_beyond
+            .map_or(Duration::ZERO, |at| at.saturating_sub(begin)),
         beyond_over_refill: probed.used.beyond as f64 / refill,
     }
 }
 
 /// The first `restarted` limiters start again at once in a warm fleet; held against the same fleet without restarts.
-pub fn count_recovery(setting: FleetSetting, seed: u64, restarted: u32) -> Result<Recovery, String> {
+pub fn count_recovery(
+    setting: FleetSetting,
+    seed: u64,
+    restarted: u32,
+) -> Result<Recovery, String> {
     let mut fleet = Fleet::new(setting, seed)?;
     let refill = setting.rate(PRESSED) * pressed_customers(&fleet);
     let restarts = beyond_after_restart(&mut fleet, restarted);
@@ -208,7 +244,9 @@
 fn recovery(without: &[f64], after: &[f64], refill: f64) -> Recovery {
     let usual = without.iter().sum::<f64>() / without.len().max(1) as f64;
     let most = without.iter().copied().fold(0.0, f64::max);
-    let holds = after.windows(3).position(|three| three.iter().all(|&beyond| beyond <= most));
+    let holds = after
+        .windows(3)
+        .position(|three| three.iter().all(|&beyond| beyond <= most));
     let until = &after[..holds.unwrap_or(after.len())];
     let more: f64 = until.iter().fold(0.0, |sum, beyond| sum + beyond - usual);
     Recovery {
@@ -219,39 +257,63 @@
 
 /// Over the number of limiters.
 pub fn measure(request: &MeasureRequest, emit: Emit) -> Result<(), ScaleError> {
-    let setting = |size| FleetSetting { limiters: size as u32, ..FleetSetting::default() };
+    let setting = |size| FleetSetting {
+        limiters: size as u32,
+        ..FleetSetting::default()
+    };
     measure_fleets(request, "limiters", setting, emit)
 }
 
 /// Over the size of customers' sets. Each limiter's customers and traffic stay, so a customer's traffic and quota grow
 /// with its set.
 pub fn measure_set_sizes(request: &MeasureRequest, emit: Emit) -> Result<(), ScaleError> {
-    let setting = |size| FleetSetting { set_size: size as u32, ..FleetSetting::default() };
+    let setting = |size| FleetSetting {
+        set_size: size as u32,
+        ..FleetSetting::default()
+    };
     measure_fleets(request, "set_size", setting, emit)
 }
 
 /// Over the customers that a limiter has. Its traffic stays, so a customer's traffic and quota shrink.
 pub fn measure_customers(request: &MeasureRequest, emit: Emit) -> Result<(), ScaleError> {
-    let setting = |size| FleetSetting { customers_per_limiter: size as u32, ..FleetSetting::default() };
+    let setting = |size| FleetSetting {
+        customers_per_limiter: size as u32,
+        ..FleetSetting::default()
+    };
     measure_fleets(request, "customers_per_limiter", setting, emit)
 }
 
 /// Over the percentage of customers that ask for more than their quota.
 pub fn measure_pressed(request: &MeasureRequest, emit: Emit) -> Result<(), ScaleError> {
-    let setting = |size| FleetSetting { pressed_percent: size as u32, ..FleetSetting::default() };
+    let setting = |size| FleetSetting {
+        pressed_percent: size as u32,
+        ..FleetSetting::default()
+    };
     measure_fleets(request, "pressed_percent", setting, emit)
 }
 
 /// Over the number of limiters that start again at once.
 pub fn measure_restarts(request: &MeasureRequest, emit: Emit) -> Result<(), ScaleError> {
-    let setting = FleetSetting { limiters: RESTART_LIMITERS, ..FleetSetting::default() };
+    let setting = FleetSetting {
+        limiters: RESTART_LIMITERS,
+        ..FleetSetting::default()
+    };
     for &size in &request.sizes {
         check_memory(request, &setting)?;
-        let point = Point { request, variable: "limiters_restarted", size, setting: setting.text() };
+        let point = Point {
+            request,
+            variable: "limiters_restarted",
+            size,
+            setting: setting.text(),
+        };
         let restarted = (size as u32).min(setting.limiters);
-        let found = count_recovery(setting, request.seed, restarted).map_err(|why| point.unsettled(why))?;
+        let found =
+            count_recovery(setting, request.seed, restarted).map_err(|why| point.unsettled(why))?;
         // Where they do not hold again within the time looked at, that time stands, as the least it can be.
-        let holds_after = found.holds_after.unwrap_or(Duration::from_secs(AFTER_RESTART)).as_secs_f64();
+        let holds_after = found
+            .holds_after
+            .unwrap_or(Duration::from_secs(AFTER_RESTART))
+            .as_secs_f64();
         emit(point.counted("quotas_hold_after", Unit::Seconds, holds_after))?;
         let beyond = found.beyond_in_seconds_of_refill;
         emit(point.counted("beyond_in_seconds_of_refill", Unit::Seconds, beyond))?;
@@ -268,7 +330,12 @@
     for &size in &request.sizes {
         let setting = setting(size);
         check_memory(request, &setting)?;
-        let point = Point { request, variable, size, setting: setting.text() };
+        let point = Point {
+            request,
+            variable,
+            size,
+            setting: setting.text(),
+        };
         emit_counts(&point, setting, emit)?;
         emit_spread(&point, setting, emit)?;
     }
@@ -302,25 +369,55 @@
         told.get_or_insert(found);
     }
     let is_first = point.request.sizes.first() == Some(&point.size);
-    let silent = FleetSetting { peer_messages: false, ..setting };
-    let runs = (0..point.request.runs).map(|_| Ok(count_used(silent, seed).map_err(unsettled)?.1.processor));
+    let silent = FleetSetting {
+        peer_messages: false,
+        ..setting
+    };
+    let runs = (0..point.request.runs)
+        .map(|_| Ok(count_used(silent, seed).map_err(unsettled)?.1.processor));
     let without = runs.collect::<Result<Vec<f64>, ScaleError>>()?;
     let found = told.unwrap_or_default();
     let figures = [
-        ("messages_sent_mean", Unit::MessagesPerSecond, found.messages_sent),
-        ("messages_sent_greatest", Unit::MessagesPerSecond, found.messages_sent_greatest),
+        (
+            "messages_sent_mean",
+            Unit::MessagesPerSecond,
+            found.messages_sent,
+        ),
+        (
+            "messages_sent_greatest",
+            Unit::MessagesPerSecond,
+            found.messages_sent_greatest,
+        ),
         ("bytes_sent_mean", Unit::BytesPerSecond, found.bytes_sent),
-        ("bytes_sent_greatest", Unit::BytesPerSecond, found.bytes_sent_greatest),
-        ("messages_received_greatest", Unit::MessagesPerSecond, found.messages_received_greatest),
-        ("messages_dropped_mean", Unit::MessagesPerSecond, found.messages_dropped),
+        (
+            "bytes_sent_greatest",
+            Unit::BytesPerSecond,
+            found.bytes_sent_greatest,
+        ),
+        (
+            "messages_received_greatest",
+            Unit::MessagesPerSecond,
+            found.messages_received_greatest,
+        ),
+        (
+            "messages_dropped_mean",
+            Unit::MessagesPerSecond,
+            found.messages_dropped,
+        ),
         ("beyond_quota_share", Unit::Count, found.beyond_share),
         ("quota_used_share", Unit::Count, found.quota_used_share),
     ];
-    figures.into_iter().try_for_each(|(metric, unit, value)| emit(point.counted(metric, unit, value)))?;
+    figures
+        .into_iter()
+        .try_for_each(|(metric, unit, value)| emit(point.counted(metric, unit, value)))?;
     let figures = [
         point.of_kernel("cpu_share", Unit::CpuShare, processor),
         point.of_kernel("cpu_share_without_peers", Unit::CpuShare, without),
-        point.of_kernel("memory_per_limiter", Unit::Bytes, memory.into_iter().filter(|_| is_first).collect()),
+        point.of_kernel(
+            "memory_per_limiter",
+            Unit::Bytes,
+            memory.into_iter().filter(|_| is_first).collect(),
+        ),
     ];
     figures.into_iter().flatten().try_for_each(emit)
 }
@@ -341,22 +438,33 @@
     fleet.run(MEASURED);
     let processor = measured.read().cpu_seconds / MEASURED.as_secs_f64() / limiters;
     let memory = of_all.read().memory_bytes as f64 / limiters;
-    Ok((counts(&fleet, &setting, MEASURED), UsedEach { processor, memory }))
+    Ok((
+        counts(&fleet, &setting, MEASURED),
+        UsedEach { processor, memory },
+    ))
 }
 
 /// The probes' median, least and most. Where some limiter did not refuse, the time looked at stands, as the least it can
 /// be.
 fn emit_spread(point: &Point, setting: FleetSetting, emit: Emit) -> Result<(), ScaleError> {
-    let found = count_spread(setting, point.request.seed, PROBES).map_err(|why| point.unsettled(why))?;
+    let found =
+        count_spread(setting, point.request.seed, PROBES).map_err(|why| point.unsettled(why))?;
     let of_probes = |metric, unit, value: fn(&Spread) -> f64| {
-        Figure::of_runs(found.iter().map(value).collect(), point.counted(metric, unit, 0.0))
+        Figure::of_runs(
+            found.iter().map(value).collect(),
+            point.counted(metric, unit, 0.0),
+        )
     };
     let figures = [
         of_probes("all_refused_after", Unit::Seconds, |one| {
             one.all_refused_after.unwrap_or(PROBED_AT_ALL).as_secs_f64()
         }),
-        of_probes("last_beyond_after", Unit::Seconds, |one| one.last_beyond_after.as_secs_f64()),
-        of_probes("probed_beyond_over_refill", Unit::Count, |one| one.beyond_over_refill),
+        of_probes("last_beyond_after", Unit::Seconds, |one| {
+            one.last_beyond_after.as_secs_f64()
+        }),
+        of_probes("probed_beyond_over_refill", Unit::Count, |one| {
+            one.beyond_over_refill
+        }),
     ];
     figures.into_iter().flatten().try_for_each(emit)
 }
@@ -370,6 +478,9 @@
         let found = recovery(&[1.0, 3.0], &[9.0, 2.0, 7.0, 3.0, 0.0, 1.0, 9.0], 4.0);
         assert_eq!(found.holds_after, Some(Duration::from_secs(3)));
         assert_eq!(found.beyond_in_seconds_of_refill, (18.0 - 6.0) / 4.0);
-        assert_eq!(recovery(&[1.0], &[9.0, 9.0, 9.0, 1.0], 4.0).holds_after, None);
+        assert_eq!(
+            recovery(&[1.0], &[9.0, 9.0, 9.0, 1.0], 4.0).holds_after,
+            None
+        );
     }
 }
--- a/crates/merlinreel-testbed/src/scale/quotas/fleet.rs
+++ b/crates/merlinreel-testbed/src/scale/quotas/fleet.rs
@@ -144,7 +144,8 @@
         let number = self.chance.random::<u64>() >> 2;
         let set = (set_first, self.setting.set_size());
         let (rate, burst) = (self.setting.rate(plan), self.setting.burst(plan));
-        self.customers.push(Customer::new(number, plan, set, rate, burst));
+        self.customers
+            .push(Customer::new(number, plan, set, rate, burst));
         self.customers.len() - 1
     }
 
@@ -190,7 +191,12 @@
 
     fn push(&mut self, at: Duration, limiter: u32, cause: Cause) {
         self.event_number += 1;
-        self.events.push(Reverse(Event { at, number: self.event_number, limiter, cause }));
+        self.events.push(Reverse(Event {
+            at,
+            number: self.event_number,
+            limiter,
+            cause,
+        }));
     }
 
     /// Runs for so long on the test's clock.
@@ -202,7 +208,10 @@
                 self.deliver(delivery);
             }
             while self.events.peek().is_some_and(|event| event.0.at <= at) {
-                self.events.pop().into_iter().for_each(|event| self.handle(event.0));
+                self.events
+                    .pop()
+                    .into_iter()
+                    .for_each(|event| self.handle(event.0));
             }
         }
         self.now = end;
@@ -215,8 +224,17 @@
 
     fn deliver(&mut self, delivery: Delivery) {
         let Delivery { from, to, bytes } = delivery;
-        if self.limiters[to as usize].inbox.takes(self.now, INBOX_PER_S) {
-            self.round(to, Round { peer_messages: vec![PeerMessage { from, bytes }], ..Round::default() });
+        if self.limiters[to as usize]
+            .inbox
+            .takes(self.now, INBOX_PER_S)
+        {
+            self.round(
+                to,
+                Round {
+                    peer_messages: vec![PeerMessage { from, bytes }],
+                    ..Round::default()
+                },
+            );
         }
     }
 
@@ -247,7 +265,13 @@
         let hollow = &mut self.limiters[limiter as usize];
         let number = hollow.next_request;
         hollow.next_request = (number + 1) % REQUEST_NUMBERS;
-        let Customer { number: name, plan, set_first, set_size, .. } = self.customers[customer];
+        let Customer {
+            number: name,
+            plan,
+            set_first,
+            set_size,
+            ..
+        } = self.customers[customer];
         let job = Job {
             job: number,
             customer: name,
@@ -259,7 +283,13 @@
             set_first,
             again: false,
         };
-        let refused = self.round(limiter, Round { jobs: vec![job], ..Round::default() });
+        let refused = self.round(
+            limiter,
+            Round {
+                jobs: vec![job],
+                ..Round::default()
+            },
+        );
         let admitted = !refused.contains(&number);
         if admitted {
             self.limiters[limiter as usize].leaving.push(number);
@@ -271,7 +301,9 @@
     }
 
     fn note_refusal(&mut self, limiter: u32, customer: usize) {
-        let Some(refusals) = self.refusals.get_mut(&customer) else { return };
+        let Some(refusals) = self.refusals.get_mut(&customer) else {
+            return;
+        };
         let (limiters, first) = (self.setting.limiters, self.customers[customer].set_first);
         let place = (limiter + limiters - first) % limiters;
         refusals[place as usize].get_or_insert(self.now);
@@ -282,7 +314,9 @@
         let hollow = &mut self.limiters[rank as usize];
         let left = std::mem::take(&mut hollow.leaving);
         let mut decisions = Decisions::default();
-        hollow.limiter.round(self.now, &Round { left, ..round }, &mut decisions);
+        hollow
+            .limiter
+            .round(self.now, &Round { left, ..round }, &mut decisions);
         for (to, bytes) in decisions.messages {
             self.send(rank, to, bytes);
         }
@@ -305,7 +339,11 @@
     pub fn probe_at_first(&mut self, set_first: u32, per_second: u32) -> usize {
         let customer = self.add_customer(PROBED, set_first);
         let every = Duration::from_secs(1) / per_second;
-        self.push(self.now + every, set_first, Cause::Repeat { customer, every });
+        self.push(
+            self.now + every,
+            set_first,
+            Cause::Repeat { customer, every },
+        );
         customer
     }
 
@@ -315,7 +353,14 @@
         self.refusals.insert(customer, vec![None; set_size]);
         for limiter in self.customers[customer].set(self.setting.limiters).skip(1) {
             let at = self.now + PROBE_INTERVAL.mul_f64(self.chance.random::<f64>());
-            self.push(at, limiter, Cause::Repeat { customer, every: PROBE_INTERVAL });
+            self.push(
+                at,
+                limiter,
+                Cause::Repeat {
+                    customer,
+                    every: PROBE_INTERVAL,
+                },
+            );
         }
     }
 
@@ -327,8 +372,12 @@
     /// Forgets what was counted; stores and limiters stay as they are.
     pub fn reset_counts(&mut self) {
         self.network.reset_traffic();
-        self.limiters.iter_mut().for_each(|hollow| hollow.inbox.dropped = 0);
-        self.customers.iter_mut().for_each(|customer| customer.used = Default::default());
+        self.limiters
+            .iter_mut()
+            .for_each(|hollow| hollow.inbox.dropped = 0);
+        self.customers
+            .iter_mut()
+            .for_each(|customer| customer.used = Default::default());
     }
 
     pub fn now(&self) -> Duration {
@@ -342,6 +391,9 @@
 
     /// Messages that arrived and found the inbox full.
     pub fn dropped(&self) -> u64 {
-        self.limiters.iter().map(|hollow| hollow.inbox.dropped).sum()
+        self.limiters
+            .iter()
+            .map(|hollow| hollow.inbox.dropped)
+            .sum()
     }
 }
--- a/crates/merlinreel-testbed/src/scale/quotas/tables.rs
+++ b/crates/merlinreel-testbed/src/scale/quotas/tables.rs
@@ -52,8 +52,15 @@
 
 impl TenantTables {
     pub fn new(seed: u64) -> Result<TenantTables, String> {
-        let setting = FleetSetting { limiters: LIMITERS, ..FleetSetting::default() };
-        let mut tables = TenantTables { limiter: setting.terms()?.limiter(seed), now: START, setting };
+        let setting = FleetSetting {
+            limiters: LIMITERS,
+            ..FleetSetting::default()
+        };
+        let mut tables = TenantTables {
+            limiter: setting.terms()?.limiter(seed),
+            now: START,
+            setting,
+        };
         tables.round(Round::default());
         Ok(tables)
     }
@@ -77,20 +84,41 @@
                 again: false,
             };
             let left = vec![((tenant + 1) % 2) as u32];
-            self.round(Round { jobs: vec![job], left, ..Round::default() });
+            self.round(Round {
+                jobs: vec![job],
+                left,
+                ..Round::default()
+            });
         }
-        self.round(Round { left: vec![0, 1], ..Round::default() });
+        self.round(Round {
+            left: vec![0, 1],
+            ..Round::default()
+        });
     }
 
     /// The last limiter reports a unit of each of so many tenants.
     pub fn report(&mut self, tenants: u64) {
         let tenants: Vec<u64> = (0..tenants).collect();
         for (number, tenants) in tenants.chunks(TENANTS_A_MESSAGE as usize).enumerate() {
-            let rows: Vec<Row> = tenants.iter().map(|&tenant| self.report_of(tenant)).collect();
-            let head = Head { life: 1, number: number as u64 + 1 };
+            let rows: Vec<Row> = tenants
+                .iter()
+                .map(|&tenant| self.report_of(tenant))
+                .collect();
+            let head = Head {
+                life: 1,
+                number: number as u64 + 1,
+            };
             let messages = write(head, &rows).into_iter();
-            let peer_messages = messages.map(|bytes| PeerMessage { from: LIMITERS - 1, bytes }).collect();
-            self.round(Round { peer_messages, ..Round::default() });
+            let peer_messages = messages
+                .map(|bytes| PeerMessage {
+                    from: LIMITERS - 1,
+                    bytes,
+                })
+                .collect();
+            self.round(Round {
+                peer_messages,
+                ..Round::default()
+            });
         }
     }
 
@@ -98,14 +126,25 @@
         let length = self.setting.burst(super::CALM) / self.setting.rate(super::CALM);
         let window = (self.now.as_secs_f64() / length) as u64;
         let (customer, plan) = (tenant_number(tenant), super::CALM);
-        Row { customer, plan, window, total: 1.0, asked: Some(1.0), left: None, age: None }
+        Row {
+            customer,
+            plan,
+            window,
+            total: 1.0,
+            asked: Some(1.0),
+            left: None,
+            age: None,
+        }
     }
 
     /// The first message of that life of each of so many peers; each time a later one.
     pub fn hear_new_lives(&mut self, life: u64, peers: u32) {
         for from in 1..=peers {
             let bytes = write(Head { life, number: 1 }, &[]).concat();
-            self.round(Round { peer_messages: vec![PeerMessage { from, bytes }], ..Round::default() });
+            self.round(Round {
+                peer_messages: vec![PeerMessage { from, bytes }],
+                ..Round::default()
+            });
         }
     }
 
@@ -146,9 +185,15 @@
         tenants += size;
         let needed_mb = 64 + tenants * ACCOUNT_BYTES / (1 << 20);
         request.check_memory(&format!("one limiter with {size} tenants"), needed_mb)?;
-        let setting =
-            format!("one of {LIMITERS} limiters, each tenant asked once, {LIVES} peers of a new life");
-        let point = Point { request, variable: "tenants_asked", size, setting };
+        let setting = format!(
+            "one of {LIMITERS} limiters, each tenant asked once, {LIVES} peers of a new life"
+        );
+        let point = Point {
+            request,
+            variable: "tenants_asked",
+            size,
+            setting,
+        };
         let mut tables = TenantTables::new(request.seed).map_err(|why| point.unsettled(why))?;
         let meter = Meter::start();
         tables.ask(size);
@@ -171,16 +216,29 @@
     let (mut kept, mut tenants) = (Vec::new(), 0);
     for &size in &request.sizes {
         tenants += size;
-        let needed_mb = 64 + tenants * (u64::from(LIMITERS) * REPORT_BYTES + ACCOUNT_BYTES) / (1 << 20);
-        request.check_memory(&format!("one limiter with reports of {size} tenants"), needed_mb)?;
-        let setting = format!("one of {LIMITERS} limiters, one window, the last limiter reports each tenant");
-        let point = Point { request, variable: "tenants_reported", size, setting };
+        let needed_mb =
+            64 + tenants * (u64::from(LIMITERS) * REPORT_BYTES + ACCOUNT_BYTES) / (1 << 20);
+        request.check_memory(
+            &format!("one limiter with reports of {size} tenants"),
+            needed_mb,
+        )?;
+        let setting =
+            format!("one of {LIMITERS} limiters, one window, the last limiter reports each tenant");
+        let point = Point {
+            request,
+            variable: "tenants_reported",
+            size,
+            setting,
+        };
         let mut tables = TenantTables::new(request.seed).map_err(|why| point.unsettled(why))?;
         let meter = Meter::start();
         tables.report(size);
         let memory = meter.read().memory_bytes as f64;
         kept.push(tables);
-        point.of_kernel("memory", Unit::Bytes, vec![memory]).into_iter().try_for_each(&mut *emit)?;
+        point
+            .of_kernel("memory", Unit::Bytes, vec![memory])
+            .into_iter()
+            .try_for_each(&mut *emit)?;
     }
     Ok(())
 }
--- a/crates/merlinreel-testbed/src/scale/request.rs
+++ b/crates/merlinreel-testbed/src/scale/request.rs
@@ -22,17 +22,38 @@
         runs: u32,
         memory_mb: Option<u64>,
     ) -> Result<MeasureRequest, ScaleError> {
-        let argument =
-            |option, given: String, why, expected| Err(ScaleError::Argument { option, given, why, expected });
+        let argument = |option, given: String, why, expected| {
+            Err(ScaleError::Argument {
+                option,
+                given,
+                why,
+                expected,
+            })
+        };
         let given = format!("{sizes:?}");
         if sizes.is_empty() || sizes.contains(&0) {
-            return argument("sizes", given, "a size must be 1 at least", "sizes such as 50,150,500");
+            return argument(
+                "sizes",
+                given,
+                "a size must be 1 at least",
+                "sizes such as 50,150,500",
+            );
         }
         if !sizes.is_sorted_by(|a, b| a < b) {
-            return argument("sizes", given, "they are not in ascending order", "sizes such as 50,150,500");
+            return argument(
+                "sizes",
+                given,
+                "they are not in ascending order",
+                "sizes such as 50,150,500",
+            );
         }
         if runs == 0 {
-            return argument("runs", "0".to_owned(), "nothing would be measured", "1 or more");
+            return argument(
+                "runs",
+                "0".to_owned(),
+                "nothing would be measured",
+                "1 or more",
+            );
         }
         let memory_mb = memory_mb.unwrap_or_else(half_of_the_machine_mb);
         if memory_mb == 0 {
@@ -43,7 +64,12 @@
                 "a number of megabytes, 64 or more",
             );
         }
-        Ok(MeasureRequest { sizes, seed, runs, memory_mb })
+        Ok(MeasureRequest {
+            sizes,
+            seed,
+            runs,
+            memory_mb,
+        })
     }
 
     /// Refuses a size whose estimated need is over the bound.
@@ -51,13 +77,19 @@
         if needed_mb <= self.memory_mb {
             return Ok(());
         }
-        Err(ScaleError::Memory { what: what.to_owned(), needed_mb, given_mb: self.memory_mb })
+        Err(ScaleError::Memory {
+            what: what.to_owned(),
+            needed_mb,
+            given_mb: self.memory_mb,
+        })
     }
 }
 
 fn half_of_the_machine_mb() -> u64 {
     let figures = fs::read_to_string("/proc/meminfo").unwrap_or_default();
-    let line = figures.lines().find_map(|line| line.strip_prefix("MemTotal:"));
+    let line = figures
+        .lines()
+        .find_map(|line| line.strip_prefix("MemTotal:"));
     let kilobytes = line.and_then(|rest| rest.split_whitespace().next()?.parse::<u64>().ok());
     kilobytes.unwrap_or(2 << 20) / 1024 / 2
 }
@@ -73,7 +105,11 @@
     #[test_case(&[5, 3], 1, Some(64) => "sizes" ; "not in order")]
     #[test_case(&[5], 0, Some(64) => "runs" ; "no run")]
     #[test_case(&[5], 1, Some(0) => "memory-mb" ; "no memory")]
-    fn what_cannot_be_measured_is_refused(sizes: &[u64], runs: u32, memory_mb: Option<u64>) -> &'static str {
+    fn what_cannot_be_measured_is_refused(
+        sizes: &[u64],
+        runs: u32,
+        memory_mb: Option<u64>,
+    ) -> &'static str {
         match MeasureRequest::new(sizes.to_vec(), 1, runs, memory_mb) {
             Err(ScaleError::Argument { option, .. }) => option,
             other => panic!("{other:?}"),
@@ -84,8 +120,19 @@
     fn a_size_over_the_memory_bound_is_refused_by_name() {
         let request = MeasureRequest::new(vec![1, 2], 1, 1, Some(100)).expect("sound");
         assert!(request.check_memory("2,300 limiters", 100).is_ok());
-        let refused = request.check_memory("2,300 limiters", 101).expect_err("too much").to_string();
-        assert!(refused.contains("2,300 limiters needs about 101 MB"), "{refused}");
-        assert!(MeasureRequest::new(vec![1], 1, 1, None).expect("sound").memory_mb > 0);
+        let refused = request
+            .check_memory("2,300 limiters", 101)
+            .expect_err("too much")
+            .to_string();
+        assert!(
+            refused.contains("2,300 limiters needs about 101 MB"),
+            "{refused}"
+        );
+        assert!(
+            MeasureRequest::new(vec![1], 1, 1, None)
+                .expect("sound")
+                .memory_mb
+                > 0
+        );
     }
 }
--- a/crates/merlinreel-testbed/src/scale/server_list.rs
+++ b/crates/merlinreel-testbed/src/scale/server_list.rs
@@ -54,7 +54,18 @@
     measure_steps(request, &mut || Box::<RealHolder>::default(), emit)
 }
 
-fn report<'a, 'b>(request: &'a MeasureRequest, emit: &'a mut report::Emit<'b>, size: u64) -> Report<'a, 'b> {
-    let setting = format!("1 limiter of {LIMITERS}, 16 servers a service, 11 zones, no client traffic");
-    Report { request, emit, variable: "servers", size, setting }
+fn report<'a, 'b>(
+    request: &'a MeasureRequest,
+    emit: &'a mut report::Emit<'b>,
+    size: u64,
+) -> Report<'a, 'b> {
+    let setting =
+        format!("1 limiter of {LIMITERS}, 16 servers a service, 11 zones, no client traffic");
+    Report {
+        request,
+        emit,
+        variable: "servers",
+        size,
+        setting,
+    }
 }
--- a/crates/merlinreel-testbed/src/scale/server_list/deciding.rs
+++ b/crates/merlinreel-testbed/src/scale/server_list/deciding.rs
@@ -25,7 +25,11 @@
         wakes = limiter.written().wakes - before;
     }
     report.runs("idle_cpu", Unit::CpuShare, Source::Kernel, shares)?;
-    report.counted("idle_rounds_per_10_s", Unit::Count, wakes * 10 / span.as_secs())
+    report.counted(
+        "idle_rounds_per_10_s",
+        Unit::Count,
+        wakes * 10 / span.as_secs(),
+    )
 }
 
 /// One request at a time, answered at once, between two beats: two rounds each.
--- a/crates/merlinreel-testbed/src/scale/server_list/holder.rs
+++ b/crates/merlinreel-testbed/src/scale/server_list/holder.rs
@@ -31,7 +31,13 @@
 ) -> Result<(), ScaleError> {
     for &size in &request.sizes {
         let setting = "1 list holder, a full list taken in twice".to_owned();
-        let mut report = Report { request, emit: &mut *emit, variable: "servers", size, setting };
+        let mut report = Report {
+            request,
+            emit: &mut *emit,
+            variable: "servers",
+            size,
+            setting,
+        };
         let mut source = ListSource::new(size, request.seed, Form::Compact);
         let bytes = source.full_list().map_err(|error| report.failed(error))?;
         let mut holder = holder();
--- a/crates/merlinreel-testbed/src/scale/server_list/hollow.rs
+++ b/crates/merlinreel-testbed/src/scale/server_list/hollow.rs
@@ -122,7 +122,10 @@
 
     /// Brings a list to the decision module.
     pub fn follow(&mut self, list: ServerList) {
-        self.round(&Round { server_list: vec![list], ..Round::default() });
+        self.round(&Round {
+            server_list: vec![list],
+            ..Round::default()
+        });
     }
 
     /// A message of discovery, from its bytes to the decision module. Gives how many entries that module was told.
@@ -173,10 +176,19 @@
             again: false,
         };
         self.writer.sent_to = None;
-        self.round(&Round { jobs: vec![job], ..Round::default() });
+        self.round(&Round {
+            jobs: vec![job],
+            ..Round::default()
+        });
         match self.writer.sent_to {
-            Some(server) => self.round(&Round { attempt_ends: vec![served(server)], ..Round::default() }),
-            None => self.round(&Round { left: vec![job.job], ..Round::default() }),
+            Some(server) => self.round(&Round {
+                attempt_ends: vec![served(server)],
+                ..Round::default()
+            }),
+            None => self.round(&Round {
+                left: vec![job.job],
+                ..Round::default()
+            }),
         }
     }
 }
--- a/crates/merlinreel-testbed/src/scale/server_list/reading.rs
+++ b/crates/merlinreel-testbed/src/scale/server_list/reading.rs
@@ -31,9 +31,12 @@
 
 /// A limiter that knows the whole list.
 pub(super) fn informed(report: &Report) -> Result<HollowLimiter, ScaleError> {
-    let mut limiter = HollowLimiter::new(report.request.seed).map_err(|error| report.failed(error))?;
+    let mut limiter =
+        HollowLimiter::new(report.request.seed).map_err(|error| report.failed(error))?;
     let bytes = list(report, Form::Compact)?;
-    limiter.receive(bytes).map_err(|error| report.failed(error))?;
+    limiter
+        .receive(bytes)
+        .map_err(|error| report.failed(error))?;
     if limiter.servers_known() != report.size {
         return Err(report.failed(format!("{} servers are known", limiter.servers_known())));
     }
@@ -44,7 +47,8 @@
 /// in a process's first size; later ones find the allocator as the sizes before left it, and tell up to a third more or less.
 pub(super) fn memory(report: &mut Report) -> Result<(), ScaleError> {
     let mut source = ListSource::new(report.size, report.request.seed, Form::Indented);
-    let mut limiter = HollowLimiter::new(report.request.seed).map_err(|error| report.failed(error))?;
+    let mut limiter =
+        HollowLimiter::new(report.request.seed).map_err(|error| report.failed(error))?;
     let before = resident_bytes();
     let growth = |bytes: u64| vec![bytes.saturating_sub(before) as f64];
     reset_peak();
@@ -59,18 +63,30 @@
     let held = growth(resident_bytes());
     let peak = growth(peak_bytes());
     report.runs("peak_memory", Unit::Bytes, Source::Kernel, peak)?;
-    report.runs("table_and_message_memory", Unit::Bytes, Source::Kernel, with_table)?;
+    report.runs(
+        "table_and_message_memory",
+        Unit::Bytes,
+        Source::Kernel,
+        with_table,
+    )?;
     report.runs("held_memory", Unit::Bytes, Source::Kernel, held)
 }
 
 pub(super) fn bytes(report: &mut Report) -> Result<(), ScaleError> {
     let (compact, indented) = (list(report, Form::Compact)?, list(report, Form::Indented)?);
     report.counted("full_list_bytes", Unit::Bytes, compact.len() as u64)?;
-    report.counted("full_list_indented_bytes", Unit::Bytes, indented.len() as u64)
+    report.counted(
+        "full_list_indented_bytes",
+        Unit::Bytes,
+        indented.len() as u64,
+    )
 }
 
 pub(super) fn processor_time(report: &mut Report) -> Result<(), ScaleError> {
-    for (metric, form) in [("decode_cpu", Form::Compact), ("decode_indented_cpu", Form::Indented)] {
+    for (metric, form) in [
+        ("decode_cpu", Form::Compact),
+        ("decode_indented_cpu", Form::Indented),
+    ] {
         let (bytes, repeats) = (list(report, form)?, report.repeats());
         let size = report.size;
         report.cpu_of_each(
@@ -88,7 +104,11 @@
     let (news, repeats) = (news(report)?, report.repeats());
     report.cpu_of_each(
         "apply_all_new_cpu",
-        || Ok((0..repeats).map(|_| (ServerTable::default(), news.clone())).collect()),
+        || {
+            Ok((0..repeats)
+                .map(|_| (ServerTable::default(), news.clone()))
+                .collect())
+        },
         |(mut table, news)| {
             let list = table.apply(news, false);
             Ok((table, list))
@@ -110,7 +130,11 @@
     let limiter = || HollowLimiter::new(seed).map_err(|why| unsettled(size, why));
     report.cpu_of_each(
         "follow_all_new_cpu",
-        || (0..repeats).map(|_| Ok((limiter()?, list.clone()))).collect(),
+        || {
+            (0..repeats)
+                .map(|_| Ok((limiter()?, list.clone())))
+                .collect()
+        },
         |(mut limiter, list)| {
             limiter.follow(list);
             Ok(limiter)
@@ -131,8 +155,18 @@
 /// A change message, from its bytes to the decision module, between two beats.
 pub(super) fn changes(report: &mut Report) -> Result<(), ScaleError> {
     for (count, share, bytes_metric, cpu_metric) in [
-        (1, SHORT_MESSAGES_PER_SERVER, "change_1_bytes", "change_1_cpu"),
-        (MANY, LONG_MESSAGES_PER_SERVER, "change_100_bytes", "change_100_cpu"),
+        (
+            1,
+            SHORT_MESSAGES_PER_SERVER,
+            "change_1_bytes",
+            "change_1_cpu",
+        ),
+        (
+            MANY,
+            LONG_MESSAGES_PER_SERVER,
+            "change_100_bytes",
+            "change_100_cpu",
+        ),
     ] {
         let mut limiter = informed(report)?;
         let (size, now_ms) = (report.size, limiter.now_ms());
@@ -141,10 +175,19 @@
         report.cpu_of_each(
             cpu_metric,
             || {
-                let message = |_| source.restarts(count, now_ms).map_err(|error| unsettled(size, error));
+                let message = |_| {
+                    source
+                        .restarts(count, now_ms)
+                        .map_err(|error| unsettled(size, error))
+                };
                 (0..messages).map(message).collect()
             },
-            |bytes| limiter.receive(bytes).map(drop).map_err(|error| unsettled(size, error)),
+            |bytes| {
+                limiter
+                    .receive(bytes)
+                    .map(drop)
+                    .map_err(|error| unsettled(size, error))
+            },
         )?;
         let told = messages * u64::from(report.request.runs);
         report.counted(bytes_metric, Unit::Bytes, source.bytes_sent / told)?;
@@ -160,15 +203,23 @@
     for _ in 0..report.request.runs {
         let mut limiter = informed(report)?;
         let mut source = ListSource::new(report.size, report.request.seed, Form::Compact);
-        let first = source.replacement(count, limiter.now_ms()).map_err(|error| report.failed(error))?;
+        let first = source
+            .replacement(count, limiter.now_ms())
+            .map_err(|error| report.failed(error))?;
         message_bytes = first.len() as u64;
         let meter = Meter::start();
-        limiter.receive(first).map_err(|error| report.failed(error))?;
+        limiter
+            .receive(first)
+            .map_err(|error| report.failed(error))?;
         cpu.push(meter.read().cpu_seconds);
         indices = limiter.table.indices() as u64;
         limiter.rest_by_seconds(FORGOTTEN_AFTER);
-        let next = source.replacement(count, limiter.now_ms()).map_err(|error| report.failed(error))?;
-        limiter.receive(next).map_err(|error| report.failed(error))?;
+        let next = source
+            .replacement(count, limiter.now_ms())
+            .map_err(|error| report.failed(error))?;
+        limiter
+            .receive(next)
+            .map_err(|error| report.failed(error))?;
         indices_at_next = limiter.table.indices() as u64;
         if limiter.servers_known() != report.size {
             return Err(report.failed(format!("{} servers are known", limiter.servers_known())));
@@ -177,5 +228,9 @@
     report.counted("replacement_bytes", Unit::Bytes, message_bytes)?;
     report.runs("replacement_cpu", Unit::CpuSeconds, Source::Kernel, cpu)?;
     report.counted("indices_after_replacement", Unit::Count, indices)?;
-    report.counted("indices_after_next_replacement", Unit::Count, indices_at_next)
+    report.counted(
+        "indices_after_next_replacement",
+        Unit::Count,
+        indices_at_next,
+    )
 }
--- a/crates/merlinreel-testbed/src/scale/server_list/report.rs
+++ b/crates/merlinreel-testbed/src/scale/server_list/report.rs
@@ -20,10 +20,21 @@
 impl Report<'_, '_> {
     fn sheet(&self) -> Sheet {
         let Report { variable, size, .. } = *self;
-        Sheet { seed: self.request.seed, role: ROLE, variable, size, setting: self.setting.clone() }
+        Sheet {
+            seed: self.request.seed,
+            role: ROLE,
+            variable,
+            size,
+            setting: self.setting.clone(),
+        }
     }
 
-    pub fn counted(&mut self, metric: &'static str, unit: Unit, value: u64) -> Result<(), ScaleError> {
+    pub fn counted(
+        &mut self,
+        metric: &'static str,
+        unit: Unit,
+        value: u64,
+    ) -> Result<(), ScaleError> {
         self.runs(metric, unit, Source::Counted, vec![value as f64])
     }
 
@@ -35,7 +46,9 @@
         runs: Vec<f64>,
     ) -> Result<(), ScaleError> {
         let sheet = self.sheet();
-        sheet.of_runs(metric, unit, source, runs).map_or(Ok(()), &mut *self.emit)
+        sheet
+            .of_runs(metric, unit, source, runs)
+            .map_or(Ok(()), &mut *self.emit)
     }
 
     /// How often work is repeated in one measurement, so that each size has about as much of it as the largest: the
@@ -76,7 +89,11 @@
 
 /// A measurement that did not end at this size.
 pub(super) fn unsettled(size: u64, why: impl ToString) -> ScaleError {
-    ScaleError::Unsettled { role: ROLE, size, why: why.to_string() }
+    ScaleError::Unsettled {
+        role: ROLE,
+        size,
+        why: why.to_string(),
+    }
 }
 
 /// From now on the kernel's peak of this process's resident memory counts anew.
--- a/crates/merlinreel-testbed/src/scale/server_list/restart.rs
+++ b/crates/merlinreel-testbed/src/scale/server_list/restart.rs
@@ -15,23 +15,40 @@
     servers: u64,
     emit: &mut dyn FnMut(Figure) -> Result<(), ScaleError>,
 ) -> Result<(), ScaleError> {
-    request.check_memory(&format!("a list of {servers} servers"), super::needed_mb(servers))?;
+    request.check_memory(
+        &format!("a list of {servers} servers"),
+        super::needed_mb(servers),
+    )?;
     for &size in &request.sizes {
         let setting = format!("{servers} servers, indented lists, no list held from before");
-        let mut report = Report { request, emit: &mut *emit, variable: "limiters_restarting", size, setting };
+        let mut report = Report {
+            request,
+            emit: &mut *emit,
+            variable: "limiters_restarting",
+            size,
+            setting,
+        };
         let mut source = ListSource::new(servers, request.seed, Form::Indented);
         let bytes = source.full_list().map_err(|error| report.failed(error))?;
         let mut times = Vec::new();
         for _ in 0..size.min(u64::from(request.runs)) {
-            let mut limiter = HollowLimiter::new(request.seed).map_err(|error| report.failed(error))?;
+            let mut limiter =
+                HollowLimiter::new(request.seed).map_err(|error| report.failed(error))?;
             let received = bytes.clone();
             let meter = Meter::start();
-            limiter.receive(received).map_err(|error| report.failed(error))?;
+            limiter
+                .receive(received)
+                .map_err(|error| report.failed(error))?;
             times.push(meter.read().cpu_seconds);
         }
         source.answer_again(size - 1, bytes.len());
         report.counted("source_bytes", Unit::Bytes, source.bytes_sent)?;
-        report.runs("reading_cpu_per_limiter", Unit::CpuSeconds, Source::Kernel, times)?;
+        report.runs(
+            "reading_cpu_per_limiter",
+            Unit::CpuSeconds,
+            Source::Kernel,
+            times,
+        )?;
     }
     Ok(())
 }
--- a/crates/merlinreel-testbed/src/scale/server_list/source.rs
+++ b/crates/merlinreel-testbed/src/scale/server_list/source.rs
@@ -80,7 +80,10 @@
 impl Fleet {
     fn draw(&mut self, chance: &mut ChaCha8Rng) -> Drawn {
         self.next_address += 1;
-        Drawn { suffix: chance.random(), address: self.next_address }
+        Drawn {
+            suffix: chance.random(),
+            address: self.next_address,
+        }
     }
 
     fn server(&self, place: usize, lifecycle: &'static str, started_at_ms: u64) -> WireServer {
@@ -104,7 +107,10 @@
     pub fn new(servers: u64, seed: u64, form: Form) -> ListSource {
         let mut source = ListSource {
             chance: ChaCha8Rng::seed_from_u64(seed),
-            fleet: Fleet { servers: Vec::new(), next_address: FIRST_ADDRESS },
+            fleet: Fleet {
+                servers: Vec::new(),
+                next_address: FIRST_ADDRESS,
+            },
             generation: 0,
             form,
             bytes_sent: 0,
@@ -119,7 +125,10 @@
     /// The full list, each server up and started long ago.
     pub fn full_list(&mut self) -> Result<Vec<u8>, serde_json::Error> {
         let places: Vec<usize> = (0..self.fleet.servers.len()).collect();
-        let servers = Each { places: &places, item: |place| self.fleet.server(place, "up", 0) };
+        let servers = Each {
+            places: &places,
+            item: |place| self.fleet.server(place, "up", 0),
+        };
         let bytes = self.write(true, servers)?;
         self.bytes_sent += bytes.len() as u64;
         Ok(bytes)
@@ -131,7 +140,11 @@
     }
 
     fn write(&self, reset: bool, instances: impl Serialize) -> Result<Vec<u8>, serde_json::Error> {
-        let message = WireMessage { generation: self.generation, reset, instances };
+        let message = WireMessage {
+            generation: self.generation,
+            reset,
+            instances,
+        };
         match self.form {
             Form::Compact => serde_json::to_vec(&message),
             Form::Indented => serde_json::to_vec_pretty(&message),
@@ -159,15 +172,25 @@
     }
 
     /// A change message: so many servers have just restarted.
-    pub fn restarts(&mut self, count: usize, started_at_ms: u64) -> Result<Vec<u8>, serde_json::Error> {
+    pub fn restarts(
+        &mut self,
+        count: usize,
+        started_at_ms: u64,
+    ) -> Result<Vec<u8>, serde_json::Error> {
         let places = self.some(count);
-        let restarted = places.iter().map(|place| self.fleet.server(*place, "up", started_at_ms));
+        let restarted = places
+            .iter()
+            .map(|place| self.fleet.server(*place, "up", started_at_ms));
         let restarted: Vec<WireServer> = restarted.collect();
         self.change(&restarted)
     }
 
     /// A change message: so many servers are removed, and as many others, at other addresses, take their parts.
-    pub fn replacement(&mut self, count: usize, started_at_ms: u64) -> Result<Vec<u8>, serde_json::Error> {
+    pub fn replacement(
+        &mut self,
+        count: usize,
+        started_at_ms: u64,
+    ) -> Result<Vec<u8>, serde_json::Error> {
         let mut changes = Vec::with_capacity(2 * count);
         for place in self.some(count) {
             changes.push(self.fleet.server(place, "removed", 0));
--- a/crates/merlinreel-testbed/src/scale/server_list/source/tests.rs
+++ b/crates/merlinreel-testbed/src/scale/server_list/source/tests.rs
@@ -23,10 +23,18 @@
     let mut source = ListSource::new(SERVERS, 1, form);
     let bytes = source.full_list().expect("written");
     let news = decode(&bytes).expect("a list");
-    let names: BTreeSet<&str> = news.servers.iter().map(|server| server.name.as_str()).collect();
-    let addresses: BTreeSet<SocketAddr> = news.servers.iter().map(|server| server.address).collect();
+    let names: BTreeSet<&str> = news
+        .servers
+        .iter()
+        .map(|server| server.name.as_str())
+        .collect();
+    let addresses: BTreeSet<SocketAddr> =
+        news.servers.iter().map(|server| server.address).collect();
     assert!(news.whole);
-    assert_eq!((names.len(), addresses.len()), (SERVERS as usize, SERVERS as usize));
+    assert_eq!(
+        (names.len(), addresses.len()),
+        (SERVERS as usize, SERVERS as usize)
+    );
     assert_eq!(source.bytes_sent, bytes.len() as u64);
 }
 
@@ -34,8 +42,16 @@
 fn a_replacement_removes_as_many_servers_as_it_adds() {
     let mut source = ListSource::new(SERVERS, 1, Form::Compact);
     let news = decode(&source.replacement(30, 5).expect("written")).expect("a list");
-    let removed = news.servers.iter().filter(|server| server.standing == Standing::Gone).count();
-    let names: BTreeSet<&str> = news.servers.iter().map(|server| server.name.as_str()).collect();
+    let removed = news
+        .servers
+        .iter()
+        .filter(|server| server.standing == Standing::Gone)
+        .count();
+    let names: BTreeSet<&str> = news
+        .servers
+        .iter()
+        .map(|server| server.name.as_str())
+        .collect();
     assert!(!news.whole);
     assert_eq!((removed, news.servers.len(), names.len()), (30, 60, 60));
 }
--- a/crates/merlinreel-testbed/src/scale/sheet.rs
+++ b/crates/merlinreel-testbed/src/scale/sheet.rs
@@ -15,7 +15,12 @@
 impl Sheet {
     /// A count, which is the same each run.
     pub fn counted(&self, metric: &'static str, unit: Unit, value: f64) -> Figure {
-        Figure { value, least: value, most: value, ..self.form(metric, unit, Source::Counted) }
+        Figure {
+            value,
+            least: value,
+            most: value,
+            ..self.form(metric, unit, Source::Counted)
+        }
     }
 
     /// A figure of some runs; none where there were no runs.
@@ -36,7 +41,11 @@
 
     /// A measurement that did not end at this size.
     pub fn unsettled(&self, why: impl ToString) -> ScaleError {
-        ScaleError::Unsettled { role: self.role, size: self.size, why: why.to_string() }
+        ScaleError::Unsettled {
+            role: self.role,
+            size: self.size,
+            why: why.to_string(),
+        }
     }
 
     /// A figure without its value.
--- a/crates/merlinreel-testbed/src/scale/tenants.rs
+++ b/crates/merlinreel-testbed/src/scale/tenants.rs
@@ -28,8 +28,11 @@
 /// A new tenant's quota is split over its set for 5 s, and what is to be told of it is told by then.
 const REST_SECONDS: u64 = 15;
 /// Seconds of quiet after which accounts are counted.
-const QUIET: [(&str, u64); 3] =
-    [("accounts_after_20_s", 20), ("accounts_after_30_s", 30), ("accounts_after_60_s", 60)];
+const QUIET: [(&str, u64); 3] = [
+    ("accounts_after_20_s", 20),
+    ("accounts_after_30_s", 30),
+    ("accounts_after_60_s", 60),
+];
 /// One tenant in so many is active in a beat.
 const ACTIVE_PART: usize = 100;
 /// Seconds of beats that are measured, and as many beats that each sweep: with a second before and after, short of the
@@ -45,7 +48,10 @@
 
 /// Varies the tenants that a limiter knows, each of which comes through this limiter alone.
 pub fn measure(request: &MeasureRequest, emit: Emit) -> Result<(), ScaleError> {
-    let fleet = Fleet { limiters: LIMITERS, set_size: 1 };
+    let fleet = Fleet {
+        limiters: LIMITERS,
+        set_size: 1,
+    };
     // Kept until the end: memory that one size gave back would hide what the next one takes.
     let mut kept = Vec::new();
     for &size in &request.sizes {
@@ -70,9 +76,18 @@
 
 /// The counts alone of what [`measure`] tells.
 pub fn count(request: &MeasureRequest, emit: Emit) -> Result<(), ScaleError> {
-    let fleet = Fleet { limiters: LIMITERS, set_size: 1 };
+    let fleet = Fleet {
+        limiters: LIMITERS,
+        set_size: 1,
+    };
     request.sizes.iter().try_for_each(|&size| {
-        emit_kept(&sheet(request, "tenants", size, fleet, "8 servers"), fleet, size, request.seed, emit)
+        emit_kept(
+            &sheet(request, "tenants", size, fleet, "8 servers"),
+            fleet,
+            size,
+            request.seed,
+            emit,
+        )
     })
 }
 
@@ -80,8 +95,14 @@
 /// them came at one moment.
 pub fn measure_sets(request: &MeasureRequest, emit: Emit) -> Result<(), ScaleError> {
     for &size in &request.sizes {
-        request.check_memory(&format!("{TENANTS} tenants"), TENANTS * ACCOUNT_KB / 1024 + 64)?;
-        let fleet = Fleet { limiters: LIMITERS, set_size: size as u32 };
+        request.check_memory(
+            &format!("{TENANTS} tenants"),
+            TENANTS * ACCOUNT_KB / 1024 + 64,
+        )?;
+        let fleet = Fleet {
+            limiters: LIMITERS,
+            set_size: size as u32,
+        };
         let sheet = sheet(request, "set_size", size, fleet, "10,000 tenants");
         let mut limiter = filled(fleet, TENANTS, request.seed)?;
         limiter.beats(REST_SECONDS * BEATS_PER_SWEEP);
@@ -91,11 +112,22 @@
         let beats = beats_to_drain(&mut limiter);
         let beat = meter.read().cpu_seconds / (beats + BEATS_PER_SWEEP) as f64;
         let said = limiter.said();
-        sheet.measured("drain_beat_cpu", Unit::CpuSeconds, vec![beat]).map(&mut *emit).transpose()?;
-        emit(sheet.counted("drain", Unit::Seconds, beats as f64 / BEATS_PER_SWEEP as f64))?;
+        sheet
+            .measured("drain_beat_cpu", Unit::CpuSeconds, vec![beat])
+            .map(&mut *emit)
+            .transpose()?;
+        emit(sheet.counted(
+            "drain",
+            Unit::Seconds,
+            beats as f64 / BEATS_PER_SWEEP as f64,
+        ))?;
         let messages = said.peer_messages - before.peer_messages;
         emit(sheet.counted("peer_messages", Unit::Messages, messages as f64))?;
-        emit(sheet.counted("peer_bytes", Unit::Bytes, (said.peer_bytes - before.peer_bytes) as f64))?;
+        emit(sheet.counted(
+            "peer_bytes",
+            Unit::Bytes,
+            (said.peer_bytes - before.peer_bytes) as f64,
+        ))?;
         emit_kept(&sheet, fleet, TENANTS, request.seed, emit)?;
     }
     Ok(())
@@ -105,11 +137,15 @@
 pub fn measure_fleet(request: &MeasureRequest, emit: Emit) -> Result<(), ScaleError> {
     let mut kept = Vec::new();
     for &size in &request.sizes {
-        let fleet = Fleet { limiters: size as u32, set_size: SET_SIZE };
+        let fleet = Fleet {
+            limiters: size as u32,
+            set_size: SET_SIZE,
+        };
         let needed = GATHERED * 32 * size / (1 << 20) + 64;
         request.check_memory(&format!("{GATHERED} accounts in a fleet of {size}"), needed)?;
         let sheet = sheet(request, "limiters", size, fleet, "500 gathered tenants");
-        let mut limiter = HollowLimiter::new(fleet, request.seed).map_err(|why| unsettled(size, why))?;
+        let mut limiter =
+            HollowLimiter::new(fleet, request.seed).map_err(|why| unsettled(size, why))?;
         limiter.add_tenants(GATHERED, FILLING);
         let meter = Meter::start();
         let mut rows = limiter.hear_reports();
@@ -117,16 +153,28 @@
         rows += limiter.hear_reports();
         let memory = meter.read().memory_bytes as f64 / GATHERED as f64;
         emit(sheet.counted("rows_heard", Unit::Count, rows as f64))?;
-        sheet.measured("heard_memory_per_account", Unit::Bytes, vec![memory]).map(&mut *emit).transpose()?;
-        let requests = (0..request.runs).map(|_| request_at_once_cpu(&mut limiter)).collect();
-        sheet.measured("reported_request_cpu", Unit::CpuSeconds, requests).map(&mut *emit).transpose()?;
+        sheet
+            .measured("heard_memory_per_account", Unit::Bytes, vec![memory])
+            .map(&mut *emit)
+            .transpose()?;
+        let requests = (0..request.runs)
+            .map(|_| request_at_once_cpu(&mut limiter))
+            .collect();
+        sheet
+            .measured("reported_request_cpu", Unit::CpuSeconds, requests)
+            .map(&mut *emit)
+            .transpose()?;
         kept.push(limiter);
     }
     Ok(())
 }
 
 fn unsettled(size: u64, why: String) -> ScaleError {
-    ScaleError::Unsettled { role: ROLE, size, why }
+    ScaleError::Unsettled {
+        role: ROLE,
+        size,
+        why,
+    }
 }
 
 fn sheet(
@@ -137,8 +185,15 @@
     more: &'static str,
 ) -> Sheet {
     let Fleet { limiters, set_size } = fleet;
-    let setting = format!("fleet {limiters}, sets of {set_size}, the last limiter, {more}, inbox 40/s");
-    Sheet { seed: request.seed, role: ROLE, variable, size, setting }
+    let setting =
+        format!("fleet {limiters}, sets of {set_size}, the last limiter, {more}, inbox 40/s");
+    Sheet {
+        seed: request.seed,
+        role: ROLE,
+        variable,
+        size,
+        setting,
+    }
 }
 
 fn filled(fleet: Fleet, tenants: u64, seed: u64) -> Result<HollowLimiter, ScaleError> {
@@ -154,13 +209,23 @@
         let before = limiter.said();
         limiter.beat();
         beats += 1;
-        silent = if limiter.said() == before { silent + 1 } else { 0 };
+        silent = if limiter.said() == before {
+            silent + 1
+        } else {
+            0
+        };
     }
     beats - silent
 }
 
 /// How many accounts are still there after some seconds in which no tenant came.
-fn emit_kept(sheet: &Sheet, fleet: Fleet, tenants: u64, seed: u64, emit: Emit) -> Result<(), ScaleError> {
+fn emit_kept(
+    sheet: &Sheet,
+    fleet: Fleet,
+    tenants: u64,
+    seed: u64,
+    emit: Emit,
+) -> Result<(), ScaleError> {
     for (metric, seconds) in QUIET {
         let mut limiter = filled(fleet, tenants, seed)?;
         limiter.beats(seconds * BEATS_PER_SWEEP);
@@ -211,7 +276,8 @@
         // Since the measurement of quiet beats less than 30 seconds have gone; all go in one of the next sweeps.
         let sweeps = 10;
         let all = cpu(|| sweep_alone(limiter, sweeps));
-        self.forgetting_sweep.push((all - (sweeps - 1) as f64 * (beat + sweep)).max(0.0));
+        self.forgetting_sweep
+            .push((all - (sweeps - 1) as f64 * (beat + sweep)).max(0.0));
     }
 
     fn figures(self, sheet: &Sheet) -> Vec<Figure> {
@@ -278,7 +344,8 @@
 /// What it takes to hear that another limiter has started again.
 fn peer_restart_cpu(limiter: &mut HollowLimiter) -> f64 {
     let restarts = ACCOUNTS_MEASURED.div_ceil(limiter.tenants()).max(20);
-    let all =
-        cpu(|| (0..restarts).for_each(|restart| limiter.peer_restarts(restart as u32 % (LIMITERS - 1))));
+    let all = cpu(|| {
+        (0..restarts).for_each(|restart| limiter.peer_restarts(restart as u32 % (LIMITERS - 1)))
+    });
     all / restarts as f64
 }
--- a/crates/merlinreel-testbed/src/scale/tenants/hollow.rs
+++ b/crates/merlinreel-testbed/src/scale/tenants/hollow.rs
@@ -3,7 +3,8 @@
 use merlinreel_core::decide::Limiter;
 use merlinreel_core::peer_message::{self, Head, Row};
 use merlinreel_core::{
-    AttemptEnd, Ending, Job, Load, PeerMessage, Round, ServerEntry, ServerList, Standing, Writer, mark,
+    AttemptEnd, Ending, Job, Load, PeerMessage, Round, ServerEntry, ServerList, Standing, Writer,
+    mark,
 };
 use merlinreel_settings::{Paths, Terms};
 use rand::{RngExt, SeedableRng};
@@ -112,7 +113,10 @@
             decisions: Decisions::default(),
             heads: vec![Head { life: 1, number: 0 }; fleet.limiters as usize],
         };
-        let round = Round { server_list: vec![server_list()], ..Round::default() };
+        let round = Round {
+            server_list: vec![server_list()],
+            ..Round::default()
+        };
         hollow.run(&round);
         hollow.hear_from(0..me);
         Ok(hollow)
@@ -132,8 +136,14 @@
 
     /// A message without rows from each of these.
     fn hear_from(&mut self, peers: impl IntoIterator<Item = u32>) {
-        let peer_messages = peers.into_iter().flat_map(|peer| self.messages(peer, &[])).collect();
-        self.run(&Round { peer_messages, ..Round::default() });
+        let peer_messages = peers
+            .into_iter()
+            .flat_map(|peer| self.messages(peer, &[]))
+            .collect();
+        self.run(&Round {
+            peer_messages,
+            ..Round::default()
+        });
     }
 
     fn messages(&mut self, from: u32, rows: &[Row]) -> Vec<PeerMessage> {
@@ -141,7 +151,10 @@
         head.number += 1;
         let written = peer_message::write(*head, rows);
         head.number += written.len() as u64 - 1;
-        written.into_iter().map(|bytes| PeerMessage { from, bytes }).collect()
+        written
+            .into_iter()
+            .map(|bytes| PeerMessage { from, bytes })
+            .collect()
     }
 
     /// A new tenant's first request; its set of limiters includes this one.
@@ -149,7 +162,10 @@
         let customer = self.first_customer + self.tenants();
         let before_me = self.chance.random_range(0..self.fleet.set_size);
         let set_first = (self.me + self.fleet.limiters - before_me) % self.fleet.limiters;
-        self.tenants.push(Tenant { customer, set_first });
+        self.tenants.push(Tenant {
+            customer,
+            set_first,
+        });
         self.request(self.tenants.len() - 1);
     }
 
@@ -169,7 +185,10 @@
     }
 
     fn request_units(&mut self, tenant: usize, units: f64) -> bool {
-        let Tenant { customer, set_first } = self.tenants[tenant];
+        let Tenant {
+            customer,
+            set_first,
+        } = self.tenants[tenant];
         let set_size = self.fleet.set_size;
         let job = Job {
             job: 0,
@@ -183,15 +202,24 @@
             again: false,
         };
         (self.decisions.sent, self.decisions.refused) = (None, false);
-        self.run(&Round { jobs: vec![job], ..Round::default() });
+        self.run(&Round {
+            jobs: vec![job],
+            ..Round::default()
+        });
         if self.decisions.refused {
             self.decisions.said.refused += 1;
             return false;
         }
         self.decisions.said.admitted += 1;
         let over = match self.decisions.sent {
-            Some(server) => Round { attempt_ends: vec![answered(server)], ..Round::default() },
-            None => Round { left: vec![0], ..Round::default() },
+            Some(server) => Round {
+                attempt_ends: vec![answered(server)],
+                ..Round::default()
+            },
+            None => Round {
+                left: vec![0],
+                ..Round::default()
+            },
         };
         self.run(&over);
         true
@@ -225,7 +253,10 @@
 
     /// Another limiter says that it has started again.
     pub fn peer_restarts(&mut self, peer: u32) {
-        self.heads[peer as usize] = Head { life: self.heads[peer as usize].life + 1, number: 0 };
+        self.heads[peer as usize] = Head {
+            life: self.heads[peer as usize].life + 1,
+            number: 0,
+        };
         self.hear_from([peer]);
     }
 
@@ -242,7 +273,10 @@
         for (peer, rows) in rows.iter().enumerate().filter(|(_, rows)| !rows.is_empty()) {
             told += rows.len() as u64;
             let peer_messages = self.messages(peer as u32, rows);
-            self.run(&Round { peer_messages, ..Round::default() });
+            self.run(&Round {
+                peer_messages,
+                ..Round::default()
+            });
         }
         told
     }
@@ -250,7 +284,9 @@
     /// How many accounts were kept since some seconds ago. A new account's ceiling admits less than one that was
     /// kept; the requests that tell it make new accounts of forgotten ones, so this is the last thing to ask.
     pub fn accounts_kept(&mut self) -> u64 {
-        (0..self.tenants.len()).map(|tenant| u64::from(self.request_units(tenant, PROBE_UNITS))).sum()
+        (0..self.tenants.len())
+            .map(|tenant| u64::from(self.request_units(tenant, PROBE_UNITS)))
+            .sum()
     }
 }
 
@@ -259,7 +295,15 @@
 }
 
 fn report(customer: u64, window: u64) -> Row {
-    Row { customer, plan: 0, window: window & 3, total: UNITS, asked: Some(UNITS), left: None, age: None }
+    Row {
+        customer,
+        plan: 0,
+        window: window & 3,
+        total: UNITS,
+        asked: Some(UNITS),
+        left: None,
+        age: None,
+    }
 }
 
 fn answered(server: u32) -> AttemptEnd {
--- a/crates/merlinreel-testbed/src/script.rs
+++ b/crates/merlinreel-testbed/src/script.rs
@@ -42,7 +42,13 @@
 impl Script {
     /// So many troubles within a span, each ended again within it; no two at a time on one limiter's process, and worker
     /// 0 is left alone, so that there is always one to go to.
-    pub fn drawn(seed: u64, troubles: usize, limiters: usize, workers: usize, span: Duration) -> Script {
+    pub fn drawn(
+        seed: u64,
+        troubles: usize,
+        limiters: usize,
+        workers: usize,
+        span: Duration,
+    ) -> Script {
         let mut chance = ChaCha8Rng::seed_from_u64(seed);
         let mut deeds = Vec::new();
         let mut away: Vec<Duration> = vec![Duration::ZERO; limiters];
@@ -50,7 +56,11 @@
             let begins = span.mul_f64(chance.random_range(0.05..0.6));
             let ends = begins + span.mul_f64(chance.random_range(0.1..0.3));
             let limiter = chance.random_range(0..limiters);
-            let worker = if workers > 1 { chance.random_range(1..workers) } else { 0 };
+            let worker = if workers > 1 {
+                chance.random_range(1..workers)
+            } else {
+                0
+            };
             let (first, last) = match chance.random_range(0..12) {
                 0 | 1 if begins >= away[limiter] => {
                     away[limiter] = ends;
@@ -97,12 +107,19 @@
             let span = Duration::from_secs(10);
             let script = Script::drawn(seed, 6, 3, 4, span);
             assert_eq!(script, Script::drawn(seed, 6, 3, 4, span));
-            let count =
-                |wanted: fn(&Deed) -> bool| script.deeds.iter().filter(|(_, deed)| wanted(deed)).count();
+            let count = |wanted: fn(&Deed) -> bool| {
+                script.deeds.iter().filter(|(_, deed)| wanted(deed)).count()
+            };
             let ends = |deed: &Deed| matches!(deed, Deed::Kill(_) | Deed::Terminate(..));
             assert_eq!(count(ends), count(|deed| matches!(deed, Deed::Start(_))));
-            assert_eq!(count(|d| matches!(d, Deed::Crowd(_))), count(|d| matches!(d, Deed::Disperse(_))));
-            assert_eq!(count(|d| matches!(d, Deed::Stop(_))), count(|d| matches!(d, Deed::Wake(_))));
+            assert_eq!(
+                count(|d| matches!(d, Deed::Crowd(_))),
+                count(|d| matches!(d, Deed::Disperse(_)))
+            );
+            assert_eq!(
+                count(|d| matches!(d, Deed::Stop(_))),
+                count(|d| matches!(d, Deed::Wake(_)))
+            );
             assert!(script.deeds.iter().all(|(at, _)| *at <= span));
             let mut dead = [false; 3];
             for (_, deed) in &script.deeds {
@@ -110,7 +127,9 @@
                     Deed::Kill(i) | Deed::Terminate(i, _) | Deed::Stop(i) => {
                         assert!(!std::mem::replace(&mut dead[i], true))
                     }
-                    Deed::Start(i) | Deed::Wake(i) => assert!(std::mem::replace(&mut dead[i], false)),
+                    Deed::Start(i) | Deed::Wake(i) => {
+                        assert!(std::mem::replace(&mut dead[i], false))
+                    }
                     _ => {}
                 }
             }
--- a/crates/merlinreel-testbed/src/standin.rs
+++ b/crates/merlinreel-testbed/src/standin.rs
@@ -67,7 +67,10 @@
 }
 
 pub fn answer(status: &str, headers: &str, body: &str) -> React {
-    React::Answer(format!("HTTP/1.1 {status}\r\n{headers}Content-Length: {}\r\n\r\n{body}", body.len()))
+    React::Answer(format!(
+        "HTTP/1.1 {status}\r\n{headers}Content-Length: {}\r\n\r\n{body}",
+        body.len()
+    ))
 }
 
 pub fn fine() -> React {
@@ -93,7 +96,11 @@
                 thread::spawn(move || attend(stream, number, &*react, &tell, &over));
             }
         });
-        StandIn { address, seen, closed }
+        StandIn {
+            address,
+            seen,
+            closed,
+        }
     }
 
     pub fn next(&self) -> Message {
--- a/crates/merlinreel-testbed/src/standin/tests.rs
+++ b/crates/merlinreel-testbed/src/standin/tests.rs
@@ -16,13 +16,21 @@
 #[test_case(ConnectionEnd::Reset => Some(ErrorKind::ConnectionReset) ; "reset")]
 #[test_case(ConnectionEnd::Orderly => None ; "orderly")]
 fn what_was_read_before_the_end(end: ConnectionEnd) -> Option<ErrorKind> {
-    let broken = BreakOff { text: TEXT.to_owned(), when: BreakWhen::Read, end };
+    let broken = BreakOff {
+        text: TEXT.to_owned(),
+        when: BreakWhen::Read,
+        end,
+    };
     let server = StandIn::start(move |_| React::BreakOff(broken.clone()));
     let mut stream = ask(&server);
     let mut text = vec![0; TEXT.len()];
     stream.read_exact(&mut text).expect("all of the text");
     assert_eq!(text, TEXT.as_bytes());
-    stream.read(&mut [0]).map(|length| assert_eq!(length, 0)).err().map(|error| error.kind())
+    stream
+        .read(&mut [0])
+        .map(|length| assert_eq!(length, 0))
+        .err()
+        .map(|error| error.kind())
 }
 
 /// Nothing is on its way: a write to a connection of one machine with itself is there as it returns.
@@ -40,7 +48,8 @@
 #[test]
 fn bytes_are_unread_until_the_other_side_reads_them() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
-    let mut reader = TcpStream::connect(listener.local_addr().expect("bound")).expect("a connection");
+    let mut reader =
+        TcpStream::connect(listener.local_addr().expect("bound")).expect("a connection");
     let (mut writer, _) = listener.accept().expect("a connection");
     assert_eq!(unread_of(&writer), 0);
     writer.write_all(&[0; 10]).expect("written");
@@ -53,8 +62,12 @@
 
 #[test]
 fn a_trickle_tells_who_closes_before_its_end() {
-    let trickle =
-        Trickle { head: String::new(), piece: "x", every: Duration::from_millis(1), pieces: usize::MAX };
+    let trickle = Trickle {
+        head: String::new(),
+        piece: "x",
+        every: Duration::from_millis(1),
+        pieces: usize::MAX,
+    };
     let server = StandIn::start(move |_| React::Trickle(trickle.clone()));
     let mut stream = ask(&server);
     stream.read_exact(&mut [0; 2]).expect("two pieces");
--- a/crates/merlinreel-testbed/src/standin/unread.rs
+++ b/crates/merlinreel-testbed/src/standin/unread.rs
@@ -25,18 +25,29 @@
 /// Looks up an IPv4 connection of this machine with itself; none where an end of it is not in the table, which may
 /// miss one while others come and go.
 pub fn look(stream: &TcpStream) -> io::Result<Option<Unread>> {
-    let (local, peer) = (port_field(stream.local_addr()?), port_field(stream.peer_addr()?));
+    let (local, peer) = (
+        port_field(stream.local_addr()?),
+        port_field(stream.peer_addr()?),
+    );
     let table = read_to_string(TABLE)?;
     let ends = (queues(&table, &local, &peer), queues(&table, &peer, &local));
-    let (Some((unacknowledged, _)), Some((_, received))) = ends else { return Ok(None) };
-    Ok(Some(Unread { unacknowledged, received }))
+    let (Some((unacknowledged, _)), Some((_, received))) = ends else {
+        return Ok(None);
+    };
+    Ok(Some(Unread {
+        unacknowledged,
+        received,
+    }))
 }
 
 /// The bytes of one end: not acknowledged to it, and not read from it.
 fn queues(table: &str, local: &str, remote: &str) -> Option<(u64, u64)> {
-    let rows = table.lines().map(|line| line.split_whitespace().collect::<Vec<_>>());
+    let rows = table
+        .lines()
+        .map(|line| line.split_whitespace().collect::<Vec<_>>());
     let mut rows = rows.filter(|fields| fields.len() > QUEUES);
-    let row = rows.find(|fields| fields[LOCAL].ends_with(local) && fields[REMOTE].ends_with(remote))?;
+    let row =
+        rows.find(|fields| fields[LOCAL].ends_with(local) && fields[REMOTE].ends_with(remote))?;
     let (sending, received) = row[QUEUES].split_once(':')?;
     let bytes = |field| u64::from_str_radix(field, HEXADECIMAL).ok();
     Some((bytes(sending)?, bytes(received)?))
--- a/crates/merlinreel-testbed/src/worker.rs
+++ b/crates/merlinreel-testbed/src/worker.rs
@@ -98,7 +98,11 @@
 
 /// How long the limiter says that it will wait.
 fn told(message: &Message) -> Option<Duration> {
-    let milliseconds = message.header("x-remaining")?.strip_suffix('m')?.parse().ok()?;
+    let milliseconds = message
+        .header("x-remaining")?
+        .strip_suffix('m')?
+        .parse()
+        .ok()?;
     Some(Duration::from_millis(milliseconds))
 }
 
@@ -117,14 +121,25 @@
     }
 
     fn probe(&self, message: &Message, stream: &mut TcpStream) -> io::Result<()> {
-        let status = if message.first.starts_with("GET /alive") { "200 OK" } else { "404 Not Found" };
+        let status = if message.first.starts_with("GET /alive") {
+            "200 OK"
+        } else {
+            "404 Not Found"
+        };
         write!(stream, "HTTP/1.1 {status}\r\nContent-Length: 0\r\n\r\n")
     }
 
     fn request(&self, id: &str, told: Option<Duration>, stream: &mut TcpStream) -> io::Result<()> {
         let attempt = ATTEMPTS.fetch_add(1, Ordering::Relaxed);
-        self.record.tell(What::Came { id: id.to_owned(), worker: self.number, attempt, told });
-        if self.draining.load(Ordering::Relaxed) || self.waiting() >= self.kind.cores + self.kind.queue {
+        self.record.tell(What::Came {
+            id: id.to_owned(),
+            worker: self.number,
+            attempt,
+            told,
+        });
+        if self.draining.load(Ordering::Relaxed)
+            || self.waiting() >= self.kind.cores + self.kind.queue
+        {
             // Told before it is written: what follows the answer must find it in the record.
             self.record.tell(What::TurnedAway { attempt });
             return stream.write_all(
@@ -151,7 +166,8 @@
     fn run(&self, stream: &TcpStream) -> io::Result<bool> {
         // Looks often whether the limiter is still there, and sleeps by it.
         stream.set_read_timeout(Some(Duration::from_millis(2)))?;
-        let warmth = self.began.elapsed().as_secs_f64() / self.kind.warm_after.as_secs_f64().max(0.001);
+        let warmth =
+            self.began.elapsed().as_secs_f64() / self.kind.warm_after.as_secs_f64().max(0.001);
         let cold = 1.0 + (self.kind.cold - 1.0) * (1.0 - warmth).max(0.0);
         // All cores shared by what runs.
         let crowd = self.waiting().div_ceil(self.kind.cores).max(1);
@@ -162,8 +178,11 @@
                 Ok(0) => return Ok(false),
                 // The next request, which clients here never send so early.
                 Ok(_) => thread::sleep(Duration::from_millis(1)),
-                Err(error) if matches!(error.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut) => {
-                }
+                Err(error)
+                    if matches!(
+                        error.kind(),
+                        io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut
+                    ) => {}
                 Err(_) => return Ok(false),
             }
             if self.paused.load(Ordering::Relaxed) {
--- a/crates/merlinreel-testbed/tests/scale_latency.rs
+++ b/crates/merlinreel-testbed/tests/scale_latency.rs
@@ -3,8 +3,8 @@
 
 use merlinreel_testbed::scale::check_slope;
 use merlinreel_testbed::scale::latency::{
-    ClientConnections, LatencyError, LatencySetting, Limiter, LoadResult, LoopbackServers, RequestPlan,
-    Sample, measure_setting,
+    ClientConnections, LatencyError, LatencySetting, Limiter, LoadResult, LoopbackServers,
+    RequestPlan, Sample, measure_setting,
 };
 use std::thread;
 use std::time::{Duration, Instant};
@@ -27,8 +27,11 @@
 fn through_a_limiter(plan: &RequestPlan, answer_bytes: usize) -> (LoadResult, u64) {
     let servers = LoopbackServers::start(SERVERS, answer_bytes).expect("servers");
     let limiter = Limiter::start(&servers);
-    let mut clients = ClientConnections::open(&[limiter.address()], CONNECTIONS).expect("connections");
-    let result = clients.drive(plan).expect("each request is answered 200 once");
+    let mut clients =
+        ClientConnections::open(&[limiter.address()], CONNECTIONS).expect("connections");
+    let result = clients
+        .drive(plan)
+        .expect("each request is answered 200 once");
     (result, servers.requests())
 }
 
@@ -39,8 +42,15 @@
     let (result, arrived) = through_a_limiter(&plan, answer_bytes);
     assert_eq!((result.samples.len(), result.histogram.len()), (200, 200));
     let planned: Vec<Duration> = result.samples.iter().map(|sample| sample.planned).collect();
-    assert_eq!(planned, plan.requests.iter().map(|request| request.at).collect::<Vec<_>>());
-    let in_order = |sample: &Sample| sample.planned <= sample.sent && sample.sent <= sample.answered;
+    assert_eq!(
+        planned,
+        plan.requests
+            .iter()
+            .map(|request| request.at)
+            .collect::<Vec<_>>()
+    );
+    let in_order =
+        |sample: &Sample| sample.planned <= sample.sent && sample.sent <= sample.answered;
     assert!(result.samples.iter().all(in_order));
     assert!(arrived >= 200, "{arrived}");
 }
@@ -52,23 +62,43 @@
     let interval = Duration::from_secs(1) / per_second as u32;
     for pair in plan.requests.windows(2) {
         let apart = pair[1].at - pair[0].at;
-        assert!(apart >= interval && apart <= interval + Duration::from_nanos(1), "{apart:?}");
+        assert!(
+            apart >= interval && apart <= interval + Duration::from_nanos(1),
+            "{apart:?}"
+        );
     }
-    assert_eq!(plan.last_at(), Duration::from_secs(2), "no rounding adds up");
+    assert_eq!(
+        plan.last_at(),
+        Duration::from_secs(2),
+        "no rounding adds up"
+    );
 }
 
 #[test]
 fn one_seed_gives_the_same_requests_and_counts() {
     assert_eq!(plan(200), plan(200));
-    assert_ne!(plan(200), RequestPlan::new(PER_SECOND, 200, CONNECTIONS, SEED + 1));
-    let answered = || through_a_limiter(&plan(100), ANSWER_BYTES).0.histogram.len();
+    assert_ne!(
+        plan(200),
+        RequestPlan::new(PER_SECOND, 200, CONNECTIONS, SEED + 1)
+    );
+    let answered = || {
+        through_a_limiter(&plan(100), ANSWER_BYTES)
+            .0
+            .histogram
+            .len()
+    };
     assert_eq!(answered(), answered());
 }
 
 #[test]
 fn requests_at_servers_grow_as_those_of_clients() {
     let sizes = [50, 100, 200, 400];
-    let points = sizes.map(|size| (size as f64, through_a_limiter(&plan(size), ANSWER_BYTES).1 as f64));
+    let points = sizes.map(|size| {
+        (
+            size as f64,
+            through_a_limiter(&plan(size), ANSWER_BYTES).1 as f64,
+        )
+    });
     check_slope(&points, STEEPEST).expect("about one attempt a request");
 }
 
@@ -78,7 +108,8 @@
     let servers = LoopbackServers::start(SERVERS, ANSWER_BYTES).expect("servers");
     let limiter = Limiter::start(&servers);
     let points = [50, 100, 200].map(|size: u64| {
-        let mut clients = ClientConnections::open(&[limiter.address()], CONNECTIONS).expect("connections");
+        let mut clients =
+            ClientConnections::open(&[limiter.address()], CONNECTIONS).expect("connections");
         let before = servers.requests();
         let plan = RequestPlan::new(PER_SECOND, size, CONNECTIONS, SEED);
         (0..size / 50).for_each(|_| drop(clients.drive(&plan).expect("answers")));
@@ -105,14 +136,23 @@
         assert!(hold.wait(), "the request reaches the server");
         thread::sleep((start + release_at).saturating_duration_since(Instant::now()));
         hold.release();
-        load.join().expect("no panic").expect("each request is answered 200 once")
+        load.join()
+            .expect("no panic")
+            .expect("each request is answered 200 once")
     });
     assert_eq!(result.histogram.len(), REQUESTS);
     let behind = &result.samples[HELD..];
-    assert!(behind.iter().all(|sample| sample.latency() >= release_at - sample.planned));
+    assert!(
+        behind
+            .iter()
+            .all(|sample| sample.latency() >= release_at - sample.planned)
+    );
     // Those planned a quarter of a second before the release or earlier; the histogram's resolution is a thousandth.
     let quarter = Duration::from_millis(250);
-    let early = behind.iter().filter(|sample| sample.planned + quarter <= release_at).count() as u64;
+    let early = behind
+        .iter()
+        .filter(|sample| sample.planned + quarter <= release_at)
+        .count() as u64;
     assert_eq!(early, 26);
     let least = quarter.as_micros() as u64 * 999 / 1_000;
     let slow = result.histogram.count_between(least, u64::MAX);
@@ -122,7 +162,12 @@
 #[test]
 fn latency_counts_from_the_planned_time_however_late_the_request_was_sent() {
     let [planned, sent, answered] = [10, 110, 111].map(Duration::from_millis);
-    let result = LoadResult::new(vec![Sample { planned, sent, answered }]).expect("recorded");
+    let result = LoadResult::new(vec![Sample {
+        planned,
+        sent,
+        answered,
+    }])
+    .expect("recorded");
     assert_eq!(result.histogram.value_at_quantile(1.0) / 1_000, 101);
 }
 
@@ -152,15 +197,27 @@
         span: Duration::from_millis(1_500),
         ..LatencySetting::default()
     };
-    let figures =
-        measure_setting("servers", 2, &setting, SEED, 1).expect("each request is answered 200 once");
-    let metric = |name: &str| figures.iter().filter(|figure| figure.metric == name).count();
+    let figures = measure_setting("servers", 2, &setting, SEED, 1)
+        .expect("each request is answered 200 once");
+    let metric = |name: &str| {
+        figures
+            .iter()
+            .filter(|figure| figure.metric == name)
+            .count()
+    };
     for way in ["direct", "through", "added"] {
         for percentile in ["p50", "p90", "p99", "p99_9", "max"] {
-            assert_eq!(metric(&format!("{way}_{percentile}")), 1, "{way}_{percentile}");
+            assert_eq!(
+                metric(&format!("{way}_{percentile}")),
+                1,
+                "{way}_{percentile}"
+            );
         }
     }
-    let answered = figures.iter().find(|figure| figure.metric == "answered").expect("counted");
+    let answered = figures
+        .iter()
+        .find(|figure| figure.metric == "answered")
+        .expect("counted");
     assert_eq!((answered.value, answered.runs), (150.0, 1));
     assert_eq!(figures.len(), 16);
 }
--- a/crates/merlinreel-testbed/tests/scale_membership.rs
+++ b/crates/merlinreel-testbed/tests/scale_membership.rs
@@ -22,12 +22,19 @@
 }
 
 static SENT: LazyLock<Sent> = LazyLock::new(|| {
-    let mut sent = Sent { quiet: Vec::new(), planted: Vec::new() };
+    let mut sent = Sent {
+        quiet: Vec::new(),
+        planted: Vec::new(),
+    };
     for size in SIZES {
         let mut fleet = Fleet::start(FleetSetting::of(size as usize), SEED).expect("a key");
         fleet.run(SETTLE);
-        sent.quiet.push((size as f64, bytes_sent(&mut fleet, size as u32, |_, _| {})));
-        sent.planted.push((size as f64, bytes_sent(&mut fleet, size as u32, tell_everybody)));
+        sent.quiet
+            .push((size as f64, bytes_sent(&mut fleet, size as u32, |_, _| {})));
+        sent.planted.push((
+            size as f64,
+            bytes_sent(&mut fleet, size as u32, tell_everybody),
+        ));
     }
     sent
 });
@@ -39,7 +46,12 @@
         every_second(fleet, size);
         fleet.run(Duration::from_secs(1));
     }
-    let bytes: u64 = fleet.network().traffic().iter().map(|one| one.sent_bytes).sum();
+    let bytes: u64 = fleet
+        .network()
+        .traffic()
+        .iter()
+        .map(|one| one.sent_bytes)
+        .sum();
     bytes as f64 / f64::from(size)
 }
 
@@ -64,7 +76,10 @@
 fn a_sender_that_tells_everybody_is_caught() {
     let slope = check_slope(&SENT.planted, MOST_EXPONENT);
     eprintln!("{slope:?} through {:?}", SENT.planted);
-    assert!(matches!(slope, Err(SlopeError::TooSteep { .. })), "{slope:?}");
+    assert!(
+        matches!(slope, Err(SlopeError::TooSteep { .. })),
+        "{slope:?}"
+    );
 }
 
 fn counted(seed: u64) -> Vec<(&'static str, u64, f64, f64, f64)> {
@@ -72,7 +87,13 @@
     let mut figures = Vec::new();
     let mut emit = |figure: Figure| {
         if figure.source == Source::Counted {
-            figures.push((figure.metric, figure.size, figure.value, figure.least, figure.most));
+            figures.push((
+                figure.metric,
+                figure.size,
+                figure.value,
+                figure.least,
+                figure.most,
+            ));
         }
         Ok(())
     };
@@ -91,7 +112,11 @@
 #[test]
 fn a_small_fleet_becomes_whole_and_all_hold_an_urgent_record() {
     let mut fleet = Fleet::start(FleetSetting::of(20), SEED).expect("a key");
-    assert!(fleet.run_until_whole(Duration::from_secs(120)), "{:?}", fleet.knowledge());
+    assert!(
+        fleet.run_until_whole(Duration::from_secs(120)),
+        "{:?}",
+        fleet.knowledge()
+    );
     let watch = fleet.publish_watched(7, true).expect("short");
     let held = |fleet: &Fleet| fleet.watch(watch).is_held_by_all();
     assert!(fleet.run_until(Duration::from_secs(30), Duration::from_millis(100), held));
@@ -106,5 +131,9 @@
     fleet.restart([11], Duration::from_secs(2));
     fleet.run(Duration::from_secs(1));
     assert_eq!(fleet.knowledge().least_members, 0.0);
-    assert!(fleet.run_until_whole(Duration::from_secs(240)), "{:?}", fleet.knowledge());
+    assert!(
+        fleet.run_until_whole(Duration::from_secs(240)),
+        "{:?}",
+        fleet.knowledge()
+    );
 }
--- a/crates/merlinreel-testbed/tests/scale_server_list.rs
+++ b/crates/merlinreel-testbed/tests/scale_server_list.rs
@@ -5,7 +5,9 @@
     Form, HollowLimiter, ListHolder, ListSource, RealHolder, measure, measure_limiters_restarting,
     measure_steps,
 };
-use merlinreel_testbed::scale::{Figure, MeasureRequest, ScaleError, SlopeError, Source, check_slope};
+use merlinreel_testbed::scale::{
+    Figure, MeasureRequest, ScaleError, SlopeError, Source, check_slope,
+};
 use std::time::Duration;
 use test_case::test_case;
 
@@ -34,7 +36,11 @@
     let mut counts = Vec::new();
     let mut emit = |figure: Figure| {
         if figure.source == Source::Counted {
-            counts.push(Count { metric: figure.metric, size: figure.size, value: figure.value });
+            counts.push(Count {
+                metric: figure.metric,
+                size: figure.size,
+                value: figure.value,
+            });
         }
         Ok(())
     };
@@ -49,7 +55,9 @@
 
 fn points(counts: &[Count], metric: &str) -> Vec<(f64, f64)> {
     let of_metric = counts.iter().filter(|count| count.metric == metric);
-    of_metric.map(|count| (count.size as f64, count.value)).collect()
+    of_metric
+        .map(|count| (count.size as f64, count.value))
+        .collect()
 }
 
 fn check(counts: &[Count], metric: &str, exponent: f64) {
@@ -70,19 +78,30 @@
         "indices_after_replacement",
         "indices_after_next_replacement",
     ];
-    linear.iter().for_each(|metric| check(&counted, metric, 1.0));
+    linear
+        .iter()
+        .for_each(|metric| check(&counted, metric, 1.0));
     // A change message tells only what changed; the beat is the settings'; an entry of a list is handed on once, and has
     // one index.
-    let constant = ["change_1_bytes", "change_100_bytes", "idle_rounds_per_10_s", "list_steps_per_server"];
-    constant.iter().for_each(|metric| check(&counted, metric, 0.0));
+    let constant = [
+        "change_1_bytes",
+        "change_100_bytes",
+        "idle_rounds_per_10_s",
+        "list_steps_per_server",
+    ];
+    constant
+        .iter()
+        .for_each(|metric| check(&counted, metric, 0.0));
     assert_eq!(counted, counts_by_servers(7), "one seed, other counts");
 }
 
 #[test]
 fn indices_of_servers_that_are_gone_are_used_again() {
     let counted = counts_by_servers(7);
-    let expected: Vec<(f64, f64)> =
-        SIZES.iter().map(|&size| (size as f64, (size + size * 6 / 10) as f64)).collect();
+    let expected: Vec<(f64, f64)> = SIZES
+        .iter()
+        .map(|&size| (size as f64, (size + size * 6 / 10) as f64))
+        .collect();
     assert_eq!(points(&counted, "indices_after_replacement"), expected);
     assert_eq!(points(&counted, "indices_after_next_replacement"), expected);
 }
@@ -93,9 +112,14 @@
     const LIMITERS: &[u64] = &[1, 5, 20, 100];
     let request = request(LIMITERS, 7);
     let sent = counts(|emit| measure_limiters_restarting(&request, SERVERS, emit));
-    let list = ListSource::new(SERVERS, 7, Form::Indented).full_list().expect("written").len() as f64;
-    let expected: Vec<(f64, f64)> =
-        LIMITERS.iter().map(|&limiters| (limiters as f64, limiters as f64 * list)).collect();
+    let list = ListSource::new(SERVERS, 7, Form::Indented)
+        .full_list()
+        .expect("written")
+        .len() as f64;
+    let expected: Vec<(f64, f64)> = LIMITERS
+        .iter()
+        .map(|&limiters| (limiters as f64, limiters as f64 * list))
+        .collect();
     assert_eq!(points(&sent, "source_bytes"), expected);
 }
 
@@ -103,7 +127,9 @@
 fn a_limiter_knows_the_servers_of_a_list_and_sends_to_them() {
     const SERVERS: u64 = 500;
     let mut limiter = HollowLimiter::new(7).expect("settings");
-    let list = ListSource::new(SERVERS, 7, Form::Indented).full_list().expect("written");
+    let list = ListSource::new(SERVERS, 7, Form::Indented)
+        .full_list()
+        .expect("written");
     assert_eq!(limiter.receive(list).expect("a list"), SERVERS);
     assert_eq!(limiter.servers_known(), SERVERS);
     for _ in 0..40 {
@@ -152,7 +178,10 @@
     match check_slope(&points(&counted, "list_steps_per_server"), MARGIN) {
         Ok(_) => true,
         Err(SlopeError::TooSteep { exponent, .. }) => {
-            assert!(exponent > 0.9, "{exponent}, where each server is compared with all");
+            assert!(
+                exponent > 0.9,
+                "{exponent}, where each server is compared with all"
+            );
             false
         }
         Err(other) => panic!("{other}"),
@@ -167,6 +196,9 @@
         emitted += 1;
         Ok(())
     });
-    assert!(matches!(refused, Err(ScaleError::Memory { .. })), "{refused:?}");
+    assert!(
+        matches!(refused, Err(ScaleError::Memory { .. })),
+        "{refused:?}"
+    );
     assert_eq!(emitted, 0);
 }
--- a/crates/merlinreel-testbed/tests/scale_tenants.rs
+++ b/crates/merlinreel-testbed/tests/scale_tenants.rs
@@ -5,7 +5,10 @@
 
 /// Few enough that all that is to be told fits into the messages of a minute.
 const SIZES: [u64; 4] = [50, 100, 200, 400];
-const FLEET: Fleet = Fleet { limiters: 300, set_size: 37 };
+const FLEET: Fleet = Fleet {
+    limiters: 300,
+    set_size: 37,
+};
 const SEED: u64 = 11;
 /// A tenant's counts are told to one limiter of its set: rows and requests a tenant are the same at each size. Messages
 /// begun and not filled make it less than 1 at small sizes, chance a little more.
@@ -24,15 +27,20 @@
 }
 
 fn per_tenant(of: impl Fn(u64) -> u64) -> Vec<(f64, f64)> {
-    SIZES.iter().map(|&size| (size as f64, of(size) as f64 / size as f64)).collect()
+    SIZES
+        .iter()
+        .map(|&size| (size as f64, of(size) as f64 / size as f64))
+        .collect()
 }
 
 #[test]
 fn what_is_said_of_a_tenant_is_the_same_however_many_there_are() {
     let bytes = per_tenant(|size| said(size, SEED).peer_bytes);
-    check_slope(&bytes, PER_TENANT_MOST).unwrap_or_else(|error| panic!("peer bytes {error}: {bytes:?}"));
+    check_slope(&bytes, PER_TENANT_MOST)
+        .unwrap_or_else(|error| panic!("peer bytes {error}: {bytes:?}"));
     let admitted = per_tenant(|size| said(size, SEED).admitted);
-    check_slope(&admitted, PER_TENANT_MOST).unwrap_or_else(|error| panic!("requests {error}: {admitted:?}"));
+    check_slope(&admitted, PER_TENANT_MOST)
+        .unwrap_or_else(|error| panic!("requests {error}: {admitted:?}"));
     assert!(bytes.iter().all(|(_, bytes)| *bytes > 0.0), "{bytes:?}");
 }
 
@@ -53,11 +61,16 @@
                 limiter.request(known);
             });
         }
-        let Said { admitted, refused, .. } = limiter.said();
+        let Said {
+            admitted, refused, ..
+        } = limiter.said();
         admitted + refused
     });
     let caught = check_slope(&admitted, PER_TENANT_MOST);
-    assert!(matches!(caught, Err(SlopeError::TooSteep { exponent, .. }) if exponent > 0.8), "{caught:?}");
+    assert!(
+        matches!(caught, Err(SlopeError::TooSteep { exponent, .. }) if exponent > 0.8),
+        "{caught:?}"
+    );
 }
 
 #[test]
--- a/crates/merlinreel/src/answers.rs
+++ b/crates/merlinreel/src/answers.rs
@@ -52,7 +52,10 @@
 
 impl AnswerMemory {
     pub fn new(limits: &Limits) -> AnswerMemory {
-        AnswerMemory { bytes: Arc::new(Semaphore::new(limits.answers)), whole: limits.body }
+        AnswerMemory {
+            bytes: Arc::new(Semaphore::new(limits.answers)),
+            whole: limits.body,
+        }
     }
 
     /// Reads a body until it is whole, or until more of it has come than is held. Guards clients against the beginning
@@ -66,10 +69,15 @@
         let mut bytes = Vec::with_capacity(told.min(self.whole));
         while let Some(frame) = body.frame().await {
             let frame = frame.map_err(|_| BodyError::BrokeOff(bytes.len()))?;
-            let Ok(data) = frame.into_data() else { continue };
+            let Ok(data) = frame.into_data() else {
+                continue;
+            };
             bytes.extend_from_slice(&data);
             if bytes.len() > self.whole {
-                return Ok(Received::Long { beginning: bytes.into(), rest: body });
+                return Ok(Received::Long {
+                    beginning: bytes.into(),
+                    rest: body,
+                });
             }
         }
         self.claim(bytes).await.map(Received::Whole)
@@ -79,7 +87,10 @@
         let count = u32::try_from(bytes.len()).map_err(|_| BodyError::NoMemory)?;
         let claimed = self.bytes.clone().acquire_many_owned(count).await;
         let _memory = claimed.map_err(|_| BodyError::NoMemory)?;
-        Ok(Bytes::from_owner(Claimed { bytes: bytes.into(), _memory }))
+        Ok(Bytes::from_owner(Claimed {
+            bytes: bytes.into(),
+            _memory,
+        }))
     }
 }
 
--- a/crates/merlinreel/src/answers/tests.rs
+++ b/crates/merlinreel/src/answers/tests.rs
@@ -9,7 +9,10 @@
 
 /// Bodies of up to four bytes are held, and sixteen bytes in all.
 fn memory() -> AnswerMemory {
-    AnswerMemory { bytes: Arc::new(Semaphore::new(16)), whole: 4 }
+    AnswerMemory {
+        bytes: Arc::new(Semaphore::new(16)),
+        whole: 4,
+    }
 }
 
 /// A body of untold length in frames of two bytes, that ends or breaks off behind them.
@@ -22,12 +25,18 @@
     type Data = Bytes;
     type Error = io::Error;
 
-    fn poll_frame(mut self: Pin<&mut Self>, _: &mut Context) -> Poll<Option<io::Result<Frame<Bytes>>>> {
+    fn poll_frame(
+        mut self: Pin<&mut Self>,
+        _: &mut Context,
+    ) -> Poll<Option<io::Result<Frame<Bytes>>>> {
         if self.left > 0 {
             self.left -= 1;
             return Poll::Ready(Some(Ok(Frame::data(Bytes::from_static(b"ab")))));
         }
-        Poll::Ready(self.breaks_off.then(|| Err(io::ErrorKind::ConnectionReset.into())))
+        Poll::Ready(
+            self.breaks_off
+                .then(|| Err(io::ErrorKind::ConnectionReset.into())),
+        )
     }
 }
 
@@ -53,21 +62,34 @@
 #[test_case(2, true => Err(BodyError::BrokeOff(4)) ; "cut behind its last byte, before its end")]
 #[tokio::test]
 async fn a_body_of_untold_length(frames: usize, breaks_off: bool) -> Result<Seen, BodyError> {
-    memory().receive(Frames { left: frames, breaks_off }).await.map(seen)
+    memory()
+        .receive(Frames {
+            left: frames,
+            breaks_off,
+        })
+        .await
+        .map(seen)
 }
 
 #[test_case(4 => Ok(Seen::Whole(4)) ; "as long as is held")]
 #[test_case(5 => Ok(Seen::Long(5)) ; "longer")]
 #[tokio::test]
 async fn a_body_of_told_length(length: usize) -> Result<Seen, BodyError> {
-    memory().receive(Full::new(Bytes::from(vec![1; length]))).await.map(seen)
+    memory()
+        .receive(Full::new(Bytes::from(vec![1; length])))
+        .await
+        .map(seen)
 }
 
 #[test_case(9, false => Ok(()) ; "whole")]
 #[test_case(9, true => Err(BodyError::BrokeOff(18)) ; "cut")]
 #[tokio::test]
 async fn a_body_that_no_client_gets(frames: usize, breaks_off: bool) -> Result<(), BodyError> {
-    read_to_end(Frames { left: frames, breaks_off }).await
+    read_to_end(Frames {
+        left: frames,
+        breaks_off,
+    })
+    .await
 }
 
 /// A whole answer's memory is in use until its client has it; the next one waits so long.
@@ -76,7 +98,9 @@
     let memory = memory();
     let mut held = Vec::new();
     for _ in 0..4 {
-        let Ok(Received::Whole(bytes)) = memory.receive(Full::new(Bytes::from_static(b"held"))).await else {
+        let Ok(Received::Whole(bytes)) =
+            memory.receive(Full::new(Bytes::from_static(b"held"))).await
+        else {
             panic!("a body that fits")
         };
         held.push(bytes);
--- a/crates/merlinreel/src/backoff.rs
+++ b/crates/merlinreel/src/backoff.rs
@@ -21,7 +21,9 @@
     pub fn next_pause(&mut self) -> Duration {
         let doubled = self.failures.checked_sub(AT_ONCE);
         self.failures = self.failures.saturating_add(1);
-        doubled.map_or(Duration::ZERO, |times| (FIRST * 2u32.saturating_pow(times)).min(LONGEST))
+        doubled.map_or(Duration::ZERO, |times| {
+            (FIRST * 2u32.saturating_pow(times)).min(LONGEST)
+        })
     }
 
     /// Waits for the next pause; others have their turn in any case.
@@ -45,7 +47,11 @@
     #[test]
     fn pauses_begin_after_some_tries_double_and_begin_anew() {
         let mut backoff = Backoff::default();
-        let mut pauses = |count| (0..count).map(|_| backoff.next_pause().as_millis()).collect::<Vec<_>>();
+        let mut pauses = |count| {
+            (0..count)
+                .map(|_| backoff.next_pause().as_millis())
+                .collect::<Vec<_>>()
+        };
         assert_eq!(pauses(11), [0, 0, 0, 0, 1, 2, 4, 8, 16, 32, 32]);
         assert_eq!(pauses(60)[59], 32);
         backoff.reset();
