--- a/crates/merlinreel/src/clients.rs
+++ b/crates/merlinreel/src/clients.rs
@@ -97,22 +97,31 @@
     /// which their client can only send again; and those that were read behind it against a close with no answer: the
     /// last of them tells it, unless some were dropped or the stop's time is over.
     fn tells_closing(&self, client_connection: &ClientConnection) -> bool {
-        let ends = self.closing.load(Ordering::Relaxed) || client_connection.evicted.load(Ordering::Relaxed);
-        let over = self.stops_at().is_some_and(|end| end + self.limits.stop_over <= Instant::now());
+        let ends = self.closing.load(Ordering::Relaxed)
+            || client_connection.evicted.load(Ordering::Relaxed);
+        let over = self
+            .stops_at()
+            .is_some_and(|end| end + self.limits.stop_over <= Instant::now());
         client_connection.flooded.load(Ordering::Relaxed)
             || ends && (over || !client_connection.more_was_read())
     }
 
     fn make_room(&self) {
-        for client_connection in who_gives_way(lock(&self.client_connections).values(), &self.limits) {
+        for client_connection in
+            who_gives_way(lock(&self.client_connections).values(), &self.limits)
+        {
             client_connection.evict();
         }
     }
 
     async fn serve(self: &Arc<Door>, stream: TcpStream, client_connection: Arc<ClientConnection>) {
         let _ = stream.set_nodelay(true);
-        let mut io =
-            TokioIo::new(Line::new(stream, client_connection.clone(), &self.limits, self.claims.clone()));
+        let mut io = TokioIo::new(Line::new(
+            stream,
+            client_connection.clone(),
+            &self.limits,
+            self.claims.clone(),
+        ));
         while let Some(mut rests) = self.serve_on(io, &client_connection).await {
             // The kernel is asked last: what came since the poller looked must not meet the end.
             if !rests.inner().waits() {
@@ -124,25 +133,38 @@
 
     /// Serves a connection until its end. Where it is to close between requests it is given back: to be closed, or
     /// served on if something had come. The answer then tells the closing.
-    async fn serve_on(self: &Arc<Door>, io: Wire, client_connection: &Arc<ClientConnection>) -> Option<Wire> {
+    async fn serve_on(
+        self: &Arc<Door>,
+        io: Wire,
+        client_connection: &Arc<ClientConnection>,
+    ) -> Option<Wire> {
         let service = service_fn(|request| {
             let (door, client_connection) = (self.clone(), client_connection.clone());
             // Asked here, not in the request's own turn: the next head may have been read by then.
             let (observed, arrived) = (client_connection.observed(), client_connection.arrived());
             client_connection.consume();
             async move {
-                let (class, up) = (class_of(request.uri().path()).to_owned(), request.uri().path() == "/up");
-                let mut answer = door.request(request, observed, arrived, &client_connection).await;
+                let (class, up) = (
+                    class_of(request.uri().path()).to_owned(),
+                    request.uri().path() == "/up",
+                );
+                let mut answer = door
+                    .request(request, observed, arrived, &client_connection)
+                    .await;
                 let status = answer.status().as_u16();
                 match answer.body_mut() {
-                    Either::Right(flow) => {
-                        flow.hold(Box::new(Flowing::new(door.clone(), client_connection.clone(), class)))
-                    }
+                    Either::Right(flow) => flow.hold(Box::new(Flowing::new(
+                        door.clone(),
+                        client_connection.clone(),
+                        class,
+                    ))),
                     Either::Left(_) if !up => door.figures.answered(&class, Outcome::of(status)),
                     Either::Left(_) => {}
                 }
                 if door.tells_closing(&client_connection) {
-                    answer.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
+                    answer
+                        .headers_mut()
+                        .insert(CONNECTION, HeaderValue::from_static("close"));
                 }
                 Ok::<_, Infallible>(answer)
             }
--- a/crates/merlinreel/src/clients/arrivals.rs
+++ b/crates/merlinreel/src/clients/arrivals.rs
@@ -56,7 +56,11 @@
         arrivals.came(10, at(0));
         arrivals.came(10, at(3));
         arrivals.came(10, at(50));
-        assert_eq!(arrivals.take(15), Some(at(0)), "what follows at once came with the first");
+        assert_eq!(
+            arrivals.take(15),
+            Some(at(0)),
+            "what follows at once came with the first"
+        );
         assert_eq!(arrivals.take(5), Some(at(0)));
         assert_eq!(arrivals.take(1), Some(at(50)));
         assert_eq!(arrivals.take(9), Some(at(50)));
--- a/crates/merlinreel/src/clients/body.rs
+++ b/crates/merlinreel/src/clients/body.rs
@@ -42,7 +42,9 @@
     /// has longer than others.
     fn until(&self, bytes: usize, limits: &Limits) -> Instant {
         let sent_in = Duration::from_secs_f64(bytes as f64 / f64::from(limits.client_body_rate));
-        self.due.max(self.begun + sent_in + limits.client_body_pause).min(self.gone)
+        self.due
+            .max(self.begun + sent_in + limits.client_body_pause)
+            .min(self.gone)
     }
 }
 
@@ -87,17 +89,24 @@
         loop {
             let until = patience.until(whole.len(), &self.limits);
             lock(&client_connection.times).body_due = Some(until);
-            let Some(frame) = timeout_at(until.into(), body.frame()).await.map_err(|_| BodyError::Late)?
+            let Some(frame) = timeout_at(until.into(), body.frame())
+                .await
+                .map_err(|_| BodyError::Late)?
             else {
                 break;
             };
-            let Ok(piece) = frame?.into_data() else { continue };
+            let Ok(piece) = frame?.into_data() else {
+                continue;
+            };
             if !allowed {
                 return Err(BodyError::NotAllowed);
             }
             let length = whole.len() + piece.len();
             if length > most {
-                return Err(BodyError::TooLong { least: length as u64, most });
+                return Err(BodyError::TooLong {
+                    least: length as u64,
+                    most,
+                });
             }
             let beyond = length.saturating_sub(room.num_permits());
             if !self.claims.grow(&mut room, beyond) {
--- a/crates/merlinreel/src/clients/connection.rs
+++ b/crates/merlinreel/src/clients/connection.rs
@@ -50,7 +50,8 @@
     /// Guards the end of an answer to a client that reads slowly: the job is answered, but its last bytes wait
     /// here. Who takes none of them for as long as a connection may be idle has gone.
     pub fn held_up(&self, limits: &Limits) -> bool {
-        self.held_up.is_some_and(|since| since.elapsed() < limits.client_idle)
+        self.held_up
+            .is_some_and(|since| since.elapsed() < limits.client_idle)
     }
 }
 
@@ -80,7 +81,8 @@
 
     /// A head has gone to the HTTP library, which came then.
     pub fn observe(&self, head: ObservedHead, arrived: Instant) {
-        self.content_length.store(head.content_length, Ordering::Relaxed);
+        self.content_length
+            .store(head.content_length, Ordering::Relaxed);
         lock(&self.times).arrived = arrived;
     }
 
@@ -92,7 +94,8 @@
     /// What the HTTP library was given so far makes up whole requests, or heads with their body to come. The library hands
     /// a request over with nothing behind its head, and a body in chunks ends with a section.
     pub fn consume(&self) {
-        self.consumed.store(self.handed.load(Ordering::Relaxed), Ordering::Relaxed);
+        self.consumed
+            .store(self.handed.load(Ordering::Relaxed), Ordering::Relaxed);
     }
 
     /// So many bytes more make up the request whose head was consumed last.
@@ -120,7 +123,9 @@
     /// What the head showed that the HTTP library read last. That is the head of a request only while the library hands
     /// the request over: it may read the next one's right after.
     pub fn observed(&self) -> ObservedHead {
-        ObservedHead { content_length: self.content_length.load(Ordering::Relaxed) }
+        ObservedHead {
+            content_length: self.content_length.load(Ordering::Relaxed),
+        }
     }
 
     /// The request after this must be whole by then, or the connection closes. Guards the places against who
@@ -189,7 +194,10 @@
     /// Who gives way first: who never asked, then who asked once, then the others, the longest idle before.
     /// Guards those that come back against crowds that stay.
     pub fn rank(&self) -> (usize, Instant) {
-        (self.requests.load(Ordering::Relaxed).min(2), lock(&self.times).idle)
+        (
+            self.requests.load(Ordering::Relaxed).min(2),
+            lock(&self.times).idle,
+        )
     }
 }
 
@@ -237,8 +245,10 @@
     let (leaving, staying): (Vec<_>, Vec<_>) = client_connections
         .map(Arc::as_ref)
         .partition(|client_connection| client_connection.evicted.load(Ordering::Relaxed));
-    let mut idle: Vec<&ClientConnection> =
-        staying.into_iter().filter(|client_connection| client_connection.rests(limits)).collect();
+    let mut idle: Vec<&ClientConnection> = staying
+        .into_iter()
+        .filter(|client_connection| client_connection.rests(limits))
+        .collect();
     if all <= limits.clients_most {
         idle.retain(|client_connection| client_connection.requests.load(Ordering::Relaxed) < 2);
     }
--- a/crates/merlinreel/src/clients/framing.rs
+++ b/crates/merlinreel/src/clients/framing.rs
@@ -56,11 +56,17 @@
             self.extend_line(&bytes[scanned..scanned + line]);
             scanned += line + 1;
             if self.end_line() {
-                return Section { length: scanned, ended: Some(std::mem::take(&mut self.observed)) };
+                return Section {
+                    length: scanned,
+                    ended: Some(std::mem::take(&mut self.observed)),
+                };
             }
         }
         self.extend_line(&bytes[scanned..]);
-        Section { length: bytes.len(), ended: None }
+        Section {
+            length: bytes.len(),
+            ended: None,
+        }
     }
 
     fn extend_line(&mut self, bytes: &[u8]) {
@@ -93,12 +99,18 @@
 /// no other.
 pub fn check(headers: &HeaderMap, observed: ObservedHead) -> Result<(), FramingError> {
     let mut codings = headers.get_all(TRANSFER_ENCODING).iter();
-    let Some(coding) = codings.next() else { return Ok(()) };
+    let Some(coding) = codings.next() else {
+        return Ok(());
+    };
     if observed.content_length {
         return Err(FramingError::TwoLengths);
     }
     let chunked = coding.as_bytes().eq_ignore_ascii_case(CHUNKED);
-    if chunked && codings.next().is_none() { Ok(()) } else { Err(FramingError::UnknownCoding) }
+    if chunked && codings.next().is_none() {
+        Ok(())
+    } else {
+        Err(FramingError::UnknownCoding)
+    }
 }
 
 #[cfg(test)]
--- a/crates/merlinreel/src/clients/framing/tests.rs
+++ b/crates/merlinreel/src/clients/framing/tests.rs
@@ -2,8 +2,12 @@
 use hyper::header::{HeaderName, HeaderValue};
 use test_case::test_case;
 
-const TOLD: ObservedHead = ObservedHead { content_length: true };
-const NOT_TOLD: ObservedHead = ObservedHead { content_length: false };
+const TOLD: ObservedHead = ObservedHead {
+    content_length: true,
+};
+const NOT_TOLD: ObservedHead = ObservedHead {
+    content_length: false,
+};
 
 /// The sections that end in pieces given one after another: how long each is, and what it showed.
 fn sections(pieces: &[&[u8]]) -> Vec<(usize, ObservedHead)> {
@@ -66,8 +70,20 @@
 #[test]
 fn a_scan_goes_no_further_than_the_first_blank_line() {
     let mut scanner = HeadScanner::default();
-    assert_eq!(scanner.scan(b"a\n\nb\n\n"), Section { length: 3, ended: Some(NOT_TOLD) });
-    assert_eq!(scanner.scan(b"b\n\n"), Section { length: 3, ended: Some(NOT_TOLD) });
+    assert_eq!(
+        scanner.scan(b"a\n\nb\n\n"),
+        Section {
+            length: 3,
+            ended: Some(NOT_TOLD)
+        }
+    );
+    assert_eq!(
+        scanner.scan(b"b\n\n"),
+        Section {
+            length: 3,
+            ended: Some(NOT_TOLD)
+        }
+    );
 }
 
 #[test_case(&[], TOLD => Ok(()) ; "a length")]
@@ -87,9 +103,12 @@
 fn one_framing_is_taken(codings: &[&str], observed: ObservedHead) -> Result<(), FramingError> {
     let mut headers = HeaderMap::new();
     for coding in codings {
-        let value = HeaderValue::from_maybe_shared(bytes::Bytes::copy_from_slice(coding.as_bytes()));
+        let value =
+            HeaderValue::from_maybe_shared(bytes::Bytes::copy_from_slice(coding.as_bytes()));
         // What is no header's value never comes this far.
-        let Ok(value) = value else { return Err(FramingError::UnknownCoding) };
+        let Ok(value) = value else {
+            return Err(FramingError::UnknownCoding);
+        };
         headers.append(HeaderName::from_static("transfer-encoding"), value);
     }
     check(&headers, observed)
@@ -97,6 +116,14 @@
 
 #[test]
 fn a_refusal_says_what_to_send() {
-    assert!(FramingError::UnknownCoding.to_string().contains("'chunked' alone"));
-    assert!(FramingError::TwoLengths.to_string().contains("send one of them"));
+    assert!(
+        FramingError::UnknownCoding
+            .to_string()
+            .contains("'chunked' alone")
+    );
+    assert!(
+        FramingError::TwoLengths
+            .to_string()
+            .contains("send one of them")
+    );
 }
--- a/crates/merlinreel/src/clients/hand.rs
+++ b/crates/merlinreel/src/clients/hand.rs
@@ -36,7 +36,11 @@
     pub fn take(door: &'a Door, client_connection: &'a ClientConnection) -> Hand<'a> {
         client_connection.busy.store(true, Ordering::Relaxed);
         client_connection.requests.fetch_add(1, Ordering::Relaxed);
-        Hand { door, client_connection, number: door.in_hand.fetch_add(1, Ordering::Relaxed) }
+        Hand {
+            door,
+            client_connection,
+            number: door.in_hand.fetch_add(1, Ordering::Relaxed),
+        }
     }
 }
 
@@ -56,17 +60,29 @@
 }
 
 impl Flowing {
-    pub fn new(door: Arc<Door>, client_connection: Arc<ClientConnection>, class: String) -> Flowing {
+    pub fn new(
+        door: Arc<Door>,
+        client_connection: Arc<ClientConnection>,
+        class: String,
+    ) -> Flowing {
         client_connection.busy.store(true, Ordering::Relaxed);
         door.in_hand.fetch_add(1, Ordering::Relaxed);
-        Flowing { door, client_connection, class }
+        Flowing {
+            door,
+            client_connection,
+            class,
+        }
     }
 }
 
 impl Held for Flowing {
     /// An answer that the limiter began and could not complete has failed.
     fn ended(self: Box<Self>, whole: bool) {
-        let outcome = if whole { Outcome::Served } else { Outcome::Failed };
+        let outcome = if whole {
+            Outcome::Served
+        } else {
+            Outcome::Failed
+        };
         self.door.figures.answered(&self.class, outcome);
     }
 }
--- a/crates/merlinreel/src/clients/intake.rs
+++ b/crates/merlinreel/src/clients/intake.rs
@@ -34,13 +34,19 @@
             return last(respond(StatusCode::BAD_REQUEST, format!("{error}\n"))).map(Either::Left);
         }
         if request.uri().path() == "/up" {
-            let status = if self.serves() { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
+            let status = if self.serves() {
+                StatusCode::OK
+            } else {
+                StatusCode::SERVICE_UNAVAILABLE
+            };
             // It rests again: else a stop would wait for the rest of a request.
             client_connection.rest();
             return respond(status, String::new()).map(Either::Left);
         }
         // The whole request must be there by then, whatever time the client claims to have.
-        let due = client_connection.due(&self.limits).min(Instant::now() + self.limits.client_whole);
+        let due = client_connection
+            .due(&self.limits)
+            .min(Instant::now() + self.limits.client_whole);
         client_connection.read(0);
         let length = request.body().size_hint().exact();
         let (job, parcel) = match self.read(request, sent, due, client_connection).await {
@@ -55,9 +61,16 @@
         let hand = Hand::take(self, client_connection);
         // The places beyond are kept to say so to whoever comes, at once.
         if hand.number >= self.limits.clients {
-            let busy = respond(StatusCode::SERVICE_UNAVAILABLE, "too many connections\n".to_owned());
+            let busy = respond(
+                StatusCode::SERVICE_UNAVAILABLE,
+                "too many connections\n".to_owned(),
+            );
             // Guards what was read behind it against a close with no answer: it is told the same, in its turn.
-            let answer = if client_connection.more_was_read() { busy } else { last(busy) };
+            let answer = if client_connection.more_was_read() {
+                busy
+            } else {
+                last(busy)
+            };
             return answer.map(Either::Left);
         }
         // A stop has its own end: what comes late has its answer by then.
@@ -78,31 +91,56 @@
         let (mut head, body) = request.into_parts();
         // A job keeps the rules that were in force when it came, whatever is read later.
         let tuned = self.tuned.borrow().clone();
-        let mut job =
-            decode(&head, &tuned.terms).map_err(|what| respond(StatusCode::BAD_REQUEST, what + "\n"))?;
+        let mut job = decode(&head, &tuned.terms)
+            .map_err(|what| respond(StatusCode::BAD_REQUEST, what + "\n"))?;
         job.class = tuned.indices[job.class];
         let mut room = None;
         let body = if body.is_end_stream() {
             Bytes::new()
         } else {
             let allowed = head.method != Method::GET;
-            let patience = BodyPatience { due, gone: sent + job.time_left, begun: Instant::now() };
+            let patience = BodyPatience {
+                due,
+                gone: sent + job.time_left,
+                begun: Instant::now(),
+            };
             let read = self.body(body, allowed, patience, client_connection).await;
             let (body, claimed) = read.map_err(|error| error.answer())?;
             room = Some(claimed);
             body
         };
-        let id = head.headers.get(TXN).and_then(|id| self.claims.open(id, room));
-        let claim =
-            id.ok_or_else(|| respond(StatusCode::CONFLICT, "x-txn: such a job is open\n".to_owned()))?;
+        let id = head
+            .headers
+            .get(TXN)
+            .and_then(|id| self.claims.open(id, room));
+        let claim = id.ok_or_else(|| {
+            respond(
+                StatusCode::CONFLICT,
+                "x-txn: such a job is open\n".to_owned(),
+            )
+        })?;
         strip_hop_by_hop(&mut head.headers);
         // Servers get the path alone, whichever form the client's target had.
         let uri = match head.uri.authority() {
-            Some(_) => head.uri.path_and_query().cloned().map(Uri::from).unwrap_or_default(),
+            Some(_) => head
+                .uri
+                .path_and_query()
+                .cloned()
+                .map(Uri::from)
+                .unwrap_or_default(),
             None => head.uri,
         };
         let claim = Some(claim);
-        Ok((job, Parcel { method: head.method, uri, headers: head.headers, body, claim }))
+        Ok((
+            job,
+            Parcel {
+                method: head.method,
+                uri,
+                headers: head.headers,
+                body,
+                claim,
+            },
+        ))
     }
 
     async fn job(
@@ -114,9 +152,23 @@
     ) -> Response<Reply> {
         let ticket = self.tickets.fetch_add(1, Ordering::Relaxed);
         let (answer, answered) = oneshot::channel();
-        let arrival = Arrival { ticket, job, until, parcel, answer };
-        let mut attending = Attending { client_connection, ticket: Some(ticket) };
-        if self.queue.send(News::Arrival(Box::new(arrival))).await.is_err() {
+        let arrival = Arrival {
+            ticket,
+            job,
+            until,
+            parcel,
+            answer,
+        };
+        let mut attending = Attending {
+            client_connection,
+            ticket: Some(ticket),
+        };
+        if self
+            .queue
+            .send(News::Arrival(Box::new(arrival)))
+            .await
+            .is_err()
+        {
             return last(respond(StatusCode::SERVICE_UNAVAILABLE, String::new())).map(Either::Left);
         }
         let answer = answered.await;
--- a/crates/merlinreel/src/clients/line.rs
+++ b/crates/merlinreel/src/clients/line.rs
@@ -100,7 +100,9 @@
     }
 
     fn tell_ahead(&self) {
-        self.client_connection.ahead.store(self.unread.len(), Ordering::Relaxed);
+        self.client_connection
+            .ahead
+            .store(self.unread.len(), Ordering::Relaxed);
     }
 
     /// So many bytes were read ahead of the library.
@@ -110,8 +112,14 @@
 
     /// Takes a place for so many bytes read ahead, if the memory that bodies share has one.
     fn claim_room(&mut self, ahead: usize) -> bool {
-        let held = self.free_ahead + self.room.as_ref().map_or(0, OwnedSemaphorePermit::num_permits);
-        let Some(more) = ahead.checked_sub(held).filter(|&more| more > 0) else { return true };
+        let held = self.free_ahead
+            + self
+                .room
+                .as_ref()
+                .map_or(0, OwnedSemaphorePermit::num_permits);
+        let Some(more) = ahead.checked_sub(held).filter(|&more| more > 0) else {
+            return true;
+        };
         match &mut self.room {
             Some(room) => self.claims.grow(room, more),
             None => {
@@ -140,7 +148,9 @@
             }
             if self.flooded || self.ahead() + into.filled().len() > self.most_ahead {
                 self.flooded = true;
-                self.client_connection.flooded.store(true, Ordering::Relaxed);
+                self.client_connection
+                    .flooded
+                    .store(true, Ordering::Relaxed);
             } else {
                 self.arrivals.came(into.filled().len(), Instant::now());
                 self.unread.extend_from_slice(into.filled());
@@ -156,9 +166,12 @@
         let section = self.scanner.scan(bytes);
         let arrived = self.arrivals.take(section.length);
         if let Some(observed) = section.ended {
-            self.client_connection.observe(observed, arrived.unwrap_or_else(Instant::now));
+            self.client_connection
+                .observe(observed, arrived.unwrap_or_else(Instant::now));
         }
-        self.client_connection.handed.fetch_add(section.length as u64, Ordering::Relaxed);
+        self.client_connection
+            .handed
+            .fetch_add(section.length as u64, Ordering::Relaxed);
         section.length
     }
 
@@ -180,9 +193,11 @@
 
     /// Keeps what the kernel gave beyond one section, from `before` on.
     fn hold_back(&mut self, into: &mut ReadBuf, before: usize) {
-        self.arrivals.came(into.filled().len() - before, Instant::now());
+        self.arrivals
+            .came(into.filled().len() - before, Instant::now());
         let length = self.scan(&into.filled()[before..]);
-        self.unread.extend_from_slice(&into.filled()[before + length..]);
+        self.unread
+            .extend_from_slice(&into.filled()[before + length..]);
         self.had_room = self.unread.len();
         self.tell_ahead();
         into.set_filled(before + length);
@@ -191,7 +206,11 @@
 
 impl AsyncRead for Line {
     /// At most one section.
-    fn poll_read(mut self: Pin<&mut Self>, cx: &mut Context, into: &mut ReadBuf) -> Poll<io::Result<()>> {
+    fn poll_read(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context,
+        into: &mut ReadBuf,
+    ) -> Poll<io::Result<()>> {
         if !self.unread.is_empty() {
             self.read_unread(into);
             return Poll::Ready(Ok(()));
@@ -207,7 +226,11 @@
 }
 
 impl AsyncWrite for Line {
-    fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context, bytes: &[u8]) -> Poll<io::Result<usize>> {
+    fn poll_write(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context,
+        bytes: &[u8],
+    ) -> Poll<io::Result<usize>> {
         Pin::new(&mut self.stream).poll_write(cx, bytes)
     }
 
@@ -235,12 +258,24 @@
     fn poll_shutdown(mut self: Pin<&mut Self>, cx: &mut Context) -> Poll<io::Result<()>> {
         if self.closing.is_none() {
             ready!(Pin::new(&mut self.stream).poll_shutdown(cx))?;
-            self.client_connection.closing.store(true, Ordering::Relaxed);
+            self.client_connection
+                .closing
+                .store(true, Ordering::Relaxed);
             let lingered = Box::pin(sleep(self.lingers));
-            self.closing = Some(Closing { lingered, ends: Box::pin(sleep(self.lingers_over_unread)) });
+            self.closing = Some(Closing {
+                lingered,
+                ends: Box::pin(sleep(self.lingers_over_unread)),
+            });
         }
         let ended = self.stream.poll_other_end(cx).is_ready();
-        let Line { stream, closing: Some(closing), .. } = &mut *self else { return Poll::Ready(Ok(())) };
+        let Line {
+            stream,
+            closing: Some(closing),
+            ..
+        } = &mut *self
+        else {
+            return Poll::Ready(Ok(()));
+        };
         let lingered = closing.lingered.as_mut().poll(cx).is_ready() && !stream.waits();
         if ended || lingered || closing.ends.as_mut().poll(cx).is_ready() {
             return Poll::Ready(Ok(()));
--- a/crates/merlinreel/src/clients/stop.rs
+++ b/crates/merlinreel/src/clients/stop.rs
@@ -20,7 +20,10 @@
 
 /// What a new connection needs before it is taken, so that none is dropped half way: a place, and room in the queue
 /// for the news that its client left, whatever else waits there.
-type Seat = (OwnedSemaphorePermit, mpsc::OwnedPermit<crate::messages::News>);
+type Seat = (
+    OwnedSemaphorePermit,
+    mpsc::OwnedPermit<crate::messages::News>,
+);
 
 /// What a stop still waits for.
 struct Remaining {
@@ -78,8 +81,14 @@
         }
         self.closing.store(true, Ordering::Relaxed);
         // Short of the end, so that what is taken last has its answer.
-        let shuts = self.stop_end(asked).checked_sub(self.limits.stop_quiet).unwrap_or(asked);
-        let late = self.limits.stop_late.min(shuts.saturating_duration_since(Instant::now()));
+        let shuts = self
+            .stop_end(asked)
+            .checked_sub(self.limits.stop_quiet)
+            .unwrap_or(asked);
+        let late = self
+            .limits
+            .stop_late
+            .min(shuts.saturating_duration_since(Instant::now()));
         tokio::select! {
             () = self.accept(&listener, &places) => {}
             () = sleep(late) => {}
@@ -121,9 +130,15 @@
 
     /// Has the connections that rest close, and tells what remains.
     fn evict_resting(&self) -> Remaining {
-        let closes = self.asked.get().map(|&asked| asked + self.limits.stop_closes);
+        let closes = self
+            .asked
+            .get()
+            .map(|&asked| asked + self.limits.stop_closes);
         let late = closes.is_some_and(|at| at <= Instant::now());
-        let mut remaining = Remaining { left: false, bound: self.in_hand() > 0 };
+        let mut remaining = Remaining {
+            left: false,
+            bound: self.in_hand() > 0,
+        };
         for client_connection in lock(&self.client_connections).values() {
             remaining.left = true;
             if client_connection.may_go(&self.limits, late) {
@@ -138,7 +153,9 @@
     async fn accept(self: &Arc<Door>, listener: &TcpListener, places: &Arc<Semaphore>) {
         let mut backoff = Backoff::default();
         loop {
-            let Some(seat) = self.seat(places).await else { return };
+            let Some(seat) = self.seat(places).await else {
+                return;
+            };
             match listener.accept().await {
                 Ok((stream, _)) => {
                     backoff.reset();
@@ -173,7 +190,9 @@
                 }
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => break,
                 Err(error) if concerns_one_connection(&error) => {}
-                Err(error) if self.stops_at().is_some_and(|end| end <= Instant::now()) => return Err(error),
+                Err(error) if self.stops_at().is_some_and(|end| end <= Instant::now()) => {
+                    return Err(error);
+                }
                 Err(_) => backoff.pause().await,
             }
         }
@@ -188,7 +207,10 @@
             match timeout(self.limits.client_settled, places.clone().acquire_owned()).await {
                 Ok(place) => break place.ok()?,
                 Err(_) => {
-                    log!("clients: all {} places are taken; new connections wait", self.limits.clients_most)
+                    log!(
+                        "clients: all {} places are taken; new connections wait",
+                        self.limits.clients_most
+                    )
                 }
             }
         };
--- a/crates/merlinreel/src/clients/tests.rs
+++ b/crates/merlinreel/src/clients/tests.rs
@@ -13,7 +13,9 @@
 fn client_connection(requests: usize, idle: f64, heard: Option<f64>) -> Arc<ClientConnection> {
     let (queue, _news) = mpsc::channel(1);
     let client_connection = ClientConnection::new(queue.try_reserve_owned().expect("a place"));
-    client_connection.requests.store(requests, Ordering::Relaxed);
+    client_connection
+        .requests
+        .store(requests, Ordering::Relaxed);
     let ago = |seconds: f64| Instant::now() - Duration::from_secs_f64(seconds);
     *lock(&client_connection.times) = Times {
         arrived: Instant::now(),
@@ -26,7 +28,9 @@
 }
 
 fn terms() -> Terms {
-    Paths::from_json(&serde_json::json!({})).and_then(|paths| Terms::read(&paths)).expect("sound")
+    Paths::from_json(&serde_json::json!({}))
+        .and_then(|paths| Terms::read(&paths))
+        .expect("sound")
 }
 
 fn limits() -> Limits {
@@ -37,7 +41,9 @@
 fn looking() -> Terms {
     let settings = serde_json::json!({"packages": [{"name": "team"}], "balancers": 1, "classes":
         [{"name": "look", "idempotency": "read_like", "hardLimitS": 9}]});
-    Paths::from_json(&settings).and_then(|paths| Terms::read(&paths)).expect("sound")
+    Paths::from_json(&settings)
+        .and_then(|paths| Terms::read(&paths))
+        .expect("sound")
 }
 
 const LOOK: &[u8] = b"GET /look?key=7 HTTP/1.1\r\nX-Txn: 9b\r\nX-Lane: look\r\nX-Plan: team\r\n\
@@ -63,8 +69,12 @@
     let asked = client_connection(0, 1.0, None);
     asked.evicted.store(true, Ordering::Relaxed);
     asked.close.notify_one();
-    let door =
-        Door::new(limits(), watch::channel(Arc::new(Tuned::first(terms()))).1, queue, Figures::new(&[]));
+    let door = Door::new(
+        limits(),
+        watch::channel(Arc::new(Tuned::first(terms()))).1,
+        queue,
+        Figures::new(&[]),
+    );
     door.opened.store(true, Ordering::Relaxed);
     door.serve(stream, asked).await;
     let mut answer = String::new();
@@ -92,17 +102,33 @@
     const LENGTH: usize = 24 << 20;
     let (mut client, stream) = came_with(LOOK)?;
     let (queue, mut news) = mpsc::channel(9);
-    let limits = Limits { client_whole: Duration::from_millis(40), ..limits() };
-    let door =
-        Door::new(limits, watch::channel(Arc::new(Tuned::first(looking()))).1, queue, Figures::new(&[]));
+    let limits = Limits {
+        client_whole: Duration::from_millis(40),
+        ..limits()
+    };
+    let door = Door::new(
+        limits,
+        watch::channel(Arc::new(Tuned::first(looking()))).1,
+        queue,
+        Figures::new(&[]),
+    );
     let one = client_connection(0, 0.0, None);
     tokio::spawn(async move {
         door.serve(stream, one).await;
     });
-    let Some(News::Arrival(arrival)) = news.recv().await else { panic!("no job") };
+    let Some(News::Arrival(arrival)) = news.recv().await else {
+        panic!("no job")
+    };
     let body = Bytes::from(vec![b'x'; LENGTH]);
-    let delivery = crate::messages::Delivery { headers: Default::default(), body, flow: None };
-    arrival.answer.send(crate::messages::Answer::Served(delivery)).expect("a client that waits");
+    let delivery = crate::messages::Delivery {
+        headers: Default::default(),
+        body,
+        flow: None,
+    };
+    arrival
+        .answer
+        .send(crate::messages::Answer::Served(delivery))
+        .expect("a client that waits");
     let read = tokio::task::spawn_blocking(move || {
         std::thread::sleep(Duration::from_millis(400));
         let mut answer = Vec::new();
@@ -130,11 +156,16 @@
         client_connection(0, 1.0, None),
     ];
     // With its first request under way, and with one in hand.
-    client_connections.extend([client_connection(0, 0.2, Some(0.2)), client_connection(9, 4.0, None)]);
+    client_connections.extend([
+        client_connection(0, 0.2, Some(0.2)),
+        client_connection(9, 4.0, None),
+    ]);
     client_connections[5].busy.store(true, Ordering::Relaxed);
     let chosen = who_gives_way(client_connections.iter(), &limits);
     let place = |one: &ClientConnection| {
-        client_connections.iter().position(|client_connection| std::ptr::eq(client_connection.as_ref(), one))
+        client_connections
+            .iter()
+            .position(|client_connection| std::ptr::eq(client_connection.as_ref(), one))
     };
     chosen.into_iter().filter_map(place).collect()
 }
@@ -152,9 +183,14 @@
         clients.push(client);
     }
     let (queue, _news) = mpsc::channel(64);
-    let door =
-        Door::new(limits(), watch::channel(Arc::new(Tuned::first(terms()))).1, queue, Figures::new(&[]));
-    door.take_waiting(listener, &Arc::new(tokio::sync::Semaphore::new(64))).await?;
+    let door = Door::new(
+        limits(),
+        watch::channel(Arc::new(Tuned::first(terms()))).1,
+        queue,
+        Figures::new(&[]),
+    );
+    door.take_waiting(listener, &Arc::new(tokio::sync::Semaphore::new(64)))
+        .await?;
     while !lock(&door.client_connections).is_empty() {
         sleep(Duration::from_millis(1)).await;
     }
@@ -199,7 +235,9 @@
     let door = Door::new(limits.clone(), tuned, queue, Figures::new(&[]));
     let asked = *door.asked.get_or_init(Instant::now);
     tokio::spawn(async move { door.serve(stream, client_connection(0, 0.0, None)).await });
-    let Some(News::Arrival(arrival)) = news.recv().await else { panic!("no job") };
+    let Some(News::Arrival(arrival)) = news.recv().await else {
+        panic!("no job")
+    };
     assert_eq!(arrival.until, asked + end);
     Ok(())
 }
@@ -214,11 +252,18 @@
 }
 
 /// A connection served as the door serves each, and the client's news with a place of its own.
-fn served(door: &Arc<Door>, stream: TcpStream) -> (Arc<ClientConnection>, tokio::task::JoinHandle<()>) {
-    let client_connection =
-        Arc::new(ClientConnection::new(door.queue.clone().try_reserve_owned().expect("a place")));
+fn served(
+    door: &Arc<Door>,
+    stream: TcpStream,
+) -> (Arc<ClientConnection>, tokio::task::JoinHandle<()>) {
+    let client_connection = Arc::new(ClientConnection::new(
+        door.queue.clone().try_reserve_owned().expect("a place"),
+    ));
     let (door, one) = (door.clone(), client_connection.clone());
-    (client_connection, tokio::spawn(async move { door.serve(stream, one).await }))
+    (
+        client_connection,
+        tokio::spawn(async move { door.serve(stream, one).await }),
+    )
 }
 
 /// Waits for a connection's mark of how far it has come.
@@ -228,7 +273,9 @@
             tokio::task::yield_now().await;
         }
     };
-    tokio::time::timeout(Duration::from_secs(20), set).await.expect("in time");
+    tokio::time::timeout(Duration::from_secs(20), set)
+        .await
+        .expect("in time");
 }
 
 async fn next(news: &mut mpsc::Receiver<News>) -> News {
@@ -248,9 +295,13 @@
     let (mut client, stream) = came_with(LOOK)?;
     let (door, mut news) = open_door(limits());
     let _served = served(&door, stream);
-    let News::Arrival(arrival) = next(&mut news).await else { panic!("no job") };
+    let News::Arrival(arrival) = next(&mut news).await else {
+        panic!("no job")
+    };
     let goes = tokio::task::spawn_blocking(move || client.write_all(&vec![b'x'; behind]));
-    let News::Left(ticket) = next(&mut news).await else { panic!("it has not left") };
+    let News::Left(ticket) = next(&mut news).await else {
+        panic!("it has not left")
+    };
     assert_eq!(ticket, arrival.ticket);
     goes.await.expect("written")
 }
@@ -286,7 +337,10 @@
     let (mut client, stream) = came_with(b"GET /up HTTP/1.1\r\nConnection: close\r\n\r\n")?;
     let stream = stream.into_std()?;
     let kernel = stream.try_clone()?;
-    let limits = Limits { client_lingers: Duration::from_secs(3600), ..limits() };
+    let limits = Limits {
+        client_lingers: Duration::from_secs(3600),
+        ..limits()
+    };
     let (door, mut news) = open_door(limits);
     let (client_connection, serving) = served(&door, TcpStream::from_std(stream)?);
     marked(&client_connection.closing).await;
@@ -300,7 +354,10 @@
     let client = crossing.await.expect("written")?;
     assert_eq!(kernel.peek(&mut [0; 1024])?, LOOK.len());
     drop(client);
-    tokio::time::timeout(Duration::from_secs(20), serving).await.expect("over").expect("served");
+    tokio::time::timeout(Duration::from_secs(20), serving)
+        .await
+        .expect("over")
+        .expect("served");
     assert!(news.try_recv().is_err());
     Ok(())
 }
@@ -313,13 +370,19 @@
 async fn a_client_that_never_ends_its_side_holds_nothing_up(needed: bool) -> std::io::Result<()> {
     let (_client, stream) = came_with(b"GET /up HTTP/1.1\r\nConnection: close\r\n\r\n")?;
     let lingers = Duration::from_secs(if needed { 3600 } else { 0 });
-    let (door, _news) = open_door(Limits { client_lingers: lingers, ..limits() });
+    let (door, _news) = open_door(Limits {
+        client_lingers: lingers,
+        ..limits()
+    });
     let (client_connection, serving) = served(&door, stream);
     if needed {
         marked(&client_connection.closing).await;
         client_connection.evict();
     }
-    tokio::time::timeout(Duration::from_secs(20), serving).await.expect("closed").expect("served");
+    tokio::time::timeout(Duration::from_secs(20), serving)
+        .await
+        .expect("closed")
+        .expect("served");
     Ok(())
 }
 
--- a/crates/merlinreel/src/clients/tests/reading.rs
+++ b/crates/merlinreel/src/clients/tests/reading.rs
@@ -16,7 +16,9 @@
     let (mut client, stream) = came_with(LOOK).expect("a client");
     let (door, mut news) = open_door(limits());
     let (client_connection, serving) = served(&door, stream);
-    let News::Arrival(first) = next(&mut news).await else { panic!("no job") };
+    let News::Arrival(first) = next(&mut news).await else {
+        panic!("no job")
+    };
     let writing = tokio::task::spawn_blocking(move || {
         let second = String::from_utf8_lossy(LOOK).replace("9b", "9c");
         client
@@ -31,18 +33,30 @@
     if flood {
         marked(&client_connection.flooded).await;
     }
-    first.answer.send(crate::messages::Answer::Failed).expect("a client that waits");
+    first
+        .answer
+        .send(crate::messages::Answer::Failed)
+        .expect("a client that waits");
     let jobs = if flood {
         1
     } else {
-        let News::Arrival(second) = next(&mut news).await else { panic!("no second job") };
-        second.answer.send(crate::messages::Answer::Failed).expect("a client that waits");
+        let News::Arrival(second) = next(&mut news).await else {
+            panic!("no second job")
+        };
+        second
+            .answer
+            .send(crate::messages::Answer::Failed)
+            .expect("a client that waits");
         2
     };
-    client.shutdown(std::net::Shutdown::Write).expect("its side ends");
+    client
+        .shutdown(std::net::Shutdown::Write)
+        .expect("its side ends");
     let answers = tokio::task::spawn_blocking(move || {
         let mut all = String::new();
-        (&client).read_to_string(&mut all).map(|_| all.matches("HTTP/1.1 502").count())
+        (&client)
+            .read_to_string(&mut all)
+            .map(|_| all.matches("HTTP/1.1 502").count())
     });
     assert_eq!(answers.await.expect("read").expect("no reset"), jobs);
     serving.await.expect("served");
@@ -61,7 +75,12 @@
     const THIRD: &[u8] = b"0\r\n\r\n";
     let (_client, stream) = came_with(&[FIRST, SECOND, THIRD].concat())?;
     let client_connection = client_connection(2, 0.0, None);
-    let mut line = Line::new(stream, client_connection.clone(), &limits(), Claims::new(&limits()));
+    let mut line = Line::new(
+        stream,
+        client_connection.clone(),
+        &limits(),
+        Claims::new(&limits()),
+    );
     let mut into = [0; 8192];
     for (section, content_length) in [(FIRST, true), (SECOND, false), (THIRD, false)] {
         assert!(line.waits());
@@ -69,7 +88,10 @@
         let length = line.read(&mut into).await?;
         assert_eq!(into[..length], *section);
         assert_eq!(client_connection.observed().content_length, content_length);
-        assert!(lock(&client_connection.times).heard.is_some(), "what was held back is heard as it is read");
+        assert!(
+            lock(&client_connection.times).heard.is_some(),
+            "what was held back is heard as it is read"
+        );
     }
     assert!(!line.waits());
     Ok(())
@@ -87,8 +109,16 @@
     let (mut client, stream) =
         came_with(&[b"\r\n", vec![b'x'; first - 2].as_slice()].concat()).expect("a client");
     let client_connection = client_connection(2, 0.0, None);
-    let limits = Limits { client_ahead: AHEAD, ..limits() };
-    let mut line = Line::new(stream, client_connection.clone(), &limits, Claims::new(&limits));
+    let limits = Limits {
+        client_ahead: AHEAD,
+        ..limits()
+    };
+    let mut line = Line::new(
+        stream,
+        client_connection.clone(),
+        &limits,
+        Claims::new(&limits),
+    );
     let length = line.read(&mut [0; 8192]).await.expect("read");
     assert_eq!(length, 2);
     client_connection.busy.store(true, Ordering::Relaxed);
@@ -119,10 +149,15 @@
         tokio::task::yield_now().await;
     }
     tokio::time::sleep(Duration::from_millis(50)).await;
-    let limits = Limits { client_whole: Duration::from_secs(3600), ..limits() };
+    let limits = Limits {
+        client_whole: Duration::from_secs(3600),
+        ..limits()
+    };
     let (door, mut news) = open_door(limits);
     let _served = served(&door, TcpStream::from_std(stream)?);
-    let News::Arrival(arrival) = next(&mut news).await else { panic!("no job") };
+    let News::Arrival(arrival) = next(&mut news).await else {
+        panic!("no job")
+    };
     assert_eq!(arrival.parcel.uri.path(), "/look");
     Ok(())
 }
@@ -131,7 +166,9 @@
 fn paying() -> Terms {
     let settings = serde_json::json!({"packages": [{"name": "team"}], "balancers": 1, "classes":
         [{"name": "pay", "idempotency": "non_idempotent", "hardLimitS": 9}]});
-    Paths::from_json(&settings).and_then(|paths| Terms::read(&paths)).expect("sound")
+    Paths::from_json(&settings)
+        .and_then(|paths| Terms::read(&paths))
+        .expect("sound")
 }
 
 /// A chunked body, its length untold, takes its place in the memory piece by piece, and gives it back where it is
@@ -143,8 +180,17 @@
         X-Remaining: 8000m\r\nX-Quota: units=1,spread=1,first=0\r\nTransfer-Encoding: chunked\r\n\r\n";
     let (queue, mut news) = mpsc::channel(9);
     let tuned = watch::channel(Arc::new(Tuned::first(paying()))).1;
-    let door = Door::new(Limits { bodies: 8, ..limits() }, tuned, queue, Figures::new(&[]));
-    let (mut client, stream) = came_with(format!("{HEAD}6\r\na body\r\n3\r\nabc\r\n0\r\n\r\n").as_bytes())?;
+    let door = Door::new(
+        Limits {
+            bodies: 8,
+            ..limits()
+        },
+        tuned,
+        queue,
+        Figures::new(&[]),
+    );
+    let (mut client, stream) =
+        came_with(format!("{HEAD}6\r\na body\r\n3\r\nabc\r\n0\r\n\r\n").as_bytes())?;
     client.set_read_timeout(Some(Duration::from_secs(20)))?;
     let _refused = served(&door, stream);
     let read = tokio::task::spawn_blocking(move || {
@@ -152,12 +198,21 @@
         client.read_to_string(&mut answer).map(|_| answer)
     });
     let answer = read.await.expect("read")?;
-    assert!(answer.starts_with("HTTP/1.1 503") && answer.ends_with("too much in hand\n"), "{answer}");
-    let (_client, stream) = came_with(format!("{HEAD}6\r\na body\r\n2\r\nab\r\n0\r\n\r\n").as_bytes())?;
+    assert!(
+        answer.starts_with("HTTP/1.1 503") && answer.ends_with("too much in hand\n"),
+        "{answer}"
+    );
+    let (_client, stream) =
+        came_with(format!("{HEAD}6\r\na body\r\n2\r\nab\r\n0\r\n\r\n").as_bytes())?;
     let _taken = served(&door, stream);
-    let News::Arrival(arrival) = next(&mut news).await else { panic!("no job") };
+    let News::Arrival(arrival) = next(&mut news).await else {
+        panic!("no job")
+    };
     assert_eq!(arrival.parcel.body, "a bodyab");
-    assert!(door.claims.body(1).is_none(), "all of it is held while the job is open");
+    assert!(
+        door.claims.body(1).is_none(),
+        "all of it is held while the job is open"
+    );
     drop(arrival);
     Ok(())
 }
--- a/crates/merlinreel/src/config.rs
+++ b/crates/merlinreel/src/config.rs
@@ -19,15 +19,27 @@
     #[error("{path}: {error}; the file must be there and readable by the limiter's user")]
     Unread { path: String, error: std::io::Error },
     #[error("{path}: {error}")]
-    In { path: String, error: Box<StationError> },
+    In {
+        path: String,
+        error: Box<StationError>,
+    },
     #[error("{0}")]
     Json(#[from] serde_json::Error),
     #[error("{key}: {error}")]
-    Key { key: String, error: serde_json::Error },
+    Key {
+        key: String,
+        error: serde_json::Error,
+    },
     #[error("{key}: is missing, and {variable} is not set")]
-    Missing { key: &'static str, variable: &'static str },
+    Missing {
+        key: &'static str,
+        variable: &'static str,
+    },
     #[error("{variable}: '{given}' is no address and port")]
-    NoAddress { variable: &'static str, given: String },
+    NoAddress {
+        variable: &'static str,
+        given: String,
+    },
     #[error("settings: is missing")]
     NoSettings,
     #[error("{0}")]
@@ -121,7 +133,10 @@
         Ok(text) => text,
         Err(error) => return Err(StationError::Unread { path, error }),
     };
-    parse(&text, variable).map_err(|error| StationError::In { path, error: Box::new(error) })
+    parse(&text, variable).map_err(|error| StationError::In {
+        path,
+        error: Box::new(error),
+    })
 }
 
 /// Reads the file again, for a limiter that runs. The address of discovery and the settings are taken over (of
@@ -134,7 +149,10 @@
             return false;
         }
     };
-    log!("configuration, read again: the server list is watched at {}", new.discovery);
+    log!(
+        "configuration, read again: the server list is watched at {}",
+        new.discovery
+    );
     let kept = [
         ("name", new.name != present.name),
         ("listen", new.listen != present.listen),
@@ -161,28 +179,49 @@
 
 /// The section without what is taken over while the limiter runs.
 fn but_keys(ground: &Option<Ground>) -> Option<Ground> {
-    ground.clone().map(|ground| Ground { keys: Vec::new(), sign_with: None, ..ground })
+    ground.clone().map(|ground| Ground {
+        keys: Vec::new(),
+        sign_with: None,
+        ..ground
+    })
 }
 
 /// Checks a configuration; a complaint begins with the key at fault.
-pub fn parse(text: &str, variable: impl Fn(&str) -> Option<String>) -> Result<Station, StationError> {
-    let (mut json, mut track) = (serde_json::Deserializer::from_str(text), serde_path_to_error::Track::new());
+pub fn parse(
+    text: &str,
+    variable: impl Fn(&str) -> Option<String>,
+) -> Result<Station, StationError> {
+    let (mut json, mut track) = (
+        serde_json::Deserializer::from_str(text),
+        serde_path_to_error::Track::new(),
+    );
     let mut unknown = Vec::new();
     let reader = serde_path_to_error::Deserializer::new(&mut json, &mut track);
     let file = serde_ignored::deserialize(reader, |path| unknown.push(path.to_string()));
-    let file: File = file.and_then(|file| json.end().map(|()| file)).map_err(|error| {
-        let key = track.path().to_string();
-        if key == "." { StationError::Json(error) } else { StationError::Key { key, error } }
-    })?;
+    let file: File = file
+        .and_then(|file| json.end().map(|()| file))
+        .map_err(|error| {
+            let key = track.path().to_string();
+            if key == "." {
+                StationError::Json(error)
+            } else {
+                StationError::Key { key, error }
+            }
+        })?;
     // Discovery's lists may hold more than is read here.
     unknown.retain(|key| !key.starts_with("known."));
-    let address = |key, given: Option<SocketAddr>, variable_named| match (given, variable(variable_named)) {
-        (Some(address), _) => Ok(address),
-        (None, Some(given)) => {
-            given.parse().map_err(|_| StationError::NoAddress { variable: variable_named, given })
-        }
-        (None, None) => Err(StationError::Missing { key, variable: variable_named }),
-    };
+    let address =
+        |key, given: Option<SocketAddr>, variable_named| match (given, variable(variable_named)) {
+            (Some(address), _) => Ok(address),
+            (None, Some(given)) => given.parse().map_err(|_| StationError::NoAddress {
+                variable: variable_named,
+                given,
+            }),
+            (None, None) => Err(StationError::Missing {
+                key,
+                variable: variable_named,
+            }),
+        };
     let settings = file.settings.ok_or(StationError::NoSettings)?;
     let terms = Paths::from_json(&settings).and_then(|paths| Terms::read(&paths));
     let terms = terms.map_err(StationError::Settings)?;
@@ -200,17 +239,25 @@
     let seed = match file.seed {
         None => std::process::id().into(),
         Some(Seed::Number(seed)) => seed,
-        Some(Seed::Hex(text)) => u64::from_str_radix(&text, 16).map_err(|_| StationError::Seed(text))?,
+        Some(Seed::Hex(text)) => {
+            u64::from_str_radix(&text, 16).map_err(|_| StationError::Seed(text))?
+        }
     };
     Ok(Station {
-        name: file.name.or_else(|| variable("PROXY_NAME")).unwrap_or_else(|| "merlinreel".to_owned()),
+        name: file
+            .name
+            .or_else(|| variable("PROXY_NAME"))
+            .unwrap_or_else(|| "merlinreel".to_owned()),
         listen: address("listen", file.listen, "PROXY_LISTEN")?,
         discovery: address("discovery", file.discovery, "PROXY_DISCOVERY")?,
         ops: match (file.ops, variable("PROXY_OPS")) {
             (None, None) => None,
             (given, _) => Some(address("ops", given, "PROXY_OPS")?),
         },
-        mesh: file.mesh.map(|ground| Ground { limiters: terms.peers.limiters as usize, ..ground }),
+        mesh: file.mesh.map(|ground| Ground {
+            limiters: terms.peers.limiters as usize,
+            ..ground
+        }),
         peer_listen: file.peer_listen,
         peers: file.peers,
         seed,
@@ -230,7 +277,10 @@
     if terms.peers.counter {
         return Err(StationError::Counter);
     }
-    let needed = [("classes", &terms.wire.classes), ("packages", &terms.wire.plans)];
+    let needed = [
+        ("classes", &terms.wire.classes),
+        ("packages", &terms.wire.plans),
+    ];
     for (list, names) in needed {
         if names.is_empty() {
             return Err(StationError::Empty(list));
@@ -238,13 +288,17 @@
         let mut seen = HashSet::new();
         for (i, name) in names.iter().enumerate() {
             if name == "-" || !seen.insert(name) {
-                return Err(StationError::Name { key: format!("{list}.{i}") });
+                return Err(StationError::Name {
+                    key: format!("{list}.{i}"),
+                });
             }
         }
     }
     for (i, class) in terms.classes.iter().enumerate() {
         if class.deadline.is_zero() {
-            return Err(StationError::SettingMissing { key: format!("classes.{i}.hardLimitS") });
+            return Err(StationError::SettingMissing {
+                key: format!("classes.{i}.hardLimitS"),
+            });
         }
     }
     Ok(())
@@ -262,13 +316,18 @@
 
     fn complaint(from: &str, to: &str) -> String {
         assert!(GOOD.contains(from), "{from}");
-        parse(&GOOD.replace(from, to), |_| None).expect_err("this is faulty").to_string()
+        parse(&GOOD.replace(from, to), |_| None)
+            .expect_err("this is faulty")
+            .to_string()
     }
 
     #[test]
     fn a_sound_file_is_read() {
         let station = parse(GOOD, |_| None).expect("sound");
-        assert_eq!((station.seed, station.name.as_str(), station.peers.len()), (0x8c1f, "merlinreel", 1));
+        assert_eq!(
+            (station.seed, station.name.as_str(), station.peers.len()),
+            (0x8c1f, "merlinreel", 1)
+        );
         assert!(station.unknown.is_empty());
     }
 
@@ -295,14 +354,20 @@
         file["mesh"] = serde_json::json!({"listen": "127.0.0.1:1", "keys": []});
         let station = parse(&file.to_string(), |_| None).expect("sound");
         assert_eq!(station.peers.len(), usize::from(limiters));
-        assert_eq!(station.mesh.map(|ground| ground.limiters), Some(usize::from(limiters)));
+        assert_eq!(
+            station.mesh.map(|ground| ground.limiters),
+            Some(usize::from(limiters))
+        );
     }
 
     #[test]
     fn the_environment_stands_in_for_what_the_file_leaves_out() {
         let text = GOOD.replace(r#""listen":"127.0.0.1:0","#, "");
         let named = |name: &str| (name == "PROXY_LISTEN").then(|| "127.0.0.2:80".to_owned());
-        assert_eq!(parse(&text, named).expect("sound").listen, SocketAddr::from(([127, 0, 0, 2], 80)));
+        assert_eq!(
+            parse(&text, named).expect("sound").listen,
+            SocketAddr::from(([127, 0, 0, 2], 80))
+        );
     }
 
     #[test_case(r#""listen":"127.0.0.1:0","#, "", "listen: is missing, and PROXY_LISTEN is not set" ; "missing address")]
--- a/crates/merlinreel/src/decode.rs
+++ b/crates/merlinreel/src/decode.rs
@@ -26,22 +26,35 @@
 fn once<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Result<Option<&'a HeaderValue>, String> {
     let mut all = headers.get_all(name).iter();
     let first = all.next();
-    if all.next().is_some() { Err(format!("{name} stands there twice")) } else { Ok(first) }
+    if all.next().is_some() {
+        Err(format!("{name} stands there twice"))
+    } else {
+        Ok(first)
+    }
 }
 
 fn text<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Result<&'a str, String> {
     let value = once(headers, name)?.filter(|value| !value.is_empty());
-    value.ok_or_else(|| format!("{name} is missing"))?.to_str().map_err(|_| format!("{name} is no text"))
+    value
+        .ok_or_else(|| format!("{name} is missing"))?
+        .to_str()
+        .map_err(|_| format!("{name} is no text"))
 }
 
 /// A whole number in digits alone; the library's reading takes signs too.
 fn number(digits: &str) -> Option<u32> {
-    digits.bytes().all(|byte| byte.is_ascii_digit()).then(|| digits.parse().ok()).flatten()
+    digits
+        .bytes()
+        .all(|byte| byte.is_ascii_digit())
+        .then(|| digits.parse().ok())
+        .flatten()
 }
 
 /// Digits with a point among them at most; the library's reading takes signs, powers and words too.
 fn decimal(text: &str) -> Option<f64> {
-    let plain = text.bytes().all(|byte| byte.is_ascii_digit() || byte == b'.');
+    let plain = text
+        .bytes()
+        .all(|byte| byte.is_ascii_digit() || byte == b'.');
     plain.then(|| text.parse().ok()).flatten()
 }
 
@@ -50,7 +63,10 @@
     let number = |digits: &str| number(digits).map(u64::from);
     match text.strip_suffix('m') {
         Some(digits) => number(digits).map(Duration::from_millis),
-        None => text.strip_suffix('u').and_then(number).map(Duration::from_micros),
+        None => text
+            .strip_suffix('u')
+            .and_then(number)
+            .map(Duration::from_micros),
     }
 }
 
@@ -58,7 +74,10 @@
 fn quota(text: &str, peers: &Peers) -> Result<(f64, u32, u32), String> {
     let (mut units, mut set_size, mut set_first) = (None, None, None);
     for pair in text.split(',') {
-        let (name, value) = pair.trim().split_once('=').ok_or("x-quota: no name=value")?;
+        let (name, value) = pair
+            .trim()
+            .split_once('=')
+            .ok_or("x-quota: no name=value")?;
         let repeated = match name {
             "units" => units.replace(decimal(value)).is_some(),
             "spread" => set_size.replace(number(value)).is_some(),
@@ -69,7 +88,9 @@
             return Err(format!("x-quota: {name} stands there twice"));
         }
     }
-    let units = units.flatten().filter(|&units| units > 0.0 && units <= peers.most_units);
+    let units = units
+        .flatten()
+        .filter(|&units| units > 0.0 && units <= peers.most_units);
     let units = units.ok_or("x-quota: units is no number in range")?;
     match (set_size.flatten(), set_first.flatten()) {
         (Some(size @ 1..), Some(first)) if size <= peers.limiters && first < peers.limiters => {
@@ -94,8 +115,14 @@
     let plan = terms.wire.plans.iter().position(|name| name == plan);
     let plan = plan.ok_or("x-plan: unknown")?;
     text(&head.headers, &TXN)?;
-    let Class { repeats, deadline, .. } = &terms.classes[class];
-    let method = if *repeats == Repeats::Replayable { Method::GET } else { Method::POST };
+    let Class {
+        repeats, deadline, ..
+    } = &terms.classes[class];
+    let method = if *repeats == Repeats::Replayable {
+        Method::GET
+    } else {
+        Method::POST
+    };
     if head.method != method {
         return Err(format!("class '{lane}' comes by {method}"));
     }
@@ -111,8 +138,10 @@
     let (Some(key), None) = (keys.next(), keys.next()) else {
         return Err("key is missing or stands there twice".to_owned());
     };
-    let customer =
-        key.bytes().all(|byte| byte.is_ascii_hexdigit()).then(|| u64::from_str_radix(key, 16).ok());
+    let customer = key
+        .bytes()
+        .all(|byte| byte.is_ascii_hexdigit())
+        .then(|| u64::from_str_radix(key, 16).ok());
     let customer = customer.flatten().filter(|&number| number < CUSTOMERS);
     let customer = customer.ok_or("key: no customer's number")?;
     let (units, set_size, set_first) = quota(text(&head.headers, &QUOTA)?, &terms.peers)?;
@@ -121,7 +150,17 @@
     // No client of a class waits longer than its deadline.
     let time_left = time_left.min(*deadline);
     let again = once(&head.headers, &RESENT)?.is_some_and(|value| value == "1");
-    Ok(Job { job: 0, customer, plan, class, units, time_left, set_size, set_first, again })
+    Ok(Job {
+        job: 0,
+        customer,
+        plan,
+        class,
+        units,
+        time_left,
+        set_size,
+        set_first,
+        again,
+    })
 }
 
 pub fn respond(status: StatusCode, body: String) -> Response<Full<Bytes>> {
@@ -131,7 +170,9 @@
 }
 
 pub fn last(mut response: Response<Full<Bytes>>) -> Response<Full<Bytes>> {
-    response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
+    response
+        .headers_mut()
+        .insert(CONNECTION, HeaderValue::from_static("close"));
     response
 }
 
@@ -149,8 +190,8 @@
         }
         Answer::Refused(wait) => {
             let mut response = respond(StatusCode::TOO_MANY_REQUESTS, String::new());
-            let value =
-                wait.and_then(|wait| HeaderValue::try_from(format!("{:.3}", wait.as_secs_f64())).ok());
+            let value = wait
+                .and_then(|wait| HeaderValue::try_from(format!("{:.3}", wait.as_secs_f64())).ok());
             value.map(|value| response.headers_mut().insert(RETRY_AFTER, value));
             response
         }
@@ -182,11 +223,20 @@
             {"name": "look", "idempotency": "read_like", "hardLimitS": 1},
             {"name": "put", "idempotency": "idempotency_key", "group": "all", "hardLimitS": 1}]});
         let terms = Terms::read(&Paths::from_json(&settings)?)?;
-        let mut request = if changed.1 == "GET" { Request::get(uri) } else { Request::post(uri) };
+        let mut request = if changed.1 == "GET" {
+            Request::get(uri)
+        } else {
+            Request::post(uri)
+        };
         // A `+` before a name: once more.
-        let (name, more) = (changed.0.trim_start_matches('+'), changed.0.starts_with('+'));
-        for (name, value) in
-            HEADERS.iter().filter(|(other, _)| more || *other != name).chain([&(name, changed.1)])
+        let (name, more) = (
+            changed.0.trim_start_matches('+'),
+            changed.0.starts_with('+'),
+        );
+        for (name, value) in HEADERS
+            .iter()
+            .filter(|(other, _)| more || *other != name)
+            .chain([&(name, changed.1)])
         {
             if !value.is_empty() && !name.is_empty() {
                 request = request.header(*name, *value);
@@ -200,7 +250,10 @@
     fn a_job_is_read_from_its_head() {
         let job = read(URI, ("x-resent", "1")).expect("sound");
         assert_eq!((job.customer, job.plan, job.class), (0xb4d6_5521, 1, 1));
-        assert_eq!((job.units, job.set_size, job.set_first, job.again), (2.0, 2, 1, true));
+        assert_eq!(
+            (job.units, job.set_size, job.set_first, job.again),
+            (2.0, 2, 1, true)
+        );
         assert_eq!(job.time_left, Duration::from_millis(480));
         let patient = read(URI, ("x-remaining", "4000000000m")).expect("sound");
         assert_eq!(patient.time_left, Duration::from_secs(1));
@@ -210,7 +263,10 @@
     fn a_job_may_come_in_chunks() {
         let chunked = read(URI, ("transfer-encoding", "chunked")).expect("sound");
         let told = read(URI, ("content-length", "6")).expect("sound");
-        assert_eq!((chunked.customer, chunked.class), (told.customer, told.class));
+        assert_eq!(
+            (chunked.customer, chunked.class),
+            (told.customer, told.class)
+        );
     }
 
     #[test_case(URI, ("x-txn", "") => "x-txn is missing" ; "no id")]
@@ -244,7 +300,10 @@
     #[test_case(Answer::Failed => (502, None) ; "failed")]
     fn answers(answer: Answer) -> (u16, Option<String>) {
         let response = encode(answer);
-        let wait = response.headers().get(RETRY_AFTER).and_then(|value| value.to_str().ok());
+        let wait = response
+            .headers()
+            .get(RETRY_AFTER)
+            .and_then(|value| value.to_str().ok());
         (response.status().as_u16(), wait.map(str::to_owned))
     }
 }
--- a/crates/merlinreel/src/discovery.rs
+++ b/crates/merlinreel/src/discovery.rs
@@ -64,7 +64,8 @@
     let stream = timeout(within, TcpStream::connect(discovery)).await;
     let stream = stream.map_err(|_| DiscoveryError::NoConnection(within))??;
     let _ = stream.set_nodelay(true);
-    let (sender, connection) = handshake(TokioIo::new(Tallied::new(stream, Arc::new(Untallied)))).await?;
+    let (sender, connection) =
+        handshake(TokioIo::new(Tallied::new(stream, Arc::new(Untallied)))).await?;
     let task = tokio::spawn(async move { drop(connection.await) }).abort_handle();
     Ok(Line { sender, task })
 }
@@ -76,7 +77,9 @@
     most: usize,
     progress: &Progress,
 ) -> Result<DiscoveryNews, DiscoveryError> {
-    let request = Request::get(path).header(HOST, discovery.to_string()).body(Empty::new())?;
+    let request = Request::get(path)
+        .header(HOST, discovery.to_string())
+        .body(Empty::new())?;
     line.sender.ready().await?;
     let answer = line.sender.send_request(request).await?;
     if answer.status() != StatusCode::OK {
@@ -87,7 +90,11 @@
 }
 
 /// All of a list's bytes, `most` at most; one that is told to be longer is not read.
-async fn whole(mut body: Incoming, most: usize, progress: &Progress) -> Result<Vec<u8>, DiscoveryError> {
+async fn whole(
+    mut body: Incoming,
+    most: usize,
+    progress: &Progress,
+) -> Result<Vec<u8>, DiscoveryError> {
     let told = body.size_hint().lower();
     if told > most as u64 {
         return Err(DiscoveryError::TooLong { most });
@@ -95,7 +102,9 @@
     // What is told comes, or the connection breaks: guards against a list held twice while its room grows.
     let mut bytes = Vec::with_capacity(usize::try_from(told).unwrap_or(0));
     while let Some(frame) = body.frame().await {
-        let Ok(piece) = frame?.into_data() else { continue };
+        let Ok(piece) = frame?.into_data() else {
+            continue;
+        };
         if bytes.len() + piece.len() > most {
             return Err(DiscoveryError::TooLong { most });
         }
@@ -146,7 +155,10 @@
             (true, true) => limits.watch_again,
             (true, false) => limits.watch,
         };
-        Call { wait, silent: wait + limits.watch_slack }
+        Call {
+            wait,
+            silent: wait + limits.watch_slack,
+        }
     }
 }
 
@@ -164,7 +176,10 @@
 
 /// What the first call brings that ends by itself, within the time after which the newest is silent. Calls that were ended
 /// here bring nothing: guards discovery against a call at once, and so without end, for each of those.
-async fn answered(calls: &mut Calls, silent: Duration) -> Result<(Line, DiscoveryNews), DiscoveryError> {
+async fn answered(
+    calls: &mut Calls,
+    silent: Duration,
+) -> Result<(Line, DiscoveryNews), DiscoveryError> {
     let first = async {
         loop {
             match calls.join_next().await {
@@ -174,7 +189,9 @@
             }
         }
     };
-    timeout(silent, first).await.unwrap_or(Err(DiscoveryError::NoAnswer(silent)))
+    timeout(silent, first)
+        .await
+        .unwrap_or(Err(DiscoveryError::NoAnswer(silent)))
 }
 
 /// Each call follows the last answer at once, as a watch lapses where it does not. Where a call fails or stays silent the
@@ -197,7 +214,10 @@
     loop {
         let call = Call::next(limits, version.is_some(), first.is_some(), failed);
         let path = match version {
-            Some(version) => format!("/discovery/hosts?after={version}&wait_ms={}", call.wait.as_millis()),
+            Some(version) => format!(
+                "/discovery/hosts?after={version}&wait_ms={}",
+                call.wait.as_millis()
+            ),
             None => "/discovery/hosts".to_owned(),
         };
         let (rested, connect, most) = (line.take(), limits.connect, limits.server_list);
@@ -231,7 +251,9 @@
             Err(what) => {
                 failed = failed.saturating_add(1);
                 if failure_log.tells(&what) {
-                    log!("discovery: {what}; the list stands ({failed} calls in a row without one)");
+                    log!(
+                        "discovery: {what}; the list stands ({failed} calls in a row without one)"
+                    );
                 }
                 sleep(pause_after(&what, limits)).await;
             }
--- a/crates/merlinreel/src/discovery/open_calls.rs
+++ b/crates/merlinreel/src/discovery/open_calls.rs
@@ -18,7 +18,9 @@
     /// Bytes that have come, none where the last of them did so `within` before or earlier.
     fn of_late(&self, within: Duration) -> usize {
         let reached = *self.0.lock().unwrap_or_else(PoisonError::into_inner);
-        reached.filter(|(_, at)| at.elapsed() < within).map_or(0, |(bytes, _)| bytes)
+        reached
+            .filter(|(_, at)| at.elapsed() < within)
+            .map_or(0, |(bytes, _)| bytes)
     }
 }
 
@@ -28,7 +30,13 @@
 
 impl OpenCalls {
     /// Takes another call in; ends one where there are then more than `most`.
-    pub fn add(&mut self, call: AbortHandle, progress: Progress, most: usize, stalls_after: Duration) {
+    pub fn add(
+        &mut self,
+        call: AbortHandle,
+        progress: Progress,
+        most: usize,
+        stalls_after: Duration,
+    ) {
         self.0.push_back((call, progress));
         self.0.retain(|(call, _)| !call.is_finished());
         if self.0.len() > most
--- a/crates/merlinreel/src/discovery/tests.rs
+++ b/crates/merlinreel/src/discovery/tests.rs
@@ -3,8 +3,11 @@
 use test_case::test_case;
 
 fn limits() -> Limits {
-    let paths = merlinreel_settings::Paths::from_json(&serde_json::json!({"rules": {"drainGraceS": 2}}));
-    let terms = paths.and_then(|paths| merlinreel_settings::Terms::read(&paths)).expect("sound");
+    let paths =
+        merlinreel_settings::Paths::from_json(&serde_json::json!({"rules": {"drainGraceS": 2}}));
+    let terms = paths
+        .and_then(|paths| merlinreel_settings::Terms::read(&paths))
+        .expect("sound");
     Limits::new(1024, 192, &terms).expect("room")
 }
 
@@ -27,11 +30,16 @@
 fn an_outage_s_end_is_noticed_within_a_drain_s_grace(grace: f64, within: f64) {
     let settings = serde_json::json!({"rules": {"drainGraceS": grace}});
     let paths = merlinreel_settings::Paths::from_json(&settings);
-    let terms = paths.and_then(|paths| merlinreel_settings::Terms::read(&paths)).expect("sound");
+    let terms = paths
+        .and_then(|paths| merlinreel_settings::Terms::read(&paths))
+        .expect("sound");
     let limits = Limits::new(1024, 192, &terms).expect("room");
     for failed in 1..40 {
         let call = Call::next(&limits, true, false, failed);
-        assert!(call.silent <= Duration::from_secs_f64(within) + limits.watch_again, "{failed}");
+        assert!(
+            call.silent <= Duration::from_secs_f64(within) + limits.watch_again,
+            "{failed}"
+        );
     }
 }
 
@@ -44,7 +52,11 @@
     const LIST: &str = r#"{"generation":7,"reset":true,"instances":[]}"#;
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await?;
     let at = listener.local_addr()?;
-    let limits = Limits { watch_slack: Duration::from_millis(20), watch_calls: 1000, ..limits() };
+    let limits = Limits {
+        watch_slack: Duration::from_millis(20),
+        watch_calls: 1000,
+        ..limits()
+    };
     let (queue, mut news) = tokio::sync::mpsc::channel(4);
     let (told, _first) = oneshot::channel();
     let (_turn, discovery) = watch::channel(at);
@@ -52,11 +64,20 @@
     let (mut one, _) = listener.accept().await?;
     let (mut other, _) = listener.accept().await?;
     let answering = if older { &mut one } else { &mut other };
-    let answer = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{LIST}", LIST.len());
+    let answer = format!(
+        "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{LIST}",
+        LIST.len()
+    );
     tokio::io::AsyncWriteExt::write_all(answering, answer.as_bytes()).await?;
     let list = timeout(Duration::from_secs(20), news.recv()).await;
     watching.abort();
-    assert!(matches!(list, Ok(Some(News::ServerList(DiscoveryNews { version: 7, .. })))), "{list:?}");
+    assert!(
+        matches!(
+            list,
+            Ok(Some(News::ServerList(DiscoveryNews { version: 7, .. })))
+        ),
+        "{list:?}"
+    );
     Ok(())
 }
 
@@ -68,7 +89,11 @@
     calls.spawn(std::future::pending()).abort();
     calls.spawn(std::future::pending());
     tokio::task::yield_now().await;
-    let brought = timeout(Duration::from_millis(30), answered(&mut calls, Duration::from_secs(20))).await;
+    let brought = timeout(
+        Duration::from_millis(30),
+        answered(&mut calls, Duration::from_secs(20)),
+    )
+    .await;
     assert!(brought.is_err());
 }
 
@@ -76,7 +101,10 @@
 #[tokio::test]
 async fn silent_calls_are_few() -> std::io::Result<()> {
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await?;
-    let limits = Limits { watch_slack: Duration::from_millis(5), ..limits() };
+    let limits = Limits {
+        watch_slack: Duration::from_millis(5),
+        ..limits()
+    };
     let most = limits.watch_calls;
     let (queue, _news) = tokio::sync::mpsc::channel(4);
     let (told, _first) = oneshot::channel();
@@ -111,7 +139,8 @@
     let address = |i: u32| SocketAddr::from(([10, (i >> 16) as u8, (i >> 8) as u8, i as u8], 9000));
     let listed = |i| merlinreel_testbed::listed(&format!("server-{i:06}"), address(i), "up");
     let servers: Vec<_> = (0..servers).map(listed).collect();
-    serde_json::to_string_pretty(&merlinreel_testbed::server_list(7, true, &servers)).expect("a list")
+    serde_json::to_string_pretty(&merlinreel_testbed::server_list(7, true, &servers))
+        .expect("a list")
 }
 
 /// A discovery on a socket of its own; each connection's calls are answered by `answer`, with the connection's number.
@@ -142,12 +171,20 @@
 }
 
 fn with_length(body: &str) -> String {
-    format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len())
+    format!(
+        "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
+        body.len()
+    )
 }
 
 fn in_pieces(body: &str) -> String {
-    let pieces = body.as_bytes().chunks(1000).map(|piece| String::from_utf8_lossy(piece));
-    let pieces: String = pieces.map(|piece| format!("{:x}\r\n{piece}\r\n", piece.len())).collect();
+    let pieces = body
+        .as_bytes()
+        .chunks(1000)
+        .map(|piece| String::from_utf8_lossy(piece));
+    let pieces: String = pieces
+        .map(|piece| format!("{:x}\r\n{piece}\r\n", piece.len()))
+        .collect();
     format!("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{pieces}0\r\n\r\n")
 }
 
@@ -170,11 +207,16 @@
     let (told, _first) = oneshot::channel();
     let (_turn, discovery) = watch::channel(at);
     // However slow the machine that tests is, no call counts as silent.
-    let limits = Limits { watch_slack: Duration::from_secs(60), ..limits() };
+    let limits = Limits {
+        watch_slack: Duration::from_secs(60),
+        ..limits()
+    };
     let watching = tokio::spawn(super::watch(discovery, None, limits, queue, told));
     let list = timeout(Duration::from_secs(60), news.recv()).await;
     watching.abort();
-    let Ok(Some(News::ServerList(list))) = list else { panic!("no list") };
+    let Ok(Some(News::ServerList(list))) = list else {
+        panic!("no list")
+    };
     assert_eq!((list.version, list.servers.len()), (7, servers as usize));
     Ok(())
 }
@@ -186,7 +228,10 @@
 #[test_case(in_pieces, 0 => true ; "in pieces, just in")]
 #[test_case(in_pieces, 1 => false ; "in pieces, one byte too many")]
 #[tokio::test]
-async fn a_list_is_as_long_as_there_is_room_for(written: fn(&str) -> String, beyond: usize) -> bool {
+async fn a_list_is_as_long_as_there_is_room_for(
+    written: fn(&str) -> String,
+    beyond: usize,
+) -> bool {
     let list = long_list(40);
     let most = list.len() - beyond;
     let answer = written(&list);
@@ -198,8 +243,18 @@
         }
     });
     let at = at.await.expect("a free port");
-    let mut line = dial(at, Duration::from_secs(20)).await.expect("a connection");
-    match ask(&mut line, at, "/discovery/hosts".to_owned(), most, &Progress::default()).await {
+    let mut line = dial(at, Duration::from_secs(20))
+        .await
+        .expect("a connection");
+    match ask(
+        &mut line,
+        at,
+        "/discovery/hosts".to_owned(),
+        most,
+        &Progress::default(),
+    )
+    .await
+    {
         Ok(list) => list.servers.len() == 40,
         Err(DiscoveryError::TooLong { most: told }) if told == most => false,
         Err(other) => panic!("{other}"),
@@ -209,7 +264,11 @@
 /// A list beyond the bound leaves the one before it standing; the next sound one is taken.
 #[tokio::test]
 async fn a_list_that_is_too_long_changes_nothing() -> std::io::Result<()> {
-    let answers = [r#"{"generation":1,"reset":true}"#.to_owned(), long_list(40), long_list(1)];
+    let answers = [
+        r#"{"generation":1,"reset":true}"#.to_owned(),
+        long_list(40),
+        long_list(1),
+    ];
     let next = std::sync::Arc::new(std::sync::atomic::AtomicUsize::new(0));
     let at = discovery(move |_, mut stream| {
         let (answers, next) = (answers.clone(), next.clone());
@@ -217,8 +276,11 @@
             loop {
                 call(&mut stream).await?;
                 let turn = next.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
-                let Some(answer) = answers.get(turn) else { return std::future::pending().await };
-                tokio::io::AsyncWriteExt::write_all(&mut stream, with_length(answer).as_bytes()).await?;
+                let Some(answer) = answers.get(turn) else {
+                    return std::future::pending().await;
+                };
+                tokio::io::AsyncWriteExt::write_all(&mut stream, with_length(answer).as_bytes())
+                    .await?;
             }
         }
     });
@@ -226,11 +288,17 @@
     let (queue, mut news) = tokio::sync::mpsc::channel(4);
     let (told, _first) = oneshot::channel();
     let (_turn, discovery) = watch::channel(at);
-    let limits = Limits { server_list: 1000, watch_slack: Duration::from_secs(60), ..limits() };
+    let limits = Limits {
+        server_list: 1000,
+        watch_slack: Duration::from_secs(60),
+        ..limits()
+    };
     let watching = tokio::spawn(super::watch(discovery, None, limits, queue, told));
     for (version, servers) in [(1, 0), (7, 1)] {
         let list = timeout(Duration::from_secs(20), news.recv()).await;
-        let Ok(Some(News::ServerList(list))) = list else { panic!("no list") };
+        let Ok(Some(News::ServerList(list))) = list else {
+            panic!("no list")
+        };
         assert_eq!((list.version, list.servers.len()), (version, servers));
     }
     watching.abort();
@@ -258,8 +326,11 @@
         }
     });
     let at = at.await?;
-    let limits =
-        Limits { watch: Duration::from_secs(20), watch_slack: Duration::from_millis(20), ..limits() };
+    let limits = Limits {
+        watch: Duration::from_secs(20),
+        watch_slack: Duration::from_millis(20),
+        ..limits()
+    };
     assert!(limits.watch_calls < PIECES / 2);
     let (queue, mut news) = tokio::sync::mpsc::channel(4);
     let (told, _first) = oneshot::channel();
@@ -276,19 +347,32 @@
 #[test_case(&[9, 0, 3, 0, 0] => 1 ; "the oldest is furthest on")]
 #[test_case(&[3, 0, 9, 0, 0] => 0 ; "another is")]
 fn which_call_gives_way(reached: &[usize]) -> usize {
-    let runtime = tokio::runtime::Builder::new_current_thread().build().expect("a runtime");
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .build()
+        .expect("a runtime");
     runtime.block_on(async {
         let mut open = OpenCalls::default();
-        let tasks: Vec<_> = reached.iter().map(|_| tokio::spawn(std::future::pending::<()>())).collect();
+        let tasks: Vec<_> = reached
+            .iter()
+            .map(|_| tokio::spawn(std::future::pending::<()>()))
+            .collect();
         for (task, &bytes) in tasks.iter().zip(reached) {
             let progress = Progress::default();
             if bytes > 0 {
                 progress.reached(bytes);
             }
-            open.add(task.abort_handle(), progress, reached.len() - 1, Duration::from_secs(20));
+            open.add(
+                task.abort_handle(),
+                progress,
+                reached.len() - 1,
+                Duration::from_secs(20),
+            );
         }
         tokio::task::yield_now().await;
-        tasks.iter().position(tokio::task::JoinHandle::is_finished).expect("one ended")
+        tasks
+            .iter()
+            .position(tokio::task::JoinHandle::is_finished)
+            .expect("one ended")
     })
 }
 
@@ -296,12 +380,19 @@
 #[tokio::test]
 async fn a_call_that_has_stalled_gives_way() {
     let mut open = OpenCalls::default();
-    let (first, second) =
-        (tokio::spawn(std::future::pending::<()>()), tokio::spawn(std::future::pending::<()>()));
+    let (first, second) = (
+        tokio::spawn(std::future::pending::<()>()),
+        tokio::spawn(std::future::pending::<()>()),
+    );
     let progress = Progress::default();
     progress.reached(9);
     open.add(first.abort_handle(), progress, 1, Duration::ZERO);
-    open.add(second.abort_handle(), Progress::default(), 1, Duration::ZERO);
+    open.add(
+        second.abort_handle(),
+        Progress::default(),
+        1,
+        Duration::ZERO,
+    );
     assert!(first.await.is_err_and(|error| error.is_cancelled()) && !second.is_finished());
 }
 
@@ -309,7 +400,10 @@
 #[test]
 fn trouble_that_repeats_is_told_once() {
     let mut failure_log = FailureLog::default();
-    let (silent, long) = (DiscoveryError::NoAnswer(Duration::ZERO), DiscoveryError::TooLong { most: 9 });
+    let (silent, long) = (
+        DiscoveryError::NoAnswer(Duration::ZERO),
+        DiscoveryError::TooLong { most: 9 },
+    );
     let told = [&silent, &silent, &long, &silent, &long].map(|what| failure_log.tells(what));
     assert_eq!(told, [true, false, true, false, false]);
 }
--- a/crates/merlinreel/src/driver.rs
+++ b/crates/merlinreel/src/driver.rs
@@ -32,8 +32,13 @@
 
 impl Clock {
     pub fn start() -> Clock {
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Clock { started: Instant::now(), unix }
+        let unix = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or_default();
+        Clock {
+            started: Instant::now(),
+            unix,
+        }
     }
 
     pub fn at(&self, instant: Instant) -> Duration {
@@ -127,7 +132,9 @@
                 News::Retune(terms) => self.retune(*terms),
                 News::Probe(answer) => round.probes.push(answer),
                 News::ServerList(server_list) => {
-                    round.server_list.push(self.desk.servers.list(server_list, false));
+                    round
+                        .server_list
+                        .push(self.desk.servers.list(server_list, false));
                     self.desk.withdraw_from_leaving();
                 }
                 News::PeerMessage(peer_message) => round.peer_messages.push(peer_message),
@@ -146,7 +153,10 @@
     fn retune(&mut self, terms: Terms) {
         let indices = self.limiter.retune(&terms.classes, terms.jobs);
         self.figures.classes_now(&terms.wire.classes);
-        log!("settings read again: classes {} and their rules in force", terms.wire.classes.join(", "));
+        log!(
+            "settings read again: classes {} and their rules in force",
+            terms.wire.classes.join(", ")
+        );
         if let Some(door) = &self.door {
             door.send_replace(Arc::new(Tuned { terms, indices }));
         }
@@ -162,15 +172,22 @@
             let now = desk.clock.at(desk.now);
             self.limiter.round(now, &round, desk);
             let (known, excluded) = self.limiter.servers_seen(now);
-            self.figures.servers_known.store(known as u64, Ordering::Relaxed);
-            self.figures.servers_excluded.store(excluded as u64, Ordering::Relaxed);
+            self.figures
+                .servers_known
+                .store(known as u64, Ordering::Relaxed);
+            self.figures
+                .servers_excluded
+                .store(excluded as u64, Ordering::Relaxed);
             for job in std::mem::take(&mut desk.closed) {
                 desk.free_if_over(job);
             }
             if desk.unsent.is_empty() {
                 return;
             }
-            round = Round { attempt_ends: std::mem::take(&mut desk.unsent), ..Round::default() };
+            round = Round {
+                attempt_ends: std::mem::take(&mut desk.unsent),
+                ..Round::default()
+            };
         }
     }
 
@@ -186,7 +203,11 @@
             desk.held.len() as u32 - 1
         });
         let time_left = arrival.until.saturating_duration_since(desk.now);
-        round.jobs.push(Job { job: index, time_left, ..arrival.job });
+        round.jobs.push(Job {
+            job: index,
+            time_left,
+            ..arrival.job
+        });
         desk.tickets.insert(arrival.ticket, index);
         desk.held[index as usize] = Some(Held {
             ticket: arrival.ticket,
--- a/crates/merlinreel/src/driver/desk.rs
+++ b/crates/merlinreel/src/driver/desk.rs
@@ -83,13 +83,19 @@
     /// Attempts that have not begun leave servers that drain or are gone. Guards the rule on drains against a connection
     /// that comes up after the grace.
     pub fn withdraw_from_leaving(&self) {
-        let leaving = self.attempts.iter().filter(|(_, out)| !self.servers.is_up(out.server));
+        let leaving = self
+            .attempts
+            .iter()
+            .filter(|(_, out)| !self.servers.is_up(out.server));
         leaving.for_each(|(&serial, out)| out.link.withdraw(serial));
     }
 
     /// An index is free again once its job is answered and no attempt is out.
     pub fn free_if_over(&mut self, job: u32) {
-        if self.held(job).is_some_and(|held| held.answer.is_none() && held.out.is_empty()) {
+        if self
+            .held(job)
+            .is_some_and(|held| held.answer.is_none() && held.out.is_empty())
+        {
             self.held[job as usize] = None;
             self.free.push(job);
         }
@@ -130,11 +136,29 @@
         held.attempts += 1;
         let until = held.until.checked_sub(margin).unwrap_or(held.until);
         let begins_by = within.map(|within| now + within);
-        let attempt = Attempt { serial, parcel: held.parcel.clone(), started: now, until, begins_by };
-        let link = if until > now { self.servers.send(server, attempt) } else { None };
+        let attempt = Attempt {
+            serial,
+            parcel: held.parcel.clone(),
+            started: now,
+            until,
+            begins_by,
+        };
+        let link = if until > now {
+            self.servers.send(server, attempt)
+        } else {
+            None
+        };
         if let Some(link) = link {
             self.serial = serial;
-            self.attempts.insert(serial, Out { job, attempt: number, server, link });
+            self.attempts.insert(
+                serial,
+                Out {
+                    job,
+                    attempt: number,
+                    server,
+                    link,
+                },
+            );
             if let Some(held) = self.held(job) {
                 held.out.push((number, serial));
             }
@@ -163,8 +187,12 @@
     }
 
     fn revoke(&mut self, job: u32, attempt: u32) {
-        let out = self.held(job).and_then(|held| held.out.iter().find(|(n, _)| *n == attempt).copied());
-        if let Some(out) = out.and_then(|(_, serial)| self.attempts.get(&serial).map(|out| (serial, out))) {
+        let out = self
+            .held(job)
+            .and_then(|held| held.out.iter().find(|(n, _)| *n == attempt).copied());
+        if let Some(out) =
+            out.and_then(|(_, serial)| self.attempts.get(&serial).map(|out| (serial, out)))
+        {
             out.1.link.abandon(out.0);
         }
     }
--- a/crates/merlinreel/src/driver/tests.rs
+++ b/crates/merlinreel/src/driver/tests.rs
@@ -6,10 +6,15 @@
 #[test]
 fn the_clock_is_unix_time_and_only_runs_forward() {
     let clock = Clock::start();
-    let unix = SystemTime::now().duration_since(UNIX_EPOCH).expect("after 1970");
+    let unix = SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .expect("after 1970");
     assert!(unix.abs_diff(clock.at(Instant::now())) < Duration::from_secs(60));
     let later = clock.started + Duration::from_secs(3600);
-    assert_eq!(clock.at(later), clock.at(clock.started) + Duration::from_secs(3600));
+    assert_eq!(
+        clock.at(later),
+        clock.at(clock.started) + Duration::from_secs(3600)
+    );
 }
 
 /// A driver that holds one job at most, and an arrival of that ticket.
@@ -18,12 +23,18 @@
         "hardLimitS": 60.0}], "packages": [{"unitsPerS": 9.0, "mostAtOnce": 9.0}],
         "policyLimits": {"mostHeld": 1, "mayCancel": true}});
     let paths = merlinreel_settings::Paths::from_json(&settings);
-    let terms = paths.and_then(|paths| merlinreel_settings::Terms::read(&paths)).expect("sound");
+    let terms = paths
+        .and_then(|paths| merlinreel_settings::Terms::read(&paths))
+        .expect("sound");
     let limits = crate::limits::Limits::new(1024, 192, &terms).expect("room");
     let (queue, news) = mpsc::channel(16);
     let figures = Figures::new(&[]);
     let servers = Servers::new(limits, &terms, queue.clone(), figures.clone());
-    (Driver::new(terms.limiter(7), servers, None, Clock::start(), figures), queue, news)
+    (
+        Driver::new(terms.limiter(7), servers, None, Clock::start(), figures),
+        queue,
+        news,
+    )
 }
 
 fn arrival(ticket: u64) -> (News, oneshot::Receiver<Answer>) {
@@ -41,8 +52,23 @@
     };
     let (method, uri, headers, body, claim) = Default::default();
     let until = Instant::now() + Duration::from_secs(60);
-    let parcel = Parcel { method, uri, headers, body, claim };
-    (News::Arrival(Box::new(Arrival { ticket, job, until, parcel, answer })), answered)
+    let parcel = Parcel {
+        method,
+        uri,
+        headers,
+        body,
+        claim,
+    };
+    (
+        News::Arrival(Box::new(Arrival {
+            ticket,
+            job,
+            until,
+            parcel,
+            answer,
+        })),
+        answered,
+    )
 }
 
 #[tokio::test]
--- a/crates/merlinreel/src/figures.rs
+++ b/crates/merlinreel/src/figures.rs
@@ -83,7 +83,12 @@
 
     fn counts(&self, class: &str) -> Option<Arc<Counts>> {
         let classes = self.classes.lock().unwrap_or_else(PoisonError::into_inner);
-        classes.current.iter().any(|name| name == class).then(|| classes.counts.get(class).cloned()).flatten()
+        classes
+            .current
+            .iter()
+            .any(|name| name == class)
+            .then(|| classes.counts.get(class).cloned())
+            .flatten()
     }
 
     pub fn answered(&self, class: &str, outcome: Outcome) {
@@ -92,27 +97,45 @@
             Outcome::Refused => 1,
             Outcome::Failed => 2,
         };
-        self.counts(class).map(|counts| counts.0[place].fetch_add(1, Ordering::Relaxed));
+        self.counts(class)
+            .map(|counts| counts.0[place].fetch_add(1, Ordering::Relaxed));
     }
 
     /// An attempt's last byte was written to its server.
     pub fn attempted(&self, class: &str) {
         self.attempts.fetch_add(1, Ordering::Relaxed);
-        self.counts(class).map(|counts| counts.0[3].fetch_add(1, Ordering::Relaxed));
+        self.counts(class)
+            .map(|counts| counts.0[3].fetch_add(1, Ordering::Relaxed));
     }
 
     pub fn reloaded(&self, ok: bool) {
-        let count = if ok { &self.reloads_ok } else { &self.reloads_failed };
+        let count = if ok {
+            &self.reloads_ok
+        } else {
+            &self.reloads_failed
+        };
         count.fetch_add(1, Ordering::Relaxed);
     }
 
     /// All figures, one a line, with the jobs `in_flight` that the door holds.
     pub fn text(&self, in_flight: usize) -> String {
         let mut text = String::new();
-        let classes = self.classes.lock().unwrap_or_else(PoisonError::into_inner).counts.clone();
+        let classes = self
+            .classes
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .counts
+            .clone();
         for (name, counts) in &classes {
-            for (what, count) in ["served", "refused", "failed", "attempts"].iter().zip(&counts.0) {
-                let _ = writeln!(text, "limiter.requests.{name}.{what}:{}|c", count.load(Ordering::Relaxed));
+            for (what, count) in ["served", "refused", "failed", "attempts"]
+                .iter()
+                .zip(&counts.0)
+            {
+                let _ = writeln!(
+                    text,
+                    "limiter.requests.{name}.{what}:{}|c",
+                    count.load(Ordering::Relaxed)
+                );
             }
         }
         let _ = writeln!(text, "limiter.in_flight:{in_flight}|g");
@@ -124,7 +147,11 @@
             ("reloads_failed", &self.reloads_failed, "c"),
         ];
         for (name, figure, kind) in figures {
-            let _ = writeln!(text, "limiter.{name}:{}|{kind}", figure.load(Ordering::Relaxed));
+            let _ = writeln!(
+                text,
+                "limiter.{name}:{}|{kind}",
+                figure.load(Ordering::Relaxed)
+            );
         }
         text
     }
@@ -153,10 +180,17 @@
         figures.answered("look", Outcome::Served);
         figures.attempted("put");
         let text = figures.text(3);
-        assert!(text.contains("limiter.requests.look.served:1|c\n"), "{text}");
         assert!(
-            text.contains("limiter.requests.put.attempts:1|c\n") && text.contains("limiter.attempts:1|c\n")
+            text.contains("limiter.requests.look.served:1|c\n"),
+            "{text}"
+        );
+        assert!(
+            text.contains("limiter.requests.put.attempts:1|c\n")
+                && text.contains("limiter.attempts:1|c\n")
+        );
+        assert!(
+            !text.contains("garbage") && text.contains("limiter.in_flight:3|g\n"),
+            "{text}"
         );
-        assert!(!text.contains("garbage") && text.contains("limiter.in_flight:3|g\n"), "{text}");
     }
 }
--- a/crates/merlinreel/src/flow.rs
+++ b/crates/merlinreel/src/flow.rs
@@ -27,7 +27,9 @@
 
 impl std::fmt::Debug for Flow {
     fn fmt(&self, out: &mut std::fmt::Formatter) -> std::fmt::Result {
-        out.debug_struct("Flow").field("body", &self.body).finish_non_exhaustive()
+        out.debug_struct("Flow")
+            .field("body", &self.body)
+            .finish_non_exhaustive()
     }
 }
 
@@ -35,7 +37,15 @@
     /// The beginning of a body and the rest of it, and where its end is told.
     pub fn new(beginning: Bytes, body: Incoming) -> (Flow, oneshot::Receiver<bool>) {
         let (end, ended) = oneshot::channel();
-        (Flow { beginning: Some(beginning), body, end: Some(end), held: None }, ended)
+        (
+            Flow {
+                beginning: Some(beginning),
+                body,
+                end: Some(end),
+                held: None,
+            },
+            ended,
+        )
     }
 
     /// Keeps `held` until the body has ended or is dropped.
@@ -45,7 +55,10 @@
 
     fn tell(&mut self, whole: bool) {
         self.end.take().map(|end| end.send(whole));
-        self.held.take().into_iter().for_each(|held| held.ended(whole));
+        self.held
+            .take()
+            .into_iter()
+            .for_each(|held| held.ended(whole));
     }
 }
 
@@ -77,7 +90,10 @@
     }
 
     fn size_hint(&self) -> SizeHint {
-        let (beginning, rest) = (self.beginning.as_ref().map_or(0, Bytes::len) as u64, self.body.size_hint());
+        let (beginning, rest) = (
+            self.beginning.as_ref().map_or(0, Bytes::len) as u64,
+            self.body.size_hint(),
+        );
         let mut whole = SizeHint::new();
         whole.set_lower(beginning + rest.lower());
         if let Some(upper) = rest.upper() {
--- a/crates/merlinreel/src/lib.rs
+++ b/crates/merlinreel/src/lib.rs
@@ -51,7 +51,9 @@
     let (begun, mut backoff) = (Instant::now(), Backoff::default());
     loop {
         match bind().await {
-            Err(error) if is_of_this_machine(&error) && begun.elapsed() < within => backoff.pause().await,
+            Err(error) if is_of_this_machine(&error) && begun.elapsed() < within => {
+                backoff.pause().await
+            }
             result => return result,
         }
     }
@@ -105,7 +107,11 @@
     stop: impl Future<Output = ()>,
 ) -> io::Result<()> {
     let clock = driver::Clock::start();
-    let Turns { settings: mut tunes, discovery, ground: mut grounds } = turns;
+    let Turns {
+        settings: mut tunes,
+        discovery,
+        ground: mut grounds,
+    } = turns;
     let config::Station {
         name,
         listen,
@@ -120,22 +126,27 @@
         mesh: ground,
         ..
     } = station;
-    unknown.iter().for_each(|key| log!("configuration: key {key} is not known and has no effect"));
-    let named =
-        |what: &str, at, error: io::Error| io::Error::new(error.kind(), format!("{what}: {at}: {error}"));
+    unknown
+        .iter()
+        .for_each(|key| log!("configuration: key {key} is not known and has no effect"));
+    let named = |what: &str, at, error: io::Error| {
+        io::Error::new(error.kind(), format!("{what}: {at}: {error}"))
+    };
     let (queue, news) = mpsc::channel(limits.queue);
     let inherited = handed.is_some();
     let post = match peer_listen.filter(|_| terms.peers.peer_messages) {
         Some(at) => {
-            let post = bound(limits.bind, async || peers::Post::open(at, &peers, inherited).await).await;
+            let post = bound(limits.bind, async || {
+                peers::Post::open(at, &peers, inherited).await
+            })
+            .await;
             Some(post.map_err(|error| named("peer_listen", at, error))?)
         }
         None => None,
     };
     let listener = match handed {
-        Some(handed) => {
-            TcpListener::from_std(handed).map_err(|error| named("PROXY_LISTEN_FD", listen, error))?
-        }
+        Some(handed) => TcpListener::from_std(handed)
+            .map_err(|error| named("PROXY_LISTEN_FD", listen, error))?,
         None => bound(limits.bind, async || listen_at(listen, limits.backlog))
             .await
             .map_err(|error| named("listen", listen, error))?,
@@ -143,8 +154,14 @@
     let version = known.as_ref().map(|known| known.version);
     let servers = servers::Servers::new(limits.clone(), &terms, queue.clone(), figures.clone());
     let (tune, tuned) = watch::channel(Arc::new(messages::Tuned::first(terms.clone())));
-    let driver =
-        driver::Driver::new(terms.limiter(seed), servers, post.clone(), clock, figures.clone()).tells(tune);
+    let driver = driver::Driver::new(
+        terms.limiter(seed),
+        servers,
+        post.clone(),
+        clock,
+        figures.clone(),
+    )
+    .tells(tune);
     let mut driving = tokio::spawn(driver.run(known, news));
     let (told, first) = oneshot::channel();
     let watching = discovery::watch(discovery, version, limits.clone(), queue.clone(), told);
@@ -154,13 +171,26 @@
     others.push(tokio::spawn(async move {
         while tunes.changed().await.is_ok() {
             let terms = tunes.borrow_and_update().clone();
-            if retuning.send(messages::News::Retune(Box::new(terms))).await.is_err() {
+            if retuning
+                .send(messages::News::Retune(Box::new(terms)))
+                .await
+                .is_err()
+            {
                 return;
             }
         }
     }));
-    let at = listener.local_addr().map_or_else(|_| listen.to_string(), |at| at.to_string());
-    log!("{name} takes jobs at {at}{}", if inherited { ", on the socket handed down" } else { "" });
+    let at = listener
+        .local_addr()
+        .map_or_else(|_| listen.to_string(), |at| at.to_string());
+    log!(
+        "{name} takes jobs at {at}{}",
+        if inherited {
+            ", on the socket handed down"
+        } else {
+            ""
+        }
+    );
     let door = clients::Door::new(limits.clone(), tuned, queue, figures.clone());
     let first = timeout(limits.first_list, first);
     let taking = match &ground {
@@ -174,7 +204,9 @@
     if let Some(mesh) = taking.as_ref().map(|taking| taking.mesh.clone()) {
         others.push(tokio::spawn(async move {
             while grounds.changed().await.is_ok() {
-                let Some(ground) = grounds.borrow_and_update().clone() else { continue };
+                let Some(ground) = grounds.borrow_and_update().clone() else {
+                    continue;
+                };
                 match ground.keys() {
                     Ok(keys) => mesh.rekey(keys),
                     Err(error) => log!("{error}; the keys before stand"),
@@ -190,7 +222,11 @@
         others.push(tokio::spawn(ops::attend(
             listener,
             limits,
-            Arc::new(Told { door: door.clone(), mesh: told, figures }),
+            Arc::new(Told {
+                door: door.clone(),
+                mesh: told,
+                figures,
+            }),
         )));
     }
     let door = async {
@@ -205,7 +241,10 @@
     if let Some(taking) = taking {
         taking.end().await;
     }
-    others.iter().chain([&driving]).for_each(|task| task.abort());
+    others
+        .iter()
+        .chain([&driving])
+        .for_each(|task| task.abort());
     ended
 }
 
@@ -216,7 +255,12 @@
     #[tokio::test]
     async fn the_end_of_the_driver_is_the_end_of_all() {
         let mut driving = tokio::spawn(async { panic!("a fault in a decision") });
-        let error = attended(std::future::pending(), &mut driving).await.expect_err("a fault");
-        assert!(error.to_string().starts_with("the driver has ended"), "{error}");
+        let error = attended(std::future::pending(), &mut driving)
+            .await
+            .expect_err("a fault");
+        assert!(
+            error.to_string().starts_with("the driver has ended"),
+            "{error}"
+        );
     }
 }
--- a/crates/merlinreel/src/limits.rs
+++ b/crates/merlinreel/src/limits.rs
@@ -8,9 +8,13 @@
 /// Too little to run on.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum RoomError {
-    #[error("limits.memory_mb: {given} is too little, {needed} are needed; give the limiter more memory")]
+    #[error(
+        "limits.memory_mb: {given} is too little, {needed} are needed; give the limiter more memory"
+    )]
     Memory { given: u32, needed: usize },
-    #[error("limits.sockets: {given} is too few, {needed} are needed; raise the limit on descriptors")]
+    #[error(
+        "limits.sockets: {given} is too few, {needed} are needed; raise the limit on descriptors"
+    )]
     Sockets { given: u32, needed: usize },
 }
 
@@ -115,17 +119,30 @@
         // And a tenth for whole answers on their way to clients.
         let answers = bodies / 2;
         let memory = (memory_mb as usize * 1024).checked_sub(PROGRAM_MB * 1024 + bodies + answers);
-        let by_memory = memory.map(|kb| kb / CONNECTION_KB).filter(|&connections| connections >= 32);
+        let by_memory = memory
+            .map(|kb| kb / CONNECTION_KB)
+            .filter(|&connections| connections >= 32);
         let needed = ((PROGRAM_MB * 1024 + 32 * CONNECTION_KB) * 10 / 7).div_ceil(1024);
-        let by_memory = by_memory.ok_or(RoomError::Memory { given: memory_mb, needed })?;
-        let by_sockets = (sockets as usize).checked_sub(OWN).filter(|&left| left >= 32);
-        let by_sockets = by_sockets.ok_or(RoomError::Sockets { given: sockets, needed: OWN + 32 })?;
+        let by_memory = by_memory.ok_or(RoomError::Memory {
+            given: memory_mb,
+            needed,
+        })?;
+        let by_sockets = (sockets as usize)
+            .checked_sub(OWN)
+            .filter(|&left| left >= 32);
+        let by_sockets = by_sockets.ok_or(RoomError::Sockets {
+            given: sockets,
+            needed: OWN + 32,
+        })?;
         let room = by_sockets.min(by_memory);
         // A job holds its client's connection and at most one to a server; clients keep idle ones too.
         let servers = room * 2 / 5;
         let clients_most = room - servers;
-        let idle =
-            if terms.wire.server_idle.is_zero() { Duration::from_secs(15) } else { terms.wire.server_idle };
+        let idle = if terms.wire.server_idle.is_zero() {
+            Duration::from_secs(15)
+        } else {
+            terms.wire.server_idle
+        };
         let connect = terms.wire.connect_within;
         Ok(Limits {
             // A quarter is kept for who comes and goes, and to tell newcomers that it is busy.
@@ -134,7 +151,11 @@
             // Fronts hold up to a third of the descriptors: idle ones must end short of that.
             clients_kept: (sockets as usize / 4).min(clients_most - clients_most / 4),
             servers,
-            jobs: if terms.jobs.most_held == 0 { clients_most } else { terms.jobs.most_held },
+            jobs: if terms.jobs.most_held == 0 {
+                clients_most
+            } else {
+                terms.jobs.most_held
+            },
             // Each connection may have a job and its leaving there, each attempt its end.
             queue: 4 * room + 256,
             round: 512,
@@ -150,7 +171,11 @@
             bind: Duration::from_secs(3),
             // As many as most kernels allow; they hold no descriptors of the process.
             backlog: 4096,
-            connect: if connect.is_zero() { Duration::from_millis(250) } else { connect },
+            connect: if connect.is_zero() {
+                Duration::from_millis(250)
+            } else {
+                connect
+            },
             // What is written to a connection that the server just closed is lost: far from that moment.
             server_idle: idle.mul_f64(0.6),
             // Measured: those closed behind an answer were so within 23 ms, evenly spread.
@@ -203,7 +228,11 @@
 /// How long after the signal of a stop the last request has its answer, by the classes in force: well before the process
 /// is killed, which is no sooner than the longest deadline, 3 s at most, and 0.7 s. A busy machine needs some of that.
 pub fn stop_end(classes: &[Class]) -> Duration {
-    let longest = classes.iter().map(|class| class.deadline).max().unwrap_or_default();
+    let longest = classes
+        .iter()
+        .map(|class| class.deadline)
+        .max()
+        .unwrap_or_default();
     longest.min(Duration::from_secs(3)) + Duration::from_millis(300)
 }
 
@@ -217,8 +246,9 @@
     #[test_case(32 => true ; "a small machine, a thousand and more")]
     #[test_case(192 => true ; "the usual, a hundred and sixty thousand")]
     fn the_list_of_servers_has_room(memory_mb: u32) -> bool {
-        let terms =
-            Paths::from_json(&serde_json::json!({})).and_then(|paths| Terms::read(&paths)).expect("sound");
+        let terms = Paths::from_json(&serde_json::json!({}))
+            .and_then(|paths| Terms::read(&paths))
+            .expect("sound");
         let limits = Limits::new(256, memory_mb, &terms).expect("room");
         limits.server_list >= 220 * if memory_mb < 192 { 1024 } else { 160_000 }
     }
@@ -228,8 +258,9 @@
     #[test_case(65536, 40 ; "little memory")]
     #[test_case(256, 32 ; "a small machine")]
     fn all_descriptors_and_bytes_lie_within_what_is_given(sockets: u32, memory_mb: u32) {
-        let terms =
-            Paths::from_json(&serde_json::json!({})).and_then(|paths| Terms::read(&paths)).expect("sound");
+        let terms = Paths::from_json(&serde_json::json!({}))
+            .and_then(|paths| Terms::read(&paths))
+            .expect("sound");
         let limits = Limits::new(sockets, memory_mb, &terms).expect("room");
         let connections = limits.clients_most + limits.servers;
         assert!(limits.clients < limits.clients_most && limits.servers >= 12);
--- a/crates/merlinreel/src/log.rs
+++ b/crates/merlinreel/src/log.rs
@@ -19,12 +19,19 @@
 
 impl Gauge {
     pub const fn new() -> Gauge {
-        Gauge { since: None, lines: 0, held_back: 0 }
+        Gauge {
+            since: None,
+            lines: 0,
+            held_back: 0,
+        }
     }
 
     /// Whether a line may be written now, and how many were held back before it.
     pub fn admits(&mut self, now: Instant) -> Option<u64> {
-        if self.since.is_none_or(|since| now.duration_since(since) >= PERIOD) {
+        if self
+            .since
+            .is_none_or(|since| now.duration_since(since) >= PERIOD)
+        {
             (self.since, self.lines) = (Some(now), 0);
         }
         if self.lines == LINES {
@@ -46,7 +53,9 @@
 
 /// Whether the process may write a line now; used by the macro.
 pub fn admits() -> Option<u64> {
-    let mut gauge = GAUGE.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
+    let mut gauge = GAUGE
+        .lock()
+        .unwrap_or_else(std::sync::PoisonError::into_inner);
     gauge.admits(Instant::now())
 }
 
--- a/crates/merlinreel/src/main.rs
+++ b/crates/merlinreel/src/main.rs
@@ -10,13 +10,17 @@
 /// Why the limiter did not start, or ended by itself.
 #[derive(Debug, Error)]
 enum StartError {
-    #[error("PROXY_LISTEN_FD: '{0}' is no descriptor; it takes the number of the socket handed down")]
+    #[error(
+        "PROXY_LISTEN_FD: '{0}' is no descriptor; it takes the number of the socket handed down"
+    )]
     NoDescriptor(String),
     #[error("PROXY_LISTEN_FD: the program could not take it over: {0}")]
     TakeOver(std::io::Error),
     #[error("PROXY_LISTEN_FD: not a listening TCP socket: {0}")]
     NotListening(std::io::Error),
-    #[error("PROXY_LISTEN_FD: no socket there; it must be open in this process before the program starts")]
+    #[error(
+        "PROXY_LISTEN_FD: no socket there; it must be open in this process before the program starts"
+    )]
     NoSocket,
     #[error("signals can't be heard: {0}")]
     Signals(std::io::Error),
@@ -33,7 +37,9 @@
 fn inherited() -> Result<Option<std::net::TcpListener>, StartError> {
     let variable = |name| std::env::var(name).ok();
     if let Some(descriptor) = variable("PROXY_LISTEN_FD") {
-        let number: u32 = descriptor.parse().map_err(|_| StartError::NoDescriptor(descriptor.clone()))?;
+        let number: u32 = descriptor
+            .parse()
+            .map_err(|_| StartError::NoDescriptor(descriptor.clone()))?;
         let own = std::process::id().to_string();
         let told = variable("LISTEN_FDS_FIRST_FD") == Some(number.to_string())
             && variable("LISTEN_FDS").as_deref() == Some("1")
@@ -53,9 +59,13 @@
     if handed.len() == 0 {
         return Ok(None);
     }
-    let listener =
-        handed.take_tcp_listener(0).map_err(StartError::NotListening)?.ok_or(StartError::NoSocket)?;
-    listener.set_nonblocking(true).map_err(StartError::NotListening)?;
+    let listener = handed
+        .take_tcp_listener(0)
+        .map_err(StartError::NotListening)?
+        .ok_or(StartError::NoSocket)?;
+    listener
+        .set_nonblocking(true)
+        .map_err(StartError::NotListening)?;
     Ok(Some(listener))
 }
 
@@ -95,13 +105,20 @@
     let stop = async move {
         asked.recv().await;
     };
-    let turns = merlinreel::Turns { settings, discovery, ground };
+    let turns = merlinreel::Turns {
+        settings,
+        discovery,
+        ground,
+    };
     Ok(merlinreel::run(station, handed, figures, turns, stop).await?)
 }
 
 fn begin() -> Result<(), StartError> {
     let handed = inherited()?;
-    tokio::runtime::Builder::new_current_thread().enable_all().build()?.block_on(run(handed))
+    tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()?
+        .block_on(run(handed))
 }
 
 fn main() -> ExitCode {
--- a/crates/merlinreel/src/mesh.rs
+++ b/crates/merlinreel/src/mesh.rs
@@ -91,7 +91,10 @@
     ) -> Result<Taking, MeshError> {
         let incarnation = u64::try_from(unix_now().as_millis()).unwrap_or(u64::MAX);
         let part = Part {
-            own: Member { at: ground.called.unwrap_or(ground.listen), incarnation },
+            own: Member {
+                at: ground.called.unwrap_or(ground.listen),
+                incarnation,
+            },
             seeds: ground.seeds.clone(),
             keys: ground.keys()?,
             seed,
@@ -114,14 +117,22 @@
         let telling = tokio::spawn(async move {
             loop {
                 let program = env!("CARGO_PKG_VERSION").to_owned();
-                let own = Limiter { name: name.clone(), program, serves: serves() };
+                let own = Limiter {
+                    name: name.clone(),
+                    program,
+                    serves: serves(),
+                };
                 if let Err(error) = teller.publish(LIMITER, &own, LIMITER_LIFE, false) {
                     log!("mesh: what this limiter tells of itself: {error}");
                 }
                 sleep(TELL_EVERY).await;
             }
         });
-        Ok(Taking { mesh, socket, telling })
+        Ok(Taking {
+            mesh,
+            socket,
+            telling,
+        })
     }
 
     /// Tells the others that this limiter ends.
@@ -135,7 +146,11 @@
 
 /// What the door says under `/mesh`.
 pub fn told(mesh: &Mesh) -> Value {
-    let (members, known, counts) = (mesh.members(), mesh.known::<Limiter>(LIMITER), mesh.counts());
+    let (members, known, counts) = (
+        mesh.members(),
+        mesh.known::<Limiter>(LIMITER),
+        mesh.counts(),
+    );
     let limiters: Vec<Value> = known
         .held
         .iter()
--- a/crates/merlinreel/src/messages.rs
+++ b/crates/merlinreel/src/messages.rs
@@ -89,6 +89,9 @@
 
 impl Tuned {
     pub fn first(terms: Terms) -> Tuned {
-        Tuned { indices: (0..terms.classes.len()).collect(), terms }
+        Tuned {
+            indices: (0..terms.classes.len()).collect(),
+            terms,
+        }
     }
 }
--- a/crates/merlinreel/src/ops.rs
+++ b/crates/merlinreel/src/ops.rs
@@ -42,9 +42,15 @@
         ("/stats", true) => respond(StatusCode::OK, telling.stats()),
         ("/mesh", true) => match telling.mesh() {
             Some(text) => respond(StatusCode::OK, text + "\n"),
-            None => respond(StatusCode::NOT_FOUND, "this limiter has no section mesh\n".to_owned()),
+            None => respond(
+                StatusCode::NOT_FOUND,
+                "this limiter has no section mesh\n".to_owned(),
+            ),
         },
-        _ => respond(StatusCode::NOT_FOUND, "not here: /healthcheck, /stats, /mesh\n".to_owned()),
+        _ => respond(
+            StatusCode::NOT_FOUND,
+            "not here: /healthcheck, /stats, /mesh\n".to_owned(),
+        ),
     }
 }
 
@@ -74,13 +80,18 @@
             let _ = stream.set_nodelay(true);
             let service = service_fn(move |request: Request<Incoming>| {
                 let telling = telling.clone();
-                async move { Ok::<_, Infallible>(answer(request.method(), request.uri().path(), &*telling)) }
+                async move {
+                    Ok::<_, Infallible>(answer(request.method(), request.uri().path(), &*telling))
+                }
             });
             let connection = Builder::new()
                 .keep_alive(false)
                 .timer(TokioTimer::new())
                 .header_read_timeout(call)
-                .serve_connection(TokioIo::new(Tallied::new(stream, Arc::new(Untallied))), service);
+                .serve_connection(
+                    TokioIo::new(Tallied::new(stream, Arc::new(Untallied))),
+                    service,
+                );
             // A call whose body never ends is cut off, too.
             let _ = timeout(call * 2, connection).await;
         }));
@@ -110,6 +121,9 @@
     #[test_case("GET", "/up", true, 404 ; "another path")]
     fn each_call_has_its_answer(method: &str, path: &str, serves: bool, status: u16) {
         let method = Method::from_bytes(method.as_bytes()).expect("a method");
-        assert_eq!(answer(&method, path, &Told(serves)).status().as_u16(), status);
+        assert_eq!(
+            answer(&method, path, &Told(serves)).status().as_u16(),
+            status
+        );
     }
 }
--- a/crates/merlinreel/src/peers.rs
+++ b/crates/merlinreel/src/peers.rs
@@ -30,14 +30,22 @@
         } else {
             UdpSocket::bind(at).await?
         };
-        Ok(Post { socket: Arc::new(socket), peers: peers.into() })
+        Ok(Post {
+            socket: Arc::new(socket),
+            peers: peers.into(),
+        })
     }
 
     /// A peer message that can't leave at once is lost, as any may be.
     pub fn tell(&self, limiter: u32, peer_message: &[u8]) {
-        let Some(&to) = self.peers.get(limiter as usize) else { return };
+        let Some(&to) = self.peers.get(limiter as usize) else {
+            return;
+        };
         if peer_message.len() > MOST_BYTES {
-            log!("peer messages: one of {} bytes was not sent", peer_message.len());
+            log!(
+                "peer messages: one of {} bytes was not sent",
+                peer_message.len()
+            );
             return;
         }
         if let Err(error) = self.socket.try_send_to(peer_message, to)
@@ -90,15 +98,28 @@
         ];
         let peers: Arc<[SocketAddr]> = [&one, &two].map(|s| s.local_addr().expect("bound")).into();
         let (queue, mut news) = mpsc::channel(8);
-        let receiver = Post { socket: Arc::new(one), peers: peers.clone() };
-        let sender = Post { socket: Arc::new(two), peers: peers.clone() };
+        let receiver = Post {
+            socket: Arc::new(one),
+            peers: peers.clone(),
+        };
+        let sender = Post {
+            socket: Arc::new(two),
+            peers: peers.clone(),
+        };
         tokio::spawn(receiver.receive(queue));
         let _ = stranger.send_to(b"odd", peers[0]).await;
         sender.tell(0, &[0; MOST_BYTES + 1]);
         sender.tell(7, b"nobody");
         sender.tell(0, b"hello");
-        let first = timeout(Duration::from_secs(5), news.recv()).await.expect("a peer message");
-        let Some(News::PeerMessage(peer_message)) = first else { panic!("no peer message") };
-        assert_eq!((peer_message.from, peer_message.bytes.as_slice()), (1, &b"hello"[..]));
+        let first = timeout(Duration::from_secs(5), news.recv())
+            .await
+            .expect("a peer message");
+        let Some(News::PeerMessage(peer_message)) = first else {
+            panic!("no peer message")
+        };
+        assert_eq!(
+            (peer_message.from, peer_message.bytes.as_slice()),
+            (1, &b"hello"[..])
+        );
     }
 }
--- a/crates/merlinreel/src/servers.rs
+++ b/crates/merlinreel/src/servers.rs
@@ -82,7 +82,10 @@
     /// Guards attempts against servers that end a connection behind an answer, where the end crosses the next attempt,
     /// and against those that send a second answer.
     fn take(&mut self, now: Instant, settled: Duration, only_settled: bool) -> Option<Link> {
-        let newest = self.0.iter().rposition(|(since, _)| now.duration_since(*since) >= settled);
+        let newest = self
+            .0
+            .iter()
+            .rposition(|(since, _)| now.duration_since(*since) >= settled);
         let oldest = (!only_settled && !self.0.is_empty()).then_some(0);
         newest.or(oldest).map(|i| self.0.remove(i).1)
     }
@@ -133,8 +136,13 @@
     /// Takes a message of discovery in, for the module; no connection rests to a server that is not up.
     pub fn list(&mut self, news: DiscoveryNews, restored: bool) -> ServerList {
         let list = self.table.apply(news, restored);
-        self.idle.resize_with(self.table.indices(), IdleConnections::default);
-        for entry in list.entries.iter().filter(|entry| entry.standing != Standing::Up) {
+        self.idle
+            .resize_with(self.table.indices(), IdleConnections::default);
+        for entry in list
+            .entries
+            .iter()
+            .filter(|entry| entry.standing != Standing::Up)
+        {
             self.close_idle(entry.server);
         }
         if list.whole {
@@ -166,7 +174,8 @@
         let address = self.table.address(server)?;
         let idle = self.idle.get_mut(server as usize)?;
         let only_settled = self.unasked.seen();
-        while let Some(link) = idle.take(attempt.started, self.limits.server_settled, only_settled) {
+        while let Some(link) = idle.take(attempt.started, self.limits.server_settled, only_settled)
+        {
             if link.address != address {
                 continue;
             }
@@ -226,19 +235,33 @@
     }
 
     pub fn probe(&mut self, server: u32) {
-        let Some(address) = self.table.address(server) else { return };
+        let Some(address) = self.table.address(server) else {
+            return;
+        };
         if !self.probes {
             return;
         }
         let Some(slot) = self.slot() else { return };
-        let path = if self.loads_in_probes { "/metrics/load" } else { "/alive" };
+        let path = if self.loads_in_probes {
+            "/metrics/load"
+        } else {
+            "/alive"
+        };
         let (queue, limits) = (self.queue.clone(), self.limits.clone());
         tokio::spawn(async move {
             let started = Instant::now();
-            let found = timeout(limits.probe, probe(address, path, &limits)).await.ok().flatten();
+            let found = timeout(limits.probe, probe(address, path, &limits))
+                .await
+                .ok()
+                .flatten();
             drop(slot);
             let (answered, load) = (found.is_some(), found.unwrap_or_default());
-            let answer = ProbeAnswer { server, answered, took: started.elapsed(), load };
+            let answer = ProbeAnswer {
+                server,
+                answered,
+                took: started.elapsed(),
+                load,
+            };
             let _ = queue.send(News::Probe(answer)).await;
         });
     }
--- a/crates/merlinreel/src/servers/answer.rs
+++ b/crates/merlinreel/src/servers/answer.rs
@@ -55,7 +55,12 @@
             (Bytes::new(), None)
         }
     };
-    Ok(Answer { head, body, flow, framed })
+    Ok(Answer {
+        head,
+        body,
+        flow,
+        framed,
+    })
 }
 
 /// Guards clients against an answer that was not made for their request.
--- a/crates/merlinreel/src/servers/message.rs
+++ b/crates/merlinreel/src/servers/message.rs
@@ -13,10 +13,15 @@
 
 /// The bytes that a request takes on the wire at least.
 pub fn wire_length(request: &Request<Full<Bytes>>, body: usize) -> u64 {
-    let path = request.uri().path_and_query().map_or(1, |path| path.as_str().len());
+    let path = request
+        .uri()
+        .path_and_query()
+        .map_or(1, |path| path.as_str().len());
     let line = request.method().as_str().len() + 1 + path + " HTTP/1.1\r\n".len();
-    let headers =
-        request.headers().iter().map(|(name, value)| name.as_str().len() + value.len() + ": \r\n".len());
+    let headers = request
+        .headers()
+        .iter()
+        .map(|(name, value)| name.as_str().len() + value.len() + ": \r\n".len());
     (line + headers.sum::<usize>() + "\r\n".len() + body) as u64
 }
 
@@ -43,12 +48,16 @@
 
 /// Takes out the headers that are of one connection only, and the length, which the body tells.
 pub fn strip_hop_by_hop(headers: &mut HeaderMap) {
-    let named = headers.get_all(CONNECTION).iter().filter_map(|value| value.to_str().ok());
-    let named: Vec<String> =
-        named.flat_map(|value| value.split(',').map(|name| name.trim().to_lowercase())).collect();
+    let named = headers
+        .get_all(CONNECTION)
+        .iter()
+        .filter_map(|value| value.to_str().ok());
+    let named: Vec<String> = named
+        .flat_map(|value| value.split(',').map(|name| name.trim().to_lowercase()))
+        .collect();
     let of_one_connection = |name: &&HeaderName| match name.as_str() {
-        "connection" | "keep-alive" | "proxy-connection" | "te" | "trailer" | "transfer-encoding"
-        | "upgrade" | "content-length" => true,
+        "connection" | "keep-alive" | "proxy-connection" | "te" | "trailer"
+        | "transfer-encoding" | "upgrade" | "content-length" => true,
         name => named.iter().any(|other| other == name),
     };
     let gone: Vec<HeaderName> = headers.keys().filter(of_one_connection).cloned().collect();
@@ -65,26 +74,49 @@
 
 impl Said {
     pub fn nothing(ending: Ending) -> Said {
-        Said { ending, units: None, load: Load::default(), delivery: None }
+        Said {
+            ending,
+            units: None,
+            load: Load::default(),
+            delivery: None,
+        }
     }
 }
 
 /// A whole `body`, or a `flow` in its place.
 pub fn decode(mut head: Parts, body: Bytes, flow: Option<Box<Flow>>, loads: bool) -> Said {
-    let turned_away = head.headers.get(TURNED_AWAY).is_some_and(|value| value == "1");
+    let turned_away = head
+        .headers
+        .get(TURNED_AWAY)
+        .is_some_and(|value| value == "1");
     let ending = match head.status {
         StatusCode::OK => Ending::Served,
-        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if turned_away => Ending::TurnedAway,
+        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if turned_away => {
+            Ending::TurnedAway
+        }
         _ => Ending::Error,
     };
-    let units = head.headers.get(UNITS_CHARGED).and_then(|value| value.to_str().ok());
-    let units =
-        units.and_then(|text| text.parse::<f64>().ok()).filter(|units| units.is_finite() && *units > 0.0);
+    let units = head
+        .headers
+        .get(UNITS_CHARGED)
+        .and_then(|value| value.to_str().ok());
+    let units = units
+        .and_then(|text| text.parse::<f64>().ok())
+        .filter(|units| units.is_finite() && *units > 0.0);
     let load = head.headers.remove(PRESSURE).filter(|_| loads);
     let load = load.map_or_else(Load::default, |value| read_load(value.as_bytes()));
     let delivery = (ending == Ending::Served).then(|| {
         strip_hop_by_hop(&mut head.headers);
-        Delivery { headers: head.headers, body, flow }
+        Delivery {
+            headers: head.headers,
+            body,
+            flow,
+        }
     });
-    Said { ending, units, load, delivery }
+    Said {
+        ending,
+        units,
+        load,
+        delivery,
+    }
 }
--- a/crates/merlinreel/src/servers/probe.rs
+++ b/crates/merlinreel/src/servers/probe.rs
@@ -14,13 +14,21 @@
 /// What a server says of itself, on a connection of its own; none where it says nothing good.
 pub async fn probe(address: SocketAddr, path: &str, limits: &Limits) -> Option<Load> {
     let stream = TcpStream::connect(address).await.ok()?;
-    let (mut sender, connection) = hyper::client::conn::http1::handshake(TokioIo::new(stream)).await.ok()?;
-    let request = Request::get(path).header(HOST, address.to_string()).header(CONNECTION, "close");
+    let (mut sender, connection) = hyper::client::conn::http1::handshake(TokioIo::new(stream))
+        .await
+        .ok()?;
+    let request = Request::get(path)
+        .header(HOST, address.to_string())
+        .header(CONNECTION, "close");
     let request = request.body(Empty::<Bytes>::new()).ok()?;
     let answer = async {
         let answer = sender.send_request(request).await.ok()?;
         let fine = answer.status() == StatusCode::OK;
-        let body = Limited::new(answer.into_body(), limits.body).collect().await.ok()?.to_bytes();
+        let body = Limited::new(answer.into_body(), limits.body)
+            .collect()
+            .await
+            .ok()?
+            .to_bytes();
         fine.then(|| read_load(&body))
     };
     // The connection ends with the answer, or with the time for it.
@@ -29,7 +37,9 @@
 
 /// A load report; what it does not hold is absent.
 pub fn read_load(bytes: &[u8]) -> Load {
-    let Ok(fields) = serde_json::from_slice::<HashMap<String, f64>>(bytes) else { return Load::default() };
+    let Ok(fields) = serde_json::from_slice::<HashMap<String, f64>>(bytes) else {
+        return Load::default();
+    };
     let mut load = Load::default();
     for (name, value) in fields.into_iter().filter(|(_, value)| value.is_finite()) {
         match name.as_str() {
--- a/crates/merlinreel/src/servers/tests.rs
+++ b/crates/merlinreel/src/servers/tests.rs
@@ -15,9 +15,17 @@
 const LONG: Duration = Duration::from_secs(20);
 
 fn parcel(body: usize) -> Arc<Parcel> {
-    let headers = [("x-txn", "9b"), ("host", "origin.svc"), ("content-length", "1")];
-    let headers =
-        headers.map(|(name, value)| (HeaderName::from_static(name), HeaderValue::from_static(value)));
+    let headers = [
+        ("x-txn", "9b"),
+        ("host", "origin.svc"),
+        ("content-length", "1"),
+    ];
+    let headers = headers.map(|(name, value)| {
+        (
+            HeaderName::from_static(name),
+            HeaderValue::from_static(value),
+        )
+    });
     Arc::new(Parcel {
         method: Method::POST,
         uri: Uri::from_static("/pay?key=07"),
@@ -29,15 +37,27 @@
 
 fn attempt(serial: u64, body: usize, within: Duration) -> Attempt {
     let started = Instant::now();
-    Attempt { serial, parcel: parcel(body), started, until: started + within, begins_by: None }
+    Attempt {
+        serial,
+        parcel: parcel(body),
+        started,
+        until: started + within,
+        begins_by: None,
+    }
 }
 
 /// The servers with one at that address.
 fn servers(address: SocketAddr, slots: usize) -> (Servers, mpsc::Receiver<News>) {
-    let settings = serde_json::json!({"report": {"how": "answers"}, "policyLimits": {"probes": true}});
+    let settings =
+        serde_json::json!({"report": {"how": "answers"}, "policyLimits": {"probes": true}});
     let paths = merlinreel_settings::Paths::from_json(&settings);
-    let terms = paths.and_then(|paths| merlinreel_settings::Terms::read(&paths)).expect("sound");
-    let limits = Limits { servers: slots, ..Limits::new(1024, 192, &terms).expect("room") };
+    let terms = paths
+        .and_then(|paths| merlinreel_settings::Terms::read(&paths))
+        .expect("sound");
+    let limits = Limits {
+        servers: slots,
+        ..Limits::new(1024, 192, &terms).expect("room")
+    };
     let (queue, news) = mpsc::channel(16);
     let mut servers = Servers::new(limits, &terms, queue, Figures::new(&[]));
     servers.list(list(address, Standing::Up), true);
@@ -46,9 +66,20 @@
 
 fn list(address: SocketAddr, standing: Standing) -> DiscoveryNews {
     let (name, zone) = ("s-1".to_owned(), "a".to_owned());
-    let listed =
-        merlinreel_discovery::Listed { name, address, zone, cell: 0, standing, weight: 1.0, up_since: None };
-    DiscoveryNews { version: 1, whole: true, servers: vec![listed] }
+    let listed = merlinreel_discovery::Listed {
+        name,
+        address,
+        zone,
+        cell: 0,
+        standing,
+        weight: 1.0,
+        up_since: None,
+    };
+    DiscoveryNews {
+        version: 1,
+        whole: true,
+        servers: vec![listed],
+    }
 }
 
 async fn end(news: &mut mpsc::Receiver<News>) -> AttemptNews {
@@ -65,7 +96,11 @@
 }
 
 async fn accept(listener: &TcpListener) -> TcpStream {
-    timeout(LONG, listener.accept()).await.expect("in time").expect("a connection").0
+    timeout(LONG, listener.accept())
+        .await
+        .expect("in time")
+        .expect("a connection")
+        .0
 }
 
 /// Reads one request, which ends as its body does.
@@ -131,7 +166,11 @@
     drop(stream);
     let end = end(&mut news).await;
     if end.ending == Ending::Served && text == INFORMED {
-        let load = Load { waiting: Some(2.0), busy: Some(0.5), ..Load::default() };
+        let load = Load {
+            waiting: Some(2.0),
+            busy: Some(0.5),
+            ..Load::default()
+        };
         assert_eq!((end.units, end.load), (Some(3.0), load));
         let delivery = end.delivery.expect("an answer");
         assert_eq!(&delivery.body[..], b"done");
@@ -157,7 +196,11 @@
 async fn the_last_byte_tells_what_may_have_run(body: usize, closes: bool, ending: Ending) {
     let (listener, address) = listener().await;
     let (mut servers, mut news) = servers(address, 4);
-    let within = if closes { LONG } else { Duration::from_millis(300) };
+    let within = if closes {
+        LONG
+    } else {
+        Duration::from_millis(300)
+    };
     let _link = servers.send(0, attempt(1, body, within));
     let mut stream = accept(&listener).await;
     assert!(stream.read(&mut [0; 64]).await.expect("the beginning") > 0);
@@ -179,17 +222,28 @@
     link.abandon(4);
     link.abandon(5);
     assert_eq!(end(&mut news).await.ending, Ending::Revoked);
-    assert_eq!(stream.try_read(&mut [0; 8]).expect("the end is there already"), 0);
+    assert_eq!(
+        stream
+            .try_read(&mut [0; 8])
+            .expect("the end is there already"),
+        0
+    );
 }
 
 /// Nothing is written for a client that has gone: its attempt's connection comes up late, and the attempt may not be
 /// cancelled once it has begun.
 #[tokio::test]
 async fn an_attempt_that_has_not_begun_is_withdrawn() {
-    let full = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
-    full.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).expect("a free port");
+    let full =
+        socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
+    full.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into())
+        .expect("a free port");
     full.listen(0).expect("listens");
-    let address = full.local_addr().ok().and_then(|address| address.as_socket()).expect("bound");
+    let address = full
+        .local_addr()
+        .ok()
+        .and_then(|address| address.as_socket())
+        .expect("bound");
     // The one place of its queue is taken: further connections come up only once it is accepted.
     let _place = std::net::TcpStream::connect(address).expect("the one place");
     let (mut servers, mut news) = servers(address, 4);
@@ -233,11 +287,19 @@
 #[test]
 fn headers_of_one_connection_are_not_passed_on() {
     let mut headers = HeaderMap::new();
-    for (name, value) in [("connection", "x-own, close"), ("x-own", "1"), ("te", "gzip"), ("x-kept", "1")] {
+    for (name, value) in [
+        ("connection", "x-own, close"),
+        ("x-own", "1"),
+        ("te", "gzip"),
+        ("x-kept", "1"),
+    ] {
         headers.insert(name, HeaderValue::from_static(value));
     }
     strip_hop_by_hop(&mut headers);
-    assert_eq!(headers.keys().map(HeaderName::as_str).collect::<Vec<_>>(), ["x-kept"]);
+    assert_eq!(
+        headers.keys().map(HeaderName::as_str).collect::<Vec<_>>(),
+        ["x-kept"]
+    );
 }
 
 /// A repeat of a keyed job whose servers forget the key at that moment: on a connection that rests, on a new one, and
@@ -260,11 +322,21 @@
         HUGE => Some(Instant::now() + Duration::from_millis(50)),
         _ => Some(Instant::now()),
     };
-    let _link = servers.send(0, Attempt { begins_by, ..attempt(2, body, 3 * LONG) }).expect("a slot");
+    let _link = servers
+        .send(
+            0,
+            Attempt {
+                begins_by,
+                ..attempt(2, body, 3 * LONG)
+            },
+        )
+        .expect("a slot");
     assert_eq!(end(&mut news).await.ending, Ending::Unsent);
     let mut read = Vec::new();
     if let Some(stream) = &mut server {
-        let _ = timeout(LONG, stream.read_to_end(&mut read)).await.expect("closed");
+        let _ = timeout(LONG, stream.read_to_end(&mut read))
+            .await
+            .expect("closed");
     }
     assert!(read.len() < body, "{}", read.len());
 }
--- a/crates/merlinreel/src/servers/tests/resting.rs
+++ b/crates/merlinreel/src/servers/tests/resting.rs
@@ -12,10 +12,17 @@
     let now = Instant::now() + LONG;
     let link = |ms: &u64| {
         let address = SocketAddr::from(([127, 0, 0, 1], *ms as u16));
-        (now - Duration::from_millis(*ms), Link { commands: mpsc::channel(1).0, address })
+        (
+            now - Duration::from_millis(*ms),
+            Link {
+                commands: mpsc::channel(1).0,
+                address,
+            },
+        )
     };
     let mut idle = IdleConnections(idle.iter().map(link).collect());
-    idle.take(now, Duration::from_millis(25), only_settled).map(|link| link.address.port().into())
+    idle.take(now, Duration::from_millis(25), only_settled)
+        .map(|link| link.address.port().into())
 }
 
 #[tokio::test]
@@ -33,7 +40,10 @@
     let _link = servers.send(0, attempt(3, 1, LONG)).expect("an idle one");
     // None is settled: the oldest.
     let bytes = request(&mut one).await;
-    assert_eq!(wire_length(&encode(&parcel(1), LONG), 1) as usize, bytes.len());
+    assert_eq!(
+        wire_length(&encode(&parcel(1), LONG), 1) as usize,
+        bytes.len()
+    );
 }
 
 #[tokio::test]
@@ -68,7 +78,10 @@
         done(&mut stream, &mut news).await;
         stream.write_all(SECOND.as_bytes()).await.expect("written");
     } else {
-        stream.write_all(format!("{GOOD}{SECOND}").as_bytes()).await.expect("written");
+        stream
+            .write_all(format!("{GOOD}{SECOND}").as_bytes())
+            .await
+            .expect("written");
         end(&mut news).await;
     }
     timeout(LONG, async {
@@ -101,7 +114,10 @@
     let mut other = accept(&listener).await;
     request(&mut other).await;
     let end = done(&mut other, &mut news).await;
-    assert_eq!(end.delivery.map(|delivery| delivery.body), Some(Bytes::from_static(b"done")));
+    assert_eq!(
+        end.delivery.map(|delivery| delivery.body),
+        Some(Bytes::from_static(b"done"))
+    );
 }
 
 #[test_case(Standing::Draining, 0 ; "a server that drains")]
@@ -112,11 +128,20 @@
     let (mut servers, mut news) = servers(address, 4);
     let (link, mut stream) = begun(&listener, &mut servers, 1).await;
     done(&mut stream, &mut news).await;
-    let elsewhere = SocketAddr::from(([127, 0, 0, 1], if port == 0 { address.port() } else { port }));
+    let elsewhere = SocketAddr::from((
+        [127, 0, 0, 1],
+        if port == 0 { address.port() } else { port },
+    ));
     servers.list(list(elsewhere, standing), false);
     servers.keep(0, link);
     servers.close_idle(0);
-    assert_eq!(timeout(LONG, stream.read(&mut [0; 8])).await.expect("closed").expect("in order"), 0);
+    assert_eq!(
+        timeout(LONG, stream.read(&mut [0; 8]))
+            .await
+            .expect("closed")
+            .expect("in order"),
+        0
+    );
 }
 
 #[tokio::test]
@@ -128,7 +153,13 @@
     let (link, mut stream) = begun(&listener, &mut servers, 1).await;
     done(&mut stream, &mut news).await;
     servers.keep(0, link);
-    assert_eq!(timeout(LONG, stream.read(&mut [0; 8])).await.expect("closed").expect("in order"), 0);
+    assert_eq!(
+        timeout(LONG, stream.read(&mut [0; 8]))
+            .await
+            .expect("closed")
+            .expect("in order"),
+        0
+    );
 }
 
 #[tokio::test]
@@ -137,10 +168,18 @@
     let (mut servers, mut news) = servers(address, 2);
     let (first, mut stream) = begun(&listener, &mut servers, 1).await;
     done(&mut stream, &mut news).await;
-    servers.idle.push(IdleConnections(vec![(Instant::now(), first)]));
+    servers
+        .idle
+        .push(IdleConnections(vec![(Instant::now(), first)]));
     let second = servers.send(0, attempt(2, 1, LONG));
     assert!(second.is_some() && servers.send(0, attempt(3, 1, LONG)).is_none());
-    assert_eq!(timeout(LONG, stream.read(&mut [0; 8])).await.expect("closed").expect("in order"), 0);
+    assert_eq!(
+        timeout(LONG, stream.read(&mut [0; 8]))
+            .await
+            .expect("closed")
+            .expect("in order"),
+        0
+    );
 }
 
 /// What a whole list does to a connection that rests: to a server that it names as up it is used again, to any other it
@@ -161,7 +200,13 @@
         whole.servers[0].address = SocketAddr::from(([127, 0, 0, 9], 9));
     }
     servers.list(whole, false);
-    let _next = standing.eq(&Standing::Up).then(|| servers.send(0, attempt(2, 1, LONG)));
+    let _next = standing
+        .eq(&Standing::Up)
+        .then(|| servers.send(0, attempt(2, 1, LONG)));
     let mut byte = [0];
-    timeout(LONG, stream.read(&mut byte)).await.expect("in time").expect("in order") > 0
+    timeout(LONG, stream.read(&mut byte))
+        .await
+        .expect("in time")
+        .expect("in order")
+        > 0
 }
--- a/crates/merlinreel/src/servers/unasked.rs
+++ b/crates/merlinreel/src/servers/unasked.rs
@@ -26,7 +26,9 @@
 /// Whether a connection's error says that more came than the answer: the HTTP library then names neither a fault of
 /// what it parsed nor an error of the socket.
 pub fn is_unasked(error: &hyper::Error) -> bool {
-    let names_another =
-        error.is_parse() || error.is_incomplete_message() || error.is_closed() || error.is_canceled();
+    let names_another = error.is_parse()
+        || error.is_incomplete_message()
+        || error.is_closed()
+        || error.is_canceled();
     error.source().is_none() && !names_another
 }
--- a/crates/merlinreel/src/servers/upstream.rs
+++ b/crates/merlinreel/src/servers/upstream.rs
@@ -37,7 +37,11 @@
 
 impl Sent {
     fn new(unasked: Arc<UnaskedBytes>) -> Sent {
-        Sent { bytes: AtomicU64::new(0), resting: AtomicBool::new(false), unasked }
+        Sent {
+            bytes: AtomicU64::new(0),
+            resting: AtomicBool::new(false),
+            unasked,
+        }
     }
 
     fn bytes(&self) -> u64 {
@@ -124,7 +128,11 @@
                 Some(open) => open,
                 None => match self.open(&attempt).await {
                     Ok(open) => open,
-                    Err(ending) => return self.report(serial, started, Said::nothing(ending), false).await,
+                    Err(ending) => {
+                        return self
+                            .report(serial, started, Said::nothing(ending), false)
+                            .await;
+                    }
                 },
             };
             let before = open.sent.bytes();
@@ -158,10 +166,14 @@
                 Err(ending) => {
                     // Closed before anybody hears of it, and so before a next attempt starts.
                     drop(open);
-                    return self.report(serial, started, Said::nothing(ending), false).await;
+                    return self
+                        .report(serial, started, Said::nothing(ending), false)
+                        .await;
                 }
             }
-            let Some(next) = self.rest(&mut open).await else { return };
+            let Some(next) = self.rest(&mut open).await else {
+                return;
+            };
             attempt = next;
             if !open.over {
                 up = Some(open);
@@ -213,19 +225,36 @@
         let io = TokioIo::new(Tallied::new(stream, sent.clone()));
         let shaken = Builder::new().max_buf_size(head).handshake(io).await;
         let (sender, connection) = shaken.map_err(|_| Ending::Unreachable)?;
-        Ok(OpenConnection { sender, connection: Box::pin(connection), sent, over: false })
+        Ok(OpenConnection {
+            sender,
+            connection: Box::pin(connection),
+            sent,
+            over: false,
+        })
     }
 
     /// Makes the attempt. On an error the connection must be closed.
-    async fn exchange(&mut self, up: &mut OpenConnection, attempt: &Attempt) -> Result<Answered, Ending> {
+    async fn exchange(
+        &mut self,
+        up: &mut OpenConnection,
+        attempt: &Attempt,
+    ) -> Result<Answered, Ending> {
         // Asked of the clock itself: a timer may be a millisecond late.
         if attempt.written_by() <= Instant::now() {
             return Err(Ending::Unsent);
         }
-        let request = encode(&attempt.parcel, attempt.until.saturating_duration_since(Instant::now()));
+        let request = encode(
+            &attempt.parcel,
+            attempt.until.saturating_duration_since(Instant::now()),
+        );
         let before = up.sent.bytes();
         let whole = before + wire_length(&request, attempt.parcel.body.len());
-        let OpenConnection { sender, connection, sent, over } = up;
+        let OpenConnection {
+            sender,
+            connection,
+            sent,
+            over,
+        } = up;
         let (memory, most, loads) = (self.memory.clone(), self.limits.flowing, self.loads);
         // Counted once its last byte is written: the class is the first part of the path.
         let attempted = {
@@ -317,7 +346,13 @@
         self.commands.close();
         while let Some(command) = self.commands.recv().await {
             if let Command::Send(attempt) = command {
-                self.report(attempt.serial, attempt.started, Said::nothing(Ending::Unsent), false).await;
+                self.report(
+                    attempt.serial,
+                    attempt.started,
+                    Said::nothing(Ending::Unsent),
+                    false,
+                )
+                .await;
             }
         }
         None
--- a/crates/merlinreel/src/stream.rs
+++ b/crates/merlinreel/src/stream.rs
@@ -61,7 +61,12 @@
 
 impl<T: Tally> Tallied<T> {
     pub fn new(stream: TcpStream, tally: Arc<T>) -> Tallied<T> {
-        Tallied { stream, tally, short_read: false, short_write: false }
+        Tallied {
+            stream,
+            tally,
+            short_read: false,
+            short_write: false,
+        }
     }
 
     /// How many bytes the kernel holds that nobody has read, one at most: none at the other side's end. `None` where it
@@ -82,15 +87,20 @@
                 return Poll::Ready(());
             }
             // Bytes lie there unread: the poller tells of the next event.
-            let _ = self.stream.try_io(Interest::READABLE, || Err::<(), _>(io::ErrorKind::WouldBlock.into()));
+            let _ = self.stream.try_io(Interest::READABLE, || {
+                Err::<(), _>(io::ErrorKind::WouldBlock.into())
+            });
         }
     }
 
     /// Seen by the poller, where bytes lie unread before the end, or by the kernel where none do.
     fn other_has_ended(&self) -> bool {
-        let ready = pin!(self.stream.ready(Interest::READABLE)).poll(&mut Context::from_waker(Waker::noop()));
+        let ready = pin!(self.stream.ready(Interest::READABLE))
+            .poll(&mut Context::from_waker(Waker::noop()));
         match ready {
-            Poll::Ready(Ok(ready)) if !ready.is_read_closed() => matches!(self.peek(), Some(Ok(0) | Err(_))),
+            Poll::Ready(Ok(ready)) if !ready.is_read_closed() => {
+                matches!(self.peek(), Some(Ok(0) | Err(_)))
+            }
             Poll::Ready(_) => true,
             Poll::Pending => false,
         }
@@ -112,7 +122,8 @@
 
     /// A read beside the poller.
     fn read_directly(&mut self, into: &mut ReadBuf) -> Poll<io::Result<()>> {
-        let read = unless_blocked(|| (&*SockRef::from(&self.stream)).read(into.initialize_unfilled()));
+        let read =
+            unless_blocked(|| (&*SockRef::from(&self.stream)).read(into.initialize_unfilled()));
         self.short_read = read.is_some();
         match read {
             Some(Ok(bytes)) => {
@@ -142,7 +153,11 @@
 }
 
 impl<T: Tally> AsyncRead for Tallied<T> {
-    fn poll_read(mut self: Pin<&mut Self>, cx: &mut Context, into: &mut ReadBuf) -> Poll<io::Result<()>> {
+    fn poll_read(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context,
+        into: &mut ReadBuf,
+    ) -> Poll<io::Result<()>> {
         let (before, room) = (into.filled().len(), into.remaining());
         let mut done = Pin::new(&mut self.stream).poll_read(cx, into);
         while is_interrupted(&done) {
@@ -161,7 +176,11 @@
 }
 
 impl<T: Tally> AsyncWrite for Tallied<T> {
-    fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context, bytes: &[u8]) -> Poll<io::Result<usize>> {
+    fn poll_write(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context,
+        bytes: &[u8],
+    ) -> Poll<io::Result<usize>> {
         self.clear()?;
         let mut done = Pin::new(&mut self.stream).poll_write(cx, bytes);
         while is_interrupted(&done) {
--- a/crates/merlinreel/tests/sockets/broken_answers.rs
+++ b/crates/merlinreel/tests/sockets/broken_answers.rs
@@ -57,12 +57,16 @@
 
 fn chunks(body: &str) -> String {
     let chunks = body.as_bytes().chunks(CHUNK).map(String::from_utf8_lossy);
-    chunks.map(|chunk| format!("{:x}\r\n{chunk}\r\n", chunk.len())).collect()
+    chunks
+        .map(|chunk| format!("{:x}\r\n{chunk}\r\n", chunk.len()))
+        .collect()
 }
 
 /// No two of its parts are alike, so that one lost or doubled is seen.
 fn long_body(length: usize) -> String {
-    let mut body: String = (0..=length / 8).map(|number| format!("{number:07} ")).collect();
+    let mut body: String = (0..=length / 8)
+        .map(|number| format!("{number:07} "))
+        .collect();
     body.truncate(length);
     body
 }
@@ -121,8 +125,14 @@
     /// What comes of a request whose first attempt may have run.
     fn after_broken_attempt(self) -> Outcome {
         match self {
-            Class::ReadLike | Class::Keyed => Outcome { status: 200, attempts: 2 },
-            Class::NonIdempotent => Outcome { status: 502, attempts: 1 },
+            Class::ReadLike | Class::Keyed => Outcome {
+                status: 200,
+                attempts: 2,
+            },
+            Class::NonIdempotent => Outcome {
+                status: 502,
+                attempts: 1,
+            },
         }
     }
 }
@@ -137,11 +147,13 @@
 /// Answers the first request in that way, later ones well and whole.
 fn first_by(first: impl Fn() -> React + Send + Sync + 'static) -> StandIn {
     let answered = AtomicBool::new(false);
-    StandIn::start(
-        move |_| {
-            if answered.swap(true, Ordering::SeqCst) { answer("200 OK", "", GOOD) } else { first() }
-        },
-    )
+    StandIn::start(move |_| {
+        if answered.swap(true, Ordering::SeqCst) {
+            answer("200 OK", "", GOOD)
+        } else {
+            first()
+        }
+    })
 }
 
 fn first_broken(text: String, when: BreakWhen, end: ConnectionEnd) -> StandIn {
@@ -152,8 +164,12 @@
 /// Classes with so much time, and keys kept so long, that a busy machine takes no attempt from a request.
 fn unhurried(server: &StandIn) -> serde_json::Value {
     let mut config = config(&[listed("s-1", server.address, "up")]);
-    for class in config["settings"]["classes"].as_array_mut().expect("classes") {
-        (class["promiseS"], class["hardLimitS"]) = (TIME.as_secs().into(), (TIME.as_secs() * 2).into());
+    for class in config["settings"]["classes"]
+        .as_array_mut()
+        .expect("classes")
+    {
+        (class["promiseS"], class["hardLimitS"]) =
+            (TIME.as_secs().into(), (TIME.as_secs() * 2).into());
     }
     config["settings"]["classes"][1]["keyTtlS"] = TIME.as_secs().into();
     config
@@ -172,7 +188,10 @@
     let mut client = program.client();
     client.send(&request_of(class, 7));
     let first = whole(client.receive_or_error());
-    let outcome = Outcome { status: first.status(), attempts: server.seen.try_iter().count() };
+    let outcome = Outcome {
+        status: first.status(),
+        attempts: server.seen.try_iter().count(),
+    };
     client.send(&request_of(Class::ReadLike, 8));
     let further = whole(client.receive_or_error());
     assert_eq!(
@@ -180,7 +199,11 @@
         (200, GOOD),
         "the further request, after {first:?}"
     );
-    assert_eq!(server.seen.try_iter().count(), 1, "attempts of the further request");
+    assert_eq!(
+        server.seen.try_iter().count(),
+        1,
+        "attempts of the further request"
+    );
     no_further_answer(&mut client);
     (outcome, first.body)
 }
@@ -189,10 +212,18 @@
 fn no_further_answer(client: &mut Client) {
     client.finish_sending();
     let next = client.receive_or_error();
-    assert!(!matches!(next, Ok(Some(_)) | Err(ReadError::Incomplete(_))), "{next:?}");
+    assert!(
+        !matches!(next, Ok(Some(_)) | Err(ReadError::Incomplete(_))),
+        "{next:?}"
+    );
 }
 
-fn tried_again_where_its_class_allows(class: Class, point: BreakPoint, when: BreakWhen, end: ConnectionEnd) {
+fn tried_again_where_its_class_allows(
+    class: Class,
+    point: BreakPoint,
+    when: BreakWhen,
+    end: ConnectionEnd,
+) {
     let server = first_broken(point.text(), when, end);
     let (outcome, body) = answered_once(&limiter(&server), &server, class);
     assert_eq!(outcome, class.after_broken_attempt(), "{body:?}");
@@ -239,12 +270,22 @@
 #[test_matrix(["all", "zone"], [ConnectionEnd::Reset, ConnectionEnd::Orderly])]
 fn a_keyed_request_is_not_sent_again_after_its_window(group: &str, end: ConnectionEnd) {
     const WINDOW: Duration = Duration::from_millis(200);
-    let server = first_broken(BreakPoint::LengthHalf.text(), BreakWhen::Held(WINDOW * 2), end);
+    let server = first_broken(
+        BreakPoint::LengthHalf.text(),
+        BreakWhen::Held(WINDOW * 2),
+        end,
+    );
     let mut config = unhurried(&server);
     let class = &mut config["settings"]["classes"][1];
     (class["keyTtlS"], class["group"]) = (WINDOW.as_secs_f64().into(), group.into());
     let (outcome, _) = answered_once(&Program::start(&config), &server, Class::Keyed);
-    assert_eq!(outcome, Outcome { status: 502, attempts: 1 });
+    assert_eq!(
+        outcome,
+        Outcome {
+            status: 502,
+            attempts: 1
+        }
+    );
 }
 
 #[test_matrix(
@@ -255,9 +296,19 @@
 fn whole_answers_arrive_unchanged(class: Class, framing: Framing, length: usize) {
     let body = long_body(length);
     // The close, which ends one of the framings, is allowed behind an answer in each.
-    let server = first_broken(framing.answer(&body), BreakWhen::Written, ConnectionEnd::Orderly);
+    let server = first_broken(
+        framing.answer(&body),
+        BreakWhen::Written,
+        ConnectionEnd::Orderly,
+    );
     let (outcome, arrived) = answered_once(&limiter(&server), &server, class);
-    assert_eq!(outcome, Outcome { status: 200, attempts: 1 });
+    assert_eq!(
+        outcome,
+        Outcome {
+            status: 200,
+            attempts: 1
+        }
+    );
     assert!(arrived == body, "{} of {length} bytes", arrived.len());
 }
 
@@ -281,7 +332,11 @@
             other => panic!("{class:?}: {:?}", shown(&other)),
         };
         assert_eq!((cut.status(), cut.header("x-kind")), (200, Some("blue")));
-        assert!(!cut.body.is_empty() && body.starts_with(&cut.body), "{} bytes", cut.body.len());
+        assert!(
+            !cut.body.is_empty() && body.starts_with(&cut.body),
+            "{} bytes",
+            cut.body.len()
+        );
         no_further_answer(&mut client);
         assert_eq!(server.seen.try_iter().count(), 1, "attempts, {class:?}");
     }
@@ -297,7 +352,11 @@
 /// What was received, without its long body.
 fn shown(received: &Result<Option<Message>, ReadError>) -> String {
     match received {
-        Ok(Some(message)) => format!("`{}` whole with {} bytes", message.first, message.body.len()),
+        Ok(Some(message)) => format!(
+            "`{}` whole with {} bytes",
+            message.first,
+            message.body.len()
+        ),
         Ok(None) => "no answer".to_owned(),
         Err(error) => error.to_string(),
     }
@@ -312,13 +371,22 @@
     const EVERY: Duration = Duration::from_millis(50);
     const PIECES: usize = 100;
     let head = framing.head(PIECES * 2);
-    let trickle = Trickle { head, piece, every: EVERY, pieces: PIECES };
+    let trickle = Trickle {
+        head,
+        piece,
+        every: EVERY,
+        pieces: PIECES,
+    };
     let server = first_by(move || React::Trickle(trickle.clone()));
     let program = Program::start(&config(&[listed("s-1", server.address, "up")]));
     let mut client = program.client();
     client.send(&request("pay", 7, 1, "1200m"));
     let answer = client.receive_or_error();
-    assert!(matches!(&answer, Ok(Some(answer)) if answer.status() == 502), "{}", shown(&answer));
+    assert!(
+        matches!(&answer, Ok(Some(answer)) if answer.status() == 502),
+        "{}",
+        shown(&answer)
+    );
     assert_eq!(server.closed.recv_timeout(PATIENCE), Ok(0));
     assert_eq!(server.seen.try_iter().count(), 1);
     assert_eq!(client.request("look", 8, 1).body, GOOD);
--- a/crates/merlinreel/tests/sockets/drains.rs
+++ b/crates/merlinreel/tests/sockets/drains.rs
@@ -20,8 +20,12 @@
     let mut client = program.client();
     client.send(&request("pay", 1, 1, "4000m"));
     wait_for_connecting(late, None);
-    let changes = [listed("s-1", late, "draining"), listed("s-2", other.address, "up")];
-    tell.send(server_list(2, false, &changes).to_string()).expect("told");
+    let changes = [
+        listed("s-1", late, "draining"),
+        listed("s-2", other.address, "up"),
+    ];
+    tell.send(server_list(2, false, &changes).to_string())
+        .expect("told");
     assert_eq!(client.receive().map(|answer| answer.status()), Some(200));
     assert_eq!(other.seen.try_iter().count(), 1);
 }
--- a/crates/merlinreel/tests/sockets/faults.rs
+++ b/crates/merlinreel/tests/sockets/faults.rs
@@ -26,10 +26,14 @@
     let broken = check(&entries, &Bounds::default());
     let shown: Vec<String> = broken.iter().take(5).map(ToString::to_string).collect();
     assert!(broken.is_empty(), "{shown:?} under {:?}", script.deeds);
-    let count = |wanted: fn(&What) -> bool| entries.iter().filter(|entry| wanted(&entry.what)).count();
+    let count =
+        |wanted: fn(&What) -> bool| entries.iter().filter(|entry| wanted(&entry.what)).count();
     let asked = count(|what| matches!(what, What::Asked { .. }));
     let served = count(|what| matches!(what, What::Answered { status: 200, .. }));
-    assert!(asked > 300 && served * 2 > asked, "{served} of {asked} served");
+    assert!(
+        asked > 300 && served * 2 > asked,
+        "{served} of {asked} served"
+    );
     assert!(field.workers[0].taken() > 0);
 }
 
@@ -44,10 +48,22 @@
                 jitter: Duration::from_millis(10),
                 ..Weather::default()
             };
-            field.weather(i, j, there, Weather { piece: Some(7), ..there });
+            field.weather(
+                i,
+                j,
+                there,
+                Weather {
+                    piece: Some(7),
+                    ..there
+                },
+            );
         }
     }
     let entries = field.play(&Script { deeds: Vec::new() }, Duration::from_secs(4));
     assert_eq!(check(&entries, &Bounds::default()), []);
-    assert!(entries.iter().any(|entry| matches!(entry.what, What::Answered { status: 200, .. })));
+    assert!(
+        entries
+            .iter()
+            .any(|entry| matches!(entry.what, What::Answered { status: 200, .. }))
+    );
 }
--- a/crates/merlinreel/tests/sockets/gone_clients.rs
+++ b/crates/merlinreel/tests/sockets/gone_clients.rs
@@ -11,11 +11,16 @@
 /// A server whose connections come up late: its queue holds one connection, which is taken, until that is accepted.
 pub fn server_with_a_full_queue() -> (TcpListener, TcpStream) {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
-    socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).expect("a free port");
+    socket
+        .bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into())
+        .expect("a free port");
     socket.listen(0).expect("listens");
     let listener = TcpListener::from(socket);
     let address = listener.local_addr().expect("bound");
-    (listener, TcpStream::connect(address).expect("the one place"))
+    (
+        listener,
+        TcpStream::connect(address).expect("the one place"),
+    )
 }
 
 /// Waits until a connection to `address` is on its way, its first packet refused by the full queue, other than the one
@@ -30,7 +35,8 @@
     };
     let begun = Instant::now();
     while begun.elapsed() < PATIENCE {
-        let sockets = std::fs::read_to_string("/proc/net/tcp").expect("the kernel's table of sockets");
+        let sockets =
+            std::fs::read_to_string("/proc/net/tcp").expect("the kernel's table of sockets");
         if let Some(from) = sockets.lines().find_map(from) {
             return from;
         }
@@ -71,5 +77,8 @@
     wait_for_connecting(address, Some(&first));
     drop(place);
     let id = next_request_id(&listener);
-    assert!(text.contains(&format!("X-Txn: {id}\r\n")), "{id} is the request of the client that has gone");
+    assert!(
+        text.contains(&format!("X-Txn: {id}\r\n")),
+        "{id} is the request of the client that has gone"
+    );
 }
--- a/crates/merlinreel/tests/sockets/limited_process.rs
+++ b/crates/merlinreel/tests/sockets/limited_process.rs
@@ -22,19 +22,32 @@
 impl LimitedProcess {
     /// With so many descriptors at most, whatever its configuration says.
     pub fn start(config: &Value, descriptors: u32) -> LimitedProcess {
-        let address: SocketAddr =
-            config["listen"].as_str().and_then(|text| text.parse().ok()).expect("an address");
+        let address: SocketAddr = config["listen"]
+            .as_str()
+            .and_then(|text| text.parse().ok())
+            .expect("an address");
         let file = std::env::temp_dir().join(format!("merlinreel-limited-{}.json", address.port()));
         std::fs::write(&file, config.to_string()).expect("a file for the configuration");
         let child = LimitedProcess::run(&file, descriptors);
-        LimitedProcess { child, file, descriptors, address }
+        LimitedProcess {
+            child,
+            file,
+            descriptors,
+            address,
+        }
     }
 
     fn run(file: &PathBuf, descriptors: u32) -> Child {
         let limited = format!("ulimit -n {descriptors} && exec \"$0\"");
         let mut command = Command::new("sh");
-        command.args(["-c", &limited, env!("CARGO_BIN_EXE_merlinreel")]).env("PROXY_CONFIG", file);
-        command.stderr(Stdio::null()).stdout(Stdio::null()).spawn().expect("the program")
+        command
+            .args(["-c", &limited, env!("CARGO_BIN_EXE_merlinreel")])
+            .env("PROXY_CONFIG", file);
+        command
+            .stderr(Stdio::null())
+            .stdout(Stdio::null())
+            .spawn()
+            .expect("the program")
     }
 
     pub fn kill(&mut self) {
@@ -47,7 +60,9 @@
     }
 
     pub fn signal(&self, name: &str) {
-        let sent = Command::new("kill").args([name, &self.child.id().to_string()]).status();
+        let sent = Command::new("kill")
+            .args([name, &self.child.id().to_string()])
+            .status();
         assert!(sent.expect("the signal is sent").success());
     }
 
@@ -67,11 +82,17 @@
     }
 
     fn says_up(&self, until: Instant) -> bool {
-        let wait = until.saturating_duration_since(Instant::now()).max(Duration::from_millis(1));
-        let Ok(mut stream) = TcpStream::connect_timeout(&self.address, wait) else { return false };
+        let wait = until
+            .saturating_duration_since(Instant::now())
+            .max(Duration::from_millis(1));
+        let Ok(mut stream) = TcpStream::connect_timeout(&self.address, wait) else {
+            return false;
+        };
         stream.set_read_timeout(Some(wait)).expect("a time-out");
         let mut status = [0; 12];
-        let called = stream.write_all(UP.as_bytes()).and_then(|()| stream.read_exact(&mut status));
+        let called = stream
+            .write_all(UP.as_bytes())
+            .and_then(|()| stream.read_exact(&mut status));
         called.is_ok() && &status == b"HTTP/1.1 200"
     }
 
--- a/crates/merlinreel/tests/sockets/main.rs
+++ b/crates/merlinreel/tests/sockets/main.rs
@@ -23,7 +23,13 @@
 
 #[test]
 fn a_request_goes_through_unchanged_and_connections_are_kept() {
-    let server = StandIn::start(|_| answer("200 OK", "X-Units-Charged: 1\r\nX-Kind: blue\r\n", "the answer"));
+    let server = StandIn::start(|_| {
+        answer(
+            "200 OK",
+            "X-Units-Charged: 1\r\nX-Kind: blue\r\n",
+            "the answer",
+        )
+    });
     let program = Program::start(&config(&[listed("s-1", server.address, "up")]));
     let mut client = program.client();
     for _ in 0..2 {
@@ -39,7 +45,9 @@
         let id = seen.header("x-txn").expect("an id");
         assert!(text.contains(&format!("X-Txn: {id}\r\n")), "{id}");
         assert_eq!(seen.header("idempotency-key"), Some("5c0f6e1a"));
-        let waits = seen.header("x-remaining").and_then(|text| text.strip_suffix('m')?.parse::<u32>().ok());
+        let waits = seen
+            .header("x-remaining")
+            .and_then(|text| text.strip_suffix('m')?.parse::<u32>().ok());
         assert!(waits.is_some_and(|ms| ms > 0 && ms < 3000), "{waits:?}");
         assert_eq!(seen.connection, 0);
     }
@@ -50,8 +58,14 @@
     let server = StandIn::start(|_| fine());
     let program = Program::start(&config(&[listed("s-1", server.address, "up")]));
     let text = request("look", 7, 1, "3000m").replace("GET /look", "GET http://origin.svc/look");
-    assert_eq!(program.client().call(&text).map(|answer| answer.status()), Some(200));
-    assert_eq!(server.next().first, "GET /look?key=0000000000000007 HTTP/1.1");
+    assert_eq!(
+        program.client().call(&text).map(|answer| answer.status()),
+        Some(200)
+    );
+    assert_eq!(
+        server.next().first,
+        "GET /look?key=0000000000000007 HTTP/1.1"
+    );
 }
 
 #[test]
@@ -62,7 +76,9 @@
     assert_eq!(client.request("look", 7, 8).status(), 200);
     let refused = client.request("look", 7, 8);
     assert_eq!(refused.status(), 429);
-    let wait = refused.header("retry-after").and_then(|text| text.parse::<f64>().ok());
+    let wait = refused
+        .header("retry-after")
+        .and_then(|text| text.parse::<f64>().ok());
     assert!(wait.is_some_and(|seconds| seconds > 0.0), "{wait:?}");
     assert_eq!(client.request("look", 8, 8).status(), 200);
 }
@@ -72,7 +88,13 @@
     let server = StandIn::start(|_| answer("200 OK", "X-Units-Charged: 9\r\n", ""));
     let program = Program::start(&config(&[listed("s-1", server.address, "up")]));
     let mut client = program.client();
-    assert_eq!((client.request("look", 7, 2).status(), client.request("look", 7, 2).status()), (200, 429));
+    assert_eq!(
+        (
+            client.request("look", 7, 2).status(),
+            client.request("look", 7, 2).status()
+        ),
+        (200, 429)
+    );
 }
 
 #[test_case("look", &["200"], 2 ; "replayable goes out again")]
@@ -81,11 +103,18 @@
 fn a_connection_that_breaks_after_the_request(class: &str, statuses: &[&str], attempts: usize) {
     let broken = std::sync::atomic::AtomicBool::new(false);
     let server = StandIn::start(move |_| {
-        if broken.swap(true, std::sync::atomic::Ordering::SeqCst) { fine() } else { React::Break }
+        if broken.swap(true, std::sync::atomic::Ordering::SeqCst) {
+            fine()
+        } else {
+            React::Break
+        }
     });
     let program = Program::start(&config(&[listed("s-1", server.address, "up")]));
     let answer = program.client().request(class, 7, 1);
-    assert!(statuses.contains(&answer.status().to_string().as_str()), "{answer:?}");
+    assert!(
+        statuses.contains(&answer.status().to_string().as_str()),
+        "{answer:?}"
+    );
     assert_eq!(server.seen.try_iter().count(), attempts);
 }
 
@@ -95,8 +124,11 @@
     let full = StandIn::start(move |_| answer(status, "X-Turned-Away: 1\r\n", ""));
     let other = StandIn::start(|_| fine());
     let nobody = free_address();
-    let servers =
-        [listed("s-1", full.address, "up"), listed("s-2", other.address, "up"), listed("s-3", nobody, "up")];
+    let servers = [
+        listed("s-1", full.address, "up"),
+        listed("s-2", other.address, "up"),
+        listed("s-3", nobody, "up"),
+    ];
     let program = Program::start(&config(&servers));
     let mut client = program.client();
     for customer in 0..6 {
@@ -112,7 +144,10 @@
     let (text, mut first) = (request("pay", 7, 1, "1200m"), program.client());
     first.send(&text);
     server.next();
-    assert_eq!(program.client().call(&text).map(|answer| answer.status()), Some(409));
+    assert_eq!(
+        program.client().call(&text).map(|answer| answer.status()),
+        Some(409)
+    );
     assert_eq!(first.receive().map(|answer| answer.status()), Some(502));
     assert!(server.seen.try_recv().is_err());
 }
@@ -128,7 +163,12 @@
         .replace("Content-Length: 6\r\n", lengths)
         .replace("a body", "0\r\n\r\n");
     let mut client = program.client();
-    assert_eq!(client.call(&(outer + &hidden)).map(|answer| answer.status()), Some(400));
+    assert_eq!(
+        client
+            .call(&(outer + &hidden))
+            .map(|answer| answer.status()),
+        Some(400)
+    );
     assert!(client.receive().is_none());
     assert!(server.seen.try_recv().is_err());
 }
@@ -176,13 +216,18 @@
         .map(|customer| {
             let mut client = program.client();
             client.send(sends);
-            assert!((0..requests).all(|_| client.request("look", 10 + customer, 1).status() == 200));
+            assert!(
+                (0..requests).all(|_| client.request("look", 10 + customer, 1).status() == 200)
+            );
             client
         })
         .collect();
     // Well inside its time: nobody of the crowd is due yet.
     assert_eq!(
-        program.client().call(&request("look", 1000, 1, "2100m")).map(|answer| answer.status()),
+        program
+            .client()
+            .call(&request("look", 1000, 1, "2100m"))
+            .map(|answer| answer.status()),
         Some(200)
     );
     drop(crowd);
@@ -221,7 +266,10 @@
 fn a_silent_server_s_request_is_answered_before_the_client_gives_up() {
     let server = StandIn::start(|_| React::Hang);
     let program = Program::start(&config(&[listed("s-1", server.address, "up")]));
-    let answer = program.client().call(&request("pay", 7, 1, "1200m")).expect("an answer");
+    let answer = program
+        .client()
+        .call(&request("pay", 7, 1, "1200m"))
+        .expect("an answer");
     assert_eq!((answer.status(), server.seen.try_iter().count()), (502, 1));
     assert_eq!(server.closed.recv_timeout(PATIENCE), Ok(0));
 }
@@ -230,8 +278,12 @@
 fn discovery_is_followed_and_silence_keeps_it() {
     let (old, new) = (StandIn::start(|_| fine()), StandIn::start(|_| fine()));
     let (tell, told) = channel();
-    let changes = [listed("s-1", old.address, "draining"), listed("s-2", new.address, "up")];
-    tell.send(server_list(2, false, &changes).to_string()).expect("told");
+    let changes = [
+        listed("s-1", old.address, "draining"),
+        listed("s-2", new.address, "up"),
+    ];
+    tell.send(server_list(2, false, &changes).to_string())
+        .expect("told");
     // What makes no sense changes nothing, nor a call that breaks: asked for again from the last version.
     tell.send("{}".to_owned()).expect("told");
     tell.send("break".to_owned()).expect("told");
@@ -243,7 +295,10 @@
     (0..3).for_each(|_| assert!(discovery.next().first.contains("after=2&")));
     let mut client = program.client();
     (2..6).for_each(|customer| assert_eq!(client.request("look", customer, 1).status(), 200));
-    assert_eq!((old.seen.try_iter().count(), new.seen.try_iter().count()), (0, 4));
+    assert_eq!(
+        (old.seen.try_iter().count(), new.seen.try_iter().count()),
+        (0, 4)
+    );
 }
 
 /// Guards against a call that has fallen silent, with which all changes would stay unknown.
@@ -251,10 +306,13 @@
 fn a_watch_that_falls_silent_is_asked_again_elsewhere() {
     let server = StandIn::start(|_| fine());
     let text = server_list(2, false, &[listed("s-1", server.address, "up")]).to_string();
-    let discovery =
-        StandIn::start(
-            move |call| if call.connection == 0 { React::Hang } else { answer("200 OK", "", &text) },
-        );
+    let discovery = StandIn::start(move |call| {
+        if call.connection == 0 {
+            React::Hang
+        } else {
+            answer("200 OK", "", &text)
+        }
+    });
     let mut config = config(&[]);
     config["discovery"] = discovery.address.to_string().into();
     let program = Program::start(&config);
@@ -280,7 +338,8 @@
     let (tell, told) = channel();
     let discovery = discovery(told);
     // An older number than the one it had: another discovery counts for itself.
-    tell.send(server_list(0, true, &[listed("s-2", new.address, "up")]).to_string()).expect("told");
+    tell.send(server_list(0, true, &[listed("s-2", new.address, "up")]).to_string())
+        .expect("told");
     config["discovery"] = discovery.address.to_string().into();
     program.turn(&config.to_string());
     assert_eq!(silent.closed.recv_timeout(PATIENCE), Ok(0));
@@ -307,7 +366,10 @@
         .collect();
     let shared = |units| request("look", 7, units, "3000m").replace("spread=1", "spread=2");
     let mut clients: Vec<Client> = programs.iter().map(Program::client).collect();
-    assert_eq!(clients[0].call(&shared(8)).map(|answer| answer.status()), Some(200));
+    assert_eq!(
+        clients[0].call(&shared(8)).map(|answer| answer.status()),
+        Some(200)
+    );
     // Peer messages are lost where peers start together; the total is told with each further request.
     let told = (0..200).any(|_| {
         thread::sleep(Duration::from_millis(20));
@@ -347,11 +409,16 @@
         assert_eq!(answer.status(), 200);
         Some(client)
     };
-    let mut clients: Vec<Client> =
-        (0..100).map(|customer| (0..50).find_map(|_| come(customer)).expect("an answer")).collect();
+    let mut clients: Vec<Client> = (0..100)
+        .map(|customer| (0..50).find_map(|_| come(customer)).expect("an answer"))
+        .collect();
     // The newest are still open, the oldest gave way.
     assert_eq!(clients[99].request("look", 1000, 1).status(), 200);
-    assert!(clients[0].call(&request("look", 1001, 1, "3000m")).is_none());
+    assert!(
+        clients[0]
+            .call(&request("look", 1001, 1, "3000m"))
+            .is_none()
+    );
 }
 
 /// A limiter whose requests in hand are as many as it may have, or soon are: their clients wait at a server that hangs.
@@ -359,8 +426,10 @@
     let server = StandIn::start(|_| React::Hang);
     let mut config = config(&[listed("s-1", server.address, "up")]);
     config["limits"]["sockets"] = 80.into();
-    (config["settings"]["classes"][2]["promiseS"], config["settings"]["classes"][2]["hardLimitS"]) =
-        (20.into(), 30.into());
+    (
+        config["settings"]["classes"][2]["promiseS"],
+        config["settings"]["classes"][2]["hardLimitS"],
+    ) = (20.into(), 30.into());
     let program = Program::start(&config);
     let holders = (0..45)
         .map(|customer| {
@@ -383,7 +452,10 @@
     });
     drop(holders);
     let told = told.expect("one that is told");
-    assert_eq!((told.body.as_str(), told.header("connection")), ("too many connections\n", Some("close")));
+    assert_eq!(
+        (told.body.as_str(), told.header("connection")),
+        ("too many connections\n", Some("close"))
+    );
 }
 
 #[test]
@@ -397,8 +469,10 @@
     thread::sleep(Duration::from_millis(150));
     assert!(server.seen.try_recv().is_err());
     client.send(body);
-    let waits =
-        server.next().header("x-remaining").and_then(|text| text.strip_suffix('m')?.parse::<u32>().ok());
+    let waits = server
+        .next()
+        .header("x-remaining")
+        .and_then(|text| text.strip_suffix('m')?.parse::<u32>().ok());
     assert!(waits.is_some_and(|ms| ms < 2900), "{waits:?}");
 }
 
@@ -407,5 +481,8 @@
     let mut config = config(&[]);
     config["limits"]["sockets"] = "many".into();
     let (status, text) = Program::complaint(&config);
-    assert!(!status.success() && text.contains("limits.sockets: invalid type"), "{text}");
+    assert!(
+        !status.success() && text.contains("limits.sockets: invalid type"),
+        "{text}"
+    );
 }
--- a/crates/merlinreel/tests/sockets/mesh.rs
+++ b/crates/merlinreel/tests/sockets/mesh.rs
@@ -51,7 +51,12 @@
         for (i, one) in places.iter().enumerate() {
             for (j, other) in places.iter().enumerate().skip(i + 1) {
                 let link = UdpLink::between(*one, *other, (i * size + j) as u64);
-                let weather = Weather { lose, repeat: 10, reorder: 5, ..Weather::default() };
+                let weather = Weather {
+                    lose,
+                    repeat: 10,
+                    reorder: 5,
+                    ..Weather::default()
+                };
                 link.there.set(weather);
                 link.back.set(weather);
                 links.insert((i, j), link);
@@ -74,16 +79,30 @@
             config
         });
         let configs: Vec<Value> = configs.collect();
-        let programs = configs.iter().map(|config| Some(Program::start(config))).collect();
-        Village { configs, programs, links, _keys: keys }
+        let programs = configs
+            .iter()
+            .map(|config| Some(Program::start(config)))
+            .collect();
+        Village {
+            configs,
+            programs,
+            links,
+            _keys: keys,
+        }
     }
 
     fn told(&self, i: usize) -> Value {
-        let ops: SocketAddr = self.configs[i]["ops"].as_str().expect("text").parse().expect("an address");
+        let ops: SocketAddr = self.configs[i]["ops"]
+            .as_str()
+            .expect("text")
+            .parse()
+            .expect("an address");
         let answer = Client::connect(ops)
             .ok()
             .and_then(|mut door| door.call("GET /mesh HTTP/1.1\r\nHost: ops\r\n\r\n"));
-        answer.and_then(|answer| serde_json::from_str(&answer.body).ok()).unwrap_or_default()
+        answer
+            .and_then(|answer| serde_json::from_str(&answer.body).ok())
+            .unwrap_or_default()
     }
 
     /// The names of the limiters that `i` counts among the living.
@@ -91,7 +110,9 @@
         let told = self.told(i);
         let limiters = told["limiters"].as_array().cloned().unwrap_or_default();
         let alive = limiters.iter().filter(|one| one["alive"] == true);
-        let mut names: Vec<String> = alive.filter_map(|one| Some(one["name"].as_str()?.to_owned())).collect();
+        let mut names: Vec<String> = alive
+            .filter_map(|one| Some(one["name"].as_str()?.to_owned()))
+            .collect();
         names.sort();
         names
     }
@@ -117,7 +138,10 @@
     fn cut(&self, sides: impl Fn(usize) -> usize, cut: bool) {
         for ((i, j), link) in &self.links {
             if sides(*i) != sides(*j) {
-                let weather = Weather { cut, ..Weather::default() };
+                let weather = Weather {
+                    cut,
+                    ..Weather::default()
+                };
                 link.there.set(weather);
                 link.back.set(weather);
             }
@@ -132,8 +156,14 @@
     let mut village = Village::start(5, 20);
     village.until(&[0, 1, 2, 3, 4], &[0, 1, 2, 3, 4]);
     let life = |village: &Village| {
-        let limiters = village.told(0)["limiters"].as_array().cloned().unwrap_or_default();
-        limiters.iter().find(|one| one["name"] == "n2").and_then(|one| one["incarnation"].as_u64())
+        let limiters = village.told(0)["limiters"]
+            .as_array()
+            .cloned()
+            .unwrap_or_default();
+        limiters
+            .iter()
+            .find(|one| one["name"] == "n2")
+            .and_then(|one| one["incarnation"].as_u64())
     };
     let before = life(&village).expect("it is known");
     village.signal(2, "-KILL");
@@ -143,11 +173,17 @@
     village.programs[2] = Some(Program::start(&village.configs[2]));
     village.signal(4, "-CONT");
     village.until(&[0, 1, 2, 3, 4], &[0, 1, 2, 3, 4]);
-    assert!(life(&village).is_some_and(|now| now > before), "the same life");
+    assert!(
+        life(&village).is_some_and(|now| now > before),
+        "the same life"
+    );
     village.signal(3, "-TERM");
     village.until(&[0, 1, 2, 4], &[0, 1, 2, 4]);
     let dropped = &village.told(0)["dropped"];
-    assert!(dropped["repeated"].as_u64().is_some_and(|count| count > 0), "{dropped}");
+    assert!(
+        dropped["repeated"].as_u64().is_some_and(|count| count > 0),
+        "{dropped}"
+    );
 }
 
 /// A cut that lasts: each side goes on with those it has, and both are one again once it heals.
@@ -171,8 +207,10 @@
     let first = village.configs[0]["mesh"]["keys"][0]["file"].clone();
     let second = village._keys.write("second", SECOND);
     let mut stranger = village.configs[2].clone();
-    (stranger["listen"], stranger["ops"]) =
-        (free_address().to_string().into(), free_address().to_string().into());
+    (stranger["listen"], stranger["ops"]) = (
+        free_address().to_string().into(),
+        free_address().to_string().into(),
+    );
     stranger["name"] = "stranger".into();
     stranger["mesh"]["listen"] = free_address().to_string().into();
     stranger["mesh"]["routes"] = json!({});
@@ -184,25 +222,37 @@
         &[1, 1, 2, 3][..],
         &[9; 60],
         &[1; 1201],
-        &[1, 9, 9, 9, 9, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1],
+        &[
+            1, 9, 9, 9, 9, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1,
+        ],
     ] {
         socket.send_to(noise, target).expect("sent");
     }
     let counted = (0..400).any(|_| {
         thread::sleep(Duration::from_millis(50));
         let dropped = &village.told(0)["dropped"];
-        ["forged", "malformed", "oversized", "other_form"].iter().all(|why| dropped[*why].as_u64() > Some(0))
+        ["forged", "malformed", "oversized", "other_form"]
+            .iter()
+            .all(|why| dropped[*why].as_u64() > Some(0))
     });
     assert!(counted, "{}", village.told(0)["dropped"]);
     drop(stranger);
     assert_eq!(village.alive(0), ["n0", "n1", "n2"]);
     let both = json!([{"id": 1, "file": first}, {"id": 2, "file": second}]);
     let missing = json!([{"id": 3, "file": "/nowhere/key"}]);
-    for (keys, signs) in [(&missing, 3), (&both, 1), (&both, 2), (&json!([{"id": 2, "file": second}]), 2)] {
+    for (keys, signs) in [
+        (&missing, 3),
+        (&both, 1),
+        (&both, 2),
+        (&json!([{"id": 2, "file": second}]), 2),
+    ] {
         for i in 0..3 {
             village.configs[i]["mesh"]["keys"] = keys.clone();
             village.configs[i]["mesh"]["sign_with"] = signs.into();
-            village.programs[i].as_ref().expect("it runs").turn(&village.configs[i].to_string());
+            village.programs[i]
+                .as_ref()
+                .expect("it runs")
+                .turn(&village.configs[i].to_string());
         }
         thread::sleep(Duration::from_millis(700));
     }
@@ -225,7 +275,9 @@
     let ops = free_address();
     config["ops"] = ops.to_string().into();
     let _program = Program::start(&config);
-    let answer = Client::connect(ops).expect("the door").call("GET /mesh HTTP/1.1\r\nHost: ops\r\n\r\n");
+    let answer = Client::connect(ops)
+        .expect("the door")
+        .call("GET /mesh HTTP/1.1\r\nHost: ops\r\n\r\n");
     assert_eq!(answer.map(|answer| answer.status()), Some(404));
 }
 
@@ -235,5 +287,8 @@
     config["mesh"] =
         json!({"listen": free_address().to_string(), "keys": [{"id": 1, "file": "/nowhere/key"}]});
     let (status, complaint) = Program::complaint(&config);
-    assert!(!status.success() && complaint.contains("mesh.keys: /nowhere/key"), "{complaint}");
+    assert!(
+        !status.success() && complaint.contains("mesh.keys: /nowhere/key"),
+        "{complaint}"
+    );
 }
--- a/crates/merlinreel/tests/sockets/operations.rs
+++ b/crates/merlinreel/tests/sockets/operations.rs
@@ -49,7 +49,11 @@
             line.clear();
         }
         let mut to = stream;
-        let _ = write!(to, "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", 2 * HALF);
+        let _ = write!(
+            to,
+            "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n",
+            2 * HALF
+        );
         let _ = to.write_all(&vec![b'a'; HALF]);
         thread::sleep(Duration::from_millis(2500));
         let _ = to.write_all(&vec![b'b'; HALF]);
@@ -63,7 +67,9 @@
 }
 
 fn stats(ops: std::net::SocketAddr) -> String {
-    let answer = Client::connect(ops).expect("the door").call("GET /stats HTTP/1.1\r\nHost: ops\r\n\r\n");
+    let answer = Client::connect(ops)
+        .expect("the door")
+        .call("GET /stats HTTP/1.1\r\nHost: ops\r\n\r\n");
     let answer = answer.expect("an answer");
     assert_eq!(answer.status(), 200);
     answer.body
@@ -86,15 +92,39 @@
     assert_eq!(client.request("look", 7, 4).status(), 200);
     assert_eq!(client.request("look", 7, 4).status(), 429);
     let malformed = "GET /look?key=zz HTTP/1.1\r\nHost: svc\r\nX-Txn: 77\r\n\r\n";
-    assert_eq!(program.client().call(malformed).map(|answer| answer.status()), Some(400));
+    assert_eq!(
+        program
+            .client()
+            .call(malformed)
+            .map(|answer| answer.status()),
+        Some(400)
+    );
     let told = stats(ops);
-    for line in ["look.served:2|c", "look.refused:1|c", "look.failed:1|c", "look.attempts:2|c"] {
-        assert!(told.contains(&format!("limiter.requests.{line}\n")), "{line} in {told}");
+    for line in [
+        "look.served:2|c",
+        "look.refused:1|c",
+        "look.failed:1|c",
+        "look.attempts:2|c",
+    ] {
+        assert!(
+            told.contains(&format!("limiter.requests.{line}\n")),
+            "{line} in {told}"
+        );
     }
-    for line in ["attempts:2|c", "in_flight:0|g", "servers_known:1|g", "servers_excluded:0|g"] {
-        assert!(told.contains(&format!("limiter.{line}\n")), "{line} in {told}");
+    for line in [
+        "attempts:2|c",
+        "in_flight:0|g",
+        "servers_known:1|g",
+        "servers_excluded:0|g",
+    ] {
+        assert!(
+            told.contains(&format!("limiter.{line}\n")),
+            "{line} in {told}"
+        );
     }
-    let odd = Client::connect(ops).expect("the door").call("GET /nothing HTTP/1.1\r\nHost: ops\r\n\r\n");
+    let odd = Client::connect(ops)
+        .expect("the door")
+        .call("GET /nothing HTTP/1.1\r\nHost: ops\r\n\r\n");
     assert_eq!(odd.map(|answer| answer.status()), Some(404));
     program.turn("{\"settings\":");
     let begun = std::time::Instant::now();
@@ -117,7 +147,10 @@
     let program = Program::start(&config);
     assert_eq!(program.client().request("look", 7, 1).body.len(), LENGTH);
     let told = stats(ops);
-    assert!(told.contains("limiter.requests.look.served:1|c\n"), "{told}");
+    assert!(
+        told.contains("limiter.requests.look.served:1|c\n"),
+        "{told}"
+    );
 }
 
 /// Guards settings read again: a class added at SIGHUP is served under its own rules, a file that allows no
@@ -140,7 +173,10 @@
     let mut class = added["settings"]["classes"][0].clone();
     class["name"] = "fetch".into();
     class["hardLimitS"] = 3.0.into();
-    added["settings"]["classes"].as_array_mut().expect("classes").push(class);
+    added["settings"]["classes"]
+        .as_array_mut()
+        .expect("classes")
+        .push(class);
     thread::sleep(Duration::from_millis(200));
     assert_eq!(fetch(2), Some(400), "taken from a broken file");
     program.turn(&added.to_string());
--- a/crates/merlinreel/tests/sockets/pipelining.rs
+++ b/crates/merlinreel/tests/sockets/pipelining.rs
@@ -17,7 +17,9 @@
 }
 
 fn requests(count: usize) -> String {
-    (0..count).map(|customer| request("look", customer as u32, 1, "3000m")).collect()
+    (0..count)
+        .map(|customer| request("look", customer as u32, 1, "3000m"))
+        .collect()
 }
 
 /// All that a client sends at once is answered, in its order: far more than the limiter reads ahead of the request in hand,
@@ -30,12 +32,17 @@
     let text = requests(count);
     let mut writer = client.writer().expect("a second handle");
     let writing = thread::spawn(move || writer.write_all(text.as_bytes()));
-    let answers: Vec<u16> =
-        (0..count).map_while(|_| client.receive()).map(|answer| answer.status()).collect();
+    let answers: Vec<u16> = (0..count)
+        .map_while(|_| client.receive())
+        .map(|answer| answer.status())
+        .collect();
     assert_eq!(answers.len(), count);
     // On a busy machine the last ones may be past their target time, and are refused.
     let served = answers.iter().filter(|&&status| status == 200).count();
-    assert_eq!(served + answers.iter().filter(|&&status| status == 429).count(), count);
+    assert_eq!(
+        served + answers.iter().filter(|&&status| status == 429).count(),
+        count
+    );
     assert_eq!(server.seen.try_iter().count(), served);
     assert!(served > 100, "{served} served");
     writing.join().expect("a writer").expect("all is taken");
@@ -79,9 +86,18 @@
     client.send(&(request("look", 1, 1, "3000m") + &request("look", 2, 1, "1800m")));
     server.next();
     let told = server.next();
-    let told = told.header("x-remaining").and_then(|text| text.strip_suffix('m')?.parse::<u64>().ok());
-    assert!(told.is_some_and(|left| left <= 1800 - 600 + 150), "{told:?}");
-    assert!((0..2).all(|_| client.receive().is_some_and(|answer| answer.status() == 200)));
+    let told = told
+        .header("x-remaining")
+        .and_then(|text| text.strip_suffix('m')?.parse::<u64>().ok());
+    assert!(
+        told.is_some_and(|left| left <= 1800 - 600 + 150),
+        "{told:?}"
+    );
+    assert!((0..2).all(|_| {
+        client
+            .receive()
+            .is_some_and(|answer| answer.status() == 200)
+    }));
 }
 
 /// A client sends a request and half of the next, and stays: the half has its end in the time of any that is never whole,
@@ -92,10 +108,15 @@
     let mut client = program.client();
     assert!((0..3).all(|customer| client.request("look", customer, 1).status() == 200));
     let begun = Instant::now();
-    let answer = client.call(&(request("look", 7, 1, "3000m") + "GET /look?key=8 HTTP/1.1\r\nHost:"));
+    let answer =
+        client.call(&(request("look", 7, 1, "3000m") + "GET /look?key=8 HTTP/1.1\r\nHost:"));
     assert_eq!(answer.map(|answer| answer.status()), Some(200));
     assert!(client.receive().is_none_or(|answer| answer.status() == 408));
-    assert!(begun.elapsed() < Duration::from_secs(3), "{:?}", begun.elapsed());
+    assert!(
+        begun.elapsed() < Duration::from_secs(3),
+        "{:?}",
+        begun.elapsed()
+    );
 }
 
 /// Half of the next request came with one that is in hand as the stop begins; the rest comes once resting connections are
@@ -105,7 +126,10 @@
     let (server, release) = holding();
     let mut program = Program::start(&config(&[listed("s-1", server.address, "up")]));
     let mut client = program.client();
-    let (held, next) = (request("pay", 1, 1, "3000m"), request("look", 2, 1, "3000m"));
+    let (held, next) = (
+        request("pay", 1, 1, "3000m"),
+        request("look", 2, 1, "3000m"),
+    );
     let (half, rest) = next.split_at(40);
     client.send(&(held + half));
     server.next();
@@ -126,9 +150,15 @@
     // Until all places are held, what comes waits at the server for its time.
     let told = (0..100).find_map(|_| {
         let mut client = program.client();
-        client.send(&(0..BEHIND).map(|n| request("pay", 100 + n as u32, 1, "200m")).collect::<String>());
-        let statuses: Vec<u16> =
-            (0..BEHIND).map_while(|_| client.receive()).map(|answer| answer.status()).collect();
+        client.send(
+            &(0..BEHIND)
+                .map(|n| request("pay", 100 + n as u32, 1, "200m"))
+                .collect::<String>(),
+        );
+        let statuses: Vec<u16> = (0..BEHIND)
+            .map_while(|_| client.receive())
+            .map(|answer| answer.status())
+            .collect();
         statuses.contains(&503).then_some(statuses)
     });
     drop(holders);
