--- a/crates/merlinreel/tests/sockets/request_bodies.rs
+++ b/crates/merlinreel/tests/sockets/request_bodies.rs
@@ -22,7 +22,10 @@
         let to = TcpStream::connect(program.address).expect("a connection");
         to.set_nodelay(true).expect("no delay");
         to.set_read_timeout(Some(PATIENCE)).expect("a bound");
-        RawClient { from: BufReader::new(to.try_clone().expect("a second handle")), to }
+        RawClient {
+            from: BufReader::new(to.try_clone().expect("a second handle")),
+            to,
+        }
     }
 
     fn send(&mut self, bytes: &[u8]) {
@@ -33,14 +36,21 @@
     /// The status of the next answer, read whole; none where the connection has ended.
     fn status(&mut self) -> Option<u16> {
         let mut first = String::new();
-        if self.from.read_line(&mut first).expect("an answer or the end") == 0 {
+        if self
+            .from
+            .read_line(&mut first)
+            .expect("an answer or the end")
+            == 0
+        {
             return None;
         }
         let mut length = 0;
         loop {
             let mut line = String::new();
             self.from.read_line(&mut line).expect("a head");
-            let Some((name, value)) = line.trim_end().split_once(": ") else { break };
+            let Some((name, value)) = line.trim_end().split_once(": ") else {
+                break;
+            };
             if name.eq_ignore_ascii_case("content-length") {
                 length = value.parse().expect("a length");
             }
@@ -60,7 +70,10 @@
     let text = request(class, customer, 1, PATIENT);
     let (head, _) = text.split_once("\r\n\r\n").expect("a head");
     // Its own length is the last but one of its lines.
-    let lines: Vec<&str> = head.split("\r\n").filter(|line| !line.starts_with("Content-Length")).collect();
+    let lines: Vec<&str> = head
+        .split("\r\n")
+        .filter(|line| !line.starts_with("Content-Length"))
+        .collect();
     format!("{}\r\n{framing}\r\n{body}", lines.join("\r\n"))
 }
 
@@ -84,9 +97,16 @@
         .map(|(_, value)| value.as_str())
         .collect();
     // A request without a length has no body.
-    let told = if lengths.is_empty() { vec!["0"] } else { lengths };
+    let told = if lengths.is_empty() {
+        vec!["0"]
+    } else {
+        lengths
+    };
     assert_eq!(told, [body.len().to_string()]);
-    assert_eq!((seen.header("transfer-encoding"), seen.header("trailer")), (None, None));
+    assert_eq!(
+        (seen.header("transfer-encoding"), seen.header("trailer")),
+        (None, None)
+    );
     assert_eq!(seen.body, body);
 }
 
@@ -120,7 +140,11 @@
     let (server, program) = started();
     let mut client = RawClient::connect(&program);
     for customer in 0..3 {
-        let text = chunked("pay", customer, "3;x\r\na b\r\n3\r\nody\r\n0\r\nX-Sum: 5c\r\n\r\n");
+        let text = chunked(
+            "pay",
+            customer,
+            "3;x\r\na b\r\n3\r\nody\r\n0\r\nX-Sum: 5c\r\n\r\n",
+        );
         text.as_bytes().chunks(1).for_each(|byte| client.send(byte));
         assert_eq!(client.status(), Some(200));
         assert_body(&server.next(), "a body");
@@ -149,9 +173,18 @@
     let mut client = RawClient::connect(&program);
     let body: String = ('a'..='z').cycle().take(MOST).collect();
     for size in [1, 7, 4096, MOST] {
-        let pieces = body.as_bytes().chunks(size).map(|piece| String::from_utf8_lossy(piece));
-        let wire: String = pieces.map(|piece| format!("{:x}\r\n{piece}\r\n", piece.len())).collect();
-        assert_eq!(client.call(chunked("pay", 1, &(wire + "0\r\n\r\n")).as_bytes()), Some(200), "{size}");
+        let pieces = body
+            .as_bytes()
+            .chunks(size)
+            .map(|piece| String::from_utf8_lossy(piece));
+        let wire: String = pieces
+            .map(|piece| format!("{:x}\r\n{piece}\r\n", piece.len()))
+            .collect();
+        assert_eq!(
+            client.call(chunked("pay", 1, &(wire + "0\r\n\r\n")).as_bytes()),
+            Some(200),
+            "{size}"
+        );
         assert_body(&server.next(), &body);
     }
 }
@@ -162,10 +195,18 @@
 fn a_chunked_body_that_is_too_long_is_told_so(length: usize, size: usize) {
     let (server, program) = started();
     let body = "x".repeat(length);
-    let pieces = body.as_bytes().chunks(size).map(|piece| String::from_utf8_lossy(piece));
-    let wire: String = pieces.map(|piece| format!("{:x}\r\n{piece}\r\n", piece.len())).collect();
+    let pieces = body
+        .as_bytes()
+        .chunks(size)
+        .map(|piece| String::from_utf8_lossy(piece));
+    let wire: String = pieces
+        .map(|piece| format!("{:x}\r\n{piece}\r\n", piece.len()))
+        .collect();
     let mut client = RawClient::connect(&program);
-    assert_eq!(client.call(chunked("pay", 1, &(wire + "0\r\n\r\n")).as_bytes()), Some(413));
+    assert_eq!(
+        client.call(chunked("pay", 1, &(wire + "0\r\n\r\n")).as_bytes()),
+        Some(413)
+    );
     assert_eq!(client.status(), None);
     assert!(server.seen.try_recv().is_err());
 }
@@ -249,8 +290,11 @@
 fn a_request_with_two_readings_is_refused(framing: &str) {
     let (server, program) = started();
     let hidden = request("pay", 8, 1, PATIENT);
-    let bodies =
-        ["a body".to_owned(), "0\r\n\r\n".to_owned(), format!("{:x}\r\n{hidden}\r\n0\r\n\r\n", hidden.len())];
+    let bodies = [
+        "a body".to_owned(),
+        "0\r\n\r\n".to_owned(),
+        format!("{:x}\r\n{hidden}\r\n0\r\n\r\n", hidden.len()),
+    ];
     for body in bodies {
         let mut client = RawClient::connect(&program);
         let text = framed_request("pay", 7, framing, &body) + &hidden;
@@ -259,7 +303,10 @@
     }
     // The same in two pieces, the head alone first: the refusal does not wait for what is behind.
     let mut client = RawClient::connect(&program);
-    assert_eq!(client.call(framed_request("pay", 7, framing, "").as_bytes()), Some(400));
+    assert_eq!(
+        client.call(framed_request("pay", 7, framing, "").as_bytes()),
+        Some(400)
+    );
     client.send(hidden.as_bytes());
     assert_eq!(client.status(), None);
     assert!(server.seen.try_recv().is_err());
@@ -273,7 +320,10 @@
     let (server, program) = started();
     let mut client = RawClient::connect(&program);
     let text = format!("GET /up HTTP/1.1\r\nHost: svc\r\n{framing}\r\n0\r\n\r\n");
-    assert_eq!(client.call((text + &request("pay", 8, 1, PATIENT)).as_bytes()), Some(400));
+    assert_eq!(
+        client.call((text + &request("pay", 8, 1, PATIENT)).as_bytes()),
+        Some(400)
+    );
     assert_eq!(client.status(), None);
     assert!(server.seen.try_recv().is_err());
 }
@@ -282,8 +332,12 @@
 fn the_older_protocol_has_no_chunks() {
     let (server, program) = started();
     let mut client = RawClient::connect(&program);
-    let text = chunked("pay", 7, "0\r\n\r\n").replace("HTTP/1.1", "HTTP/1.0\r\nConnection: keep-alive");
-    assert_eq!(client.call((text + &request("pay", 8, 1, PATIENT)).as_bytes()), Some(400));
+    let text =
+        chunked("pay", 7, "0\r\n\r\n").replace("HTTP/1.1", "HTTP/1.0\r\nConnection: keep-alive");
+    assert_eq!(
+        client.call((text + &request("pay", 8, 1, PATIENT)).as_bytes()),
+        Some(400)
+    );
     assert_eq!(client.status(), None);
     assert!(server.seen.try_recv().is_err());
 }
@@ -303,7 +357,13 @@
         (chunked("pay", 5, "5\r\nagain\r\n0\r\n\r\n"), "again"),
         (framed_request("pay", 6, LENGTH, "a body"), "a body"),
     ];
-    client.send(texts.iter().map(|(text, _)| text.as_str()).collect::<String>().as_bytes());
+    client.send(
+        texts
+            .iter()
+            .map(|(text, _)| text.as_str())
+            .collect::<String>()
+            .as_bytes(),
+    );
     for (_, body) in texts {
         assert_eq!(client.status(), Some(200));
         assert_body(&server.next(), body);
@@ -315,8 +375,16 @@
 fn a_request_with_two_readings_behind_sound_ones_is_refused() {
     let (server, program) = started();
     let mut client = RawClient::connect(&program);
-    let sound = [framed_request("pay", 1, LENGTH, "a body"), chunked("pay", 2, "6\r\na body\r\n0\r\n\r\n")];
-    let both = framed_request("pay", 3, "Transfer-Encoding: chunked\r\nContent-Length: 6\r\n", "0\r\n\r\n");
+    let sound = [
+        framed_request("pay", 1, LENGTH, "a body"),
+        chunked("pay", 2, "6\r\na body\r\n0\r\n\r\n"),
+    ];
+    let both = framed_request(
+        "pay",
+        3,
+        "Transfer-Encoding: chunked\r\nContent-Length: 6\r\n",
+        "0\r\n\r\n",
+    );
     client.send((sound.concat() + &both + &request("pay", 8, 1, PATIENT)).as_bytes());
     assert_eq!((client.status(), client.status()), (Some(200), Some(200)));
     assert_eq!((client.status(), client.status()), (Some(400), None));
@@ -333,7 +401,10 @@
     let framing = format!("Content-Length: {}\r\n", body.len());
     let first = framed_request("pay", 1, &framing, body);
     client.send((first + &chunked("pay", 2, "0\r\n\r\n")).as_bytes());
-    assert_eq!((client.status(), client.status(), client.status()), (Some(200), Some(400), None));
+    assert_eq!(
+        (client.status(), client.status(), client.status()),
+        (Some(200), Some(400), None)
+    );
     assert_eq!(server.seen.try_iter().count(), 1);
 }
 
@@ -346,7 +417,10 @@
     let seen = server.seen.try_iter().next();
     assert_eq!(seen.is_some(), status == Some(200));
     if let Some(seen) = seen {
-        assert_eq!((seen.header("transfer-encoding"), seen.body.as_str()), (None, ""));
+        assert_eq!(
+            (seen.header("transfer-encoding"), seen.body.as_str()),
+            (None, "")
+        );
     }
     status
 }
--- a/crates/merlinreel/tests/sockets/settings_at_their_limits.rs
+++ b/crates/merlinreel/tests/sockets/settings_at_their_limits.rs
@@ -48,7 +48,9 @@
     let program = Program::start(&config);
     let mut client = program.client();
     for (customer, class) in (0..).zip(["look", "put", "pay", "look", "put", "pay"]) {
-        let answer = client.call(&request(class, customer, 1, "1000m")).expect("an answer");
+        let answer = client
+            .call(&request(class, customer, 1, "1000m"))
+            .expect("an answer");
         assert!(matches!(answer.status(), 200 | 429 | 502), "{answer:?}");
     }
 }
--- a/crates/merlinreel/tests/sockets/slow_clients.rs
+++ b/crates/merlinreel/tests/sockets/slow_clients.rs
@@ -12,8 +12,8 @@
     const PIECES: usize = 22;
     let server = StandIn::start(|_| fine());
     let program = Program::start(&config(&[listed("s-1", server.address, "up")]));
-    let text =
-        request("pay", 7, 1, "3000m").replace("Content-Length: 6", &format!("Content-Length: {LENGTH}"));
+    let text = request("pay", 7, 1, "3000m")
+        .replace("Content-Length: 6", &format!("Content-Length: {LENGTH}"));
     let head = text.strip_suffix("a body").expect("a body");
     let (first, rest) = head.split_at(40);
     let mut client = program.client();
@@ -41,7 +41,11 @@
     thread::sleep(Duration::from_millis(head_takes));
     client.send(rest);
     assert!(client.receive().is_none_or(|answer| answer.status() == 408));
-    assert!(begun.elapsed() < Duration::from_secs(3), "{:?}", begun.elapsed());
+    assert!(
+        begun.elapsed() < Duration::from_secs(3),
+        "{:?}",
+        begun.elapsed()
+    );
 }
 
 /// Hardly any time is left: the client has its one answer soon, and the next request with time is served.
@@ -54,9 +58,20 @@
     let program = Program::start(&config(&[listed("s-1", server.address, "up")]));
     let mut client = program.client();
     for customer in 0..5 {
-        let (begun, class) = (Instant::now(), ["look", "put", "pay"][customer as usize % 3]);
-        assert!(client.call(&request(class, customer, 1, remaining)).is_some());
-        assert!(begun.elapsed() < Duration::from_millis(500), "{:?}", begun.elapsed());
+        let (begun, class) = (
+            Instant::now(),
+            ["look", "put", "pay"][customer as usize % 3],
+        );
+        assert!(
+            client
+                .call(&request(class, customer, 1, remaining))
+                .is_some()
+        );
+        assert!(
+            begun.elapsed() < Duration::from_millis(500),
+            "{:?}",
+            begun.elapsed()
+        );
     }
     assert_eq!(client.request("pay", 9, 1).status(), 200);
 }
--- a/crates/merlinreel/tests/sockets/starts.rs
+++ b/crates/merlinreel/tests/sockets/starts.rs
@@ -57,7 +57,9 @@
                 if ends.load(Ordering::Relaxed) {
                     return;
                 }
-                let Ok(mut client) = Client::connect(address) else { continue };
+                let Ok(mut client) = Client::connect(address) else {
+                    continue;
+                };
                 if one % 2 == 0 {
                     client.send(&request("look", one, 1, "3000m"));
                 }
@@ -70,7 +72,10 @@
                 }
             }
         });
-        Crowd { over, coming: Some(coming) }
+        Crowd {
+            over,
+            coming: Some(coming),
+        }
     }
 }
 
@@ -83,16 +88,29 @@
 
 /// Whether a server's call is of one of these customers.
 fn is_of(customers: &Range<u64>, call: &Message) -> bool {
-    let key = call.first.split("key=").nth(1).and_then(|rest| rest.get(..16));
-    key.and_then(|key| u64::from_str_radix(key, 16).ok()).is_some_and(|key| customers.contains(&key))
+    let key = call
+        .first
+        .split("key=")
+        .nth(1)
+        .and_then(|rest| rest.get(..16));
+    key.and_then(|key| u64::from_str_radix(key, 16).ok())
+        .is_some_and(|key| customers.contains(&key))
 }
 
 /// Each of these customers comes for the first time and is served. One that is held up between its connection and its
 /// request may be taken for silent: it comes again, as clients do.
 fn asks(process: &LimitedProcess, customers: Range<u64>) {
     for customer in customers {
-        let come = |_| process.client().call(&request("look", customer as u32, 1, "3000m"));
-        assert_eq!((0..50).find_map(come).map(|answer| answer.status()), Some(200), "{customer}");
+        let come = |_| {
+            process
+                .client()
+                .call(&request("look", customer as u32, 1, "3000m"))
+        };
+        assert_eq!(
+            (0..50).find_map(come).map(|answer| answer.status()),
+            Some(200),
+            "{customer}"
+        );
     }
 }
 
@@ -109,22 +127,48 @@
     assert!(process.is_ready_by(Instant::now() + READY_WITHIN));
     let crowd = Crowd::start(process.address, 400);
     let until = Instant::now() + PATIENCE;
-    let most = std::iter::repeat_with(|| process.descriptors()).take_while(|_| Instant::now() < until);
-    assert!({ most }.any(|open| open > DESCRIPTORS as usize / 2), "never full");
+    let most =
+        std::iter::repeat_with(|| process.descriptors()).take_while(|_| Instant::now() < until);
+    assert!(
+        { most }.any(|open| open > DESCRIPTORS as usize / 2),
+        "never full"
+    );
     assert!(process.is_ready_by(Instant::now() + READY_WITHIN));
     asks(&process, 1..11);
-    assert_eq!(old.seen.try_iter().filter(|call| is_of(&(1..11), call)).count(), 10);
+    assert_eq!(
+        old.seen
+            .try_iter()
+            .filter(|call| is_of(&(1..11), call))
+            .count(),
+        10
+    );
     discovery.speak(&server_list(
         2,
         true,
-        &[listed("s-1", old.address, "draining"), listed("s-2", new.address, "up")],
+        &[
+            listed("s-1", old.address, "draining"),
+            listed("s-2", new.address, "up"),
+        ],
     ));
     // The call behind the list's: the list is in the driver's queue by then.
     while !discovery.standin.next().first.contains("after=2&") {}
     asks(&process, 11..21);
     drop(crowd);
-    assert_eq!(old.seen.try_iter().filter(|call| is_of(&(11..21), call)).count(), 0, "it drains");
-    assert_eq!(new.seen.try_iter().filter(|call| is_of(&(11..21), call)).count(), 10);
+    assert_eq!(
+        old.seen
+            .try_iter()
+            .filter(|call| is_of(&(11..21), call))
+            .count(),
+        0,
+        "it drains"
+    );
+    assert_eq!(
+        new.seen
+            .try_iter()
+            .filter(|call| is_of(&(11..21), call))
+            .count(),
+        10
+    );
 }
 
 /// What discovery does while the fleet starts again.
@@ -156,9 +200,14 @@
     let until = Instant::now() + READY_WITHIN;
     fleet.iter_mut().for_each(LimitedProcess::start_again);
     let ready = thread::scope(|scope| {
-        let each: Vec<_> =
-            fleet.iter().map(|process| scope.spawn(move || process.is_ready_by(until))).collect();
-        each.into_iter().filter_map(|one| one.join().ok()).filter(|ready| *ready).count()
+        let each: Vec<_> = fleet
+            .iter()
+            .map(|process| scope.spawn(move || process.is_ready_by(until)))
+            .collect();
+        each.into_iter()
+            .filter_map(|one| one.join().ok())
+            .filter(|ready| *ready)
+            .count()
     });
     assert!(ready >= 9, "{ready} of 10");
     for (customer, process) in (0..).zip(&fleet) {
@@ -189,7 +238,11 @@
                 thread::spawn(move || trickle(&mut stream, &text, pieces, &steps, &finished));
             }
         });
-        Trickle { address, steps, whole }
+        Trickle {
+            address,
+            steps,
+            whole,
+        }
     }
 
     fn calls(&self) -> usize {
@@ -207,7 +260,11 @@
 ) -> std::io::Result<()> {
     let mut head = [0; 1024];
     let _ = stream.read(&mut head)?;
-    write!(stream, "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", text.len())?;
+    write!(
+        stream,
+        "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n",
+        text.len()
+    )?;
     for piece in text.as_bytes().chunks(text.len().div_ceil(pieces)) {
         stream.write_all(piece)?;
         let seen = steps.0.lock().expect("whole");
@@ -224,14 +281,24 @@
 fn a_first_list_that_trickles_holds_no_start_up_and_counts_at_last() {
     const PIECES: usize = 8;
     let (old, new) = (StandIn::start(|_| fine()), StandIn::start(|_| fine()));
-    let list =
-        server_list(2, true, &[listed("s-1", old.address, "draining"), listed("s-2", new.address, "up")]);
+    let list = server_list(
+        2,
+        true,
+        &[
+            listed("s-1", old.address, "draining"),
+            listed("s-2", new.address, "up"),
+        ],
+    );
     let discovery = Trickle::start(&list, PIECES);
     let mut config = config(&[listed("s-1", old.address, "up")]);
     config["discovery"] = discovery.address.to_string().into();
     let process = LimitedProcess::start(&config, DESCRIPTORS);
     assert!(process.is_ready_by(Instant::now() + READY_WITHIN));
-    assert_eq!(discovery.whole.load(Ordering::SeqCst), 0, "it started with its own list");
+    assert_eq!(
+        discovery.whole.load(Ordering::SeqCst),
+        0,
+        "it started with its own list"
+    );
     assert_eq!(process.client().request("look", 1, 1).status(), 200);
     assert_eq!(old.next().first, "GET /look?key=0000000000000001 HTTP/1.1");
     let until = Instant::now() + PATIENCE;
@@ -239,13 +306,20 @@
         assert_eq!(process.client().request("look", customer, 1).status(), 200);
         new.seen.try_iter().count() > 0 || Instant::now() >= until
     });
-    assert!(Instant::now() < until, "not taken after {} calls", discovery.calls());
+    assert!(
+        Instant::now() < until,
+        "not taken after {} calls",
+        discovery.calls()
+    );
     // Once it is known to drain it gets nothing more.
     let _ = old.seen.try_iter().count();
     for customer in taken.unwrap_or(0) + 1..taken.unwrap_or(0) + 6 {
         assert_eq!(process.client().request("look", customer, 1).status(), 200);
     }
-    assert_eq!((old.seen.try_iter().count(), new.seen.try_iter().count()), (0, 5));
+    assert_eq!(
+        (old.seen.try_iter().count(), new.seen.try_iter().count()),
+        (0, 5)
+    );
 }
 
 /// A process that is asked to stop before it ever served, while it waits for a silent discovery: who connected meanwhile is
@@ -279,12 +353,17 @@
     let program = Program::start(&config);
     program.signal("-STOP");
     let come = |_| {
-        let mut client = Client::connect_within(program.address, Duration::from_millis(500)).ok()?;
+        let mut client =
+            Client::connect_within(program.address, Duration::from_millis(500)).ok()?;
         client.send("GET /up HTTP/1.1\r\nHost: svc\r\n\r\n");
         Some(client)
     };
     let mut waiting: Vec<Client> = (0..CLIENTS).map_while(come).collect();
     program.signal("-CONT");
     assert_eq!(waiting.len(), CLIENTS);
-    assert!(waiting.iter_mut().all(|client| client.receive().is_some_and(|answer| answer.status() == 200)));
+    assert!(waiting.iter_mut().all(|client| {
+        client
+            .receive()
+            .is_some_and(|answer| answer.status() == 200)
+    }));
 }
--- a/crates/merlinreel/tests/sockets/stop.rs
+++ b/crates/merlinreel/tests/sockets/stop.rs
@@ -10,13 +10,17 @@
 use std::time::Duration;
 
 fn closing(answer: &Message) -> bool {
-    answer.header("connection").is_some_and(|value| value == "close")
+    answer
+        .header("connection")
+        .is_some_and(|value| value == "close")
 }
 
 /// Calls until an answer tells that its connection closes: from then on connections are closed between requests.
 fn until_closing(program: &Program) {
     let closes = || {
-        let answer = program.client().call("GET /up HTTP/1.1\r\nHost: svc\r\n\r\n");
+        let answer = program
+            .client()
+            .call("GET /up HTTP/1.1\r\nHost: svc\r\n\r\n");
         answer.is_some_and(|answer| closing(&answer))
     };
     let told = (0..2000).any(|_| {
@@ -37,7 +41,12 @@
 }
 
 /// Sends on a connection for as long as it stays open, and then on the next, until none is to be had.
-fn never_stops(address: std::net::SocketAddr, customer: u32, stop: &AtomicBool, beat: Duration) -> Seen {
+fn never_stops(
+    address: std::net::SocketAddr,
+    customer: u32,
+    stop: &AtomicBool,
+    beat: Duration,
+) -> Seen {
     let mut seen = Seen::default();
     while let Ok(mut client) = Client::connect(address) {
         loop {
@@ -72,14 +81,22 @@
     config["settings"]["packages"][0]["unitsPerS"] = 1e6.into();
     config["settings"]["packages"][0]["mostAtOnce"] = 1e6.into();
     let mut program = Program::start(&config);
-    let (stop, begun) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicUsize::new(0)));
+    let (stop, begun) = (
+        Arc::new(AtomicBool::new(false)),
+        Arc::new(AtomicUsize::new(0)),
+    );
     let clients: Vec<_> = (0..40)
         .map(|customer| {
             let (address, stop, begun) = (program.address, stop.clone(), begun.clone());
             thread::spawn(move || {
                 begun.fetch_add(1, Ordering::Relaxed);
                 // Some leave their connection idle for longer than others.
-                never_stops(address, customer, &stop, Duration::from_millis(u64::from(customer % 8) * 15))
+                never_stops(
+                    address,
+                    customer,
+                    &stop,
+                    Duration::from_millis(u64::from(customer % 8) * 15),
+                )
             })
         })
         .collect();
@@ -90,13 +107,19 @@
     program.signal("-TERM");
     let ended = program.end();
     stop.store(true, Ordering::Relaxed);
-    let seen: Vec<Seen> = clients.into_iter().map(|client| client.join().expect("a client")).collect();
+    let seen: Vec<Seen> = clients
+        .into_iter()
+        .map(|client| client.join().expect("a client"))
+        .collect();
     let sum = |of: fn(&Seen) -> usize| seen.iter().map(of).sum::<usize>();
     let (sent, unanswered, told) = (sum(|s| s.sent), sum(|s| s.unanswered), sum(|s| s.told));
     assert!(ended.success());
     assert!(told >= 40, "{told} told of their closing");
     eprintln!("front: {unanswered} of {sent}, {told} told");
-    assert!(sent > 400 && unanswered * 200 < sent, "{unanswered} of {sent} had no answer");
+    assert!(
+        sent > 400 && unanswered * 200 < sent,
+        "{unanswered} of {sent} had no answer"
+    );
 }
 
 /// Half a request is there as the stop begins, the rest comes once connections are closed: it is a request like others.
@@ -132,7 +155,10 @@
     program.signal("-TERM");
     until_closing(&program);
     thread::sleep(Duration::from_millis(300));
-    assert_eq!(client.receive().map(|answer| answer.body.len()), Some(LENGTH));
+    assert_eq!(
+        client.receive().map(|answer| answer.body.len()),
+        Some(LENGTH)
+    );
     assert!(program.end().success());
 }
 
@@ -146,22 +172,41 @@
         let (_tune, settings) = tokio::sync::watch::channel(station.terms.clone());
         let (_turn, discovery) = tokio::sync::watch::channel(station.discovery);
         let (_reground, ground) = tokio::sync::watch::channel(None);
-        let turns = merlinreel::Turns { settings, discovery, ground };
-        let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
-        runtime.block_on(merlinreel::run(station, None, figures, turns, std::future::pending()))
+        let turns = merlinreel::Turns {
+            settings,
+            discovery,
+            ground,
+        };
+        let runtime = tokio::runtime::Builder::new_current_thread()
+            .enable_all()
+            .build()
+            .expect("a runtime");
+        runtime.block_on(merlinreel::run(
+            station,
+            None,
+            figures,
+            turns,
+            std::future::pending(),
+        ))
     });
 }
 
 /// A request of a client that finds the socket, sent off in a thread of its own.
 fn first_request(config: &Value) -> mpsc::Receiver<u16> {
-    let address: std::net::SocketAddr = config["listen"].as_str().expect("an address").parse().expect("one");
+    let address: std::net::SocketAddr = config["listen"]
+        .as_str()
+        .expect("an address")
+        .parse()
+        .expect("one");
     let (tell, told) = channel();
     thread::spawn(move || {
         let client = (0..2000).find_map(|_| {
             thread::sleep(Duration::from_millis(5));
             Client::connect(address).ok()
         });
-        let answer = client.expect("a socket").call(&request("pay", 7, 1, "3000m"));
+        let answer = client
+            .expect("a socket")
+            .call(&request("pay", 7, 1, "3000m"));
         let _ = tell.send(answer.map_or(0, |answer| answer.status()));
     });
     told
@@ -181,11 +226,18 @@
     assert!(discovery.next().first.contains("after=1&wait_ms=10 "));
     // Long enough for an attempt to the old one, were it allowed.
     assert!(answered.recv_timeout(Duration::from_millis(400)).is_err());
-    let changes = [listed("s-1", old.address, "draining"), listed("s-2", new.address, "up")];
+    let changes = [
+        listed("s-1", old.address, "draining"),
+        listed("s-2", new.address, "up"),
+    ];
     // Lists may come indented.
-    tell.send(serde_json::to_string_pretty(&server_list(2, false, &changes)).expect("text")).expect("told");
+    tell.send(serde_json::to_string_pretty(&server_list(2, false, &changes)).expect("text"))
+        .expect("told");
     assert_eq!(answered.recv_timeout(PATIENCE), Ok(200));
-    assert_eq!((old.seen.try_iter().count(), new.seen.try_iter().count()), (0, 1));
+    assert_eq!(
+        (old.seen.try_iter().count(), new.seen.try_iter().count()),
+        (0, 1)
+    );
 }
 
 /// An agent that says nothing holds a start up for a while, not for good: the list as last held serves.
@@ -207,7 +259,9 @@
     let calls = AtomicUsize::new(0);
     let discovery = StandIn::start(move |_| match calls.fetch_add(1, Ordering::Relaxed) {
         0 => React::Hang,
-        1 => React::Answer("HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n{\"generation\":".to_owned()),
+        1 => React::Answer(
+            "HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n{\"generation\":".to_owned(),
+        ),
         2 => React::Break,
         3 => answer("200 OK", "", &text),
         _ => React::Hang,
@@ -220,7 +274,10 @@
     // The fifth call is made once the list is in the driver's queue.
     discovery.next();
     assert_eq!(program.client().request("look", 1, 1).status(), 200);
-    assert_eq!((old.seen.try_iter().count(), new.seen.try_iter().count()), (0, 1));
+    assert_eq!(
+        (old.seen.try_iter().count(), new.seen.try_iter().count()),
+        (0, 1)
+    );
 }
 
 /// SIGHUP brings shorter deadlines: the process may be killed the longest of them and 0.7 s after SIGTERM. A request that
@@ -230,7 +287,10 @@
     let server = StandIn::start(|_| React::Hang);
     let mut config = config(&[listed("s-1", server.address, "up")]);
     let mut program = Program::start(&config);
-    for class in config["settings"]["classes"].as_array_mut().expect("classes") {
+    for class in config["settings"]["classes"]
+        .as_array_mut()
+        .expect("classes")
+    {
         (class["promiseS"], class["hardLimitS"]) = (0.5.into(), 1.0.into());
     }
     program.turn(&config.to_string());
@@ -245,7 +305,11 @@
     thread::sleep(Duration::from_millis(900));
     client.send(rest);
     assert!(client.receive().is_some());
-    assert!(asked.elapsed() < Duration::from_millis(1700), "{:?}", asked.elapsed());
+    assert!(
+        asked.elapsed() < Duration::from_millis(1700),
+        "{:?}",
+        asked.elapsed()
+    );
     assert!(program.end().success());
 }
 
@@ -257,7 +321,10 @@
     program.close_log();
     // A body that is too long is told in the log.
     let text = request("pay", 7, 1, "900m").replace("Content-Length: 6", "Content-Length: 65537");
-    assert_eq!(program.client().call(&text).map(|answer| answer.status()), Some(413));
+    assert_eq!(
+        program.client().call(&text).map(|answer| answer.status()),
+        Some(413)
+    );
     program.turn("{}");
     assert_eq!(program.client().request("pay", 8, 1).status(), 200);
     program.signal("-TERM");
@@ -273,7 +340,12 @@
     let mut program = Program::start(&config);
     let mut clients: Vec<Client> = (0..6).map(|_| program.client()).collect();
     for (customer, client) in (0..).zip(&mut clients) {
-        client.send(&request(["look", "pay"][customer as usize % 2], customer, 1, "2500m"));
+        client.send(&request(
+            ["look", "pay"][customer as usize % 2],
+            customer,
+            1,
+            "2500m",
+        ));
     }
     server.next();
     let asked = std::time::Instant::now();
@@ -283,5 +355,9 @@
     }
     assert!(clients.iter_mut().all(|client| client.receive().is_some()));
     assert!(program.end().success());
-    assert!(asked.elapsed() < Duration::from_millis(3700), "{:?}", asked.elapsed());
+    assert!(
+        asked.elapsed() < Duration::from_millis(3700),
+        "{:?}",
+        asked.elapsed()
+    );
 }
--- a/crates/merlinreel/tests/sockets/system_faults.rs
+++ b/crates/merlinreel/tests/sockets/system_faults.rs
@@ -52,8 +52,10 @@
         })
         .collect();
     process.signal("-TERM");
-    let answers: Vec<Option<u16>> =
-        waiting.into_iter().map(|client| client.join().expect("a client")).collect();
+    let answers: Vec<Option<u16>> = waiting
+        .into_iter()
+        .map(|client| client.join().expect("a client"))
+        .collect();
     assert_eq!(answers, [Some(200); 8]);
     assert!(process.end().success());
     drop(halves);
@@ -66,7 +68,12 @@
     let server = StandIn::start(|_| fine());
     let process = started(server.address);
     let mut client = process.client();
-    assert_eq!(client.call("GET /up HTTP/1.1\r\nHost: svc\r\n\r\n").map(|answer| answer.status()), Some(200));
+    assert_eq!(
+        client
+            .call("GET /up HTTP/1.1\r\nHost: svc\r\n\r\n")
+            .map(|answer| answer.status()),
+        Some(200)
+    );
     let halves = with_all_descriptors_taken(&process);
     let begun = Instant::now();
     client.send(&request("look", 1, 1, "3000m"));
@@ -75,18 +82,28 @@
     assert_eq!(client.receive().map(|answer| answer.status()), Some(200));
     let begun = Instant::now();
     for customer in 2..22 {
-        assert_eq!(client.request("look", customer, 1).status(), 200, "{customer}");
+        assert_eq!(
+            client.request("look", customer, 1).status(),
+            200,
+            "{customer}"
+        );
     }
     // A server that has just started gets about one request a second here.
-    assert!(begun.elapsed() < Duration::from_secs(5), "{:?}", begun.elapsed());
+    assert!(
+        begun.elapsed() < Duration::from_secs(5),
+        "{:?}",
+        begun.elapsed()
+    );
 }
 
 /// The address is still another's as the program starts, and free a moment later.
 #[test]
 fn a_start_waits_for_its_address() {
     let config = config(&[]);
-    let address: SocketAddr =
-        config["listen"].as_str().and_then(|text| text.parse().ok()).expect("an address");
+    let address: SocketAddr = config["listen"]
+        .as_str()
+        .and_then(|text| text.parse().ok())
+        .expect("an address");
     let holder = TcpListener::bind(address).expect("free");
     let process = LimitedProcess::start(&config, DESCRIPTORS);
     thread::sleep(Duration::from_millis(300));
--- a/examples/toy_server.rs
+++ b/examples/toy_server.rs
@@ -17,7 +17,9 @@
     loop {
         let mut line = String::new();
         from.read_line(&mut line)?;
-        let Some((name, value)) = line.trim().split_once(':') else { break };
+        let Some((name, value)) = line.trim().split_once(':') else {
+            break;
+        };
         if name.eq_ignore_ascii_case("content-length") {
             length = value.trim().parse().map_err(io::Error::other)?;
         }
@@ -32,12 +34,19 @@
     let mut to = stream;
     while let Some((first, body)) = read(&mut from)? {
         let text = answer(&first, &body);
-        write!(to, "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{text}", text.len())?;
+        write!(
+            to,
+            "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{text}",
+            text.len()
+        )?;
     }
     Ok(())
 }
 
-fn listen(at: &str, answer: impl Fn(&str, &[u8]) -> String + Clone + Send + 'static) -> io::Result<()> {
+fn listen(
+    at: &str,
+    answer: impl Fn(&str, &[u8]) -> String + Clone + Send + 'static,
+) -> io::Result<()> {
     for stream in TcpListener::bind(at)?.incoming() {
         let (stream, answer) = (stream?, answer.clone());
         thread::spawn(move || serve(stream, answer));
