--- /dev/null
+++ b/crates/merlinreel/src/decode/tests.rs
@@ -0,0 +1,104 @@
+use super::*;
+use hyper::Request;
+use merlinreel_settings::Paths;
+use serde_json::json;
+use test_case::test_case;
+
+const URI: &str = "/put?key=00000000b4d65521";
+const HEADERS: [(&str, &str); 6] = [
+    ("x-txn", "9b"),
+    ("x-lane", "put"),
+    ("x-plan", "team"),
+    ("x-remaining", "480m"),
+    ("idempotency-key", "5c"),
+    ("x-quota", "units=2,spread=2,first=1,odd=4"),
+];
+
+fn read(uri: &str, changed: (&str, &str)) -> Result<Job, String> {
+    let settings = json!({"balancers": 3, "familyInfo": {"maxUnits": 8}, "packages": [{"name": "solo"}, {"name": "team"}], "classes": [
+        {"name": "look", "idempotency": "read_like", "hardLimitS": 1},
+        {"name": "put", "idempotency": "idempotency_key", "group": "all", "hardLimitS": 1}]});
+    let terms = Terms::read(&Paths::from_json(&settings)?)?;
+    let mut request = if changed.1 == "GET" {
+        Request::get(uri)
+    } else {
+        Request::post(uri)
+    };
+    // A `+` before a name: once more.
+    let (name, more) = (
+        changed.0.trim_start_matches('+'),
+        changed.0.starts_with('+'),
+    );
+    for (name, value) in HEADERS
+        .iter()
+        .filter(|(other, _)| more || *other != name)
+        .chain([&(name, changed.1)])
+    {
+        if !value.is_empty() && !name.is_empty() {
+            request = request.header(*name, *value);
+        }
+    }
+    let (head, ()) = request.body(()).expect("sound").into_parts();
+    decode(&head, &terms)
+}
+
+#[test]
+fn a_job_is_read_from_its_head() {
+    let job = read(URI, ("x-resent", "1")).expect("sound");
+    assert_eq!((job.customer, job.plan, job.class), (0xb4d6_5521, 1, 1));
+    assert_eq!(
+        (job.units, job.set_size, job.set_first, job.again),
+        (2.0, 2, 1, true)
+    );
+    assert_eq!(job.time_left, Duration::from_millis(480));
+    let patient = read(URI, ("x-remaining", "4000000000m")).expect("sound");
+    assert_eq!(patient.time_left, Duration::from_secs(1));
+}
+
+#[test]
+fn a_job_may_come_in_chunks() {
+    let chunked = read(URI, ("transfer-encoding", "chunked")).expect("sound");
+    let told = read(URI, ("content-length", "6")).expect("sound");
+    assert_eq!(
+        (chunked.customer, chunked.class),
+        (told.customer, told.class)
+    );
+}
+
+#[test_case(URI, ("x-txn", "") => "x-txn is missing" ; "no id")]
+#[test_case(URI, ("x-lane", "look") => "the path and x-lane name two classes" ; "two classes")]
+#[test_case("/odd?key=1", ("x-lane", "") => "class 'odd' is unknown" ; "unknown class")]
+#[test_case(URI, ("x-plan", "gold") => "x-plan: unknown" ; "unknown plan")]
+#[test_case(URI, ("idempotency-key", "") => "idempotency-key is missing" ; "no mark")]
+#[test_case("/put", ("", "") => "key is missing or stands there twice" ; "no customer")]
+#[test_case("/put?key=7&key=8", ("", "") => "key is missing or stands there twice" ; "two customers")]
+#[test_case("/put?key=+7", ("", "") => "key: no customer's number" ; "signed customer")]
+#[test_case(URI, ("", "GET") => "class 'put' comes by POST" ; "another method")]
+#[test_case(URI, ("+x-txn", "9c") => "x-txn stands there twice" ; "two ids")]
+#[test_case("/put?key=0000000200000000", ("", "") => "key: no customer's number" ; "customer out of range")]
+#[test_case(URI, ("x-remaining", "480") => "x-remaining: no number with m or u" ; "no unit")]
+#[test_case(URI, ("x-remaining", "-1m") => "x-remaining: no number with m or u" ; "negative time")]
+#[test_case(URI, ("x-quota", "units=nan,spread=1,first=0") => "x-quota: units is no number in range" ; "units")]
+#[test_case(URI, ("x-quota", "units=+2,spread=1,first=0") => "x-quota: units is no number in range" ; "signed units")]
+#[test_case(URI, ("x-quota", "units=9,spread=1,first=0") => "x-quota: units is no number in range" ; "too many units")]
+#[test_case(URI, ("x-quota", "units=1,units=1") => "x-quota: units stands there twice" ; "units twice")]
+#[test_case(URI, ("x-quota", "units=1,spread=1.5,first=0") => "x-quota: no set among 3 limiters" ; "part of a set")]
+#[test_case(URI, ("x-remaining", "+7m") => "x-remaining: no number with m or u" ; "signed time")]
+#[test_case(URI, ("x-quota", "units=1,spread=0,first=0") => "x-quota: no set among 3 limiters" ; "empty set")]
+#[test_case(URI, ("x-quota", "units=1,spread=1,first=3") => "x-quota: no set among 3 limiters" ; "set beyond")]
+#[test_case(URI, ("x-quota", "units") => "x-quota: no name=value" ; "no pair")]
+fn what_is_malformed_is_named(uri: &str, changed: (&str, &str)) -> String {
+    read(uri, changed).map(|_| ()).expect_err("malformed")
+}
+
+#[test_case(Answer::Refused(Some(Duration::from_millis(1250))) => (429, Some("1.250".to_owned())) ; "refused")]
+#[test_case(Answer::Refused(None) => (429, None) ; "refused without advice")]
+#[test_case(Answer::Failed => (502, None) ; "failed")]
+fn answers(answer: Answer) -> (u16, Option<String>) {
+    let response = encode(answer);
+    let wait = response
+        .headers()
+        .get(RETRY_AFTER)
+        .and_then(|value| value.to_str().ok());
+    (response.status().as_u16(), wait.map(str::to_owned))
+}
--- /dev/null
+++ b/crates/merlinreel/src/peers/tests.rs
@@ -0,0 +1,39 @@
+use super::*;
+use std::time::Duration;
+use tokio::sync::mpsc;
+use tokio::time::timeout;
+
+#[tokio::test]
+async fn peer_messages_are_known_by_their_sender_and_a_stranger_s_are_dropped() {
+    let free = SocketAddr::from(([127, 0, 0, 1], 0));
+    let [one, two, stranger] = [
+        UdpSocket::bind(free).await.expect("a port"),
+        UdpSocket::bind(free).await.expect("a port"),
+        UdpSocket::bind(free).await.expect("a port"),
+    ];
+    let peers: Arc<[SocketAddr]> = [&one, &two].map(|s| s.local_addr().expect("bound")).into();
+    let (queue, mut news) = mpsc::channel(8);
+    let receiver = Post {
+        socket: Arc::new(one),
+        peers: peers.clone(),
+    };
+    let sender = Post {
+        socket: Arc::new(two),
+        peers: peers.clone(),
+    };
+    tokio::spawn(receiver.receive(queue));
+    let _ = stranger.send_to(b"odd", peers[0]).await;
+    sender.tell(0, &[0; MOST_BYTES + 1]);
+    sender.tell(7, b"nobody");
+    sender.tell(0, b"hello");
+    let first = timeout(Duration::from_secs(5), news.recv())
+        .await
+        .expect("a peer message");
+    let Some(News::PeerMessage(peer_message)) = first else {
+        panic!("no peer message")
+    };
+    assert_eq!(
+        (peer_message.from, peer_message.bytes.as_slice()),
+        (1, &b"hello"[..])
+    );
+}
