--- a/crates/merlinreel-discovery/src/message.rs
+++ b/crates/merlinreel-discovery/src/message.rs
@@ -1,6 +1,6 @@
 //! Discovery's messages: JSON in, a checked list out.
 
-use merlinreel_core::Standing;
+use merlinreel_policy::Standing;
 use serde::Deserialize;
 use std::net::SocketAddr;
 use std::time::Duration;
--- a/crates/merlinreel-discovery/src/table.rs
+++ b/crates/merlinreel-discovery/src/table.rs
@@ -1,7 +1,7 @@
 //! The table of servers: names and addresses to the indices by which the decision module knows them.
 
 use crate::message::{DiscoveryNews, Listed};
-use merlinreel_core::{ServerEntry, ServerList, Standing, mark};
+use merlinreel_policy::{ServerEntry, ServerList, Standing, mark};
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
--- a/crates/merlinreel-settings/src/lib.rs
+++ b/crates/merlinreel-settings/src/lib.rs
@@ -1,8 +1,8 @@
 //! Reads the operators' settings, given by path, into what the module is started with. The bench gives
 //! `path=value` pairs, the limiter's configuration nested JSON; both name the same things.
 
-use merlinreel_core::decide::Limiter;
-use merlinreel_core::{Class, Group, JobRules, Peers, Plan, Repeats, ServerRules};
+use merlinreel_policy::decide::Limiter;
+use merlinreel_policy::{Class, Group, JobRules, Peers, Plan, Repeats, ServerRules};
 use serde_json::Value;
 use std::collections::HashMap;
 use std::time::Duration;
--- a/crates/merlinreel-benchlink/src/host.rs
+++ b/crates/merlinreel-simulator-adapter/src/host.rs
@@ -3,7 +3,7 @@
 mod values;
 mod writer;
 
-use merlinreel_core::*;
+use merlinreel_policy::*;
 use merlinreel_settings::{Paths, Terms};
 use std::collections::HashMap;
 use std::fmt::Write as _;
--- a/crates/merlinreel-benchlink/src/host/values.rs
+++ b/crates/merlinreel-simulator-adapter/src/host/values.rs
@@ -1,6 +1,6 @@
 //! Values of the wire, read strictly.
 
-use merlinreel_core::*;
+use merlinreel_policy::*;
 use std::time::Duration;
 
 /// The values of one message, read from left to right; each complaint names the value.
--- a/crates/merlinreel-benchlink/src/host/writer.rs
+++ b/crates/merlinreel-simulator-adapter/src/host/writer.rs
@@ -1,7 +1,7 @@
 //! Instances of this process, and their decisions as lines of the wire.
 
-use merlinreel_core::decide::Limiter;
-use merlinreel_core::*;
+use merlinreel_policy::decide::Limiter;
+use merlinreel_policy::*;
 use std::collections::HashMap;
 use std::fmt::Write as _;
 use std::time::Duration;
--- a/crates/merlinreel-testbed/src/bin/scale.rs
+++ b/crates/merlinreel-testkit/src/bin/scale.rs
@@ -1,7 +1,7 @@
 //! The scale measurements as a command: figures as lines of JSON, progress on standard error.
 
 use clap::{Parser, Subcommand};
-use merlinreel_testbed::scale::{
+use merlinreel_testkit::scale::{
     Figure, MeasureRequest, Measurement, PowerLaw, ScaleError, chosen, measurements,
 };
 use std::collections::BTreeMap;
--- a/crates/merlinreel-testbed/src/scale/configuration.rs
+++ b/crates/merlinreel-testkit/src/scale/configuration.rs
@@ -2,8 +2,8 @@
 //! classes that were changed.
 
 use crate::scale::{Emit, MeasureRequest, Meter, ScaleError, Sheet, Unit};
-use merlinreel_core::Class;
-use merlinreel_core::decide::Limiter;
+use merlinreel_policy::Class;
+use merlinreel_policy::decide::Limiter;
 use merlinreel_settings::{Paths, Terms};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -329,8 +329,8 @@
     limiter.retune(classes, job_rules());
 }
 
-fn job_rules() -> merlinreel_core::JobRules {
-    merlinreel_core::JobRules {
+fn job_rules() -> merlinreel_policy::JobRules {
+    merlinreel_policy::JobRules {
         most_attempts: 2,
         second_copies: false,
         may_revoke: true,
@@ -352,7 +352,7 @@
         deadline,
         gain: 1.0,
         late_gain: 0.5,
-        repeats: merlinreel_core::Repeats::Replayable,
+        repeats: merlinreel_policy::Repeats::Replayable,
     }
 }
 
--- a/crates/merlinreel-testbed/src/scale/quotas/tables.rs
+++ b/crates/merlinreel-testkit/src/scale/quotas/tables.rs
@@ -3,9 +3,9 @@
 
 use super::{FleetSetting, Point, START};
 use crate::scale::{Emit, MeasureRequest, Meter, ScaleError, Unit};
-use merlinreel_core::decide::Limiter;
-use merlinreel_core::peer_message::{Head, Row, write};
-use merlinreel_core::{Job, PeerMessage, Round, Writer};
+use merlinreel_policy::decide::Limiter;
+use merlinreel_policy::peer_message::{Head, Row, write};
+use merlinreel_policy::{Job, PeerMessage, Round, Writer};
 use std::time::Duration;
 
 /// Tenants that asked at one limiter; the last is all.
--- a/crates/merlinreel-testbed/src/scale/server_list/hollow.rs
+++ b/crates/merlinreel-testkit/src/scale/server_list/hollow.rs
@@ -1,8 +1,8 @@
 //! A hollow limiter: the real table of servers and the real decision module, without sockets and on a test's clock.
 
-use merlinreel_core::decide::Limiter;
-use merlinreel_core::{AttemptEnd, Ending, Job, Load, Round, ServerList, Writer};
 use merlinreel_discovery::{MessageError, ServerTable, decode};
+use merlinreel_policy::decide::Limiter;
+use merlinreel_policy::{AttemptEnd, Ending, Job, Load, Round, ServerList, Writer};
 use merlinreel_settings::{Paths, Terms};
 use serde_json::{Value, json};
 use std::time::Duration;
--- a/crates/merlinreel-testbed/src/scale/server_list/reading.rs
+++ b/crates/merlinreel-testkit/src/scale/server_list/reading.rs
@@ -4,8 +4,8 @@
 use super::report::{Report, peak_bytes, reset_peak, resident_bytes, unsettled};
 use super::source::{Form, ListSource};
 use crate::scale::{Meter, ScaleError, Source, Unit};
-use merlinreel_core::ServerList;
 use merlinreel_discovery::{DiscoveryNews, ServerTable, decode};
+use merlinreel_policy::ServerList;
 use std::time::Duration;
 
 /// Servers in a large change message.
--- a/crates/merlinreel-testbed/src/scale/server_list/source/tests.rs
+++ b/crates/merlinreel-testkit/src/scale/server_list/source/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
-use merlinreel_core::Standing;
 use merlinreel_discovery::decode;
+use merlinreel_policy::Standing;
 use serde_json::Value;
 use std::collections::BTreeSet;
 use test_case::test_case;
--- a/crates/merlinreel-testbed/src/scale/tenants/hollow.rs
+++ b/crates/merlinreel-testkit/src/scale/tenants/hollow.rs
@@ -1,8 +1,8 @@
 //! One limiter's decision module with many tenants and no sockets, on a clock that the caller moves.
 
-use merlinreel_core::decide::Limiter;
-use merlinreel_core::peer_message::{self, Head, Row};
-use merlinreel_core::{
+use merlinreel_policy::decide::Limiter;
+use merlinreel_policy::peer_message::{self, Head, Row};
+use merlinreel_policy::{
     AttemptEnd, Ending, Job, Load, PeerMessage, Round, ServerEntry, ServerList, Standing, Writer,
     mark,
 };
--- a/crates/merlinreel-testbed/tests/scale_configuration.rs
+++ b/crates/merlinreel-testkit/tests/scale_configuration.rs
@@ -1,7 +1,7 @@
 //! The file grows with its routes and plans, what stays of changed classes with the changes, and no faster.
 
-use merlinreel_testbed::scale::configuration::{self, Entries};
-use merlinreel_testbed::scale::{
+use merlinreel_testkit::scale::configuration::{self, Entries};
+use merlinreel_testkit::scale::{
     Figure, MeasureRequest, ScaleError, SlopeError, Source, check_slope,
 };
 
--- a/crates/merlinreel-testbed/tests/scale_latency.rs
+++ b/crates/merlinreel-testkit/tests/scale_latency.rs
@@ -1,8 +1,8 @@
 //! The latency measurement in short: counts only, and what must hold whatever the machine's speed. Times are measured
 //! in release by the scale program.
 
-use merlinreel_testbed::scale::check_slope;
-use merlinreel_testbed::scale::latency::{
+use merlinreel_testkit::scale::check_slope;
+use merlinreel_testkit::scale::latency::{
     ClientConnections, LatencyError, LatencySetting, Limiter, LoadResult, LoopbackServers,
     RequestPlan, Sample, measure_setting,
 };
--- a/crates/merlinreel-testbed/tests/scale_membership.rs
+++ b/crates/merlinreel-testkit/tests/scale_membership.rs
@@ -1,7 +1,7 @@
 //! The membership's cost by the number of limiters, in a short form: counts alone, the same each run.
 
-use merlinreel_testbed::scale::membership::{Fleet, FleetSetting, measure};
-use merlinreel_testbed::scale::{Figure, MeasureRequest, SlopeError, Source, check_slope};
+use merlinreel_testkit::scale::membership::{Fleet, FleetSetting, measure};
+use merlinreel_testkit::scale::{Figure, MeasureRequest, SlopeError, Source, check_slope};
 use std::sync::LazyLock;
 use std::time::Duration;
 
--- a/crates/merlinreel-testbed/tests/scale_quotas.rs
+++ b/crates/merlinreel-testkit/tests/scale_quotas.rs
@@ -1,10 +1,10 @@
 //! The short form of the quota measurements: counts only, the same each run.
 
-use merlinreel_testbed::scale::quotas::{
+use merlinreel_testkit::scale::quotas::{
     Counts, FleetSetting, count, count_recovery, count_spread, measure, measure_pressed,
     measure_reported_tenants, measure_restarts, measure_tenants,
 };
-use merlinreel_testbed::scale::{Figure, MeasureRequest, ScaleError, SlopeError, check_slope};
+use merlinreel_testkit::scale::{Figure, MeasureRequest, ScaleError, SlopeError, check_slope};
 use std::time::Duration;
 
 const SEED: u64 = 7;
--- a/crates/merlinreel-testbed/tests/scale_server_list.rs
+++ b/crates/merlinreel-testkit/tests/scale_server_list.rs
@@ -1,11 +1,11 @@
 //! The scale measurement of the servers' list in a short form: counts only, which are the same each run.
 
 use merlinreel_discovery::DiscoveryNews;
-use merlinreel_testbed::scale::server_list::{
+use merlinreel_testkit::scale::server_list::{
     Form, HollowLimiter, ListHolder, ListSource, RealHolder, measure, measure_limiters_restarting,
     measure_steps,
 };
-use merlinreel_testbed::scale::{
+use merlinreel_testkit::scale::{
     Figure, MeasureRequest, ScaleError, SlopeError, Source, check_slope,
 };
 use std::time::Duration;
--- a/crates/merlinreel-testbed/tests/scale_tenants.rs
+++ b/crates/merlinreel-testkit/tests/scale_tenants.rs
@@ -1,7 +1,7 @@
 //! What a limiter says of its tenants grows with their number, and no faster; quiet ones are forgotten.
 
-use merlinreel_testbed::scale::tenants::{self, BEATS_PER_SWEEP, Fleet, HollowLimiter, Said};
-use merlinreel_testbed::scale::{Figure, MeasureRequest, SlopeError, Source, check_slope};
+use merlinreel_testkit::scale::tenants::{self, BEATS_PER_SWEEP, Fleet, HollowLimiter, Said};
+use merlinreel_testkit::scale::{Figure, MeasureRequest, SlopeError, Source, check_slope};
 
 /// Few enough that all that is to be told fits into the messages of a minute.
 const SIZES: [u64; 4] = [50, 100, 200, 400];
--- a/crates/merlinreel/examples/campaign.rs
+++ b/crates/merlinreel/examples/campaign.rs
@@ -3,7 +3,7 @@
 //!
 //!     cargo run --release --example campaign -- FIRST_SEED LAST_SEED LIMITERS WORKERS SECONDS TROUBLES
 
-use merlinreel_testbed::{Bounds, Entry, Field, Script, What, check};
+use merlinreel_testkit::{Bounds, Entry, Field, Script, What, check};
 use std::process::ExitCode;
 use std::time::Duration;
 
--- a/crates/merlinreel/src/ops.rs
+++ b/crates/merlinreel/src/admin.rs
@@ -3,11 +3,11 @@
 //! Each connection is its own task and must bring a whole call within `Limits::ops_call`, so that a caller who
 //! stalls delays nobody; at most `Limits::ops_connections` are open, and a newcomer beyond that ends the oldest.
 
-use crate::backoff::Backoff;
-use crate::decode::respond;
-use crate::limits::Limits;
+use crate::client::decode::respond;
+use crate::config::limits::Limits;
 use crate::log;
-use crate::stream::{Tallied, Untallied};
+use crate::net::backoff::Backoff;
+use crate::net::observed_stream::{Tallied, Untallied};
 use http_body_util::Full;
 use hyper::body::{Bytes, Incoming};
 use hyper::server::conn::http1::Builder;
--- a/crates/merlinreel/src/clients.rs
+++ b/crates/merlinreel/src/client.rs
@@ -1,34 +1,36 @@
 //! Clients' connections: takes jobs in, hands them to the driver, and gives each one answer.
 
-mod arrivals;
+pub mod admission;
+mod arrival_times;
 mod body;
 mod connection;
+pub mod decode;
 mod framing;
-mod hand;
-mod intake;
-mod line;
-mod stop;
+mod in_flight;
+mod request_reader;
+mod shutdown;
+mod stream;
 #[cfg(test)]
 mod tests;
 
-use crate::claims::Claims;
-use crate::figures::{Figures, Outcome, class_of};
-use crate::limits::Limits;
+use crate::client::admission::Claims;
+use crate::config::limits::Limits;
 use crate::log;
 use crate::messages::{Queue, Tuned};
+use crate::telemetry::metrics::{Figures, Outcome, class_of};
 use connection::{ClientConnection, lock, who_gives_way};
-use hand::Flowing;
 use http_body_util::Either;
 use hyper::header::{CONNECTION, HeaderValue};
 use hyper::server::conn::http1::Builder;
 use hyper::service::service_fn;
 use hyper_util::rt::TokioIo;
-use line::Line;
+use in_flight::Flowing;
 use std::collections::HashMap;
 use std::convert::Infallible;
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex, OnceLock};
 use std::time::{Duration, Instant};
+use stream::Line;
 use tokio::net::TcpStream;
 use tokio::sync::watch;
 use tokio::time::sleep;
--- a/crates/merlinreel/src/claims.rs
+++ b/crates/merlinreel/src/client/admission.rs
@@ -1,6 +1,6 @@
 //! What a job holds from the moment it is taken until nothing of it is left: its id and its body's bytes.
 
-use crate::limits::Limits;
+use crate::config::limits::Limits;
 use hyper::header::HeaderValue;
 use std::collections::HashSet;
 use std::sync::{Arc, Mutex, PoisonError};
--- a/crates/merlinreel/src/clients/body.rs
+++ b/crates/merlinreel/src/client/body.rs
@@ -2,8 +2,8 @@
 
 use super::Door;
 use super::connection::{ClientConnection, lock};
-use crate::decode::respond;
-use crate::limits::Limits;
+use crate::client::decode::respond;
+use crate::config::limits::Limits;
 use crate::log;
 use http_body_util::{BodyExt, Full};
 use hyper::body::{Body, Bytes, Incoming};
--- a/crates/merlinreel/src/clients/connection.rs
+++ b/crates/merlinreel/src/client/connection.rs
@@ -1,10 +1,10 @@
 //! One client's connection: what it did last, and who gives way where places are short.
 
 use super::framing::ObservedHead;
-use super::line::Line;
-use crate::limits::Limits;
+use super::stream::Line;
+use crate::config::limits::Limits;
 use crate::messages::News;
-use crate::stream::Tally;
+use crate::net::observed_stream::Tally;
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Instant;
--- a/crates/merlinreel/src/decode.rs
+++ b/crates/merlinreel/src/client/decode.rs
@@ -1,13 +1,13 @@
 //! What a client sent as a job, and an answer as the client gets it.
 
-use crate::flow::Reply;
 use crate::messages::Answer;
+use crate::upstream::streaming_body::Reply;
 use http_body_util::{Either, Full};
 use hyper::body::Bytes;
 use hyper::header::{CONNECTION, CONTENT_LENGTH, HeaderMap, HeaderName, HeaderValue, RETRY_AFTER};
 use hyper::http::request::Parts;
 use hyper::{Method, Response, StatusCode};
-use merlinreel_core::{Class, Job, Peers, Repeats};
+use merlinreel_policy::{Class, Job, Peers, Repeats};
 use merlinreel_settings::Terms;
 use std::time::Duration;
 
--- a/crates/merlinreel/src/clients/hand.rs
+++ b/crates/merlinreel/src/client/in_flight.rs
@@ -2,9 +2,9 @@
 
 use super::Door;
 use super::connection::{ClientConnection, lock};
-use crate::figures::Outcome;
-use crate::flow::Held;
 use crate::messages::News;
+use crate::telemetry::metrics::Outcome;
+use crate::upstream::streaming_body::Held;
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 
--- a/crates/merlinreel/src/clients/stop.rs
+++ b/crates/merlinreel/src/client/shutdown.rs
@@ -5,10 +5,10 @@
 
 use super::Door;
 use super::connection::{ClientConnection, lock};
-use crate::backoff::Backoff;
-use crate::limits::stop_end;
+use crate::config::limits::stop_end;
 use crate::log;
-use crate::system_errors::concerns_one_connection;
+use crate::net::backoff::Backoff;
+use crate::net::system_errors::concerns_one_connection;
 use std::future::Future;
 use std::io;
 use std::sync::Arc;
--- a/crates/merlinreel/src/clients/line.rs
+++ b/crates/merlinreel/src/client/stream.rs
@@ -3,12 +3,12 @@
 //! client's end is waited for without reading what still comes. The HTTP library gets what it reads section by section,
 //! each up to a blank line, so that [`HeadScanner`] knows which head it has read last.
 
-use super::arrivals::Arrivals;
+use super::arrival_times::Arrivals;
 use super::connection::ClientConnection;
 use super::framing::HeadScanner;
-use crate::claims::Claims;
-use crate::limits::Limits;
-use crate::stream::{Tallied, Tally};
+use crate::client::admission::Claims;
+use crate::config::limits::Limits;
+use crate::net::observed_stream::{Tallied, Tally};
 use bytes::{Buf, Bytes, BytesMut};
 use std::io::{self, IoSlice};
 use std::pin::Pin;
--- a/crates/merlinreel/src/clients/tests.rs
+++ b/crates/merlinreel/src/client/tests.rs
@@ -3,7 +3,7 @@
 use super::connection::{ClientConnection, Times, lock, who_gives_way};
 use super::*;
 use crate::messages::News;
-use crate::stream::Tally;
+use crate::net::observed_stream::Tally;
 use hyper::body::Bytes;
 use merlinreel_settings::{Paths, Terms};
 use test_case::test_case;
@@ -227,7 +227,7 @@
 #[tokio::test]
 async fn a_job_that_comes_late_ends_before_the_kill() -> std::io::Result<()> {
     let limits = Limits::new(1024, 192, &looking()).expect("room");
-    let end = crate::limits::stop_end(&looking().classes);
+    let end = crate::config::limits::stop_end(&looking().classes);
     assert_eq!(end, Duration::from_millis(3300));
     let (_client, stream) = came_with(LOOK)?;
     let (queue, mut news) = mpsc::channel(9);
--- a/crates/merlinreel/src/config.rs
+++ b/crates/merlinreel/src/config.rs
@@ -1,7 +1,9 @@
 //! The one place where the configuration is read, checked and given defaults; a faulty key is named.
 //! Values of the environment stand in for keys that the file leaves out.
 
-use crate::limits::{Limits, RoomError};
+pub mod limits;
+
+use crate::config::limits::{Limits, RoomError};
 use crate::log;
 use crate::mesh::Ground;
 use merlinreel_discovery::{DiscoveryNews, Message, MessageError};
--- a/crates/merlinreel/src/limits.rs
+++ b/crates/merlinreel/src/config/limits.rs
@@ -1,6 +1,6 @@
 //! All sizes, counts and times that bound the limiter's sockets: filled once at start and handed down.
 
-use merlinreel_core::Class;
+use merlinreel_policy::Class;
 use merlinreel_settings::Terms;
 use std::time::Duration;
 use thiserror::Error;
--- a/crates/merlinreel/src/discovery.rs
+++ b/crates/merlinreel/src/endpoints.rs
@@ -3,10 +3,10 @@
 mod failure_log;
 mod open_calls;
 
-use crate::limits::Limits;
+use crate::config::limits::Limits;
 use crate::log;
 use crate::messages::{News, Queue};
-use crate::stream::{Tallied, Untallied};
+use crate::net::observed_stream::{Tallied, Untallied};
 use failure_log::FailureLog;
 use http_body_util::{BodyExt, Empty};
 use hyper::body::{Body, Bytes, Incoming};
--- a/crates/merlinreel/src/driver.rs
+++ b/crates/merlinreel/src/event_loop.rs
@@ -1,19 +1,19 @@
 //! The one task that owns the module. All else reaches it by its queue: it takes what waits there into
 //! one round, carries the decisions out in order, and sleeps until there is news or a wake is due.
 
-mod desk;
+mod action_executor;
 #[cfg(test)]
 mod tests;
 
-use crate::figures::Figures;
 use crate::log;
 use crate::messages::{Answer, Arrival, News, Tuned};
 use crate::peers::Post;
-use crate::servers::Servers;
-use desk::{Desk, Held};
-use merlinreel_core::decide::Limiter;
-use merlinreel_core::*;
+use crate::telemetry::metrics::Figures;
+use crate::upstream::Servers;
+use action_executor::{Desk, Held};
 use merlinreel_discovery::DiscoveryNews;
+use merlinreel_policy::decide::Limiter;
+use merlinreel_policy::*;
 use merlinreel_settings::Terms;
 use std::collections::HashMap;
 use std::sync::Arc;
--- a/crates/merlinreel/src/driver/tests.rs
+++ b/crates/merlinreel/src/event_loop/tests.rs
@@ -26,7 +26,7 @@
     let terms = paths
         .and_then(|paths| merlinreel_settings::Terms::read(&paths))
         .expect("sound");
-    let limits = crate::limits::Limits::new(1024, 192, &terms).expect("room");
+    let limits = crate::config::limits::Limits::new(1024, 192, &terms).expect("room");
     let (queue, news) = mpsc::channel(16);
     let figures = Figures::new(&[]);
     let servers = Servers::new(limits, &terms, queue.clone(), figures.clone());
--- a/crates/merlinreel/src/lib.rs
+++ b/crates/merlinreel/src/lib.rs
@@ -1,33 +1,25 @@
 //! The limiter on sockets: clients' HTTP/1.1 in front of the decision module, servers behind it. Each file
 //! has one job; `driver` is the only one that knows the module.
 
-pub mod answers;
-pub mod backoff;
-pub mod claims;
-pub mod clients;
+pub mod admin;
+pub mod client;
 pub mod config;
-pub mod decode;
-pub mod discovery;
-pub mod driver;
-pub mod figures;
-pub mod flow;
-pub mod limits;
-pub mod log;
+pub mod endpoints;
+pub mod event_loop;
 pub mod mesh;
 pub mod messages;
-pub mod ops;
+pub mod net;
 pub mod peers;
-pub mod servers;
-pub mod stream;
-pub mod system_errors;
+pub mod telemetry;
+pub mod upstream;
 
-use backoff::Backoff;
+use net::backoff::Backoff;
+use net::system_errors::is_of_this_machine;
 use std::future::Future;
 use std::io;
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
-use system_errors::is_of_this_machine;
 use tokio::net::{TcpListener, TcpSocket};
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::task::JoinHandle;
@@ -69,12 +61,12 @@
 
 /// What the operators' door tells.
 struct Told {
-    door: Arc<clients::Door>,
+    door: Arc<client::Door>,
     mesh: Option<merlinreel_mesh::shell::Mesh>,
-    figures: Arc<figures::Figures>,
+    figures: Arc<telemetry::metrics::Figures>,
 }
 
-impl ops::Telling for Told {
+impl admin::Telling for Told {
     fn serves(&self) -> bool {
         self.door.serves()
     }
@@ -102,11 +94,11 @@
 pub async fn run(
     station: config::Station,
     handed: Option<std::net::TcpListener>,
-    figures: Arc<figures::Figures>,
+    figures: Arc<telemetry::metrics::Figures>,
     turns: Turns,
     stop: impl Future<Output = ()>,
 ) -> io::Result<()> {
-    let clock = driver::Clock::start();
+    let clock = event_loop::Clock::start();
     let Turns {
         settings: mut tunes,
         discovery,
@@ -152,9 +144,9 @@
             .map_err(|error| named("listen", listen, error))?,
     };
     let version = known.as_ref().map(|known| known.version);
-    let servers = servers::Servers::new(limits.clone(), &terms, queue.clone(), figures.clone());
+    let servers = upstream::Servers::new(limits.clone(), &terms, queue.clone(), figures.clone());
     let (tune, tuned) = watch::channel(Arc::new(messages::Tuned::first(terms.clone())));
-    let driver = driver::Driver::new(
+    let driver = event_loop::Driver::new(
         terms.limiter(seed),
         servers,
         post.clone(),
@@ -164,7 +156,7 @@
     .tells(tune);
     let mut driving = tokio::spawn(driver.run(known, news));
     let (told, first) = oneshot::channel();
-    let watching = discovery::watch(discovery, version, limits.clone(), queue.clone(), told);
+    let watching = endpoints::watch(discovery, version, limits.clone(), queue.clone(), told);
     let mut others = vec![tokio::spawn(watching)];
     others.extend(post.map(|post| tokio::spawn(post.receive(queue.clone()))));
     let retuning = queue.clone();
@@ -191,7 +183,7 @@
             ""
         }
     );
-    let door = clients::Door::new(limits.clone(), tuned, queue, figures.clone());
+    let door = client::Door::new(limits.clone(), tuned, queue, figures.clone());
     let first = timeout(limits.first_list, first);
     let taking = match &ground {
         Some(ground) => {
@@ -219,7 +211,7 @@
         let listener = bound(limits.bind, async || TcpListener::bind(at).await)
             .await
             .map_err(|error| named("ops", at, error))?;
-        others.push(tokio::spawn(ops::attend(
+        others.push(tokio::spawn(admin::attend(
             listener,
             limits,
             Arc::new(Told {
--- a/crates/merlinreel/src/main.rs
+++ b/crates/merlinreel/src/main.rs
@@ -86,7 +86,7 @@
     let station = config::read(|name| std::env::var(name).ok())?;
     let (turn, discovery) = watch::channel(station.discovery);
     let mut present = station.clone();
-    let figures = merlinreel::figures::Figures::new(&station.terms.wire.classes);
+    let figures = merlinreel::telemetry::metrics::Figures::new(&station.terms.wire.classes);
     let counted = figures.clone();
     let (tune, settings) = watch::channel(station.terms.clone());
     let (reground, ground) = watch::channel(station.mesh.clone());
@@ -125,7 +125,7 @@
     match begin() {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            merlinreel::log::write(format_args!("{error}"));
+            merlinreel::telemetry::log::write(format_args!("{error}"));
             ExitCode::FAILURE
         }
     }
--- a/crates/merlinreel/src/messages.rs
+++ b/crates/merlinreel/src/messages.rs
@@ -1,12 +1,12 @@
 //! What passes between the driver and the tasks round it. Nothing here knows who sends or takes it, so that no task
 //! needs the driver's own module, nor another's.
 
-use crate::claims::Claim;
-use crate::flow::Flow;
+use crate::client::admission::Claim;
+use crate::upstream::streaming_body::Flow;
 use hyper::body::Bytes;
 use hyper::{HeaderMap, Method, Uri};
-use merlinreel_core::{Ending, Job, Load, PeerMessage, ProbeAnswer};
 use merlinreel_discovery::DiscoveryNews;
+use merlinreel_policy::{Ending, Job, Load, PeerMessage, ProbeAnswer};
 use merlinreel_settings::Terms;
 use std::time::{Duration, Instant};
 use tokio::sync::{mpsc, oneshot};
--- a/crates/merlinreel/src/peers.rs
+++ b/crates/merlinreel/src/peers.rs
@@ -1,10 +1,10 @@
 //! Peer messages between limiters: datagrams, known by the address they come from.
 
-use crate::backoff::Backoff;
 use crate::log;
 use crate::messages::{News, Queue};
-use merlinreel_core::PeerMessage;
-use merlinreel_core::peer_message::MOST_BYTES;
+use crate::net::backoff::Backoff;
+use merlinreel_policy::PeerMessage;
+use merlinreel_policy::peer_message::MOST_BYTES;
 use std::collections::HashMap;
 use std::io;
 use std::net::SocketAddr;
--- /dev/null
+++ b/crates/merlinreel/src/telemetry.rs
@@ -0,0 +1,4 @@
+//! Log lines and metrics.
+
+pub mod log;
+pub mod metrics;
--- a/crates/merlinreel/src/log.rs
+++ b/crates/merlinreel/src/telemetry/log.rs
@@ -68,10 +68,10 @@
 #[macro_export]
 macro_rules! log {
     ($($what:tt)*) => {
-        match $crate::log::admits() {
-            Some(0) => $crate::log::write(format_args!($($what)*)),
+        match $crate::telemetry::log::admits() {
+            Some(0) => $crate::telemetry::log::write(format_args!($($what)*)),
             Some(more) => {
-                $crate::log::write(format_args!("{} ({more} lines held back)", format_args!($($what)*)))
+                $crate::telemetry::log::write(format_args!("{} ({more} lines held back)", format_args!($($what)*)))
             }
             None => {}
         }
--- a/crates/merlinreel/src/servers.rs
+++ b/crates/merlinreel/src/upstream.rs
@@ -1,31 +1,33 @@
 //! Attempts to servers: the pool of connections, and one task for each of them. A connection carries one
 //! attempt at a time; nothing is ever sent again by itself.
 
-mod answer;
+mod connection;
+mod health_check;
 mod message;
-mod probe;
+mod response;
+pub mod response_memory;
+pub mod streaming_body;
 #[cfg(test)]
 mod tests;
-mod unasked;
-mod upstream;
+mod unsolicited;
 
 pub use message::strip_hop_by_hop;
 
-use crate::answers::AnswerMemory;
-use crate::figures::Figures;
-use crate::limits::Limits;
+use crate::config::limits::Limits;
 use crate::log;
 use crate::messages::{News, Parcel, Queue};
-use merlinreel_core::{ProbeAnswer, ServerList, Standing};
+use crate::telemetry::metrics::Figures;
+use crate::upstream::response_memory::AnswerMemory;
+use connection::UpstreamConnection;
+use health_check::probe;
 use merlinreel_discovery::{DiscoveryNews, ServerTable};
-use probe::probe;
+use merlinreel_policy::{ProbeAnswer, ServerList, Standing};
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 use tokio::sync::{OwnedSemaphorePermit, Semaphore, mpsc};
 use tokio::time::timeout;
-use unasked::UnaskedBytes;
-use upstream::UpstreamConnection;
+use unsolicited::UnaskedBytes;
 
 /// One attempt to make at a server.
 #[derive(Debug)]
--- a/crates/merlinreel/src/servers/upstream.rs
+++ b/crates/merlinreel/src/upstream/connection.rs
@@ -1,22 +1,22 @@
 //! The task of one connection to a server: one attempt at a time, and what each attempt's end proves.
 
-use super::answer::{Answer, receive};
 use super::message::{Said, decode, encode, wire_length};
-use super::unasked::{UnaskedBytes, is_unasked};
+use super::response::{Answer, receive};
+use super::unsolicited::{UnaskedBytes, is_unasked};
 use super::{Attempt, Command};
-use crate::answers::AnswerMemory;
-use crate::backoff::Backoff;
-use crate::figures::{Figures, class_of};
-use crate::limits::Limits;
+use crate::config::limits::Limits;
 use crate::log;
 use crate::messages::{AttemptNews, News, Queue};
-use crate::stream::{Tallied, Tally};
-use crate::system_errors::is_of_this_machine;
+use crate::net::backoff::Backoff;
+use crate::net::observed_stream::{Tallied, Tally};
+use crate::net::system_errors::is_of_this_machine;
+use crate::telemetry::metrics::{Figures, class_of};
+use crate::upstream::response_memory::AnswerMemory;
 use http_body_util::Full;
 use hyper::body::Bytes;
 use hyper::client::conn::http1::{Builder, Connection, SendRequest};
 use hyper_util::rt::TokioIo;
-use merlinreel_core::Ending;
+use merlinreel_policy::Ending;
 use std::io::{self, ErrorKind};
 use std::net::SocketAddr;
 use std::pin::Pin;
--- a/crates/merlinreel/src/servers/probe.rs
+++ b/crates/merlinreel/src/upstream/health_check.rs
@@ -1,12 +1,12 @@
 //! Probes of servers, and the load reports that they and answers bring.
 
-use crate::limits::Limits;
+use crate::config::limits::Limits;
 use http_body_util::{BodyExt, Empty, Limited};
 use hyper::body::Bytes;
 use hyper::header::{CONNECTION, HOST};
 use hyper::{Request, StatusCode};
 use hyper_util::rt::TokioIo;
-use merlinreel_core::Load;
+use merlinreel_policy::Load;
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use tokio::net::TcpStream;
--- a/crates/merlinreel/src/servers/message.rs
+++ b/crates/merlinreel/src/upstream/message.rs
@@ -1,14 +1,14 @@
 //! A job as a server gets it, and what its answer says.
 
-use super::probe::read_load;
-use crate::flow::Flow;
+use super::health_check::read_load;
 use crate::messages::{Delivery, Parcel};
+use crate::upstream::streaming_body::Flow;
 use http_body_util::Full;
 use hyper::body::Bytes;
 use hyper::header::{CONNECTION, CONTENT_LENGTH, HeaderMap, HeaderName, HeaderValue};
 use hyper::http::response::Parts;
 use hyper::{Request, StatusCode};
-use merlinreel_core::{Ending, Load};
+use merlinreel_policy::{Ending, Load};
 use std::time::Duration;
 
 /// The bytes that a request takes on the wire at least.
--- a/crates/merlinreel/src/servers/answer.rs
+++ b/crates/merlinreel/src/upstream/response.rs
@@ -1,7 +1,7 @@
 //! A server's answer as it is read from its connection: whole, or long and still coming.
 
-use crate::answers::{AnswerMemory, BodyError, Received, read_to_end};
-use crate::flow::Flow;
+use crate::upstream::response_memory::{AnswerMemory, BodyError, Received, read_to_end};
+use crate::upstream::streaming_body::Flow;
 use hyper::body::{Body, Bytes, Incoming};
 use hyper::header::{CONTENT_LENGTH, TRANSFER_ENCODING};
 use hyper::http::response::Parts;
--- a/crates/merlinreel/src/answers.rs
+++ b/crates/merlinreel/src/upstream/response_memory.rs
@@ -1,7 +1,7 @@
 //! Bodies of servers' answers: read until they are whole, or longer than a body that is held, within the memory
 //! that all answers share.
 
-use crate::limits::Limits;
+use crate::config::limits::Limits;
 use bytes::Bytes;
 use http_body_util::BodyExt;
 use hyper::body::Body;
--- a/crates/merlinreel/src/servers/tests.rs
+++ b/crates/merlinreel/src/upstream/tests.rs
@@ -1,4 +1,4 @@
-mod resting;
+mod idle_connections;
 
 use super::message::{PRESSURE, encode, wire_length};
 use super::*;
@@ -6,7 +6,7 @@
 use hyper::body::Bytes;
 use hyper::header::{HeaderMap, HeaderName, HeaderValue};
 use hyper::{Method, Uri};
-use merlinreel_core::{Ending, Load};
+use merlinreel_policy::{Ending, Load};
 use test_case::test_case;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
--- a/crates/merlinreel/tests/sockets/broken_answers.rs
+++ b/crates/merlinreel/tests/sockets/broken_answers.rs
@@ -2,7 +2,7 @@
 //! once more than [`PASSED_ON_BEYOND`] of its body has come: broken off before that, it is a failed attempt that may
 //! have run; behind that, the client can tell that it is cut.
 
-use merlinreel_testbed::*;
+use merlinreel_testkit::*;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
 use test_case::{test_case, test_matrix};
--- a/crates/merlinreel/tests/sockets/drains.rs
+++ b/crates/merlinreel/tests/sockets/drains.rs
@@ -1,7 +1,7 @@
 //! Servers that begin to drain while attempts to them are on their way.
 
 use super::gone_clients::{server_with_a_full_queue, wait_for_connecting};
-use merlinreel_testbed::*;
+use merlinreel_testkit::*;
 use std::sync::mpsc::channel;
 
 /// The connection of an attempt is still coming up as its server begins to drain: the attempt goes elsewhere, and nothing is
--- a/crates/merlinreel/tests/sockets/faults.rs
+++ b/crates/merlinreel/tests/sockets/faults.rs
@@ -1,7 +1,7 @@
 //! Several limiters with faults between and on them, the record held against the five rules.
 
-use merlinreel_testbed::link::Weather;
-use merlinreel_testbed::*;
+use merlinreel_testkit::link::Weather;
+use merlinreel_testkit::*;
 use std::time::Duration;
 use test_case::test_case;
 
--- a/crates/merlinreel/tests/sockets/gone_clients.rs
+++ b/crates/merlinreel/tests/sockets/gone_clients.rs
@@ -1,6 +1,6 @@
 //! Clients that close their connection while their request waits for its first attempt.
 
-use merlinreel_testbed::*;
+use merlinreel_testkit::*;
 use socket2::{Domain, Socket, Type};
 use std::io::{BufRead, BufReader};
 use std::net::{SocketAddr, TcpListener, TcpStream};
--- a/crates/merlinreel/tests/sockets/limited_process.rs
+++ b/crates/merlinreel/tests/sockets/limited_process.rs
@@ -1,6 +1,6 @@
 //! Processes of the program under the system's own limit on descriptors, whose start nobody waits for.
 
-use merlinreel_testbed::*;
+use merlinreel_testkit::*;
 use serde_json::Value;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
--- a/crates/merlinreel/tests/sockets/main.rs
+++ b/crates/merlinreel/tests/sockets/main.rs
@@ -15,7 +15,7 @@
 mod stop;
 mod system_faults;
 
-use merlinreel_testbed::*;
+use merlinreel_testkit::*;
 use std::sync::mpsc::channel;
 use std::thread;
 use std::time::Duration;
--- a/crates/merlinreel/tests/sockets/mesh.rs
+++ b/crates/merlinreel/tests/sockets/mesh.rs
@@ -1,7 +1,7 @@
 //! Limiters that know one another: several processes of the program, their datagrams over relays of the test's own.
 
-use merlinreel_testbed::link::{UdpLink, Weather};
-use merlinreel_testbed::*;
+use merlinreel_testkit::link::{UdpLink, Weather};
+use merlinreel_testkit::*;
 use serde_json::{Value, json};
 use std::collections::HashMap;
 use std::net::{SocketAddr, UdpSocket};
--- a/crates/merlinreel/tests/sockets/operations.rs
+++ b/crates/merlinreel/tests/sockets/operations.rs
@@ -1,6 +1,6 @@
 //! What staff do with a limiter that runs: upgrades, figures, settings read again; and answers that are long.
 
-use merlinreel_testbed::*;
+use merlinreel_testkit::*;
 use std::thread;
 use std::time::Duration;
 
--- a/crates/merlinreel/tests/sockets/pipelining.rs
+++ b/crates/merlinreel/tests/sockets/pipelining.rs
@@ -1,6 +1,6 @@
 //! Requests that clients send behind one another without waiting for answers.
 
-use merlinreel_testbed::*;
+use merlinreel_testkit::*;
 use std::io::Write;
 use std::thread;
 use std::time::{Duration, Instant};
--- a/crates/merlinreel/tests/sockets/request_bodies.rs
+++ b/crates/merlinreel/tests/sockets/request_bodies.rs
@@ -1,6 +1,6 @@
 //! Request bodies in each framing that HTTP/1.1 allows, as bytes on the socket.
 
-use merlinreel_testbed::*;
+use merlinreel_testkit::*;
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{Shutdown, TcpStream};
 use test_case::test_case;
--- a/crates/merlinreel/tests/sockets/settings_at_their_limits.rs
+++ b/crates/merlinreel/tests/sockets/settings_at_their_limits.rs
@@ -1,6 +1,6 @@
 //! Settings of zero, one and none: the program starts and answers, or names the key.
 
-use merlinreel_testbed::*;
+use merlinreel_testkit::*;
 use serde_json::{Value, json};
 use test_case::test_case;
 
--- a/crates/merlinreel/tests/sockets/slow_clients.rs
+++ b/crates/merlinreel/tests/sockets/slow_clients.rs
@@ -1,6 +1,6 @@
 //! Clients that are slow, or have hardly any time, and are requests like others.
 
-use merlinreel_testbed::*;
+use merlinreel_testkit::*;
 use std::thread;
 use std::time::{Duration, Instant};
 use test_case::test_case;
--- a/crates/merlinreel/tests/sockets/starts.rs
+++ b/crates/merlinreel/tests/sockets/starts.rs
@@ -1,7 +1,7 @@
 //! Limiters that start or start again while discovery is down or their descriptors are taken.
 
 use super::limited_process::LimitedProcess;
-use merlinreel_testbed::*;
+use merlinreel_testkit::*;
 use serde_json::Value;
 use std::collections::VecDeque;
 use std::io::{Read, Write};
--- a/crates/merlinreel/tests/sockets/stop.rs
+++ b/crates/merlinreel/tests/sockets/stop.rs
@@ -1,7 +1,7 @@
 //! The planned stop of the program, with clients that never stop sending, and a process that starts while its agent
 //! knows more than it does.
 
-use merlinreel_testbed::*;
+use merlinreel_testkit::*;
 use serde_json::Value;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::sync::mpsc::channel;
@@ -168,7 +168,7 @@
     let mut station = merlinreel::config::parse(&config.to_string(), |_| None).expect("sound");
     station.limits.first_list = first_list;
     thread::spawn(move || {
-        let figures = merlinreel::figures::Figures::new(&station.terms.wire.classes);
+        let figures = merlinreel::telemetry::metrics::Figures::new(&station.terms.wire.classes);
         let (_tune, settings) = tokio::sync::watch::channel(station.terms.clone());
         let (_turn, discovery) = tokio::sync::watch::channel(station.discovery);
         let (_reground, ground) = tokio::sync::watch::channel(None);
--- a/crates/merlinreel/tests/sockets/system_faults.rs
+++ b/crates/merlinreel/tests/sockets/system_faults.rs
@@ -1,7 +1,7 @@
 //! System calls of the program that fail for a while, as the kernel really fails them.
 
 use super::limited_process::LimitedProcess;
-use merlinreel_testbed::*;
+use merlinreel_testkit::*;
 use std::net::{SocketAddr, TcpListener};
 use std::thread;
 use std::time::{Duration, Instant};
