--- a/crates/merlinreel-discovery/src/lib.rs
+++ b/crates/merlinreel-discovery/src/lib.rs
@@ -4,5 +4,5 @@
 mod message;
 mod table;
 
-pub use message::{DiscoveryNews, Listed, Message, MessageError, decode};
-pub use table::ServerTable;
+pub use message::{DiscoveredEndpoint, DiscoveryUpdate, Message, MessageError, decode};
+pub use table::EndpointTable;
--- a/crates/merlinreel-discovery/src/message.rs
+++ b/crates/merlinreel-discovery/src/message.rs
@@ -1,6 +1,6 @@
 //! Discovery's messages: JSON in, a checked list out.
 
-use merlinreel_policy::Standing;
+use merlinreel_policy::EndpointState;
 use serde::Deserialize;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -19,24 +19,24 @@
 
 /// A message, checked.
 #[derive(Clone, Debug, PartialEq)]
-pub struct DiscoveryNews {
+pub struct DiscoveryUpdate {
     pub version: u64,
     /// A complete list: who is not on it is gone. Else only what changed.
-    pub whole: bool,
-    pub servers: Vec<Listed>,
+    pub complete: bool,
+    pub servers: Vec<DiscoveredEndpoint>,
 }
 
 /// A server as discovery lists it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Listed {
+pub struct DiscoveredEndpoint {
     pub name: String,
     pub address: SocketAddr,
     pub zone: String,
     pub cell: u32,
-    pub standing: Standing,
+    pub state: EndpointState,
     pub weight: f64,
     /// Unix time of its last start, if that was not long ago.
-    pub up_since: Option<Duration>,
+    pub started_at: Option<Duration>,
 }
 
 /// A message as it stands on the wire.
@@ -66,11 +66,11 @@
 
 impl Instance {
     /// `place` is where it stands in the message, for the error.
-    fn check(self, place: usize) -> Result<Listed, MessageError> {
-        let standing = match self.lifecycle.as_str() {
-            "up" => Standing::Up,
-            "draining" => Standing::Draining,
-            "removed" => Standing::Gone,
+    fn check(self, place: usize) -> Result<DiscoveredEndpoint, MessageError> {
+        let state = match self.lifecycle.as_str() {
+            "up" => EndpointState::Ready,
+            "draining" => EndpointState::Draining,
+            "removed" => EndpointState::Removed,
             other => {
                 return Err(MessageError::Lifecycle {
                     place,
@@ -83,35 +83,35 @@
             place,
             given: self.host_port,
         })?;
-        Ok(Listed {
+        Ok(DiscoveredEndpoint {
             name: self.instance_id,
             address,
             zone: self.zone,
             cell: self.cell,
-            standing,
+            state,
             weight: self.weight.unwrap_or(1.0),
-            up_since: Some(Duration::from_millis(self.started_at_ms)).filter(|at| !at.is_zero()),
+            started_at: Some(Duration::from_millis(self.started_at_ms)).filter(|at| !at.is_zero()),
         })
     }
 }
 
-impl TryFrom<Message> for DiscoveryNews {
+impl TryFrom<Message> for DiscoveryUpdate {
     type Error = MessageError;
 
-    fn try_from(message: Message) -> Result<DiscoveryNews, MessageError> {
+    fn try_from(message: Message) -> Result<DiscoveryUpdate, MessageError> {
         let instances = message.instances.into_iter().enumerate();
         let servers = instances
             .map(|(place, instance)| instance.check(place))
             .collect::<Result<_, _>>()?;
-        Ok(DiscoveryNews {
+        Ok(DiscoveryUpdate {
             version: message.generation,
-            whole: message.reset,
+            complete: message.reset,
             servers,
         })
     }
 }
 
-pub fn decode(bytes: &[u8]) -> Result<DiscoveryNews, MessageError> {
+pub fn decode(bytes: &[u8]) -> Result<DiscoveryUpdate, MessageError> {
     let message: Message = serde_json::from_slice(bytes)?;
     message.try_into()
 }
--- a/crates/merlinreel-discovery/src/table.rs
+++ b/crates/merlinreel-discovery/src/table.rs
@@ -1,7 +1,7 @@
 //! The table of servers: names and addresses to the indices by which the decision module knows them.
 
-use crate::message::{DiscoveryNews, Listed};
-use merlinreel_policy::{ServerEntry, ServerList, Standing, mark};
+use crate::message::{DiscoveredEndpoint, DiscoveryUpdate};
+use merlinreel_policy::{Endpoint, EndpointState, EndpointUpdate, ring_hash};
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
@@ -9,19 +9,19 @@
 struct Place {
     name: String,
     /// As it was listed last.
-    entry: ServerEntry,
+    entry: Endpoint,
     address: SocketAddr,
 }
 
 impl Place {
     fn stands(&self) -> bool {
-        self.entry.standing != Standing::Gone
+        self.entry.state != EndpointState::Removed
     }
 }
 
 /// The servers by index. A server keeps its index until it is forgotten; the index is then another's.
 #[derive(Debug, Default)]
-pub struct ServerTable {
+pub struct EndpointTable {
     zones: Vec<String>,
     names: HashMap<String, u32>,
     /// By address, the server that took it last. It may be gone since.
@@ -31,12 +31,12 @@
     free: Vec<u32>,
 }
 
-impl ServerTable {
+impl EndpointTable {
     /// `zones` by their index in the settings; others are added as lists name them.
-    pub fn new(zones: Vec<String>) -> ServerTable {
-        ServerTable {
+    pub fn new(zones: Vec<String>) -> EndpointTable {
+        EndpointTable {
             zones,
-            ..ServerTable::default()
+            ..EndpointTable::default()
         }
     }
 
@@ -58,48 +58,48 @@
     pub fn is_up(&self, server: u32) -> bool {
         self.places
             .get(server as usize)
-            .is_some_and(|place| place.entry.standing == Standing::Up)
+            .is_some_and(|place| place.entry.state == EndpointState::Ready)
     }
 
     /// Takes a message in, and gives it back with indices in the place of names.
-    pub fn apply(&mut self, news: DiscoveryNews, restored: bool) -> ServerList {
-        let mut entries = Vec::with_capacity(news.servers.len());
-        if news.whole {
+    pub fn apply(&mut self, news: DiscoveryUpdate, cached: bool) -> EndpointUpdate {
+        let mut endpoints = Vec::with_capacity(news.servers.len());
+        if news.complete {
             self.places
                 .iter_mut()
-                .for_each(|place| place.entry.standing = Standing::Gone);
+                .for_each(|place| place.entry.state = EndpointState::Removed);
         }
         for listed in news.servers {
-            self.take(listed, &mut entries);
+            self.take(listed, &mut endpoints);
         }
-        ServerList {
-            whole: news.whole,
-            restored,
+        EndpointUpdate {
+            complete: news.complete,
+            cached,
             unavailable: false,
-            entries,
+            endpoints,
         }
     }
 
-    fn take(&mut self, listed: Listed, entries: &mut Vec<ServerEntry>) {
-        let mut entry = ServerEntry {
+    fn take(&mut self, listed: DiscoveredEndpoint, endpoints: &mut Vec<Endpoint>) {
+        let mut entry = Endpoint {
             server: 0,
-            mark: mark(&listed.name),
+            ring_hash: ring_hash(&listed.name),
             zone: self.zone(listed.zone),
             cell: listed.cell,
-            standing: listed.standing,
+            state: listed.state,
             weight: listed.weight,
-            up_since: listed.up_since,
+            started_at: listed.started_at,
         };
         entry.server = match self.names.get(&listed.name) {
             Some(&server) => server,
             None => {
-                entries.extend(self.replace(listed.address));
+                endpoints.extend(self.replace(listed.address));
                 self.add(listed.name, entry, listed.address)
             }
         };
         self.take_address(entry.server, listed.address);
         self.places[entry.server as usize].entry = entry;
-        entries.push(entry);
+        endpoints.push(entry);
     }
 
     fn zone(&mut self, name: String) -> u32 {
@@ -122,14 +122,14 @@
     }
 
     /// Guards against attempts at a server that is gone, but not told so yet, where another took its address.
-    fn replace(&mut self, address: SocketAddr) -> Option<ServerEntry> {
+    fn replace(&mut self, address: SocketAddr) -> Option<Endpoint> {
         let before = self.standing_at(address)?;
         let place = &mut self.places[before as usize];
-        place.entry.standing = Standing::Gone;
+        place.entry.state = EndpointState::Removed;
         Some(place.entry)
     }
 
-    fn add(&mut self, name: String, entry: ServerEntry, address: SocketAddr) -> u32 {
+    fn add(&mut self, name: String, entry: Endpoint, address: SocketAddr) -> u32 {
         let server = self.free.pop().unwrap_or(self.places.len() as u32);
         self.names.insert(name.clone(), server);
         let place = Place {
@@ -166,7 +166,7 @@
         let Some(place) = self.places.get_mut(server as usize) else {
             return;
         };
-        place.entry.standing = Standing::Gone;
+        place.entry.state = EndpointState::Removed;
         let (name, address) = (std::mem::take(&mut place.name), place.address);
         if self.names.get(&name) == Some(&server) {
             self.names.remove(&name);
--- a/crates/merlinreel-policy/src/decide.rs
+++ b/crates/merlinreel-policy/src/decide.rs
@@ -1,5 +1,5 @@
 //! All decisions of a limiter. How to call it: `Limiter::new` once at start, then `Limiter::round`
-//! with the clock, all that came in since the last round, and a `Writer` that takes the decisions.
+//! with the clock, all that came in since the last round, and a `Actions` that takes the decisions.
 //! The plain data and the writer are the interface, in `lib.rs`; `peer_message.rs` holds the bytes of a
 //! batch between limiters. Docs: `docs/design.md`, `docs/on-call.md`.
 
@@ -8,12 +8,12 @@
 mod servers;
 mod start_clock;
 
-use crate::job::{Attempt, OpenJob};
-use crate::peer_message::{self, Row};
-use crate::remote_counts::Reading;
-use crate::ring::Ring;
+use crate::peer_message::{self, CounterRow};
+use crate::remote_counts::QuotaSnapshot;
+use crate::request::{Attempt, PendingRequest};
+use crate::ring::RollingWindow;
 pub use crate::state::Limiter;
-use crate::state::{Account, Listener, Server, secs, slot, span};
+use crate::state::{Account, Server, Subscriber, secs, slot, span};
 use crate::store::window_length;
 use crate::*;
 use nanorand::Rng;
@@ -30,101 +30,104 @@
     pub fn new(
         seed: u64,
         plans: Vec<Plan>,
-        classes: Vec<Class>,
-        peers: Peers,
-        server_rules: ServerRules,
-        job_rules: JobRules,
+        classes: Vec<RequestClass>,
+        fleet: FleetConfig,
+        endpoint_config: EndpointConfig,
+        request_limits: RequestLimits,
     ) -> Limiter {
         // Until answers are seen; two and a half of them do not bind then.
         let fifth = classes
             .iter()
-            .map(|c| secs(c.target_time) / 5.0)
+            .map(|c| secs(c.latency_objective) / 5.0)
             .fold(1.0, f64::min);
         Limiter {
             usual: fifth,
             calm: fifth,
             level: 1.0,
             // Half a minute of buckets outlasts most surges.
-            answers: Ring::new(Duration::from_secs(32)),
-            answer_times: Ring::new(Duration::from_secs(32)),
+            answers: RollingWindow::new(Duration::from_secs(32)),
+            answer_times: RollingWindow::new(Duration::from_secs(32)),
             // As an inbox is measured.
-            word: Ring::new(Duration::from_secs(1)),
-            last_peer_message: vec![(0, 0); peers.limiters as usize],
-            owing: vec![0; peers.limiters as usize],
-            told_peer: vec![Duration::ZERO; peers.limiters as usize],
+            word: RollingWindow::new(Duration::from_secs(1)),
+            last_peer_message: vec![(0, 0); fleet.limiters as usize],
+            owing: vec![0; fleet.limiters as usize],
+            told_peer: vec![Duration::ZERO; fleet.limiters as usize],
             // Starting value: a thousand a second over all limiters, little for a service made for it.
-            calls: 20.0 / f64::from(peers.limiters),
+            calls: 20.0 / f64::from(fleet.limiters),
             // Steps of a 128th are finer than retries spread and coarser than the way here varies.
             left_seen: vec![(vec![0.0; 130], 1.0); classes.len()],
-            ..Limiter::empty(seed, plans, classes, peers, server_rules, job_rules)
+            ..Limiter::empty(seed, plans, classes, fleet, endpoint_config, request_limits)
         }
     }
 
     fn message_interval(&self) -> Duration {
         // As short as the peers' inboxes surely take: three quarters, never under 20 ms.
-        let others = f64::from(self.peers.limiters.saturating_sub(1));
-        span((others / (0.75 * self.peers.inbox_per_s.max(1.0))).max(0.02))
+        let others = f64::from(self.fleet.limiters.saturating_sub(1));
+        span((others / (0.75 * self.fleet.peer_inbox_rate.max(1.0))).max(0.02))
     }
 
     /// Counter answers come in a few ms; a tenth of a second is soon enough for what waits without.
     fn beat(&self) -> Duration {
-        let most = Duration::from_millis(if self.peers.counter { 20 } else { 100 });
+        let most = Duration::from_millis(if self.fleet.counter { 20 } else { 100 });
         most.min(self.message_interval())
     }
 
     /// A round of peer messages that takes longer than this leaves most readings older than a burst lasts.
     fn gathers(&self) -> bool {
-        self.peers.peer_messages && self.message_interval() > Duration::from_millis(600)
+        self.fleet.peer_messages && self.message_interval() > Duration::from_millis(600)
     }
 
-    pub fn round(&mut self, now: Duration, round: &Round, out: &mut dyn Writer) {
-        self.discovery_lost |= self.started.is_none() && self.server_rules.discovery_on_request;
+    pub fn round(&mut self, now: Duration, round: &EventBatch, actions: &mut dyn Actions) {
+        self.discovery_lost |= self.started.is_none() && self.endpoint_config.endpoint_polling;
         self.started.get_or_insert(now);
         round
-            .server_list
+            .endpoint_updates
             .iter()
-            .for_each(|server_list| self.follow(now, server_list));
+            .for_each(|endpoint_updates| self.follow(now, endpoint_updates));
         round
             .peer_messages
             .iter()
             .for_each(|peer_message| self.read_peer_message(now, peer_message));
         round
-            .counts
+            .counter_replies
             .iter()
             .for_each(|answer| self.read_count(now, answer));
         round
-            .attempt_ends
+            .attempt_results
             .iter()
-            .for_each(|end| self.end_attempt(now, end, out));
+            .for_each(|end| self.end_attempt(now, end, actions));
         round
             .streaming
             .iter()
-            .for_each(|&job| self.answer_begins(now, job));
-        for job in round
-            .jobs
+            .for_each(|&request| self.answer_begins(now, request));
+        for request in round
+            .requests
             .iter()
-            .filter(|job| !round.left.contains(&job.job))
+            .filter(|request| !round.disconnects.contains(&request.id))
         {
-            self.take(now, job, out);
+            self.take(now, request, actions);
         }
-        round.left.iter().for_each(|&job| self.close(job, out));
+        round
+            .disconnects
+            .iter()
+            .for_each(|&request| self.close(request, actions));
         if now >= self.beat_at {
             self.beat_at = now + self.beat();
-            self.sync(now, out);
+            self.sync(now, actions);
             // Half a second spares a server list that is pressed, and is far under what the rule allows.
             if self.discovery_lost && now >= self.discovery_at + Duration::from_millis(500) {
                 self.discovery_at = now;
-                out.follow_discovery(true);
+                actions.set_endpoint_subscription(true);
             }
-            self.watch(now, out);
+            self.watch(now, actions);
             self.keep_regulars(now);
             self.gauge(now);
-            self.forget(now, out);
+            self.forget(now, actions);
         }
-        self.dispatch(now, out);
+        self.dispatch(now, actions);
         if self.woken_at <= now {
             self.woken_at = self.beat_at;
-            out.wake(
+            actions.schedule_wakeup(
                 self.beat_at
                     .saturating_sub(now)
                     .max(Duration::from_millis(1)),
@@ -134,7 +137,7 @@
 
     /// Drops what no window, job or peer message needs. Guards the memory against customers that come once, and
     /// servers replaced without end; half a minute spares those that come back.
-    fn forget(&mut self, now: Duration, out: &mut dyn Writer) {
+    fn forget(&mut self, now: Duration, actions: &mut dyn Actions) {
         if now < self.swept_at + Duration::from_secs(1) {
             return;
         }
@@ -150,7 +153,7 @@
             }
         });
         let over = |server: &mut Server| {
-            server.quiet = if server.entry.standing == Standing::Gone {
+            server.quiet = if server.entry.state == EndpointState::Removed {
                 server.quiet + 1
             } else {
                 0
@@ -159,7 +162,7 @@
         };
         self.drop_servers(over)
             .into_iter()
-            .for_each(|server| out.forget(server));
+            .for_each(|server| actions.release_endpoint(server));
     }
 }
 
--- a/crates/merlinreel-policy/src/decide/quotas.rs
+++ b/crates/merlinreel-policy/src/decide/quotas.rs
@@ -21,7 +21,7 @@
 
 /// Departure where one gathers: what its gatherer or another read of a customer that asks for more than its quota goes
 /// along with each peer message. Guards against hundreds of limiters each letting in a first job of a quota that is used up.
-pub(super) fn passed_on(reading: &Reading, plan: &Plan) -> bool {
+pub(super) fn passed_on(reading: &QuotaSnapshot, plan: &Plan) -> bool {
     let pressed = reading.pace > plan.rate && draw(reading.left, reading.pace, plan) < 1.0;
     pressed && reading.age < LISTENED / 2
 }
@@ -37,7 +37,13 @@
 
     /// Limiters that this quota is split over while they are blind to each other: those that used it lately,
     /// as far as they are likely to take from it in that time. A slow customer's is hardly split.
-    pub(super) fn sharers(&self, now: Duration, plan: &Plan, blind: f64, peers: Peers) -> f64 {
+    pub(super) fn sharers(
+        &self,
+        now: Duration,
+        plan: &Plan,
+        blind: f64,
+        fleet: FleetConfig,
+    ) -> f64 {
         let set = f64::from(self.set_size.max(1));
         if now < self.split_until {
             return set;
@@ -46,7 +52,7 @@
         let all = self.heard[0].len().max(self.heard[1].len());
         let told = (0..all).filter(|&p| told(0, p) || told(1, p)).count() as f64;
         let used = self.others(0) + self.others(1);
-        let others = if peers.counter && used > 0.0 {
+        let others = if fleet.counter && used > 0.0 {
             set - 1.0
         } else {
             told
@@ -63,10 +69,12 @@
         plan: &Plan,
         units: f64,
         blind: f64,
-        peers: Peers,
+        fleet: FleetConfig,
         lot: f64,
     ) -> bool {
-        if plan.most_open > 0 && self.out >= (plan.most_open / self.set_size.max(1)).max(1) {
+        if plan.max_concurrent > 0
+            && self.out >= (plan.max_concurrent / self.set_size.max(1)).max(1)
+        {
             return false;
         }
         if plan.rate <= 0.0 {
@@ -77,7 +85,7 @@
             let left = left.min(self.thought(now, plan));
             return left >= units && lot <= draw(left, pace, plan);
         }
-        let share = (left + self.untold) / self.sharers(now, plan, blind, peers) - self.untold;
+        let share = (left + self.untold) / self.sharers(now, plan, blind, fleet) - self.untold;
         let first = now < self.split_until && self.untold == 0.0;
         left >= units && (first || units <= share)
     }
@@ -90,22 +98,22 @@
         }
         let part = f64::from(self.set_size.max(1));
         let gained = secs(now.saturating_sub(self.ceiling_at)) * plan.ceiling_rate / part;
-        self.ceiling = (self.ceiling + gained).min(plan.ceiling_depth / part);
+        self.ceiling = (self.ceiling + gained).min(plan.ceiling_burst / part);
         self.ceiling_at = now;
         units <= self.ceiling + plan.ceiling_slack / part / 2.0
     }
 
     /// Departure for limiters too many to tell each other in time: one of a customer's set gathers the
     /// counts and tells the others what is left; the next of the set does while that one is silent.
-    pub(super) fn gatherer(&self, peers: Peers, owing: &[u32]) -> u32 {
+    pub(super) fn gatherer(&self, fleet: FleetConfig, owing: &[u32]) -> u32 {
         let set = u64::from(self.set_size.max(1));
         // A multiplier with well mixed bits spreads customers over their sets.
         let start = self.customer.wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 40;
         let place =
-            |k| (self.set_first % peers.limiters + ((start + k) % set) as u32) % peers.limiters;
+            |k| (self.set_first % fleet.limiters + ((start + k) % set) as u32) % fleet.limiters;
         // Five peer messages unanswered: some are lost, and two that gather for one customer tell too much.
-        let fit = |&p: &u32| p == peers.me || owing[p as usize] < 5;
-        (0..set).map(place).find(fit).unwrap_or(peers.me)
+        let fit = |&p: &u32| p == fleet.me || owing[p as usize] < 5;
+        (0..set).map(place).find(fit).unwrap_or(fleet.me)
     }
 
     /// Tells who asked of late, where what is left is not what they must think.
@@ -126,9 +134,9 @@
 }
 
 impl Limiter {
-    pub(super) fn take(&mut self, now: Duration, job: &Job, out: &mut dyn Writer) {
+    pub(super) fn take(&mut self, now: Duration, request: &Request, actions: &mut dyn Actions) {
         let gathers = self.gathers();
-        let counted = gathers || self.peers.counter && now >= self.behind_until;
+        let counted = gathers || self.fleet.counter && now >= self.behind_until;
         let interval = if counted {
             self.beat()
         } else {
@@ -137,40 +145,44 @@
         let blind = secs(interval) + 0.03; // And the way of a peer message or a call, some tens of ms.
         // Where one gathers no peer is heard directly: a new quota would seem whole at each of hundreds.
         let split = if gathers { LISTENED } else { interval };
-        let i = self.account(now, job.customer, job.plan);
-        let (account, peers) = (&mut self.accounts[i], self.peers);
+        let i = self.account(now, request.customer, request.plan);
+        let (account, fleet) = (&mut self.accounts[i], self.fleet);
         let plan = &self.plans[account.plan];
         if account.set_size == 0 {
             account.split_until = now + split;
         }
-        (account.set_size, account.set_first) = (job.set_size.max(1), job.set_first);
+        (account.set_size, account.set_first) = (request.set_size.max(1), request.set_first);
         account.roll(now, plan);
         account.tries[0] += 1.0;
-        account.unasked += job.units;
-        account.asked_units.add(now, job.units);
-        let class = &self.classes[job.class];
-        let (seen, firsts) = &mut self.left_seen[job.class];
-        let elapsed = elapsed(job.time_left, seen, firsts, class.deadline);
+        account.unasked += request.units;
+        account.asked_units.add(now, request.units);
+        let class = &self.classes[request.class];
+        let (seen, firsts) = &mut self.left_seen[request.class];
+        let elapsed = elapsed(request.remaining_time, seen, firsts, class.deadline);
         // What earns little any more takes units only from a store that is well filled.
-        let late = elapsed >= class.target_time;
-        let worth_it = !late || class.late_gain > 0.0 && account.left(now, plan) > plan.burst / 2.0;
+        let late = elapsed >= class.latency_objective;
+        let worth_it =
+            !late || class.late_weight > 0.0 && account.left(now, plan) > plan.burst / 2.0;
         // Departure: where a plan earns beyond the quota more than it costs, idle servers take such jobs.
         // They find the store empty and take nothing from it.
-        let beyond = account.left(now, plan) < job.units;
-        let welcome = beyond && plan.beyond_gain > plan.beyond_cost && self.idle;
+        let beyond = account.left(now, plan) < request.units;
+        let welcome = beyond && plan.overage_value > plan.overage_cost && self.idle;
         let lot = self.chance.generate::<f64>();
         let admitted =
-            worth_it && (welcome || account.admits(now, plan, job.units, blind, peers, lot));
-        if !admitted || !account.under_ceiling(now, plan, job.units) {
+            worth_it && (welcome || account.admits(now, plan, request.units, blind, fleet, lot));
+        if !admitted || !account.under_ceiling(now, plan, request.units) {
             account.due[0] = true;
-            let wait = account.opens_in(now, plan, job.units);
-            out.refuse(job.job, self.job_rules.retry_after.then(|| span(wait)));
+            let wait = account.opens_in(now, plan, request.units);
+            actions.reject(
+                request.id,
+                self.request_limits.retry_after.then(|| span(wait)),
+            );
             return;
         }
         // Departure where one gathers: a quarter of its inbox is for what is let in. Of small jobs one in some is
         // reported and stands for all, lest a customer that asks much drown its gatherer and seem to ask little.
         let heard = match account.pace_known(now, LISTENED) {
-            Some(_) if gathers => job.units * peers.inbox_per_s / (4.0 * plan.rate),
+            Some(_) if gathers => request.units * fleet.peer_inbox_rate / (4.0 * plan.rate),
             _ => 1.0,
         };
         let stands_for = if heard >= 1.0 {
@@ -181,28 +193,28 @@
         let window = (!welcome && stands_for > 0.0).then_some(account.window);
         window
             .into_iter()
-            .for_each(|window| account.add_own(window, job.units * stands_for));
+            .for_each(|window| account.add_own(window, request.units * stands_for));
         if !welcome {
-            account.untold += job.units;
-            account.told_left -= job.units;
+            account.untold += request.units;
+            account.told_left -= request.units;
         }
-        account.ceiling -= job.units;
+        account.ceiling -= request.units;
         account.out += 1;
-        let target = now + class.target_time.saturating_sub(elapsed);
-        *slot(&mut self.jobs, job.job) = Some(OpenJob {
+        let target = now + class.latency_objective.saturating_sub(elapsed);
+        *slot(&mut self.requests, request.id) = Some(PendingRequest {
             stands_for,
-            ..OpenJob::new(job, i, now, target, window)
+            ..PendingRequest::new(request, i, now, target, window)
         });
-        self.queue.push(job.job);
+        self.queue.push(request.id);
     }
 
     /// Drains the news: one add a customer where a counter is given, else one batch a peer, each told only of
     /// the customers it shares. The emptiest quotas go first, the rest wait for the next time.
-    pub(super) fn sync(&mut self, now: Duration, out: &mut dyn Writer) {
+    pub(super) fn sync(&mut self, now: Duration, actions: &mut dyn Actions) {
         if self.gathers() {
-            return self.gather(now, out);
+            return self.gather(now, actions);
         }
-        let (limiters, me, counter) = (self.peers.limiters, self.peers.me, self.peers.counter);
+        let (limiters, me, counter) = (self.fleet.limiters, self.fleet.me, self.fleet.counter);
         let mut order: Vec<(f64, usize)> = Vec::new();
         let (accounts, plans) = (&mut self.accounts, &self.plans);
         self.stirred.retain(|&i| {
@@ -235,18 +247,18 @@
                 account.calling = Some((window, account.own[i], amount));
                 (account.due[i], account.untold) = (false, 0.0);
                 let keep = span((window_length(&self.plans[account.plan]) * 3.0).min(60.0));
-                out.count(account.customer, window, amount, keep);
+                actions.increment_counter(account.customer, window, amount, keep);
             }
         }
         // Departure: peer messages beside a counter that cannot take all calls, as it is crowded, slow or gone.
-        if !self.peers.peer_messages
+        if !self.fleet.peer_messages
             || now < self.messages_at
             || counter && now >= self.behind_until
         {
             return;
         }
         self.messages_at = now + self.message_interval();
-        let mut rows: Vec<Vec<Row>> = vec![Vec::new(); limiters as usize];
+        let mut rows: Vec<Vec<CounterRow>> = vec![Vec::new(); limiters as usize];
         for (_, account) in order {
             let account = &mut self.accounts[account];
             for i in [1, 0] {
@@ -260,32 +272,33 @@
             }
         }
         for p in (0..limiters).filter(|&p| !rows[p as usize].is_empty()) {
-            self.post(now, p, &rows[p as usize], out);
+            self.post(now, p, &rows[p as usize], actions);
         }
     }
 
     /// The batch where one limiter of a set gathers: totals go to it, and what is left comes back.
-    pub(super) fn gather(&mut self, now: Duration, out: &mut dyn Writer) {
-        let peers = self.peers;
+    pub(super) fn gather(&mut self, now: Duration, actions: &mut dyn Actions) {
+        let fleet = self.fleet;
         // Few gather for customers that ask much, and must tell many at once: each has four times its even
         // share, while what it is told itself, as all are by all, leaves two thirds of its inbox to reports.
-        let more = if self.word.sum(now) < peers.inbox_per_s / 3.0 {
+        let more = if self.word.sum(now) < fleet.peer_inbox_rate / 3.0 {
             4.0
         } else {
             1.0
         };
         let room =
-            more * f64::from(peers.limiters) * secs(self.beat()) / secs(self.message_interval());
+            more * f64::from(fleet.limiters) * secs(self.beat()) / secs(self.message_interval());
         self.message_room = (self.message_room + room).min(room + 4.0);
-        let mut mail: Vec<(f64, Vec<Row>)> = vec![(0.0, Vec::new()); peers.limiters as usize];
+        let mut mail: Vec<(f64, Vec<CounterRow>)> =
+            vec![(0.0, Vec::new()); fleet.limiters as usize];
         let (accounts, plans, owing) = (&mut self.accounts, &self.plans, &self.owing);
         let mut said = Vec::new();
         self.stirred.retain(|&i| {
             let account = &mut accounts[i];
             let plan = &plans[account.plan];
             account.roll(now, plan);
-            let to = account.gatherer(peers, owing);
-            let gathers = account.set_size > 0 && to == peers.me;
+            let to = account.gatherer(fleet, owing);
+            let gathers = account.set_size > 0 && to == fleet.me;
             let reading = account
                 .reading(now, gathers, ASKED_OVER, plan)
                 .filter(|it| passed_on(it, plan));
@@ -299,7 +312,7 @@
             let (left, pace) = (account.left(now, plan), account.asked(now, ASKED_OVER));
             let need = 1.25 - (left / plan.burst.max(1.0)).clamp(0.0, 1.0);
             let mut add = |to: u32, i: usize, total, asked, left| {
-                let row = Row {
+                let row = CounterRow {
                     total,
                     asked: Some(asked),
                     left,
@@ -309,7 +322,7 @@
                 mail[to as usize].1.push(row);
             };
             // A set of hundreds would fill the gatherer's inbox by asking alone: a quarter of it is for that.
-            let turn = span(4.0 * f64::from(account.set_size) / peers.inbox_per_s.max(1.0));
+            let turn = span(4.0 * f64::from(account.set_size) / fleet.peer_inbox_rate.max(1.0));
             let asks = account.due[0] && now >= account.asked_at + turn.max(LISTENED * 3 / 4);
             if account.news[1] > 0 {
                 add(to, 1, account.own[1], 0.0, None);
@@ -330,7 +343,7 @@
         });
         let due =
             |p: u32| mail[p as usize].0 * secs(now.saturating_sub(self.told_peer[p as usize]));
-        let mut order: Vec<u32> = (0..peers.limiters)
+        let mut order: Vec<u32> = (0..fleet.limiters)
             .filter(|&p| mail[p as usize].0 > 0.0)
             .collect();
         order.sort_by(|&a, &b| due(b).total_cmp(&due(a)));
@@ -357,10 +370,10 @@
             }
             let turn = (self.peer_messages as usize * SAID) % said.len().max(1);
             let by_turns = said[turn..].iter().chain(&said[..turn]);
-            let shared = by_turns.filter(|(i, _)| self.accounts[*i].includes(p, peers.limiters));
-            let row = |&(i, reading): &(usize, Reading)| self.accounts[i].passed_on(reading);
+            let shared = by_turns.filter(|(i, _)| self.accounts[*i].includes(p, fleet.limiters));
+            let row = |&(i, reading): &(usize, QuotaSnapshot)| self.accounts[i].passed_on(reading);
             mail[p as usize].1.extend(shared.take(SAID).map(row));
-            self.post(now, p, &mail[p as usize].1, out);
+            self.post(now, p, &mail[p as usize].1, actions);
         }
     }
 
@@ -370,7 +383,7 @@
             return;
         };
         let from = peer_message.from as usize;
-        if from >= self.last_peer_message.len() || peer_message.from == self.peers.me {
+        if from >= self.last_peer_message.len() || peer_message.from == self.fleet.me {
             return;
         }
         let (life, number) = self.last_peer_message[from];
@@ -404,8 +417,8 @@
                 continue;
             }
             // Settled units may leave a store below nothing, by one large job at most.
-            let floor = if self.peers.settles {
-                self.peers.most_units
+            let floor = if self.fleet.settles {
+                self.fleet.max_units
             } else {
                 0.0
             };
@@ -425,7 +438,7 @@
                     account
                         .listeners
                         .retain(|listener| listener.peer != peer_message.from);
-                    account.listeners.push(Listener {
+                    account.listeners.push(Subscriber {
                         peer: peer_message.from,
                         heard: now,
                         owed: !known,
@@ -433,10 +446,10 @@
                 }
                 continue;
             };
-            let gatherer = account.gatherer(self.peers, &self.owing);
+            let gatherer = account.gatherer(self.fleet, &self.owing);
             if let (Some(age), Some(pace)) = (row.age, row.asked) {
-                if gatherer != self.peers.me || account.set_size == 0 {
-                    account.overhear(now, plan, Reading { left, pace, age }, LISTENED);
+                if gatherer != self.fleet.me || account.set_size == 0 {
+                    account.overhear(now, plan, QuotaSnapshot { left, pace, age }, LISTENED);
                 }
                 continue;
             }
@@ -452,7 +465,7 @@
     }
 
     /// An unanswered add counts as made; one that surely was not made is due again.
-    pub(super) fn read_count(&mut self, now: Duration, answer: &CountAnswer) {
+    pub(super) fn read_count(&mut self, now: Duration, answer: &CounterReply) {
         // Guards against a counter that is full or gone: fewer calls, down to one in two seconds. A call in
         // twenty may fail before the rate falls; it rises only where it binds.
         let bound = if now < self.behind_until { 1.01 } else { 1.0 };
@@ -471,7 +484,7 @@
         account.roll(now, &self.plans[account.plan]);
         match (answer.total, account.place(window)) {
             (Some(total), _) => {
-                let (floor, me) = (self.peers.most_units, self.peers.me as usize);
+                let (floor, me) = (self.fleet.max_units, self.fleet.me as usize);
                 account.hear(
                     now,
                     &self.plans[account.plan],
--- a/crates/merlinreel-policy/src/decide/requests.rs
+++ b/crates/merlinreel-policy/src/decide/requests.rs
@@ -34,17 +34,22 @@
 }
 
 impl Limiter {
-    pub(super) fn end_attempt(&mut self, now: Duration, end: &AttemptEnd, out: &mut dyn Writer) {
-        let (took, pressed) = (secs(end.took), !self.queue.is_empty());
+    pub(super) fn end_attempt(
+        &mut self,
+        now: Duration,
+        end: &AttemptResult,
+        actions: &mut dyn Actions,
+    ) {
+        let (took, pressed) = (secs(end.latency), !self.queue.is_empty());
         // Where limiters hear each other, their own credits tell more.
         let load = if self.gathers() {
             end.load
         } else {
-            Load::default()
+            LoadReport::default()
         };
         let Some(open) = self
-            .jobs
-            .get_mut(end.job as usize)
+            .requests
+            .get_mut(end.request as usize)
             .and_then(|open| open.as_mut())
         else {
             return;
@@ -58,7 +63,7 @@
         };
         attempt.out = false;
         let overdue = attempt.overdue;
-        if end.ending == Ending::Served {
+        if end.outcome == AttemptOutcome::Success {
             self.answers.add(now, 1.0);
             self.answer_times.add(now, took);
             // The calmest of the last buckets with enough answers to tell: load raises all of a bucket's.
@@ -67,8 +72,11 @@
             }
         }
         // Two at a server over all limiters keep it at work, however long its answers take.
-        let floor = 2.0 / f64::from(self.peers.limiters);
-        let (sent, target) = (attempt.sent, secs(self.classes[open.job.class].target_time));
+        let floor = 2.0 / f64::from(self.fleet.limiters);
+        let (sent, target) = (
+            attempt.sent,
+            secs(self.classes[open.request.class].latency_objective),
+        );
         if let Some(server) = self
             .servers
             .get_mut(end.server as usize)
@@ -78,17 +86,19 @@
                 server.out = server.out.saturating_sub(1);
             }
             if !matches!(
-                end.ending,
-                Ending::Revoked | Ending::Expired | Ending::Unsent
+                end.outcome,
+                AttemptOutcome::Cancelled
+                    | AttemptOutcome::DeadlineExceeded
+                    | AttemptOutcome::NotSent
             ) {
                 server.owing_since = now;
             }
-            if !end.ending.never_ran() && (!overdue || end.ending == Ending::Served) {
+            if !end.outcome.never_ran() && (!overdue || end.outcome == AttemptOutcome::Success) {
                 // Four tenths of the target time leave room; beyond 2.5 calm ones servers only queue.
                 let long = (target * 0.4).min(self.calm * 2.5).max(0.001);
                 server.pace(now, took, long, floor, pressed);
                 // A client that gave up would have waited longer: thrice as long stands for it.
-                let felt = if end.ending == Ending::Expired {
+                let felt = if end.outcome == AttemptOutcome::DeadlineExceeded {
                     took.max(3.0 * long)
                 } else {
                     took
@@ -96,10 +106,10 @@
                 self.strain += (felt / long - self.strain) * 0.03;
                 self.level = next_level(self.level, self.strain, pressed, &load);
             }
-            match end.ending {
-                Ending::Served => {
+            match end.outcome {
+                AttemptOutcome::Success => {
                     server.took += (took - server.took) * if server.took > 0.0 { 0.1 } else { 1.0 };
-                    if watched(end.job) {
+                    if watched(end.request) {
                         self.usual += (took - self.usual) * 0.05;
                         self.losing *= 0.98;
                     }
@@ -114,10 +124,10 @@
                         server.cold_since = Some(now);
                     }
                 }
-                Ending::Error | Ending::Dropped => {
+                AttemptOutcome::Error | AttemptOutcome::ConnectionLost => {
                     server.errors += (1.0 - server.errors) * 0.1;
                     self.erring += (1.0 - self.erring) * 0.01;
-                    server.drops += u32::from(end.ending == Ending::Dropped);
+                    server.drops += u32::from(end.outcome == AttemptOutcome::ConnectionLost);
                     // One drop is the link's; three with no answer between them are the server's, or as many
                     // as chance hardly brings where all fail often, as with answers that nobody can use.
                     let lost = server.drops >= 3 && self.erring.powi(server.drops as i32) < 0.002;
@@ -126,17 +136,17 @@
                         server.down |= lost && server.strikes >= 2;
                     }
                 }
-                Ending::TurnedAway => {
+                AttemptOutcome::Rejected => {
                     // Never more than before: with many limiters credits are parts of an attempt.
                     server.credits = (server.credits * 0.7).max(floor.min(server.credits));
                     server.benched_until =
                         server.benched_until.max(now + Duration::from_millis(100));
                 }
-                Ending::NoConnection => {
+                AttemptOutcome::ConnectionRefused => {
                     (server.down, server.unreachable_since) = (true, None);
                     server.strike(now);
                 }
-                Ending::Unreachable => {
+                AttemptOutcome::Unreachable => {
                     server.down = true;
                     server.unreachable_since.get_or_insert(now);
                     server.strike(now);
@@ -144,48 +154,54 @@
                 _ => {}
             }
         }
-        if end.ending == Ending::Unreachable && reaches_none(&self.servers) {
+        if end.outcome == AttemptOutcome::Unreachable && reaches_none(&self.servers) {
             self.cut_off_at = Some(now);
         }
-        if !end.ending.never_ran() && open.ran.is_none() {
+        if !end.outcome.never_ran() && open.ran.is_none() {
             open.ran = Some((end.server, sent));
         }
-        if let (Some(units), Some(window), true) = (end.units, open.window, self.peers.settles) {
+        if let (Some(units), Some(window), true) = (end.units, open.window, self.fleet.settles) {
             let account = &mut self.accounts[open.account];
             account.roll(now, &self.plans[account.plan]);
-            account.add_own(window, (units - open.job.units) * open.stands_for);
+            account.add_own(window, (units - open.request.units) * open.stands_for);
             account.stir(open.account, &mut self.stirred);
         }
         let stays = !open.queued && !open.attempts.iter().any(|attempt| attempt.out);
-        if end.finished || open.done {
-            self.close(end.job, out);
-        } else if stays && self.may_send_again(now, end.job) {
-            self.jobs[end.job as usize]
+        if end.request_completed || open.done {
+            self.close(end.request, actions);
+        } else if stays && self.may_send_again(now, end.request) {
+            self.requests[end.request as usize]
                 .iter_mut()
                 .for_each(|open| open.queued = true);
-            self.queue.push(end.job);
+            self.queue.push(end.request);
         } else if stays {
-            self.give_up(now, end.job, out);
+            self.give_up(now, end.request, actions);
         }
     }
 
-    pub(super) fn may_send_again(&self, now: Duration, job: u32) -> bool {
-        let Some(open) = self.jobs[job as usize].as_ref() else {
+    pub(super) fn may_send_again(&self, now: Duration, request: u32) -> bool {
+        let Some(open) = self.requests[request as usize].as_ref() else {
             return false;
         };
-        let class = &self.classes[open.job.class];
-        let in_time = now < open.target || class.late_gain > 0.0 && now < open.give_up;
+        let class = &self.classes[open.request.class];
+        let in_time = now < open.target || class.late_weight > 0.0 && now < open.give_up;
         let rule = match (class.repeats, open.ran) {
-            (_, None) | (Repeats::Replayable, _) => true,
-            (Repeats::Keyed(_, memory), Some((_, sent))) => now + HOLD_UP < sent + memory,
-            (Repeats::SingleUse, Some(_)) => false,
+            (_, None) | (Idempotency::Idempotent, _) => true,
+            (Idempotency::IdempotencyKey(_, memory), Some((_, sent))) => {
+                now + HOLD_UP < sent + memory
+            }
+            (Idempotency::NonIdempotent, Some(_)) => false,
         };
-        rule && in_time && open.attempts.len() < self.job_rules.most_attempts as usize
+        rule && in_time && open.attempts.len() < self.request_limits.max_attempts as usize
     }
 
     /// A streamed answer has begun: its server is not silent, and the attempt is never taken back.
-    pub(super) fn answer_begins(&mut self, now: Duration, job: u32) {
-        let open = self.jobs.get_mut(job as usize).into_iter().flatten();
+    pub(super) fn answer_begins(&mut self, now: Duration, request: u32) {
+        let open = self
+            .requests
+            .get_mut(request as usize)
+            .into_iter()
+            .flatten();
         for attempt in open
             .flat_map(|open| &mut open.attempts)
             .filter(|attempt| attempt.out)
@@ -198,14 +214,19 @@
     }
 
     /// The final answer of a job that is given up, at once: a refusal where that is harmless.
-    pub(super) fn give_up(&mut self, now: Duration, job: u32, out: &mut dyn Writer) {
-        let Some(open) = self.jobs[job as usize].as_mut().filter(|open| !open.done) else {
+    pub(super) fn give_up(&mut self, now: Duration, request: u32, actions: &mut dyn Actions) {
+        let Some(open) = self.requests[request as usize]
+            .as_mut()
+            .filter(|open| !open.done)
+        else {
             return;
         };
-        let harmless = match (self.classes[open.job.class].repeats, open.ran) {
-            (_, None) | (Repeats::Replayable, _) => true,
+        let harmless = match (self.classes[open.request.class].repeats, open.ran) {
+            (_, None) | (Idempotency::Idempotent, _) => true,
             // Guards the effect against clients told to come back once no server knows the key any more.
-            (Repeats::Keyed(Group::All, memory), Some((_, sent))) => now < sent + memory,
+            (Idempotency::IdempotencyKey(IdempotencyScope::All, memory), Some((_, sent))) => {
+                now < sent + memory
+            }
             (_, Some(_)) => false,
         };
         let account = &mut self.accounts[open.account];
@@ -213,26 +234,26 @@
             account.roll(now, &self.plans[account.plan]);
             open.window
                 .into_iter()
-                .for_each(|window| account.add_own(window, -open.job.units * open.stands_for));
+                .for_each(|window| account.add_own(window, -open.request.units * open.stands_for));
             account.stir(open.account, &mut self.stirred);
-            account.ceiling += open.job.units;
+            account.ceiling += open.request.units;
         }
         if harmless {
             let plan = &self.plans[account.plan];
             // To the window's end, not the refill: servers that are full need a pause.
             let wait = window_length(plan) * (account.window + 1) as f64 - secs(now);
-            out.refuse(job, self.job_rules.retry_after.then(|| span(wait)));
+            actions.reject(request, self.request_limits.retry_after.then(|| span(wait)));
         } else {
-            out.fail(job);
+            actions.fail(request);
         }
-        self.close(job, out);
+        self.close(request, actions);
     }
 
     /// The job has its final answer: attempts still out are taken back, and nothing more is sent.
-    pub(super) fn close(&mut self, job: u32, out: &mut dyn Writer) {
+    pub(super) fn close(&mut self, request: u32, actions: &mut dyn Actions) {
         let Some(open) = self
-            .jobs
-            .get_mut(job as usize)
+            .requests
+            .get_mut(request as usize)
             .and_then(|open| open.as_mut())
         else {
             return;
@@ -249,39 +270,40 @@
             .filter(|(_, attempt)| attempt.out)
         {
             still_out = true;
-            if self.job_rules.may_revoke && !std::mem::replace(&mut attempt.revoked, true) {
-                out.revoke(job, n as u32);
+            if self.request_limits.cancellation && !std::mem::replace(&mut attempt.revoked, true) {
+                actions.cancel_attempt(request, n as u32);
             }
         }
         if !still_out {
-            self.jobs[job as usize] = None;
+            self.requests[request as usize] = None;
         }
     }
 
     /// Sends what waits, the last arrived first: under pressure the newest are answered in time, where the
     /// oldest first would make all late. What cannot be answered by its target time is given up at once.
-    pub(super) fn dispatch(&mut self, now: Duration, out: &mut dyn Writer) {
+    pub(super) fn dispatch(&mut self, now: Duration, actions: &mut dyn Actions) {
         let mut queue = std::mem::take(&mut self.queue);
         let answers_seen = self.answers.sum(now) > 0.0;
         // What gains less than half as much for its target time goes after; near equals fare alike.
-        let worth = |open: &OpenJob| {
-            let class = &self.classes[open.job.class];
-            class.gain * self.plans[open.job.plan].price / secs(class.target_time).max(0.001)
+        let worth = |open: &PendingRequest| {
+            let class = &self.classes[open.request.class];
+            class.priority_weight * self.plans[open.request.plan].plan_weight
+                / secs(class.latency_objective).max(0.001)
         };
         let most = queue
             .iter()
-            .flat_map(|&job| &self.jobs[job as usize])
+            .flat_map(|&request| &self.requests[request as usize])
             .map(worth)
             .fold(0.0, f64::max);
-        queue.sort_by_cached_key(|&job| match &self.jobs[job as usize] {
+        queue.sort_by_cached_key(|&request| match &self.requests[request as usize] {
             Some(open) => (
                 (most / worth(open).max(1e-9)).log2() as u32,
                 std::cmp::Reverse(open.arrived),
             ),
             None => (0, std::cmp::Reverse(now)),
         });
-        for job in queue {
-            let Some(open) = self.jobs[job as usize]
+        for request in queue {
+            let Some(open) = self.requests[request as usize]
                 .as_ref()
                 .filter(|open| !open.done && open.queued)
             else {
@@ -289,23 +311,23 @@
             };
             // Half the target time bounds it: slow answers must not stop all sending for good. Nor does a starting value,
             // before any answer was seen: nothing would be learnt where all have little time left.
-            let least = secs(self.classes[open.job.class].target_time) / 2.0;
+            let least = secs(self.classes[open.request.class].latency_objective) / 2.0;
             let needed = if answers_seen {
                 (self.usual * 1.5).min(least)
             } else {
                 0.0
             };
             let hopeless = now + span(needed) >= open.target.min(open.give_up);
-            if hopeless || !self.may_send_again(now, job) {
-                self.give_up(now, job, out);
+            if hopeless || !self.may_send_again(now, request) {
+                self.give_up(now, request, actions);
                 continue;
             }
-            let Some(server) = self.choose(now, job) else {
-                self.queue.push(job);
+            let Some(server) = self.choose(now, request) else {
+                self.queue.push(request);
                 continue;
             };
             let places = (
-                &mut self.jobs[job as usize],
+                &mut self.requests[request as usize],
                 &mut self.servers[server as usize],
             );
             let (Some(open), Some(at)) = places else {
@@ -325,13 +347,13 @@
             at.out += 1;
             at.sends.add(now, 1.0);
             // Servers keep a key so long after the first attempt that may have run: a repeat has to be there by then.
-            let within = match (self.classes[open.job.class].repeats, open.ran) {
-                (Repeats::Keyed(_, memory), Some((_, sent))) => {
+            let within = match (self.classes[open.request.class].repeats, open.ran) {
+                (Idempotency::IdempotencyKey(_, memory), Some((_, sent))) => {
                     Some((sent + memory).saturating_sub(now + HOLD_UP))
                 }
                 _ => None,
             };
-            out.send(job, server, within);
+            actions.start_attempt(request, server, within);
         }
     }
 }
--- a/crates/merlinreel-policy/src/decide/servers.rs
+++ b/crates/merlinreel-policy/src/decide/servers.rs
@@ -10,16 +10,16 @@
 
 /// One job in four is always waited for in full: else giving up the slow ones would make the usual answer
 /// seem ever quicker and slow answers seem lost.
-pub(super) fn watched(job: u32) -> bool {
-    job.is_multiple_of(4)
+pub(super) fn watched(request: u32) -> bool {
+    request.is_multiple_of(4)
 }
 
 /// The level over all credits: with many limiters each hears too seldom from one server, and its part is less
 /// than a burst takes. Guards against parts unused while jobs wait, as limiters die or lose traffic. A
 /// report tells of all limiters' work, so a few suffice: up while nothing waits at servers, down where a job
 /// waits at each core. Without reports answers' times tell it, so slowly that some hundred double it.
-pub(super) fn next_level(level: f64, strain: f64, pressed: bool, load: &Load) -> f64 {
-    let (down, up, fall, rise, most) = match (load.busy, load.waiting) {
+pub(super) fn next_level(level: f64, strain: f64, pressed: bool, load: &LoadReport) -> f64 {
+    let (down, up, fall, rise, most) = match (load.utilization, load.queued) {
         // Eight times: a limiter that has its neighbours' traffic too, in a hall with few servers left.
         (Some(busy), Some(waiting)) => (waiting >= 2.0, busy < 0.9 && waiting < 1.0, 0.8, 1.2, 8.0),
         _ => (strain > 0.8, strain < 0.65, 0.985, 1.005, 4.0),
@@ -41,24 +41,24 @@
 }
 
 impl Server {
-    pub(super) fn new(entry: ServerEntry, rules: &ServerRules, limiters: u32) -> Server {
+    pub(super) fn new(entry: Endpoint, rules: &EndpointConfig, limiters: u32) -> Server {
         Server {
             entry,
             listed: true,
             // Starting value: eight attempts at a server, on machines of a few cores, over all limiters.
             credits: 4.0 / f64::from(limiters),
-            sends: Ring::new(rules.fall_time),
+            sends: RollingWindow::new(rules.overload_window),
             ..Server::default()
         }
     }
 
     /// The share of its capacity that it surely has, from its last known start.
-    pub(super) fn warmth(&self, now: Duration, rules: &ServerRules) -> f64 {
+    pub(super) fn warmth(&self, now: Duration, rules: &EndpointConfig) -> f64 {
         let Some(since) = self.cold_since else {
             return 1.0;
         };
-        let part = secs(now.saturating_sub(since)) / secs(rules.warm_after).max(0.001);
-        (rules.start_share + (1.0 - rules.start_share) * part).min(1.0)
+        let part = secs(now.saturating_sub(since)) / secs(rules.slow_start_duration).max(0.001);
+        (rules.slow_start_fraction + (1.0 - rules.slow_start_fraction) * part).min(1.0)
     }
 
     /// Credits follow how long attempts take, whether answered or not, against what is long: guards
@@ -93,11 +93,11 @@
     /// A first list of which no server would be warm: the clock is believed then, if it says that any is. Guards against a
     /// limiter that starts again within the hour of its servers' start and has nobody to send to.
     fn believe_clock(&mut self, now: Duration) {
-        let rules = self.server_rules;
+        let rules = self.endpoint_config;
         let listed = || self.servers.iter().flatten().filter(|server| server.listed);
-        let long_ago = |start: Duration| now >= start + rules.warm_after;
+        let long_ago = |start: Duration| now >= start + rules.slow_start_duration;
         let any_warm = listed().any(|server| server.warmth(now, &rules) >= 1.0);
-        if any_warm || !listed().any(|server| server.entry.up_since.is_some_and(long_ago)) {
+        if any_warm || !listed().any(|server| server.entry.started_at.is_some_and(long_ago)) {
             return;
         }
         for server in self
@@ -106,40 +106,40 @@
             .flatten()
             .filter(|server| server.listed)
         {
-            server.cold_since = server.entry.up_since.map(|start| start.min(now));
+            server.cold_since = server.entry.started_at.map(|start| start.min(now));
         }
     }
 
-    pub(super) fn follow(&mut self, now: Duration, server_list: &ServerList) {
-        self.discovery_lost = server_list.unavailable;
-        if server_list.unavailable {
+    pub(super) fn follow(&mut self, now: Duration, endpoint_updates: &EndpointUpdate) {
+        self.discovery_lost = endpoint_updates.unavailable;
+        if endpoint_updates.unavailable {
             return;
         }
         let first = !self.servers.iter().flatten().any(|server| server.listed);
-        let starts = server_list
-            .entries
+        let starts = endpoint_updates
+            .endpoints
             .iter()
-            .filter_map(|entry| entry.up_since);
+            .filter_map(|entry| entry.started_at);
         starts.for_each(|start| self.starts.hear(now, start));
         for server in self
             .servers
             .iter_mut()
             .flatten()
-            .filter(|_| server_list.whole)
+            .filter(|_| endpoint_updates.complete)
         {
-            (server.listed, server.entry.standing) = (false, Standing::Gone);
+            (server.listed, server.entry.state) = (false, EndpointState::Removed);
         }
-        let limiters = self.peers.limiters;
-        for entry in &server_list.entries {
+        let limiters = self.fleet.limiters;
+        for entry in &endpoint_updates.endpoints {
             let place = slot(&mut self.servers, entry.server);
             let known = place.is_some();
             let server =
-                place.get_or_insert_with(|| Server::new(*entry, &self.server_rules, limiters));
+                place.get_or_insert_with(|| Server::new(*entry, &self.endpoint_config, limiters));
             let restarted =
-                entry.up_since.is_some() && entry.up_since != server.entry.up_since || !known;
+                entry.started_at.is_some() && entry.started_at != server.entry.started_at || !known;
             server.entry = *entry;
-            server.listed = entry.standing == Standing::Up;
-            if let Some(start) = entry.up_since.filter(|_| restarted) {
+            server.listed = entry.state == EndpointState::Ready;
+            if let Some(start) = entry.started_at.filter(|_| restarted) {
                 let since = now.saturating_sub(self.starts.age(now, start));
                 // Told of a start after it was seen to come back: the earlier start holds.
                 server.cold_since = Some(server.cold_since.map_or(since, |seen| seen.max(since)));
@@ -155,7 +155,7 @@
     /// their marks from a point of its own, which lie evenly; struck and cold ones count for what they bear.
     /// Guards against a connection an attempt, and against views too thin to tell a good server from a bad one.
     pub(super) fn keep_regulars(&mut self, now: Duration) {
-        let rules = self.server_rules;
+        let rules = self.endpoint_config;
         let bears = |s: &Server| {
             if now >= s.benched_until {
                 s.warmth(now, &rules)
@@ -169,11 +169,11 @@
             .flatten()
             .filter(|s| s.listed)
             .collect();
-        ring.sort_by_key(|server| server.entry.mark);
+        ring.sort_by_key(|server| server.entry.ring_hash);
         // Ten limiters at each even out that some get several times the mean; six leave a choice in a zone.
-        let most = (10.0 * ring.len() as f64 / f64::from(self.peers.limiters)).max(6.0);
+        let most = (10.0 * ring.len() as f64 / f64::from(self.fleet.limiters)).max(6.0);
         let all: f64 = ring.iter().map(|server| bears(server)).sum();
-        let start = ((f64::from(self.peers.me) * 0.618).fract() * ring.len() as f64) as usize;
+        let start = ((f64::from(self.fleet.me) * 0.618).fract() * ring.len() as f64) as usize;
         let mut kept = 0.0;
         ring.rotate_left(start);
         for server in ring {
@@ -200,7 +200,7 @@
             .filter(warm)
             .map(|server| server.sends.sum(now));
         let (count, sum) = sends.fold((0.0, 0.0), |(count, sum), sends| (count + 1.0, sum + sends));
-        let least = 1.0 / self.server_rules.start_share.max(0.05);
+        let least = 1.0 / self.endpoint_config.slow_start_fraction.max(0.05);
         self.warm_sends = if count > 0.0 {
             sum / count
         } else {
@@ -209,10 +209,10 @@
     }
 
     /// The server for an attempt: credit left there, and the least work in hand for its pace.
-    pub(super) fn choose(&mut self, now: Duration, job: u32) -> Option<u32> {
-        let open = self.jobs[job as usize].as_ref()?;
-        let class = &self.classes[open.job.class];
-        let rules = &self.server_rules;
+    pub(super) fn choose(&mut self, now: Duration, request: u32) -> Option<u32> {
+        let open = self.requests[request as usize].as_ref()?;
+        let class = &self.classes[open.request.class];
+        let rules = &self.endpoint_config;
         // Where limiters are many, credits are parts of an attempt: all together bound what is out.
         let (mut credits, mut busy) = (0.0, 0.0);
         for server in self.servers.iter().flatten() {
@@ -242,9 +242,9 @@
             if has_one || aside || !server.listed || now < server.benched_until {
                 continue;
             }
-            if let (Some(origin), Repeats::Keyed(group, _)) = (origin, class.repeats)
-                && (group == Group::Zone && origin.zone != server.entry.zone
-                    || group == Group::Cell && origin.cell != server.entry.cell)
+            if let (Some(origin), Idempotency::IdempotencyKey(group, _)) = (origin, class.repeats)
+                && (group == IdempotencyScope::Zone && origin.zone != server.entry.zone
+                    || group == IdempotencyScope::Cell && origin.cell != server.entry.cell)
             {
                 continue;
             }
@@ -266,7 +266,7 @@
             // A part of a credit is a whole one for part of the time, by turns among the limiters: not all
             // send to one server at once. Half a second outlasts most attempts, the golden ratio is even.
             let turn = i as f64 * 0.618 + secs(now).div_euclid(0.5) * 0.382;
-            let turn = (turn + f64::from(self.peers.me) / f64::from(self.peers.limiters)).fract();
+            let turn = (turn + f64::from(self.fleet.me) / f64::from(self.fleet.limiters)).fract();
             let credits = credits.floor() + f64::from(u8::from(turn < credits.fract()));
             // A credit comes back with an answer, or once the attempt is overdue (see `watch`).
             if f64::from(server.out) + 1.0 > credits {
@@ -275,7 +275,7 @@
             // All limiters together send a cold server what warm ones get, times the warmth, far inside the
             // multiple allowed: a part of an attempt a window is a whole one in some of the window's turns.
             let part = self.warm_sends * warmth - server.sends.sum(now);
-            if warmth < 1.0 && part < 1.0 && turn * secs(rules.fall_time) >= part * 0.5 {
+            if warmth < 1.0 && part < 1.0 && turn * secs(rules.overload_window) >= part * 0.5 {
                 continue;
             }
             let took = if server.took > 0.0 {
@@ -301,20 +301,20 @@
     /// Gives up on answers long overdue: the credit comes back, as a server that lives has done the work;
     /// one that answered nothing since is struck; what may be sent again is taken back. Guards against
     /// hangs as well as answers lost on the way from servers that work, which must not starve the credits.
-    pub(super) fn watch(&mut self, now: Duration, out: &mut dyn Writer) {
+    pub(super) fn watch(&mut self, now: Duration, actions: &mut dyn Actions) {
         let patience = overdue_after(self.usual, self.losing);
-        let most = self.job_rules.most_attempts as usize;
-        for open in self.jobs.iter_mut().flatten() {
-            let again = match self.classes[open.job.class].repeats {
-                Repeats::Replayable => true,
-                Repeats::Keyed(_, memory) => {
+        let most = self.request_limits.max_attempts as usize;
+        for open in self.requests.iter_mut().flatten() {
+            let again = match self.classes[open.request.class].repeats {
+                Idempotency::Idempotent => true,
+                Idempotency::IdempotencyKey(_, memory) => {
                     open.attempts.iter().all(|t| now < t.sent + memory / 2)
                 }
-                Repeats::SingleUse => false,
+                Idempotency::NonIdempotent => false,
             };
             let again = again && !open.done && open.attempts.len() < most && now < open.target;
             for (n, attempt) in open.attempts.iter_mut().enumerate() {
-                let full = watched(open.job.job);
+                let full = watched(open.request.id);
                 let patience = if full {
                     overdue_after(self.usual, 0.0)
                 } else {
@@ -334,10 +334,10 @@
                     }
                 }
                 if again
-                    && self.job_rules.may_revoke
+                    && self.request_limits.cancellation
                     && !std::mem::replace(&mut attempt.revoked, true)
                 {
-                    out.revoke(open.job.job, n as u32);
+                    actions.cancel_attempt(open.request.id, n as u32);
                 }
             }
         }
--- a/crates/merlinreel-policy/src/decide/tests/cold_servers.rs
+++ b/crates/merlinreel-policy/src/decide/tests/cold_servers.rs
@@ -42,108 +42,109 @@
     peer_messages: Vec<(u32, Vec<u8>)>,
 }
 
-impl Writer for Decisions {
-    fn send(&mut self, job: u32, server: u32, _: Option<Duration>) {
-        self.attempts.push((job, server));
+impl Actions for Decisions {
+    fn start_attempt(&mut self, request: u32, server: u32, _: Option<Duration>) {
+        self.attempts.push((request, server));
     }
-    fn tell(&mut self, limiter: u32, peer_message: &[u8]) {
+    fn send_peer_message(&mut self, limiter: u32, peer_message: &[u8]) {
         self.peer_messages.push((limiter, peer_message.to_vec()));
     }
-    fn refuse(&mut self, _: u32, _: Option<Duration>) {}
+    fn reject(&mut self, _: u32, _: Option<Duration>) {}
     fn fail(&mut self, _: u32) {}
-    fn revoke(&mut self, _: u32, _: u32) {}
-    fn probe(&mut self, _: u32) {}
-    fn count(&mut self, _: u64, _: u64, _: f64, _: Duration) {}
-    fn follow_discovery(&mut self, _: bool) {}
-    fn ask_discovery(&mut self) {}
-    fn close_idle(&mut self, _: u32) {}
-    fn forget(&mut self, _: u32) {}
-    fn wake(&mut self, _: Duration) {}
-    fn note(&mut self, _: &str) {}
+    fn cancel_attempt(&mut self, _: u32, _: u32) {}
+    fn start_health_check(&mut self, _: u32) {}
+    fn increment_counter(&mut self, _: u64, _: u64, _: f64, _: Duration) {}
+    fn set_endpoint_subscription(&mut self, _: bool) {}
+    fn poll_endpoints(&mut self) {}
+    fn close_idle_connections(&mut self, _: u32) {}
+    fn release_endpoint(&mut self, _: u32) {}
+    fn schedule_wakeup(&mut self, _: Duration) {}
+    fn log(&mut self, _: &str) {}
 }
 
-fn rules() -> ServerRules {
-    ServerRules {
-        fall_factor: FALL_FACTOR,
-        ..server_rules()
+fn rules() -> EndpointConfig {
+    EndpointConfig {
+        overload_factor: FALL_FACTOR,
+        ..endpoint_config()
     }
 }
 
 /// The share of its capacity that the settings allow the cold server at a time.
 fn share(now: f64) -> f64 {
     let rules = rules();
-    let passed = (now - COLD_AT).max(0.0) / secs(rules.warm_after);
-    (rules.start_share + (1.0 - rules.start_share) * passed).min(1.0)
+    let passed = (now - COLD_AT).max(0.0) / secs(rules.slow_start_duration);
+    (rules.slow_start_fraction + (1.0 - rules.slow_start_fraction) * passed).min(1.0)
 }
 
 /// Requests of mean work in a fall time from `now` on that the settings allow the cold server, and the most that do not
 /// fell it.
 fn bound(now: f64) -> f64 {
     let rules = rules();
-    let allowed = rules.fall_factor * share(now) * CORES as f64 / WORK * secs(rules.fall_time);
+    let allowed =
+        rules.overload_factor * share(now) * CORES as f64 / WORK * secs(rules.overload_window);
     allowed + 2.0 * allowed.sqrt() + 2.0
 }
 
 /// One limiter, and what comes to it next.
 struct Place {
     limiter: Limiter,
-    next: Round,
+    next: EventBatch,
     /// Ends of its attempts that are still to come, by their time in microseconds.
-    ends: BTreeMap<(u64, u32), AttemptEnd>,
-    jobs: u32,
+    ends: BTreeMap<(u64, u32), AttemptResult>,
+    requests: u32,
 }
 
 impl Place {
     /// Number `me`; `told` is the number of limiters that its settings name.
     fn new(me: u32, told: u32, seed: u64) -> Place {
-        let peers = Peers {
+        let fleet = FleetConfig {
             limiters: told,
             me: me.min(told - 1),
-            ..peers()
+            ..fleet()
         };
-        let class = Class {
-            target_time: at(0.5),
+        let class = RequestClass {
+            latency_objective: at(0.5),
             deadline: at(2.0),
-            gain: 1.0,
-            late_gain: 0.0,
-            repeats: Repeats::Replayable,
+            priority_weight: 1.0,
+            late_weight: 0.0,
+            repeats: Idempotency::Idempotent,
         };
-        let jobs = JobRules {
-            most_attempts: 4,
-            second_copies: false,
-            may_revoke: false,
+        let requests = RequestLimits {
+            max_attempts: 4,
+            hedging: false,
+            cancellation: false,
             retry_after: true,
-            longest_retry_after: at(1.0),
-            most_held: 1000,
+            max_retry_after: at(1.0),
+            max_in_flight: 1000,
         };
         // Quotas are none of this test's: each customer has more than it asks for.
         let plan = Plan {
             rate: 1e6,
             burst: 1e6,
-            price: 1.0,
+            plan_weight: 1.0,
             ..Plan::default()
         };
         let seed = seed.wrapping_mul(1000) + u64::from(me);
-        let limiter = Limiter::new(seed, vec![plan], vec![class], peers, rules(), jobs);
+        let limiter = Limiter::new(seed, vec![plan], vec![class], fleet, rules(), requests);
         Place {
             limiter,
-            next: Round::default(),
+            next: EventBatch::default(),
             ends: BTreeMap::new(),
-            jobs: 0,
+            requests: 0,
         }
     }
 
     /// A job of a customer of its own.
     fn take(&mut self, limiters: u32, me: u32) {
-        let customer = u64::from(self.jobs % 50) * u64::from(limiters) + u64::from(me);
-        self.next.jobs.push(Job {
-            job: self.jobs,
+        let customer = u64::from(self.requests % 50) * u64::from(limiters) + u64::from(me);
+        self.next.requests.push(Request {
+            id: self.requests,
             customer,
             set_size: 1,
             set_first: me,
-            ..job()
+            ..request()
         });
-        self.jobs += 1;
+        self.requests += 1;
     }
 }
 
@@ -166,14 +167,14 @@
         }
     }
 
-    fn tell(&mut self, entries: &[ServerEntry]) {
+    fn tell(&mut self, endpoints: &[Endpoint]) {
         for place in &mut self.places {
-            let entries = entries.to_vec();
-            place.next.server_list.push(ServerList {
-                whole: false,
-                restored: false,
+            let endpoints = endpoints.to_vec();
+            place.next.endpoint_updates.push(EndpointUpdate {
+                complete: false,
+                cached: false,
                 unavailable: false,
-                entries,
+                endpoints,
             });
         }
     }
@@ -214,7 +215,7 @@
             let place = &mut self.places[me];
             let mut round = std::mem::take(&mut place.next);
             let later = place.ends.split_off(&((now * 1e6) as u64, u32::MAX));
-            round.attempt_ends = std::mem::replace(&mut place.ends, later)
+            round.attempt_results = std::mem::replace(&mut place.ends, later)
                 .into_values()
                 .collect();
             let mut decisions = Decisions::default();
@@ -225,20 +226,20 @@
                     .into_iter()
                     .map(|peer_message| (me as u32, peer_message)),
             );
-            for (job, server) in decisions.attempts {
+            for (request, server) in decisions.attempts {
                 if server == COLD && now >= COLD_AT {
                     self.to_cold.push(now);
                 }
                 let took = self.work(server, now) - now;
-                let end = AttemptEnd {
-                    job,
+                let end = AttemptResult {
+                    request,
                     server,
-                    took: at(took),
-                    ..attempt_end(Ending::Served, true)
+                    latency: at(took),
+                    ..attempt_end(AttemptOutcome::Success, true)
                 };
                 self.places[me]
                     .ends
-                    .insert((((now + took) * 1e6) as u64, job), end);
+                    .insert((((now + took) * 1e6) as u64, request), end);
             }
         }
         for (from, (to, bytes)) in peer_messages {
@@ -258,16 +259,16 @@
             let now = BEGIN + f64::from(step) * STEP;
             if !gone && now >= COLD_AT - 1.0 {
                 gone = true;
-                self.tell(&[ServerEntry {
-                    standing: Standing::Gone,
+                self.tell(&[Endpoint {
+                    state: EndpointState::Removed,
                     ..entry(COLD)
                 }]);
             }
             if !cold && now >= COLD_AT {
                 cold = true;
                 self.cores[COLD as usize] = [now; CORES];
-                self.tell(&[ServerEntry {
-                    up_since: Some(at(COLD_AT)),
+                self.tell(&[Endpoint {
+                    started_at: Some(at(COLD_AT)),
                     ..entry(COLD)
                 }]);
             }
@@ -280,7 +281,7 @@
 
 /// The most that was sent in a fall time from any send on, as a part of what the server bears then.
 fn fullest(sends: &[f64]) -> f64 {
-    let fall = secs(rules().fall_time);
+    let fall = secs(rules().overload_window);
     let part = |(i, &begin): (usize, &f64)| {
         let within = sends[i..]
             .iter()
--- a/crates/merlinreel-policy/src/decide/tests/gathering.rs
+++ b/crates/merlinreel-policy/src/decide/tests/gathering.rs
@@ -32,7 +32,7 @@
 
 #[test]
 fn where_one_gathers_only_it_is_told() {
-    let mut limiter = limiter(Repeats::Replayable, many());
+    let mut limiter = limiter(Idempotency::Idempotent, many());
     let account = account(&mut limiter);
     (account.set_size, account.set_first) = (60, 1);
     account.add_own(0, 1.0);
@@ -54,25 +54,25 @@
 #[test_case(false => 1 ; "past a beat, no word yet: the first job only")]
 #[test_case(true => 4 ; "the gatherer tells a full store: all of them")]
 fn jobs_let_in_before_the_gatherers_word(told: bool) -> usize {
-    let (mut limiter, mut notes) = (limiter(Repeats::Replayable, many()), Notes::default());
-    let job = |n: u32| Job {
-        job: n,
+    let (mut limiter, mut notes) = (limiter(Idempotency::Idempotent, many()), Notes::default());
+    let request = |n: u32| Request {
+        id: n,
         set_size: 60,
         set_first: 1,
-        ..job()
+        ..request()
     };
-    limiter.take(at(1.0), &job(0), &mut notes);
+    limiter.take(at(1.0), &request(0), &mut notes);
     let word = peer_message(
         1,
         1,
-        &[Row {
+        &[CounterRow {
             asked: Some(1.0),
             ..row(0.0, Some(8.0))
         }],
     );
     let from = limiter.accounts[0].gatherer(many(), &[0; 90]);
     told.then(|| limiter.read_peer_message(at(1.2), &PeerMessage { from, ..word }));
-    (1..4).for_each(|n| limiter.take(at(1.5), &job(n), &mut notes));
+    (1..4).for_each(|n| limiter.take(at(1.5), &request(n), &mut notes));
     4 - notes
         .lines
         .iter()
@@ -82,8 +82,8 @@
 
 #[test]
 fn who_reports_is_told_what_is_left() {
-    let mut limiter = limiter(Repeats::Replayable, many());
-    let report = Row {
+    let mut limiter = limiter(Idempotency::Idempotent, many());
+    let report = CounterRow {
         asked: Some(6.0),
         ..row(3.0, None)
     };
@@ -104,11 +104,11 @@
 #[test_case(0.0 => 0 ; "nothing changed")]
 #[test_case(60.0 => 1 ; "far more is asked for")]
 fn a_second_report(asked: f64) -> usize {
-    let mut limiter = limiter(Repeats::Replayable, many());
+    let mut limiter = limiter(Idempotency::Idempotent, many());
     let mut notes = Notes::default();
     for (number, when, asked) in [(1, 1.0, 6.0), (2, 1.5, asked)] {
         notes.peer_messages.clear();
-        let report = Row {
+        let report = CounterRow {
             asked: Some(asked),
             ..row(3.0, None)
         };
@@ -124,11 +124,11 @@
 #[test_case(60, 40.0, 7.0 => true ; "then it does")]
 #[test_case(20, 40.0, 5.0 => true ; "sooner in a smaller set")]
 #[test_case(60, 0.0, 7.0 => false ; "an inbox that takes nothing is none to divide by")]
-fn asking_again(set_size: u32, inbox_per_s: f64, after: f64) -> bool {
+fn asking_again(set_size: u32, peer_inbox_rate: f64, after: f64) -> bool {
     let mut limiter = limiter(
-        Repeats::Replayable,
-        Peers {
-            inbox_per_s,
+        Idempotency::Idempotent,
+        FleetConfig {
+            peer_inbox_rate,
             ..many()
         },
     );
@@ -146,8 +146,8 @@
 #[test_case(0.0 => 12 ; "inboxes have room")]
 #[test_case(20.0 => 3 ; "inboxes fill")]
 fn messages_in_a_beat(words: f64) -> usize {
-    let mut limiter = limiter(Repeats::Replayable, many());
-    let report = Row {
+    let mut limiter = limiter(Idempotency::Idempotent, many());
+    let report = CounterRow {
         asked: Some(6.0),
         ..row(3.0, None)
     };
@@ -169,10 +169,10 @@
 #[test_case(0, 2.0 ; "its reading less what it was not told yet")]
 #[test_case(5, 5.0 ; "one that does not gather is not heeded")]
 fn reading_the_gatherer(first: u32, left: f64) {
-    let mut limiter = limiter(Repeats::Replayable, many());
+    let mut limiter = limiter(Idempotency::Idempotent, many());
     let account = account(&mut limiter);
     (account.set_size, account.set_first, account.own[0]) = (1, 1 + first, 3.0);
-    let told = Row {
+    let told = CounterRow {
         asked: Some(6.0),
         ..row(2.0, Some(3.0))
     };
@@ -187,9 +187,9 @@
 #[test_case(Some((8.0, 0.5)) => true ; "a reading passed on: the store is full")]
 #[test_case(Some((0.0, 6.0)) => true ; "too old to tell anything")]
 fn what_is_passed_on_is_heeded(reading: Option<(f64, f64)>) -> bool {
-    let (mut limiter, mut notes) = (limiter(Repeats::Replayable, many()), Notes::default());
+    let (mut limiter, mut notes) = (limiter(Idempotency::Idempotent, many()), Notes::default());
     if let Some((left, age)) = reading {
-        let row = Row {
+        let row = CounterRow {
             asked: Some(3.0),
             age: Some(at(age)),
             ..row(0.0, Some(left))
@@ -198,10 +198,10 @@
     }
     limiter.take(
         at(10.0),
-        &Job {
+        &Request {
             set_size: 60,
             set_first: 1,
-            ..job()
+            ..request()
         },
         &mut notes,
     );
@@ -213,11 +213,11 @@
 #[test_case(&[(1, 0.0, 2.0), (2, 8.0, 0.1)], 60 => 8.0 ; "a newer one")]
 #[test_case(&[(1, 0.0, 0.1)], 1 => 8.0 ; "at the gatherer")]
 fn the_newer_reading_holds(told: &[(u64, f64, f64)], set_size: u32) -> f64 {
-    let mut limiter = limiter(Repeats::Replayable, many());
+    let mut limiter = limiter(Idempotency::Idempotent, many());
     let account = account(&mut limiter);
     (account.set_size, account.set_first) = (set_size, if set_size == 1 { 0 } else { 1 });
     for &(number, left, age) in told {
-        let row = Row {
+        let row = CounterRow {
             asked: Some(20.0),
             age: Some(at(age)),
             ..row(0.0, Some(left))
@@ -232,7 +232,7 @@
 #[test_case(60.0 => 1 ; "one that asks much")]
 #[test_case(0.5 => 0 ; "one that asks little")]
 fn peer_messages_pass_on_who_is_pressed(asked: f64) -> usize {
-    let mut limiter = limiter(Repeats::Replayable, many());
+    let mut limiter = limiter(Idempotency::Idempotent, many());
     let pressed = account(&mut limiter);
     (pressed.set_size, pressed.set_first) = (90, 0);
     // One that this limiter gathers for.
@@ -242,7 +242,7 @@
     let customer = pressed.customer;
     (limiter.by_customer, limiter.accounts[0].own[0]) = ([(customer, 0)].into(), 8.0);
     limiter.accounts[0].asked_units.add(at(1.0), asked);
-    let other = Row {
+    let other = CounterRow {
         customer: 1,
         asked: Some(1.0),
         ..row(1.0, None)
@@ -264,7 +264,7 @@
 #[test_case(None => 2000 ; "no word of the gatherer yet: each is reported")]
 #[test_case(Some(100.0) => 200 ; "known: one in ten, each for ten")]
 fn one_report_stands_for_some(pace: Option<f64>) -> u32 {
-    let mut limiter = limiter(Repeats::Replayable, many());
+    let mut limiter = limiter(Idempotency::Idempotent, many());
     limiter.plans[0] = Plan {
         rate: 100.0,
         burst: 10_000.0,
@@ -278,11 +278,11 @@
         (account.pace, account.told_left, account.told_at) = (pace, 10_000.0, at(1.0));
         limiter.take(
             at(1.0),
-            &Job {
-                job: n,
+            &Request {
+                id: n,
                 set_size: 60,
                 set_first: 1,
-                ..job()
+                ..request()
             },
             &mut Notes::default(),
         );
@@ -297,10 +297,10 @@
 #[test_case(0.0 ; "none")]
 #[test_case(10.0 ; "for ten")]
 fn what_was_counted_is_given_back(stands_for: f64) {
-    let mut limiter = on_attempt(Repeats::Replayable);
+    let mut limiter = on_attempt(Idempotency::Idempotent);
     let left = limiter.accounts[0].left(at(1.0), &plan());
     let window = (stands_for > 0.0).then_some(0);
-    if let Some(open) = &mut limiter.jobs[0] {
+    if let Some(open) = &mut limiter.requests[0] {
         (open.window, open.stands_for) = (window, stands_for);
         open.attempts.clear();
     }
--- a/crates/merlinreel-policy/src/decide/tests/helpers.rs
+++ b/crates/merlinreel-policy/src/decide/tests/helpers.rs
@@ -15,45 +15,48 @@
     }
 }
 
-impl Writer for Notes {
-    fn send(&mut self, job: u32, server: u32, within: Option<Duration>) {
+impl Actions for Notes {
+    fn start_attempt(&mut self, request: u32, server: u32, within: Option<Duration>) {
         let within = within.map_or(String::new(), |within| {
             format!(" within {:.2}", secs(within))
         });
-        self.add(format!("send {job} to {server}{within}"));
+        self.add(format!("send {request} to {server}{within}"));
     }
-    fn refuse(&mut self, job: u32, retry_after: Option<Duration>) {
-        self.add(format!("refuse {job} {:.1}", retry_after.map_or(0.0, secs)));
+    fn reject(&mut self, request: u32, retry_after: Option<Duration>) {
+        self.add(format!(
+            "refuse {request} {:.1}",
+            retry_after.map_or(0.0, secs)
+        ));
     }
-    fn fail(&mut self, job: u32) {
-        self.add(format!("fail {job}"));
+    fn fail(&mut self, request: u32) {
+        self.add(format!("fail {request}"));
     }
-    fn revoke(&mut self, job: u32, attempt: u32) {
-        self.add(format!("revoke {job}.{attempt}"));
+    fn cancel_attempt(&mut self, request: u32, attempt: u32) {
+        self.add(format!("revoke {request}.{attempt}"));
     }
-    fn probe(&mut self, server: u32) {
+    fn start_health_check(&mut self, server: u32) {
         self.add(format!("probe {server}"));
     }
-    fn tell(&mut self, limiter: u32, peer_message: &[u8]) {
+    fn send_peer_message(&mut self, limiter: u32, peer_message: &[u8]) {
         self.peer_messages.push((limiter, peer_message.to_vec()));
     }
-    fn count(&mut self, customer: u64, window: u64, amount: f64, _: Duration) {
+    fn increment_counter(&mut self, customer: u64, window: u64, amount: f64, _: Duration) {
         self.add(format!("count {customer}.{window} {amount}"));
     }
-    fn follow_discovery(&mut self, on: bool) {
+    fn set_endpoint_subscription(&mut self, on: bool) {
         self.add(format!("follow {on}"));
     }
-    fn ask_discovery(&mut self) {
+    fn poll_endpoints(&mut self) {
         self.add("ask".to_owned());
     }
-    fn close_idle(&mut self, server: u32) {
+    fn close_idle_connections(&mut self, server: u32) {
         self.add(format!("close {server}"));
     }
-    fn forget(&mut self, server: u32) {
+    fn release_endpoint(&mut self, server: u32) {
         self.add(format!("forget {server}"));
     }
-    fn wake(&mut self, _: Duration) {}
-    fn note(&mut self, text: &str) {
+    fn schedule_wakeup(&mut self, _: Duration) {}
+    fn log(&mut self, text: &str) {
         self.add(text.to_owned());
     }
 }
@@ -67,72 +70,79 @@
     Plan {
         rate: 2.0,
         burst: 8.0,
-        price: 1.0,
+        plan_weight: 1.0,
         ..Plan::default()
     }
 }
 
-pub fn peers() -> Peers {
-    Peers {
+pub fn fleet() -> FleetConfig {
+    FleetConfig {
         limiters: 3,
         me: 0,
         peer_messages: true,
-        inbox_per_s: 40.0,
+        peer_inbox_rate: 40.0,
         counter: false,
         settles: false,
-        most_units: 1.0,
+        max_units: 1.0,
     }
 }
 
 /// Too many to tell each other in time.
-pub fn many() -> Peers {
-    Peers {
+pub fn many() -> FleetConfig {
+    FleetConfig {
         limiters: 90,
-        ..peers()
+        ..fleet()
     }
 }
 
-pub fn server_rules() -> ServerRules {
-    ServerRules {
+pub fn endpoint_config() -> EndpointConfig {
+    EndpointConfig {
         zone: 0,
         drain_grace: at(1.0),
-        start_share: 0.2,
-        warm_after: at(10.0),
-        fall_factor: 2.0,
-        fall_time: at(1.0),
-        discovery_on_request: false,
-        ask_within: at(10.0),
-        probes: true,
+        slow_start_fraction: 0.2,
+        slow_start_duration: at(10.0),
+        overload_factor: 2.0,
+        overload_window: at(1.0),
+        endpoint_polling: false,
+        poll_deadline: at(10.0),
+        health_checks: true,
     }
 }
 
-pub fn limiter(repeats: Repeats, peers: Peers) -> Limiter {
-    let class = Class {
-        target_time: at(0.5),
+pub fn limiter(repeats: Idempotency, fleet: FleetConfig) -> Limiter {
+    let class = RequestClass {
+        latency_objective: at(0.5),
         deadline: at(2.0),
-        gain: 1.0,
-        late_gain: 0.0,
+        priority_weight: 1.0,
+        late_weight: 0.0,
         repeats,
     };
-    let jobs = JobRules {
-        most_attempts: 4,
-        second_copies: false,
-        may_revoke: true,
+    let requests = RequestLimits {
+        max_attempts: 4,
+        hedging: false,
+        cancellation: true,
         retry_after: true,
-        longest_retry_after: at(1.0),
-        most_held: 1000,
+        max_retry_after: at(1.0),
+        max_in_flight: 1000,
     };
-    Limiter::new(7, vec![plan()], vec![class], peers, server_rules(), jobs)
-}
-
-pub fn entry(server: u32) -> ServerEntry {
-    let entry = ServerEntry {
+    Limiter::new(
+        7,
+        vec![plan()],
+        vec![class],
+        fleet,
+        endpoint_config(),
+        requests,
+    )
+}
+
+pub fn entry(server: u32) -> Endpoint {
+    let entry = Endpoint {
         server,
-        mark: mark(&server.to_string()),
+        ring_hash: ring_hash(&server.to_string()),
         weight: 1.0,
-        ..ServerEntry::default()
+        ..Endpoint::default()
     };
-    ServerEntry {
+    Endpoint {
         zone: server % 2,
         ..entry
     }
@@ -141,7 +151,7 @@
 /// Servers 0 and 1 in zones 0 and 1, up and warm, two credits each.
 pub fn with_servers(mut limiter: Limiter) -> Limiter {
     limiter.servers = (0..2)
-        .map(|i| Some(Server::new(entry(i), &server_rules(), 2)))
+        .map(|i| Some(Server::new(entry(i), &endpoint_config(), 2)))
         .collect();
     limiter
 }
@@ -154,23 +164,23 @@
     account
 }
 
-pub fn job() -> Job {
-    Job {
-        job: 0,
+pub fn request() -> Request {
+    Request {
+        id: 0,
         customer: 5,
         plan: 0,
         class: 0,
         units: 1.0,
-        time_left: at(2.0),
+        remaining_time: at(2.0),
         set_size: 2,
         set_first: 0,
-        again: false,
+        is_retry: false,
     }
 }
 
-/// Job 0, charged, with one attempt out at server 0 since 1 s.
-pub fn on_attempt(repeats: Repeats) -> Limiter {
-    let mut limiter = with_servers(limiter(repeats, peers()));
+/// Request 0, charged, with one attempt out at server 0 since 1 s.
+pub fn on_attempt(repeats: Idempotency) -> Limiter {
+    let mut limiter = with_servers(limiter(repeats, fleet()));
     account(&mut limiter).add_own(0, 1.0);
     let attempt = Attempt {
         server: 0,
@@ -179,8 +189,8 @@
         revoked: false,
         overdue: false,
     };
-    limiter.jobs.push(Some(OpenJob {
-        job: job(),
+    limiter.requests.push(Some(PendingRequest {
+        request: request(),
         account: 0,
         arrived: at(1.0),
         target: at(1.5),
@@ -198,22 +208,22 @@
     limiter
 }
 
-pub fn attempt_end(ending: Ending, finished: bool) -> AttemptEnd {
-    AttemptEnd {
-        job: 0,
+pub fn attempt_end(outcome: AttemptOutcome, request_completed: bool) -> AttemptResult {
+    AttemptResult {
+        request: 0,
         attempt: 0,
         server: 0,
-        ending,
-        took: at(0.1),
-        finished,
+        outcome,
+        latency: at(0.1),
+        request_completed,
         units: None,
-        metered: None,
-        load: Load::default(),
+        metered_usage: None,
+        load: LoadReport::default(),
     }
 }
 
-pub fn row(total: f64, left: Option<f64>) -> Row {
-    Row {
+pub fn row(total: f64, left: Option<f64>) -> CounterRow {
+    CounterRow {
         customer: 5,
         plan: 0,
         window: 0,
@@ -224,7 +234,7 @@
     }
 }
 
-pub fn peer_message(life: u64, number: u64, rows: &[Row]) -> PeerMessage {
+pub fn peer_message(life: u64, number: u64, rows: &[CounterRow]) -> PeerMessage {
     let bytes = peer_message::write(Head { life, number }, rows).remove(0);
     PeerMessage { from: 1, bytes }
 }
--- a/crates/merlinreel-policy/src/decide/tests/servers.rs
+++ b/crates/merlinreel-policy/src/decide/tests/servers.rs
@@ -4,7 +4,7 @@
 #[test_case(0.02, 2.0 => true ; "quick answers while jobs wait earn credit")]
 #[test_case(1.0, 2.0 => false ; "long ones cost it")]
 fn credits_follow_answers(took: f64, start: f64) -> bool {
-    let mut server = Server::new(entry(0), &server_rules(), 3);
+    let mut server = Server::new(entry(0), &endpoint_config(), 3);
     server.credits = start;
     (0..8).for_each(|i| server.pace(at(f64::from(i)), took, 0.2, 1.0, true));
     server.credits > start
@@ -16,7 +16,7 @@
 #[test_case(|s| s.out = 2 => Some(1) ; "no credit left")]
 #[test_case(|s| s.errors = 0.2 => Some(1) ; "one that fails fast and so looks idle")]
 fn choosing(trouble: fn(&mut Server)) -> Option<u32> {
-    let mut limiter = with_servers(on_attempt(Repeats::Replayable));
+    let mut limiter = with_servers(on_attempt(Idempotency::Idempotent));
     limiter.servers[1]
         .as_mut()
         .into_iter()
@@ -25,7 +25,7 @@
         .as_mut()
         .into_iter()
         .for_each(|server| server.took = 0.2);
-    limiter.jobs[0]
+    limiter.requests[0]
         .as_mut()
         .into_iter()
         .for_each(|open| open.attempts.clear());
@@ -37,12 +37,12 @@
 #[test_case(true ; "struck and on trial")]
 fn many_limiters_do_not_all_try_a_weak_server_at_once(struck: bool) {
     let tries = |me: u32| {
-        let mut limiter = limiter(Repeats::Replayable, Peers { me, ..many() });
+        let mut limiter = limiter(Idempotency::Idempotent, FleetConfig { me, ..many() });
         limiter.servers = (0..2)
-            .map(|i| Some(Server::new(entry(i), &server_rules(), 90)))
+            .map(|i| Some(Server::new(entry(i), &endpoint_config(), 90)))
             .collect();
-        limiter.jobs = on_attempt(Repeats::Replayable).jobs;
-        limiter.jobs[0]
+        limiter.requests = on_attempt(Idempotency::Idempotent).requests;
+        limiter.requests[0]
             .as_mut()
             .into_iter()
             .for_each(|open| open.attempts.clear());
@@ -59,8 +59,8 @@
 #[test_case(3.0 => None ; "it had its share")]
 #[test_case(30.0 => Some(0) ; "it did not")]
 fn a_cold_server_gets_its_share_of_what_warm_ones_get(warm_sends: f64) -> Option<u32> {
-    let mut limiter = on_attempt(Repeats::Replayable);
-    limiter.jobs[0]
+    let mut limiter = on_attempt(Idempotency::Idempotent);
+    limiter.requests[0]
         .as_mut()
         .into_iter()
         .for_each(|open| open.attempts.clear());
@@ -78,7 +78,7 @@
 #[test_case(false, 7.0 => 7.0 ; "what was seen last while none is warm")]
 #[test_case(false, 0.0 => 5.0 ; "enough for an attempt where nothing was seen")]
 fn what_cold_servers_are_measured_by(warm: bool, seen: f64) -> f64 {
-    let mut limiter = with_servers(limiter(Repeats::Replayable, peers()));
+    let mut limiter = with_servers(limiter(Idempotency::Idempotent, fleet()));
     limiter.warm_sends = seen;
     for server in limiter.servers.iter_mut().flatten() {
         server.cold_since = Some(at(1.0));
@@ -91,38 +91,42 @@
     limiter.warm_sends
 }
 
-#[test_case(Ending::Dropped, 0, 0.0 => (0, false) ; "one dropped attempt is the link's doing")]
-#[test_case(Ending::Dropped, 2, 0.0 => (1, false) ; "three in a row are the server's")]
-#[test_case(Ending::Dropped, 2, 0.4 => (0, false) ; "three in a row are chance where all fail often")]
-#[test_case(Ending::Dropped, 9, 0.4 => (1, false) ; "ten are not")]
-#[test_case(Ending::NoConnection, 0, 0.0 => (1, true) ; "no connection: the process is gone")]
-#[test_case(Ending::Unreachable, 0, 0.0 => (1, true) ; "no connection came up: it may be gone")]
-#[test_case(Ending::Error, 0, 0.4 => (0, false) ; "what all servers share is no server's doing")]
-fn failing(ending: Ending, drops: u32, erring: f64) -> (u32, bool) {
-    let mut limiter = on_attempt(Repeats::Replayable);
+#[test_case(AttemptOutcome::ConnectionLost, 0, 0.0 => (0, false) ; "one dropped attempt is the link's doing")]
+#[test_case(AttemptOutcome::ConnectionLost, 2, 0.0 => (1, false) ; "three in a row are the server's")]
+#[test_case(AttemptOutcome::ConnectionLost, 2, 0.4 => (0, false) ; "three in a row are chance where all fail often")]
+#[test_case(AttemptOutcome::ConnectionLost, 9, 0.4 => (1, false) ; "ten are not")]
+#[test_case(AttemptOutcome::ConnectionRefused, 0, 0.0 => (1, true) ; "no connection: the process is gone")]
+#[test_case(AttemptOutcome::Unreachable, 0, 0.0 => (1, true) ; "no connection came up: it may be gone")]
+#[test_case(AttemptOutcome::Error, 0, 0.4 => (0, false) ; "what all servers share is no server's doing")]
+fn failing(outcome: AttemptOutcome, drops: u32, erring: f64) -> (u32, bool) {
+    let mut limiter = on_attempt(Idempotency::Idempotent);
     limiter.erring = erring;
     if let Some(server) = limiter.servers[0].as_mut() {
         (server.drops, server.errors) = (drops, erring);
     }
-    limiter.end_attempt(at(1.1), &attempt_end(ending, false), &mut Notes::default());
+    limiter.end_attempt(at(1.1), &attempt_end(outcome, false), &mut Notes::default());
     limiter.servers[0]
         .as_ref()
         .map_or((9, false), |server| (server.strikes, server.down))
 }
 
 /// Server 0 could not be reached and then answers; whether it is taken for one that has just started.
-#[test_case(Ending::Unreachable, true => false ; "nor could any other: it was this limiter's own trouble")]
-#[test_case(Ending::Unreachable, false => true ; "others could be")]
-#[test_case(Ending::NoConnection, true => true ; "it refused: its process was gone")]
-fn back_from_unreachable(ending: Ending, others_too: bool) -> bool {
-    let mut limiter = on_attempt(Repeats::Replayable);
+#[test_case(AttemptOutcome::Unreachable, true => false ; "nor could any other: it was this limiter's own trouble")]
+#[test_case(AttemptOutcome::Unreachable, false => true ; "others could be")]
+#[test_case(AttemptOutcome::ConnectionRefused, true => true ; "it refused: its process was gone")]
+fn back_from_unreachable(outcome: AttemptOutcome, others_too: bool) -> bool {
+    let mut limiter = on_attempt(Idempotency::Idempotent);
     if let Some(other) = limiter.servers[1].as_mut() {
         other.unreachable_since = others_too.then_some(at(1.05));
     }
     let mut notes = Notes::default();
-    limiter.end_attempt(at(1.1), &attempt_end(ending, false), &mut notes);
-    limiter.jobs = on_attempt(Repeats::Replayable).jobs;
-    limiter.end_attempt(at(2.0), &attempt_end(Ending::Served, true), &mut notes);
+    limiter.end_attempt(at(1.1), &attempt_end(outcome, false), &mut notes);
+    limiter.requests = on_attempt(Idempotency::Idempotent).requests;
+    limiter.end_attempt(
+        at(2.0),
+        &attempt_end(AttemptOutcome::Success, true),
+        &mut notes,
+    );
     limiter.servers[0]
         .as_ref()
         .is_some_and(|server| server.cold_since.is_some())
@@ -131,12 +135,12 @@
 #[test]
 fn parts_of_a_credit_go_by_turns() {
     let sends = |me: u32| {
-        let mut limiter = on_attempt(Repeats::Replayable);
-        limiter.peers.me = me;
+        let mut limiter = on_attempt(Idempotency::Idempotent);
+        limiter.fleet.me = me;
         for server in limiter.servers.iter_mut().flatten() {
             (server.credits, server.out) = (1.0 / 3.0, 0);
         }
-        limiter.jobs[0]
+        limiter.requests[0]
             .as_mut()
             .into_iter()
             .for_each(|open| open.attempts.clear());
@@ -145,27 +149,24 @@
     assert_eq!((0..3).filter(|&me| sends(me)).count(), 1);
 }
 
-#[test_case(Standing::Draining, false => false ; "told that it drains")]
-#[test_case(Standing::Up, true => true ; "a whole list keeps who is on it")]
-fn following(standing: Standing, whole: bool) -> bool {
-    let mut limiter = with_servers(limiter(Repeats::Replayable, peers()));
-    let entries = vec![ServerEntry {
-        standing,
-        ..entry(0)
-    }];
-    let server_list = ServerList {
-        whole,
-        restored: false,
+#[test_case(EndpointState::Draining, false => false ; "told that it drains")]
+#[test_case(EndpointState::Ready, true => true ; "a whole list keeps who is on it")]
+fn following(state: EndpointState, complete: bool) -> bool {
+    let mut limiter = with_servers(limiter(Idempotency::Idempotent, fleet()));
+    let endpoints = vec![Endpoint { state, ..entry(0) }];
+    let endpoint_updates = EndpointUpdate {
+        complete,
+        cached: false,
         unavailable: false,
-        entries,
+        endpoints,
     };
-    limiter.follow(at(1.0), &server_list);
+    limiter.follow(at(1.0), &endpoint_updates);
     let listed = |i: usize| {
         limiter.servers[i]
             .as_ref()
             .is_some_and(|server| server.listed)
     };
-    assert_eq!(listed(1), !whole);
+    assert_eq!(listed(1), !complete);
     listed(0)
 }
 
@@ -175,15 +176,15 @@
 #[test_case(33, 200.0, false => (1, 1) ; "a store that is not full again")]
 #[test_case(33, 0.0, true => (1, 2) ; "what an open job refers to")]
 fn forgetting(seconds: u32, used: f64, open: bool) -> (usize, usize) {
-    let mut limiter = with_servers(limiter(Repeats::Replayable, peers()));
-    let entries = vec![entry(1)];
+    let mut limiter = with_servers(limiter(Idempotency::Idempotent, fleet()));
+    let endpoints = vec![entry(1)];
     limiter.follow(
         at(1.0),
-        &ServerList {
-            whole: true,
-            restored: false,
+        &EndpointUpdate {
+            complete: true,
+            cached: false,
             unavailable: false,
-            entries,
+            endpoints,
         },
     );
     account(&mut limiter).add_own(0, used);
@@ -195,16 +196,17 @@
             revoked: true,
             overdue: true,
         }];
-        let job = OpenJob::new(&job(), 0, at(1.0), at(900.0), None);
-        limiter.jobs = vec![Some(OpenJob {
+        let request = PendingRequest::new(&request(), 0, at(1.0), at(900.0), None);
+        limiter.requests = vec![Some(PendingRequest {
             attempts,
             queued: false,
-            ..job
+            ..request
         })];
     }
     let mut notes = Notes::default();
-    (1..=seconds)
-        .for_each(|second| limiter.round(at(f64::from(second)), &Round::default(), &mut notes));
+    (1..=seconds).for_each(|second| {
+        limiter.round(at(f64::from(second)), &EventBatch::default(), &mut notes)
+    });
     let kept = (
         limiter.by_customer.len(),
         limiter.servers.iter().flatten().count(),
@@ -226,15 +228,15 @@
 #[test_case(0.2, 0 ; "not again within half a second")]
 fn a_lost_server_list_is_asked_for_again(when: f64, calls: usize) {
     let mut limiter = limiter(
-        Repeats::Replayable,
-        Peers {
+        Idempotency::Idempotent,
+        FleetConfig {
             peer_messages: false,
-            ..peers()
+            ..fleet()
         },
     );
     (limiter.started, limiter.discovery_lost) = (Some(at(0.0)), true);
     let mut notes = Notes::default();
-    limiter.round(at(when), &Round::default(), &mut notes);
+    limiter.round(at(when), &EventBatch::default(), &mut notes);
     assert_eq!(notes.lines.len(), calls);
 }
 
@@ -251,15 +253,15 @@
     let mut at_server = vec![0; servers as usize];
     for me in 0..limiters {
         let mut limiter = limiter(
-            Repeats::Replayable,
-            Peers {
+            Idempotency::Idempotent,
+            FleetConfig {
                 limiters,
                 me,
-                ..peers()
+                ..fleet()
             },
         );
         limiter.servers = (0..servers)
-            .map(|i| Some(Server::new(entry(i), &server_rules(), limiters)))
+            .map(|i| Some(Server::new(entry(i), &endpoint_config(), limiters)))
             .collect();
         let starts = limiter
             .servers
@@ -284,20 +286,20 @@
 
 #[test]
 fn a_start_told_by_discovery_makes_a_server_cold() {
-    let mut limiter = with_servers(limiter(Repeats::Replayable, peers()));
-    let entries = vec![ServerEntry {
-        up_since: Some(at(20.0)),
+    let mut limiter = with_servers(limiter(Idempotency::Idempotent, fleet()));
+    let endpoints = vec![Endpoint {
+        started_at: Some(at(20.0)),
         ..entry(0)
     }];
-    let server_list = ServerList {
-        whole: false,
-        restored: false,
+    let endpoint_updates = EndpointUpdate {
+        complete: false,
+        cached: false,
         unavailable: false,
-        entries,
+        endpoints,
     };
-    limiter.follow(at(20.0), &server_list);
+    limiter.follow(at(20.0), &endpoint_updates);
     let warmth = limiter.servers[0]
         .as_ref()
-        .map(|s| s.warmth(at(22.0), &server_rules()));
+        .map(|s| s.warmth(at(22.0), &endpoint_config()));
     assert!(warmth.is_some_and(|warmth| warmth < 0.4));
 }
--- a/crates/merlinreel-policy/src/decide/tests/wall_clock.rs
+++ b/crates/merlinreel-policy/src/decide/tests/wall_clock.rs
@@ -9,27 +9,27 @@
 /// How warm a limiter takes each server for, so many seconds after a list told of starts so many seconds before its own
 /// clock (none: long ago). Servers are warm 10 s after their start.
 fn warmth(starts: &[Option<f64>], later: f64) -> Vec<f64> {
-    let mut limiter = limiter(Repeats::Replayable, peers());
+    let mut limiter = limiter(Idempotency::Idempotent, fleet());
     let started = |ago: &Option<f64>| ago.map(|ago| at(NOW - ago));
-    let entries = (0..)
+    let endpoints = (0..)
         .zip(starts)
-        .map(|(server, ago)| ServerEntry {
-            up_since: started(ago),
+        .map(|(server, ago)| Endpoint {
+            started_at: started(ago),
             ..entry(server)
         })
         .collect();
-    let list = ServerList {
-        whole: true,
-        restored: false,
+    let list = EndpointUpdate {
+        complete: true,
+        cached: false,
         unavailable: false,
-        entries,
+        endpoints,
     };
-    let round = Round {
-        server_list: vec![list],
-        ..Round::default()
+    let round = EventBatch {
+        endpoint_updates: vec![list],
+        ..EventBatch::default()
     };
     limiter.round(at(NOW), &round, &mut Notes::default());
-    let warmth = |server: &Server| server.warmth(at(NOW + later), &server_rules());
+    let warmth = |server: &Server| server.warmth(at(NOW + later), &endpoint_config());
     limiter.servers.iter().flatten().map(warmth).collect()
 }
 
--- a/crates/merlinreel-policy/src/peer_message.rs
+++ b/crates/merlinreel-policy/src/peer_message.rs
@@ -9,7 +9,7 @@
 const STEPS: f64 = 8.0;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Row {
+pub struct CounterRow {
     pub customer: u64,
     pub plan: usize,
     /// The window's number by its last two bits: older ones are of no use to anybody.
@@ -63,7 +63,7 @@
 }
 
 /// Writes rows into as many peer messages as they need, numbered from the head's number on.
-pub fn write(mut head: Head, rows: &[Row]) -> Vec<Vec<u8>> {
+pub fn write(mut head: Head, rows: &[CounterRow]) -> Vec<Vec<u8>> {
     let begin = |head: &Head| {
         let mut bytes = Vec::with_capacity(MOST_BYTES);
         put(&mut bytes, head.life);
@@ -98,7 +98,7 @@
 }
 
 /// None where the bytes are no whole peer message.
-pub fn read(mut bytes: &[u8]) -> Option<(Head, Vec<Row>)> {
+pub fn read(mut bytes: &[u8]) -> Option<(Head, Vec<CounterRow>)> {
     let head = Head {
         life: take(&mut bytes)?,
         number: take(&mut bytes)?,
@@ -107,7 +107,7 @@
     while !bytes.is_empty() {
         let (customer, kind) = (take(&mut bytes)?, take(&mut bytes)?);
         let total = units(take(&mut bytes)?);
-        rows.push(Row {
+        rows.push(CounterRow {
             customer,
             plan: usize::try_from(kind >> 4).ok()?,
             window: kind & 3,
--- a/crates/merlinreel-policy/src/remote_counts.rs
+++ b/crates/merlinreel-policy/src/remote_counts.rs
@@ -7,7 +7,7 @@
 
 /// A reading of a customer's quota: what was left, the units asked for a second, and how old that is.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Reading {
+pub struct QuotaSnapshot {
     pub left: f64,
     pub pace: f64,
     pub age: Duration,
@@ -26,7 +26,13 @@
     }
 
     /// A reading that another passes on, where it is newer than the one held and no older than `known`.
-    pub fn overhear(&mut self, now: Duration, plan: &Plan, reading: Reading, known: Duration) {
+    pub fn overhear(
+        &mut self,
+        now: Duration,
+        plan: &Plan,
+        reading: QuotaSnapshot,
+        known: Duration,
+    ) {
         let at = now.saturating_sub(reading.age);
         if at > self.told_at && now < at + known {
             (self.told_left, self.pace, self.told_at) = (reading.left, Some(reading.pace), at);
@@ -41,17 +47,17 @@
         gathers: bool,
         asked_over: Duration,
         plan: &Plan,
-    ) -> Option<Reading> {
+    ) -> Option<QuotaSnapshot> {
         if gathers {
             let (left, pace) = (self.left(now, plan), self.asked(now, asked_over));
-            return Some(Reading {
+            return Some(QuotaSnapshot {
                 left,
                 pace,
                 age: Duration::ZERO,
             });
         }
         let age = now.saturating_sub(self.told_at);
-        self.pace.map(|pace| Reading {
+        self.pace.map(|pace| QuotaSnapshot {
             left: self.told_left,
             pace,
             age,
--- a/crates/merlinreel-policy/src/job.rs
+++ b/crates/merlinreel-policy/src/request.rs
@@ -1,6 +1,6 @@
 //! An admitted job and its attempts, as they are kept; nothing is decided here.
 
-use crate::Job;
+use crate::Request;
 use std::time::Duration;
 
 pub struct Attempt {
@@ -12,8 +12,8 @@
     pub overdue: bool,
 }
 
-pub struct OpenJob {
-    pub job: Job,
+pub struct PendingRequest {
+    pub request: Request,
     pub account: usize,
     pub arrived: Duration,
     pub target: Duration,
@@ -29,21 +29,21 @@
     pub ran: Option<(u32, Duration)>,
 }
 
-impl OpenJob {
+impl PendingRequest {
     /// Admitted and waiting for its first attempt.
     pub fn new(
-        job: &Job,
+        request: &Request,
         account: usize,
         now: Duration,
         target: Duration,
         window: Option<u64>,
-    ) -> OpenJob {
-        OpenJob {
-            job: *job,
+    ) -> PendingRequest {
+        PendingRequest {
+            request: *request,
             account,
             arrived: now,
             target,
-            give_up: now + job.time_left,
+            give_up: now + request.remaining_time,
             attempts: Vec::new(),
             window,
             stands_for: 1.0,
--- a/crates/merlinreel-policy/src/ring.rs
+++ b/crates/merlinreel-policy/src/ring.rs
@@ -6,7 +6,7 @@
 
 /// What is measured over time: sums in fixed buckets of time, used again in a ring.
 #[derive(Default)]
-pub struct Ring {
+pub struct RollingWindow {
     pub width: f64,
     pub slot: u64,
     pub sums: [f64; BUCKETS],
@@ -14,9 +14,9 @@
     pub empty: bool,
 }
 
-impl Ring {
-    pub fn new(length: Duration) -> Ring {
-        Ring {
+impl RollingWindow {
+    pub fn new(length: Duration) -> RollingWindow {
+        RollingWindow {
             width: (secs(length) / BUCKETS as f64).max(0.001),
             slot: 0,
             sums: [0.0; BUCKETS],
@@ -39,7 +39,7 @@
     }
 
     /// The least mean of any bucket with that many counts.
-    pub fn least_mean(&self, counts: &Ring, enough: f64) -> Option<f64> {
+    pub fn least_mean(&self, counts: &RollingWindow, enough: f64) -> Option<f64> {
         let full = self
             .sums
             .iter()
--- a/crates/merlinreel-policy/src/state.rs
+++ b/crates/merlinreel-policy/src/state.rs
@@ -1,11 +1,14 @@
 //! The state that the module keeps, and how it is measured over time; nothing is decided here.
 
 use crate::decide::{ASKED_OVER, StartClock};
-use crate::job::OpenJob;
-use crate::peer_message::{self, Head, Row};
-use crate::remote_counts::Reading;
-use crate::ring::Ring;
-use crate::{Class, JobRules, Peers, Plan, ServerEntry, ServerRules, Standing, Writer};
+use crate::peer_message::{self, CounterRow, Head};
+use crate::remote_counts::QuotaSnapshot;
+use crate::request::PendingRequest;
+use crate::ring::RollingWindow;
+use crate::{
+    Actions, Endpoint, EndpointConfig, EndpointState, FleetConfig, Plan, RequestClass,
+    RequestLimits,
+};
 use nanorand::WyRand;
 use std::collections::HashMap;
 use std::time::Duration;
@@ -28,7 +31,7 @@
 }
 
 /// A limiter that reported to the gatherer of a customer's counts.
-pub struct Listener {
+pub struct Subscriber {
     pub peer: u32,
     pub heard: Duration,
     pub owed: bool,
@@ -68,12 +71,12 @@
     /// Units asked for a second, as the gatherer tells; none where nobody gathers.
     pub pace: Option<f64>,
     /// Units asked for of late, at all limiters that report here.
-    pub asked_units: Ring,
+    pub asked_units: RollingWindow,
     /// Units asked for that the gatherer was not told of, and when it was told last.
     pub unasked: f64,
     pub asked_at: Duration,
     /// At the gatherer: who reported when, and is owed an answer; what they were told last, and when.
-    pub listeners: Vec<Listener>,
+    pub listeners: Vec<Subscriber>,
     pub told_left: f64,
     pub told_at: Duration,
     /// A new customer's quota is split until then, or until it is reported.
@@ -87,7 +90,7 @@
 
 #[derive(Default)]
 pub struct Server {
-    pub entry: ServerEntry,
+    pub entry: Endpoint,
     pub listed: bool,
     /// Not among those that this limiter sends to as a rule.
     pub aside: bool,
@@ -108,7 +111,7 @@
     pub down: bool,
     /// Since when no connection to it came up, with no answer since and no refusal.
     pub unreachable_since: Option<Duration>,
-    pub sends: Ring,
+    pub sends: RollingWindow,
     pub cut_at: Duration,
     /// Times it was looked at since the server list or a job spoke of it.
     pub quiet: u32,
@@ -117,10 +120,10 @@
 /// One limiter: what it was started with and all that it keeps.
 pub struct Limiter {
     pub(crate) plans: Vec<Plan>,
-    pub(crate) classes: Vec<Class>,
-    pub(crate) peers: Peers,
-    pub(crate) server_rules: ServerRules,
-    pub(crate) job_rules: JobRules,
+    pub(crate) classes: Vec<RequestClass>,
+    pub(crate) fleet: FleetConfig,
+    pub(crate) endpoint_config: EndpointConfig,
+    pub(crate) request_limits: RequestLimits,
     pub(crate) chance: WyRand,
     pub(crate) accounts: Vec<Account>,
     /// Places of accounts that were forgotten.
@@ -128,7 +131,7 @@
     pub(crate) by_customer: HashMap<u64, usize>,
     pub(crate) stirred: Vec<usize>,
     pub(crate) servers: Vec<Option<Server>>,
-    pub(crate) jobs: Vec<Option<OpenJob>>,
+    pub(crate) requests: Vec<Option<PendingRequest>>,
     pub(crate) queue: Vec<u32>,
     pub(crate) usual: f64,
     /// Share of attempts that fail, over all servers.
@@ -149,8 +152,8 @@
     pub(crate) cut_off_at: Option<Duration>,
     /// What answers take while servers are calm, and what tells it.
     pub(crate) calm: f64,
-    pub(crate) answers: Ring,
-    pub(crate) answer_times: Ring,
+    pub(crate) answers: RollingWindow,
+    pub(crate) answer_times: RollingWindow,
     pub(crate) started: Option<Duration>,
     pub(crate) beat_at: Duration,
     pub(crate) woken_at: Duration,
@@ -159,7 +162,7 @@
     /// Peer messages that may go out now; by peer, when it was told last and how many peer messages it left unanswered.
     pub(crate) message_room: f64,
     /// Peer messages in of late with what a gatherer tells.
-    pub(crate) word: Ring,
+    pub(crate) word: RollingWindow,
     pub(crate) told_peer: Vec<Duration>,
     pub(crate) owing: Vec<u32>,
     /// By limiter: the life and the number of the last peer message.
@@ -179,9 +182,9 @@
 
 impl Account {
     /// Its row of the present window or the one before in a peer message.
-    pub fn row(&self, i: usize) -> Row {
+    pub fn row(&self, i: usize) -> CounterRow {
         let window = self.window.wrapping_sub(i as u64);
-        Row {
+        CounterRow {
             customer: self.customer,
             plan: self.plan,
             window,
@@ -193,9 +196,9 @@
     }
 
     /// A reading of it as it stands in a peer message that passes it on.
-    pub fn passed_on(&self, reading: Reading) -> Row {
-        let Reading { left, pace, age } = reading;
-        Row {
+    pub fn passed_on(&self, reading: QuotaSnapshot) -> CounterRow {
+        let QuotaSnapshot { left, pace, age } = reading;
+        CounterRow {
             asked: Some(pace),
             left: Some(left),
             age: Some(age),
@@ -267,19 +270,19 @@
     pub(crate) fn empty(
         seed: u64,
         plans: Vec<Plan>,
-        classes: Vec<Class>,
-        peers: Peers,
-        server_rules: ServerRules,
-        job_rules: JobRules,
+        classes: Vec<RequestClass>,
+        fleet: FleetConfig,
+        endpoint_config: EndpointConfig,
+        request_limits: RequestLimits,
     ) -> Limiter {
         Limiter {
             usual: 0.0,
             calm: 0.0,
-            answers: Ring::default(),
-            answer_times: Ring::default(),
+            answers: RollingWindow::default(),
+            answer_times: RollingWindow::default(),
             last_peer_message: Vec::new(),
             message_room: 0.0,
-            word: Ring::default(),
+            word: RollingWindow::default(),
             told_peer: Vec::new(),
             owing: Vec::new(),
             calls: 0.0,
@@ -289,9 +292,9 @@
             left_seen: Vec::new(),
             plans,
             classes,
-            peers,
-            server_rules,
-            job_rules,
+            fleet,
+            endpoint_config,
+            request_limits,
             chance: WyRand::new_seed(seed),
             erring: 0.0,
             strain: 0.0,
@@ -307,7 +310,7 @@
             by_customer: HashMap::new(),
             stirred: Vec::new(),
             servers: Vec::new(),
-            jobs: Vec::new(),
+            requests: Vec::new(),
             queue: Vec::new(),
             started: None,
             beat_at: Duration::ZERO,
@@ -338,7 +341,7 @@
                 customer,
                 plan,
                 &self.plans[plan],
-                self.peers,
+                self.fleet,
                 now,
                 ASKED_OVER,
             ))
@@ -348,7 +351,13 @@
     }
 
     /// Rows to a peer, in as many peer messages as they need.
-    pub(crate) fn post(&mut self, now: Duration, to: u32, rows: &[Row], out: &mut dyn Writer) {
+    pub(crate) fn post(
+        &mut self,
+        now: Duration,
+        to: u32,
+        rows: &[CounterRow],
+        actions: &mut dyn Actions,
+    ) {
         let life = self.started.unwrap_or(now).as_millis() as u64;
         for peer_message in peer_message::write(
             Head {
@@ -358,14 +367,14 @@
             rows,
         ) {
             self.peer_messages += 1;
-            out.tell(to, &peer_message);
+            actions.send_peer_message(to, &peer_message);
         }
     }
 
     /// Drops the accounts that no job refers to and that are over.
     pub(crate) fn drop_accounts(&mut self, mut over: impl FnMut(&mut Account, &Plan) -> bool) {
         let mut kept = vec![false; self.accounts.len()];
-        let held = self.jobs.iter().flatten().map(|open| open.account);
+        let held = self.requests.iter().flatten().map(|open| open.account);
         held.chain(self.free_accounts.iter().copied())
             .for_each(|i| kept[i] = true);
         for (i, account) in self
@@ -386,7 +395,11 @@
     /// Drops the servers that no job refers to and that are over, and says which.
     pub(crate) fn drop_servers(&mut self, mut over: impl FnMut(&mut Server) -> bool) -> Vec<u32> {
         let mut kept = vec![false; self.servers.len()];
-        let attempts = self.jobs.iter().flatten().flat_map(|open| &open.attempts);
+        let attempts = self
+            .requests
+            .iter()
+            .flatten()
+            .flat_map(|open| &open.attempts);
         attempts.for_each(|attempt| kept[attempt.server as usize] = true);
         let mut dropped = Vec::new();
         for (i, place) in self
@@ -405,12 +418,12 @@
 
     /// Servers listed and not gone, and of those the ones avoided now: draining, or resting after failures, as
     /// the choice of a server reads them. For the operators' figures; decides nothing.
-    pub fn servers_seen(&self, now: Duration) -> (usize, usize) {
+    pub fn endpoint_counts(&self, now: Duration) -> (usize, usize) {
         let known = self
             .servers
             .iter()
             .flatten()
-            .filter(|server| server.entry.standing != Standing::Gone);
+            .filter(|server| server.entry.state != EndpointState::Removed);
         known.fold((0, 0), |(known, avoided), server| {
             (
                 known + 1,
@@ -422,8 +435,12 @@
     /// Classes and job rules of settings read again. Classes only grow: one with the same rules keeps its
     /// index, a new or changed one is appended, so that an open job keeps the rules it came under. Returns each
     /// given class's index here, in their order.
-    pub fn retune(&mut self, classes: &[Class], job_rules: JobRules) -> Vec<usize> {
-        self.job_rules = job_rules;
+    pub fn reconfigure(
+        &mut self,
+        classes: &[RequestClass],
+        request_limits: RequestLimits,
+    ) -> Vec<usize> {
+        self.request_limits = request_limits;
         let mut indices = Vec::with_capacity(classes.len());
         for class in classes {
             let same = self.classes.iter().rposition(|known| known == class);
--- a/crates/merlinreel-policy/src/store.rs
+++ b/crates/merlinreel-policy/src/store.rs
@@ -1,9 +1,9 @@
 //! A customer's quota as a store counted by windows: what was used here and elsewhere, and what that leaves. Counting
 //! only; who is let in is decided in `decide`.
 
-use crate::ring::Ring;
+use crate::ring::RollingWindow;
 use crate::state::{Account, secs, span};
-use crate::{Peers, Plan};
+use crate::{FleetConfig, Plan};
 use std::time::Duration;
 
 /// The window's length starts as the design has it: the store's size over its rate.
@@ -20,7 +20,7 @@
         customer: u64,
         plan_index: usize,
         plan: &Plan,
-        peers: Peers,
+        fleet: FleetConfig,
         now: Duration,
         asked_over: Duration,
     ) -> Account {
@@ -29,11 +29,11 @@
         Account {
             customer,
             plan: plan_index,
-            me: peers.me as usize,
+            me: fleet.me as usize,
             window,
             carried: plan.burst - plan.rate * refill,
             ceiling_at: now,
-            asked_units: Ring::new(asked_over),
+            asked_units: RollingWindow::new(asked_over),
             ..Account::default()
         }
     }
--- a/crates/merlinreel-settings/src/lib.rs
+++ b/crates/merlinreel-settings/src/lib.rs
@@ -2,7 +2,9 @@
 //! `path=value` pairs, the limiter's configuration nested JSON; both name the same things.
 
 use merlinreel_policy::decide::Limiter;
-use merlinreel_policy::{Class, Group, JobRules, Peers, Plan, Repeats, ServerRules};
+use merlinreel_policy::{
+    EndpointConfig, FleetConfig, Idempotency, IdempotencyScope, Plan, RequestClass, RequestLimits,
+};
 use serde_json::Value;
 use std::collections::HashMap;
 use std::time::Duration;
@@ -136,18 +138,18 @@
 
 /// What a limiter and its module are started with.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Terms {
+pub struct Settings {
     pub plans: Vec<Plan>,
-    pub classes: Vec<Class>,
-    pub peers: Peers,
-    pub servers: ServerRules,
-    pub jobs: JobRules,
-    pub wire: Wire,
+    pub classes: Vec<RequestClass>,
+    pub fleet: FleetConfig,
+    pub endpoints: EndpointConfig,
+    pub request_limits: RequestLimits,
+    pub sockets: SocketSettings,
 }
 
 /// What only sockets need: the names on them, and what servers do with connections.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Wire {
+pub struct SocketSettings {
     pub plans: Vec<String>,
     pub classes: Vec<String>,
     pub zones: Vec<String>,
@@ -161,8 +163,8 @@
     pub loads_in_probes: bool,
 }
 
-impl Terms {
-    pub fn read(paths: &Paths) -> Result<Terms, String> {
+impl Settings {
+    pub fn read(paths: &Paths) -> Result<Settings, String> {
         let each = |list: &str| -> Result<Vec<String>, String> {
             Ok((0..paths.length(&format!("{list}.count"))?)
                 .map(|i| format!("{list}.{i}"))
@@ -171,7 +173,7 @@
         let (lanes, tariffs) = (each("classes")?, each("packages")?);
         let name = |at: &String| paths.text(&format!("{at}.name")).to_owned();
         let how = paths.text("report.how");
-        Ok(Terms {
+        Ok(Settings {
             plans: tariffs
                 .iter()
                 .map(|at| plan(paths, at))
@@ -180,27 +182,27 @@
                 .iter()
                 .map(|at| class(paths, at))
                 .collect::<Result<_, _>>()?,
-            peers: peers(paths)?,
-            servers: ServerRules {
+            fleet: fleet(paths)?,
+            endpoints: EndpointConfig {
                 zone: paths.number("zone")? as u32,
                 drain_grace: paths.time("rules.drainGraceS")?,
-                start_share: paths.number("rules.startCapacity")?,
-                warm_after: paths.time("rules.coldS")?,
-                fall_factor: paths.number("rules.overloadFactor")?,
-                fall_time: paths.time("rules.fallS")?,
-                discovery_on_request: paths.text("discovery") == "subscribe",
-                ask_within: paths.time("rules.askWithinS")?,
-                probes: paths.flag("policyLimits.probes")?,
+                slow_start_fraction: paths.number("rules.startCapacity")?,
+                slow_start_duration: paths.time("rules.coldS")?,
+                overload_factor: paths.number("rules.overloadFactor")?,
+                overload_window: paths.time("rules.fallS")?,
+                endpoint_polling: paths.text("discovery") == "subscribe",
+                poll_deadline: paths.time("rules.askWithinS")?,
+                health_checks: paths.flag("policyLimits.probes")?,
             },
-            jobs: JobRules {
-                most_attempts: paths.positive("policyLimits.sendCap")?.max(1.0) as u32,
-                second_copies: paths.flag("policyLimits.secondCopies")?,
-                may_revoke: paths.flag("policyLimits.mayCancel")?,
+            request_limits: RequestLimits {
+                max_attempts: paths.positive("policyLimits.sendCap")?.max(1.0) as u32,
+                hedging: paths.flag("policyLimits.secondCopies")?,
+                cancellation: paths.flag("policyLimits.mayCancel")?,
                 retry_after: paths.flag("policyLimits.retryAfter")?,
-                longest_retry_after: paths.time("policyLimits.maxRetryAfterS")?,
-                most_held: paths.number("policyLimits.mostHeld")? as usize,
+                max_retry_after: paths.time("policyLimits.maxRetryAfterS")?,
+                max_in_flight: paths.number("policyLimits.mostHeld")? as usize,
             },
-            wire: Wire {
+            sockets: SocketSettings {
                 plans: tariffs.iter().map(name).collect(),
                 classes: lanes.iter().map(name).collect(),
                 zones: paths.names("dcs"),
@@ -214,30 +216,37 @@
 
     pub fn limiter(&self, seed: u64) -> Limiter {
         let (plans, classes) = (self.plans.clone(), self.classes.clone());
-        Limiter::new(seed, plans, classes, self.peers, self.servers, self.jobs)
+        Limiter::new(
+            seed,
+            plans,
+            classes,
+            self.fleet,
+            self.endpoints,
+            self.request_limits,
+        )
     }
 }
 
-fn class(paths: &Paths, at: &str) -> Result<Class, String> {
+fn class(paths: &Paths, at: &str) -> Result<RequestClass, String> {
     let repeats = match paths.text(&format!("{at}.idempotency")) {
-        "read_like" => Repeats::Replayable,
+        "read_like" => Idempotency::Idempotent,
         "idempotency_key" => {
             let group = match paths.text(&format!("{at}.group")) {
-                "all" => Group::All,
-                "zone" => Group::Zone,
-                "cell" => Group::Cell,
+                "all" => IdempotencyScope::All,
+                "zone" => IdempotencyScope::Zone,
+                "cell" => IdempotencyScope::Cell,
                 other => return Err(format!("setting {at}.group: unknown '{other}'")),
             };
-            Repeats::Keyed(group, paths.time(&format!("{at}.keyTtlS"))?)
+            Idempotency::IdempotencyKey(group, paths.time(&format!("{at}.keyTtlS"))?)
         }
-        "non_idempotent" => Repeats::SingleUse,
+        "non_idempotent" => Idempotency::NonIdempotent,
         other => return Err(format!("setting {at}.idempotency: unknown '{other}'")),
     };
-    Ok(Class {
-        target_time: paths.time(&format!("{at}.promiseS"))?,
+    Ok(RequestClass {
+        latency_objective: paths.time(&format!("{at}.promiseS"))?,
         deadline: paths.time(&format!("{at}.hardLimitS"))?,
-        gain: paths.number(&format!("{at}.worth"))?,
-        late_gain: paths.number(&format!("{at}.lateShare"))?,
+        priority_weight: paths.number(&format!("{at}.worth"))?,
+        late_weight: paths.number(&format!("{at}.lateShare"))?,
         repeats,
     })
 }
@@ -247,17 +256,17 @@
     Ok(Plan {
         rate: number("unitsPerS")?,
         burst: number("mostAtOnce")?,
-        most_open: number("maxOut")? as u32,
+        max_concurrent: number("maxOut")? as u32,
         ceiling_rate: number("ceilingRate")?,
-        ceiling_depth: number("capDepth")?,
+        ceiling_burst: number("capDepth")?,
         ceiling_slack: number("capSlack")?,
-        price: number("price")?,
-        beyond_cost: number("overrunCost")?,
-        beyond_gain: number("beyondEarns")?,
+        plan_weight: number("price")?,
+        overage_cost: number("overrunCost")?,
+        overage_value: number("beyondEarns")?,
     })
 }
 
-fn peers(paths: &Paths) -> Result<Peers, String> {
+fn fleet(paths: &Paths) -> Result<FleetConfig, String> {
     let limiters = paths.number("balancers")?.max(1.0);
     if limiters > MOST_LIMITERS {
         return Err(format!("setting balancers: {limiters} is out of range"));
@@ -266,14 +275,14 @@
     if !(0.0..limiters).contains(&rank) {
         return Err(format!("setting rank: {rank} is not among {limiters}"));
     }
-    Ok(Peers {
+    Ok(FleetConfig {
         limiters: limiters as u32,
         me: rank as u32,
         peer_messages: paths.flag("policyLimits.peers")?,
-        inbox_per_s: paths.number("familyInfo.inboxPerS")?,
+        peer_inbox_rate: paths.number("familyInfo.inboxPerS")?,
         counter: paths.flag("familyInfo.hasCounter")?,
         settles: paths.flag("familyInfo.settles")?,
-        most_units: paths.number("familyInfo.maxUnits")?.max(1.0),
+        max_units: paths.number("familyInfo.maxUnits")?.max(1.0),
     })
 }
 
--- a/crates/merlinreel-settings/src/tests.rs
+++ b/crates/merlinreel-settings/src/tests.rs
@@ -2,8 +2,8 @@
 use serde_json::json;
 use test_case::test_case;
 
-fn terms(value: Value) -> Result<Terms, String> {
-    Terms::read(&Paths::from_json(&value)?)
+fn terms(value: Value) -> Result<Settings, String> {
+    Settings::read(&Paths::from_json(&value)?)
 }
 
 #[test]
@@ -21,7 +21,7 @@
     let pairs: Vec<&str> = pairs.split_whitespace().collect();
     let (nested, paired) = (
         terms(nested),
-        Paths::from_pairs(&pairs).and_then(|paths| Terms::read(&paths)),
+        Paths::from_pairs(&pairs).and_then(|paths| Settings::read(&paths)),
     );
     let Ok(terms) = &nested else {
         panic!("{nested:?}")
@@ -29,8 +29,8 @@
     assert_eq!(
         (
             terms.classes.len(),
-            terms.wire.zones.len(),
-            terms.jobs.most_held
+            terms.sockets.zones.len(),
+            terms.request_limits.max_in_flight
         ),
         (1, 2, 20000)
     );
@@ -54,5 +54,5 @@
 #[test_case(65_537, 0 => Err("setting balancers: 65537 is out of range".to_owned()) ; "beyond")]
 fn a_fleet_of_any_size_in_sight_is_taken(limiters: u32, rank: u32) -> Result<(u32, u32), String> {
     let terms = terms(json!({"balancers": limiters, "rank": rank}))?;
-    Ok((terms.peers.limiters, terms.peers.me))
+    Ok((terms.fleet.limiters, terms.fleet.me))
 }
--- a/crates/merlinreel-simulator-adapter/src/host.rs
+++ b/crates/merlinreel-simulator-adapter/src/host.rs
@@ -4,17 +4,17 @@
 mod writer;
 
 use merlinreel_policy::*;
-use merlinreel_settings::{Paths, Terms};
+use merlinreel_settings::{Paths, Settings};
 use std::collections::HashMap;
 use std::fmt::Write as _;
 use std::time::Duration;
-use values::{Line, Values, ending, read_entry};
-use writer::{Instance, JobState, Names, Reply, count_parts, unhex};
+use values::{ListedEndpoint, Values, outcome, read_entry};
+use writer::{Instance, NameTable, Reply, RequestState, count_parts, unhex};
 
 /// A numbered list of the process; short while its entries still come in.
 #[derive(Default)]
 struct Pool {
-    lines: Vec<Line>,
+    lines: Vec<ListedEndpoint>,
     missing: usize,
     broken: bool,
 }
@@ -111,11 +111,11 @@
         let seed = values.integer("entropy")?;
         let settings: Vec<&str> = values.0.by_ref().collect();
         let instance = Instance {
-            limiter: Terms::read(&Paths::from_pairs(&settings)?)?.limiter(seed),
-            servers: Names::default(),
-            jobs: Names::default(),
+            limiter: Settings::read(&Paths::from_pairs(&settings)?)?.limiter(seed),
+            servers: NameTable::default(),
+            requests: NameTable::default(),
             states: Vec::new(),
-            round: Round::default(),
+            round: EventBatch::default(),
             touched: true,
             freed: Vec::new(),
             forgotten: Vec::new(),
@@ -139,11 +139,11 @@
                 let form = values.text("form")?;
                 values.integer("serial")?;
                 if form == "unavailable" {
-                    instance.round.server_list.push(ServerList {
-                        whole: false,
-                        restored: false,
+                    instance.round.endpoint_updates.push(EndpointUpdate {
+                        complete: false,
+                        cached: false,
                         unavailable: true,
-                        entries: Vec::new(),
+                        endpoints: Vec::new(),
                     });
                     return Ok(());
                 }
@@ -155,31 +155,31 @@
                 if pool.broken || pool.missing > 0 {
                     return Err(format!("list {list} came in broken"));
                 }
-                let (whole, restored) = match form {
+                let (complete, cached) = match form {
                     "update" => (false, false),
                     "replace" => (true, false),
                     "restored" => (true, true),
                     other => return Err(format!("form: unknown '{other}'")),
                 };
-                let entries = pool
+                let endpoints = pool
                     .lines
                     .iter()
-                    .map(|line| ServerEntry {
+                    .map(|line| Endpoint {
                         server: instance.servers.add(&line.name),
                         ..line.entry
                     })
                     .collect();
-                instance.round.server_list.push(ServerList {
-                    whole,
-                    restored,
+                instance.round.endpoint_updates.push(EndpointUpdate {
+                    complete,
+                    cached,
                     unavailable: false,
-                    entries,
+                    endpoints,
                 });
             }
             "JOB_IN" => {
                 let id = values.text("req")?;
                 let set_size = values.index("spread", 1 << 16)? as u32;
-                let time_left = values.time("timeLeftS")?;
+                let remaining_time = values.time("timeLeftS")?;
                 let customer = values.integer("clientId")?;
                 let (plans, classes) = instance.limiter.sizes();
                 let plan = values.index("package", plans as u64)? as usize;
@@ -190,33 +190,33 @@
                 if units < 0.0 {
                     return Err(format!("quotaUnits: {units} is below 0"));
                 }
-                if instance.jobs.get(id).is_some() {
+                if instance.requests.get(id).is_some() {
                     return Err(format!("job {id} came in twice"));
                 }
-                let job = instance.jobs.add(id);
-                *instance.state(job) = JobState::default();
-                instance.round.jobs.push(Job {
-                    job,
+                let request = instance.requests.add(id);
+                *instance.state(request) = RequestState::default();
+                instance.round.requests.push(Request {
+                    id: request,
                     customer,
                     plan,
                     class,
                     units,
-                    time_left,
+                    remaining_time,
                     set_size,
                     set_first,
-                    again: marks & 2 != 0,
+                    is_retry: marks & 2 != 0,
                 });
             }
             "ACCEPTED" => {
-                if let Some(job) = instance.jobs.get(values.text("req")?) {
-                    instance.round.streaming.push(job);
+                if let Some(request) = instance.requests.get(values.text("req")?) {
+                    instance.round.streaming.push(request);
                 }
             }
             "LEFT" => {
-                if let Some(job) = instance.jobs.get(values.text("req")?) {
-                    instance.round.left.push(job);
-                    instance.state(job).done = true;
-                    instance.free_if_over(job);
+                if let Some(request) = instance.requests.get(values.text("req")?) {
+                    instance.round.disconnects.push(request);
+                    instance.state(request).done = true;
+                    instance.free_if_over(request);
                 }
             }
             "SAMPLED" => {
@@ -225,13 +225,13 @@
                     .servers
                     .get(name)
                     .ok_or(format!("server {name} is not known"))?;
-                let answered = ending(values.text("stateCode")?)? == Ending::Served;
+                let answered = outcome(values.text("stateCode")?)? == AttemptOutcome::Success;
                 let took = values.time("waitTimeS")?;
                 let load = values.load()?;
-                instance.round.probes.push(ProbeAnswer {
+                instance.round.health_checks.push(HealthCheckResult {
                     server,
                     answered,
-                    took,
+                    latency: took,
                     load,
                 });
             }
@@ -246,39 +246,39 @@
             }
             "REPLY" => {
                 let id = values.text("req")?;
-                let job = instance
-                    .jobs
+                let request = instance
+                    .requests
                     .get(id)
                     .ok_or(format!("job {id} is not known"))?;
-                let finished = values.flag("finished")?;
+                let request_completed = values.flag("finished")?;
                 let units = values.optional("cost")?.filter(|&cost| cost > 0.0);
                 let name = values.text("server")?;
                 let server = instance
                     .servers
                     .get(name)
                     .ok_or(format!("server {name} is not known"))?;
-                let ending = ending(values.text("stateCode")?)?;
+                let outcome = outcome(values.text("stateCode")?)?;
                 let took = values.time("waitTimeS")?;
                 let attempt = values.integer("seqNo")? as u32;
                 let used = values.optional("quotaUse")?.filter(|&used| used >= 1.0);
                 let load = values.load()?;
-                let state = instance.state(job);
+                let state = instance.state(request);
                 if state.out == 0 {
                     return Err(format!("job {id} has no attempt out"));
                 }
                 state.out -= 1;
-                state.done |= finished;
-                let finished = state.done;
-                instance.free_if_over(job);
-                instance.round.attempt_ends.push(AttemptEnd {
-                    job,
+                state.done |= request_completed;
+                let request_completed = state.done;
+                instance.free_if_over(request);
+                instance.round.attempt_results.push(AttemptResult {
+                    request,
                     attempt,
                     server,
-                    ending,
-                    took,
-                    finished,
+                    outcome,
+                    latency: took,
+                    request_completed,
                     units,
-                    metered: used.map(|used| (used - 1.0) / 100.0),
+                    metered_usage: used.map(|used| (used - 1.0) / 100.0),
                     load,
                 });
             }
@@ -292,12 +292,12 @@
                 let name = values.text("cname")?;
                 let (customer, window) =
                     count_parts(name).ok_or(format!("cname: unknown '{name}'"))?;
-                let ending = ending(code)?;
-                instance.round.counts.push(CountAnswer {
+                let outcome = outcome(code)?;
+                instance.round.counter_replies.push(CounterReply {
                     customer,
                     window,
-                    total: total.filter(|_| ending == Ending::Served),
-                    not_added: ending.never_ran(),
+                    total: total.filter(|_| outcome == AttemptOutcome::Success),
+                    not_added: outcome.never_ran(),
                 });
             }
         }
@@ -320,7 +320,7 @@
             let mut reply = Reply {
                 out: &mut out,
                 servers: &instance.servers,
-                jobs: &instance.jobs,
+                requests: &instance.requests,
                 states: &mut instance.states,
                 freed: &mut instance.freed,
                 forgotten: &mut instance.forgotten,
@@ -330,8 +330,8 @@
                 .forgotten
                 .drain(..)
                 .for_each(|server| instance.servers.remove(server));
-            for job in instance.freed.drain(..) {
-                instance.jobs.remove(job);
+            for request in instance.freed.drain(..) {
+                instance.requests.remove(request);
             }
         }
         out.push_str("READY\n");
--- a/crates/merlinreel-simulator-adapter/src/host/tests.rs
+++ b/crates/merlinreel-simulator-adapter/src/host/tests.rs
@@ -45,9 +45,9 @@
 #[test]
 fn a_job_is_sent_answered_and_forgotten() {
     let mut host = started();
-    let job = "ROUND 9\nCONTEXT limiter/0\nJOB_IN j-1 2 1.4 77 0 0 0 0 1\nOVER_TO_YOU";
+    let request = "ROUND 9\nCONTEXT limiter/0\nJOB_IN j-1 2 1.4 77 0 0 0 0 1\nOVER_TO_YOU";
     assert!(
-        play(&mut host, job)
+        play(&mut host, request)
             .0
             .contains("SUBMIT_TO j-1 server.abc 0.000000\n")
     );
--- a/crates/merlinreel-simulator-adapter/src/host/values.rs
+++ b/crates/merlinreel-simulator-adapter/src/host/values.rs
@@ -55,8 +55,8 @@
         }
     }
 
-    pub fn load(&mut self) -> Result<Load, String> {
-        let mut load = Load::default();
+    pub fn load(&mut self) -> Result<LoadReport, String> {
+        let mut load = LoadReport::default();
         let text = match self.0.next() {
             None | Some("" | "-") => return Ok(load),
             Some(text) => text,
@@ -70,12 +70,12 @@
                 _ => return Err(format!("feedback: '{value}' is not a number")),
             };
             match name {
-                "busy_reqs" => load.in_hand = Some(value),
-                "pending" => load.waiting = Some(value),
-                "cpu_share" => load.busy = Some(value),
-                "svc_ms" => load.service_ms = Some(value),
-                "served_ps" => load.served_per_s = Some(value),
-                "failed_ps" => load.errors_per_s = Some(value),
+                "busy_reqs" => load.in_flight = Some(value),
+                "pending" => load.queued = Some(value),
+                "cpu_share" => load.utilization = Some(value),
+                "svc_ms" => load.service_time_ms = Some(value),
+                "served_ps" => load.requests_per_second = Some(value),
+                "failed_ps" => load.errors_per_second = Some(value),
                 _ => {}
             }
         }
@@ -83,50 +83,50 @@
     }
 }
 
-pub fn ending(code: &str) -> Result<Ending, String> {
+pub fn outcome(code: &str) -> Result<AttemptOutcome, String> {
     Ok(match code {
-        "delivered" => Ending::Served,
-        "app_error" => Ending::Error,
-        "shed" => Ending::TurnedAway,
-        "expired" => Ending::Expired,
-        "dial_failed" => Ending::NoConnection,
-        "dropped" => Ending::Dropped,
-        "revoked" => Ending::Revoked,
-        "unused" => Ending::Unsent,
+        "delivered" => AttemptOutcome::Success,
+        "app_error" => AttemptOutcome::Error,
+        "shed" => AttemptOutcome::Rejected,
+        "expired" => AttemptOutcome::DeadlineExceeded,
+        "dial_failed" => AttemptOutcome::ConnectionRefused,
+        "dropped" => AttemptOutcome::ConnectionLost,
+        "revoked" => AttemptOutcome::Cancelled,
+        "unused" => AttemptOutcome::NotSent,
         other => return Err(format!("stateCode: unknown '{other}'")),
     })
 }
 
 /// One server of a list, by its name on the wire.
-pub struct Line {
+pub struct ListedEndpoint {
     pub name: String,
-    pub entry: ServerEntry,
+    pub entry: Endpoint,
 }
 
-pub fn read_entry(values: &mut Values) -> Result<Line, String> {
+pub fn read_entry(values: &mut Values) -> Result<ListedEndpoint, String> {
     let name = values.text("server")?.to_owned();
     let zone = values.integer("failureDomain")? as u32;
     values.integer("shape")?;
     let cell = values.integer("cluster")? as u32;
-    let standing = match values.text("readiness")? {
-        "U" => Standing::Up,
-        "L" => Standing::Draining,
-        "D" => Standing::Gone,
+    let state = match values.text("readiness")? {
+        "U" => EndpointState::Ready,
+        "L" => EndpointState::Draining,
+        "D" => EndpointState::Removed,
         other => return Err(format!("readiness: unknown '{other}'")),
     };
     let weight = values.optional("scale")?.unwrap_or(1.0);
-    let up_since = match values.optional("upSinceS")? {
+    let started_at = match values.optional("upSinceS")? {
         Some(at) if at > 0.0 => Duration::try_from_secs_f64(at).ok(),
         _ => None,
     };
-    let entry = ServerEntry {
+    let entry = Endpoint {
         server: 0,
-        mark: mark(&name),
+        ring_hash: ring_hash(&name),
         zone,
         cell,
-        standing,
+        state,
         weight,
-        up_since,
+        started_at,
     };
-    Ok(Line { name, entry })
+    Ok(ListedEndpoint { name, entry })
 }
--- a/crates/merlinreel-simulator-adapter/src/host/writer.rs
+++ b/crates/merlinreel-simulator-adapter/src/host/writer.rs
@@ -8,13 +8,13 @@
 
 /// Ids of one kind, each mapped to a small index at the door.
 #[derive(Default)]
-pub struct Names {
+pub struct NameTable {
     pub index: HashMap<String, u32>,
     pub names: Vec<String>,
     pub free: Vec<u32>,
 }
 
-impl Names {
+impl NameTable {
     pub fn add(&mut self, name: &str) -> u32 {
         if let Some(&i) = self.index.get(name) {
             return i;
@@ -45,7 +45,7 @@
 
 /// Where a job stands on the wire; its index is free again once it is done and nothing is out.
 #[derive(Clone, Copy, Default)]
-pub struct JobState {
+pub struct RequestState {
     pub out: u32,
     pub attempts: u32,
     pub done: bool,
@@ -53,48 +53,48 @@
 
 pub struct Instance {
     pub limiter: Limiter,
-    pub servers: Names,
-    pub jobs: Names,
-    pub states: Vec<JobState>,
-    pub round: Round,
+    pub servers: NameTable,
+    pub requests: NameTable,
+    pub states: Vec<RequestState>,
+    pub round: EventBatch,
     pub touched: bool,
     pub freed: Vec<u32>,
     pub forgotten: Vec<u32>,
 }
 
 impl Instance {
-    pub fn state(&mut self, job: u32) -> &mut JobState {
-        let i = job as usize;
+    pub fn state(&mut self, request: u32) -> &mut RequestState {
+        let i = request as usize;
         if i >= self.states.len() {
-            self.states.resize(i + 1, JobState::default());
+            self.states.resize(i + 1, RequestState::default());
         }
         &mut self.states[i]
     }
 
-    pub fn free_if_over(&mut self, job: u32) {
-        let state = *self.state(job);
-        if state.done && state.out == 0 && !self.freed.contains(&job) {
-            self.freed.push(job);
+    pub fn free_if_over(&mut self, request: u32) {
+        let state = *self.state(request);
+        if state.done && state.out == 0 && !self.freed.contains(&request) {
+            self.freed.push(request);
         }
     }
 }
 
 pub struct Reply<'a> {
     pub out: &'a mut String,
-    pub servers: &'a Names,
-    pub jobs: &'a Names,
-    pub states: &'a mut Vec<JobState>,
+    pub servers: &'a NameTable,
+    pub requests: &'a NameTable,
+    pub states: &'a mut Vec<RequestState>,
     pub freed: &'a mut Vec<u32>,
     pub forgotten: &'a mut Vec<u32>,
 }
 
 impl Reply<'_> {
-    pub fn close(&mut self, job: u32) {
-        let state = &mut self.states[job as usize];
+    pub fn close(&mut self, request: u32) {
+        let state = &mut self.states[request as usize];
         if !state.done {
             state.done = true;
             if state.out == 0 {
-                self.freed.push(job);
+                self.freed.push(request);
             }
         }
     }
@@ -141,48 +141,48 @@
     ))
 }
 
-impl Writer for Reply<'_> {
+impl Actions for Reply<'_> {
     /// A window runs to the sending here, so that nothing is late by the way there.
-    fn send(&mut self, job: u32, server: u32, _within: Option<Duration>) {
+    fn start_attempt(&mut self, request: u32, server: u32, _within: Option<Duration>) {
         let (id, name) = (
-            &self.jobs.names[job as usize],
+            &self.requests.names[request as usize],
             &self.servers.names[server as usize],
         );
         let _ = writeln!(self.out, "SUBMIT_TO {id} {name} 0.000000");
-        let state = &mut self.states[job as usize];
+        let state = &mut self.states[request as usize];
         state.out += 1;
         state.attempts += 1;
     }
 
-    fn refuse(&mut self, job: u32, retry_after: Option<Duration>) {
+    fn reject(&mut self, request: u32, retry_after: Option<Duration>) {
         let wait = retry_after.map_or(0.0, |wait| wait.as_secs_f64());
-        let id = &self.jobs.names[job as usize];
+        let id = &self.requests.names[request as usize];
         let _ = writeln!(self.out, "NOT_NOW {id} {wait:.6}");
-        self.close(job);
+        self.close(request);
     }
 
-    fn fail(&mut self, job: u32) {
-        let _ = writeln!(self.out, "FAIL {}", self.jobs.names[job as usize]);
-        self.close(job);
+    fn fail(&mut self, request: u32) {
+        let _ = writeln!(self.out, "FAIL {}", self.requests.names[request as usize]);
+        self.close(request);
     }
 
-    fn revoke(&mut self, job: u32, attempt: u32) {
+    fn cancel_attempt(&mut self, request: u32, attempt: u32) {
         let _ = writeln!(
             self.out,
             "REVOKE {} {attempt}",
-            self.jobs.names[job as usize]
+            self.requests.names[request as usize]
         );
     }
 
-    fn probe(&mut self, server: u32) {
+    fn start_health_check(&mut self, server: u32) {
         let _ = writeln!(self.out, "TOUCH {}", self.servers.names[server as usize]);
     }
 
-    fn tell(&mut self, limiter: u32, peer_message: &[u8]) {
+    fn send_peer_message(&mut self, limiter: u32, peer_message: &[u8]) {
         self.line(format_args!("MEMO_TO {limiter} {}", hex(peer_message)));
     }
 
-    fn count(&mut self, customer: u64, window: u64, amount: f64, keep: Duration) {
+    fn increment_counter(&mut self, customer: u64, window: u64, amount: f64, keep: Duration) {
         let name = count_name(customer, window);
         self.line(format_args!(
             "POST_AMOUNT {:.6} {amount} {name}",
@@ -190,15 +190,15 @@
         ));
     }
 
-    fn follow_discovery(&mut self, on: bool) {
+    fn set_endpoint_subscription(&mut self, on: bool) {
         self.line(format_args!("TRACK {}", u8::from(on)));
     }
 
-    fn ask_discovery(&mut self) {
+    fn poll_endpoints(&mut self) {
         self.line(format_args!("LOOKUP"));
     }
 
-    fn close_idle(&mut self, server: u32) {
+    fn close_idle_connections(&mut self, server: u32) {
         let _ = writeln!(
             self.out,
             "CLOSE_IDLE {}",
@@ -206,15 +206,15 @@
         );
     }
 
-    fn forget(&mut self, server: u32) {
+    fn release_endpoint(&mut self, server: u32) {
         self.forgotten.push(server);
     }
 
-    fn wake(&mut self, after: Duration) {
+    fn schedule_wakeup(&mut self, after: Duration) {
         self.line(format_args!("AFTER wake {:.6}", after.as_secs_f64()));
     }
 
-    fn note(&mut self, text: &str) {
+    fn log(&mut self, text: &str) {
         self.line(format_args!("SAY_LOG {}", text.replace('\n', " ")));
     }
 }
--- a/crates/merlinreel-testkit/src/scale/configuration.rs
+++ b/crates/merlinreel-testkit/src/scale/configuration.rs
@@ -2,9 +2,9 @@
 //! classes that were changed.
 
 use crate::scale::{Emit, MeasureRequest, Meter, ScaleError, Sheet, Unit};
-use merlinreel_policy::Class;
+use merlinreel_policy::RequestClass;
 use merlinreel_policy::decide::Limiter;
-use merlinreel_settings::{Paths, Terms};
+use merlinreel_settings::{Paths, Settings};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use serde_json::{Value, json};
@@ -96,9 +96,9 @@
 }
 
 /// The settings as a limiter reads them from the file's text.
-pub fn read(text: &str) -> Result<Terms, String> {
+pub fn read(text: &str) -> Result<Settings, String> {
     let value: Value = serde_json::from_str(text).map_err(|error| error.to_string())?;
-    Terms::read(&Paths::from_json(&value)?)
+    Settings::read(&Paths::from_json(&value)?)
 }
 
 /// Varies the routes, each with rules of its own.
@@ -158,7 +158,7 @@
             }
             let place = reload as usize * 7 % classes.len();
             classes[place] = distinct_class(RELOADED_CLASSES + reload);
-            retune(&mut limiter, &classes);
+            reconfigure(&mut limiter, &classes);
         }
         let last = last.read().cpu_seconds / size.min(LAST_RELOADS) as f64;
         let used = meter.read();
@@ -183,7 +183,7 @@
 struct FileRead {
     _value: Value,
     _paths: Paths,
-    terms: Result<Terms, String>,
+    terms: Result<Settings, String>,
 }
 
 /// Processor time of the steps of reading, in seconds.
@@ -203,7 +203,7 @@
         let value = value?;
         let (flat, paths) = repeated(repeats, || Paths::from_json(&value));
         let paths = paths?;
-        let (read, terms) = repeated(repeats, || Terms::read(&paths));
+        let (read, terms) = repeated(repeats, || Settings::read(&paths));
         self.json.push(json);
         self.paths.push(flat);
         self.terms.push(read);
@@ -303,12 +303,12 @@
         .map(&mut *emit)
         .transpose()?;
     classes[0] = distinct_class(size);
-    retune(&mut limiter, &classes);
+    reconfigure(&mut limiter, &classes);
     emit(sheet.counted("classes_kept", Unit::Count, limiter.sizes().1 as f64))?;
     let repeats = (COMPARISONS_MEASURED / (size * size)).clamp(1, MOST_RETUNES);
     let runs = if size > ONCE_BEYOND { 1 } else { request.runs };
     let times: Vec<f64> = (0..runs)
-        .map(|_| repeated(repeats, || retune(&mut limiter, &classes)).0)
+        .map(|_| repeated(repeats, || reconfigure(&mut limiter, &classes)).0)
         .collect();
     let share = times
         .iter()
@@ -325,45 +325,45 @@
     Ok(limiter)
 }
 
-fn retune(limiter: &mut Limiter, classes: &[Class]) {
-    limiter.retune(classes, job_rules());
+fn reconfigure(limiter: &mut Limiter, classes: &[RequestClass]) {
+    limiter.reconfigure(classes, job_rules());
 }
 
-fn job_rules() -> merlinreel_policy::JobRules {
-    merlinreel_policy::JobRules {
-        most_attempts: 2,
-        second_copies: false,
-        may_revoke: true,
+fn job_rules() -> merlinreel_policy::RequestLimits {
+    merlinreel_policy::RequestLimits {
+        max_attempts: 2,
+        hedging: false,
+        cancellation: true,
         retry_after: true,
-        longest_retry_after: Duration::from_secs(1),
-        most_held: 1_000,
+        max_retry_after: Duration::from_secs(1),
+        max_in_flight: 1_000,
     }
 }
 
-fn distinct_categories(count: u64) -> Vec<Class> {
+fn distinct_categories(count: u64) -> Vec<RequestClass> {
     (0..count).map(distinct_class).collect()
 }
 
 /// All but one of a class's rules are those of the others.
-fn distinct_class(rules: u64) -> Class {
+fn distinct_class(rules: u64) -> RequestClass {
     let deadline = Duration::from_secs(1) + Duration::from_micros(rules);
-    Class {
-        target_time: Duration::from_millis(500),
+    RequestClass {
+        latency_objective: Duration::from_millis(500),
         deadline,
-        gain: 1.0,
-        late_gain: 0.5,
-        repeats: merlinreel_policy::Repeats::Replayable,
+        priority_weight: 1.0,
+        late_weight: 0.5,
+        repeats: merlinreel_policy::Idempotency::Idempotent,
     }
 }
 
-fn limiter_of(seed: u64, classes: &[Class], size: u64) -> Result<Limiter, ScaleError> {
+fn limiter_of(seed: u64, classes: &[RequestClass], size: u64) -> Result<Limiter, ScaleError> {
     let refused = |why| ScaleError::Unsettled {
         role: ROLE,
         size,
         why,
     };
     let terms = read(&Entries::new(FEW, FEW, seed).text()).map_err(refused)?;
-    Ok(Terms {
+    Ok(Settings {
         classes: classes.to_vec(),
         ..terms
     }
--- a/crates/merlinreel-testkit/src/scale/quotas/fleet.rs
+++ b/crates/merlinreel-testkit/src/scale/quotas/fleet.rs
@@ -10,8 +10,8 @@
 use super::setting::{CALM, FleetSetting, INBOX_PER_S, PRESSED, PROBED};
 use crate::scale::{Delivery, Network, Traffic, Ways};
 use merlinreel_policy::decide::Limiter;
-use merlinreel_policy::{Job, PeerMessage, Round, Writer};
-use merlinreel_settings::Terms;
+use merlinreel_policy::{Actions, EventBatch, PeerMessage, Request};
+use merlinreel_settings::Settings;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::cmp::Reverse;
@@ -56,26 +56,26 @@
     wake: Option<Duration>,
 }
 
-impl Writer for Decisions {
-    fn send(&mut self, _: u32, _: u32, _: Option<Duration>) {}
-    fn refuse(&mut self, job: u32, _: Option<Duration>) {
+impl Actions for Decisions {
+    fn start_attempt(&mut self, _: u32, _: u32, _: Option<Duration>) {}
+    fn reject(&mut self, job: u32, _: Option<Duration>) {
         self.refused.push(job);
     }
     fn fail(&mut self, _: u32) {}
-    fn revoke(&mut self, _: u32, _: u32) {}
-    fn probe(&mut self, _: u32) {}
-    fn tell(&mut self, limiter: u32, peer_message: &[u8]) {
+    fn cancel_attempt(&mut self, _: u32, _: u32) {}
+    fn start_health_check(&mut self, _: u32) {}
+    fn send_peer_message(&mut self, limiter: u32, peer_message: &[u8]) {
         self.messages.push((limiter, peer_message.to_vec()));
     }
-    fn count(&mut self, _: u64, _: u64, _: f64, _: Duration) {}
-    fn follow_discovery(&mut self, _: bool) {}
-    fn ask_discovery(&mut self) {}
-    fn close_idle(&mut self, _: u32) {}
-    fn forget(&mut self, _: u32) {}
-    fn wake(&mut self, after: Duration) {
+    fn increment_counter(&mut self, _: u64, _: u64, _: f64, _: Duration) {}
+    fn set_endpoint_subscription(&mut self, _: bool) {}
+    fn poll_endpoints(&mut self) {}
+    fn close_idle_connections(&mut self, _: u32) {}
+    fn release_endpoint(&mut self, _: u32) {}
+    fn schedule_wakeup(&mut self, after: Duration) {
         self.wake = Some(after);
     }
-    fn note(&mut self, _: &str) {}
+    fn log(&mut self, _: &str) {}
 }
 
 struct HollowLimiter {
@@ -90,7 +90,7 @@
 /// Hollow limiters, their customers and the network between them.
 pub struct Fleet {
     setting: FleetSetting,
-    terms: Terms,
+    terms: Settings,
     now: Duration,
     chance: ChaCha8Rng,
     limiters: Vec<HollowLimiter>,
@@ -167,7 +167,7 @@
     fn new_limiter(&mut self, rank: u32) -> Limiter {
         let seed = self.chance.random::<u64>();
         let mut terms = self.terms.clone();
-        terms.peers.me = rank;
+        terms.fleet.me = rank;
         terms.limiter(seed)
     }
 
@@ -230,9 +230,9 @@
         {
             self.round(
                 to,
-                Round {
+                EventBatch {
                     peer_messages: vec![PeerMessage { from, bytes }],
-                    ..Round::default()
+                    ..EventBatch::default()
                 },
             );
         }
@@ -242,7 +242,7 @@
         let limiter = event.limiter;
         match event.cause {
             Cause::Wake(life) if life == self.limiters[limiter as usize].life => {
-                self.round(limiter, Round::default());
+                self.round(limiter, EventBatch::default());
             }
             Cause::Wake(_) => {}
             Cause::Request => {
@@ -272,22 +272,22 @@
             set_size,
             ..
         } = self.customers[customer];
-        let job = Job {
-            job: number,
+        let job = Request {
+            id: number,
             customer: name,
             plan,
             class: 0,
             units: 1.0,
-            time_left: TIME_LEFT,
+            remaining_time: TIME_LEFT,
             set_size,
             set_first,
-            again: false,
+            is_retry: false,
         };
         let refused = self.round(
             limiter,
-            Round {
-                jobs: vec![job],
-                ..Round::default()
+            EventBatch {
+                requests: vec![job],
+                ..EventBatch::default()
             },
         );
         let admitted = !refused.contains(&number);
@@ -310,13 +310,18 @@
     }
 
     /// One round of a limiter; returns the requests that it refused.
-    fn round(&mut self, rank: u32, round: Round) -> Vec<u32> {
+    fn round(&mut self, rank: u32, round: EventBatch) -> Vec<u32> {
         let hollow = &mut self.limiters[rank as usize];
         let left = std::mem::take(&mut hollow.leaving);
         let mut decisions = Decisions::default();
-        hollow
-            .limiter
-            .round(self.now, &Round { left, ..round }, &mut decisions);
+        hollow.limiter.round(
+            self.now,
+            &EventBatch {
+                disconnects: left,
+                ..round
+            },
+            &mut decisions,
+        );
         for (to, bytes) in decisions.messages {
             self.send(rank, to, bytes);
         }
--- a/crates/merlinreel-testkit/src/scale/quotas/setting.rs
+++ b/crates/merlinreel-testkit/src/scale/quotas/setting.rs
@@ -1,6 +1,6 @@
 //! What a fleet of hollow limiters is made of, and the limiters' settings that follow from it.
 
-use merlinreel_settings::{Paths, Terms};
+use merlinreel_settings::{Paths, Settings};
 use serde_json::json;
 
 /// Plan of customers that ask for twice their quota.
@@ -81,7 +81,7 @@
     }
 
     /// The terms of the first limiter; the others' differ in the rank alone.
-    pub fn terms(&self) -> Result<Terms, String> {
+    pub fn terms(&self) -> Result<Settings, String> {
         let plan = |name: &str, plan: usize| json!({"name": name, "unitsPerS": self.rate(plan), "mostAtOnce": self.burst(plan), "price": 1.0});
         let settings = json!({"balancers": self.limiters, "rank": 0, "zone": 0, "dcs": ["a"],
             "packages": [plan("pressed", PRESSED), plan("calm", CALM), plan("probed", PROBED)],
@@ -91,7 +91,7 @@
             "policyLimits": {"connIdleS": 15, "connectTimeoutS": 0.25, "mayCancel": true,
                 "peers": self.peer_messages, "retryAfter": true, "sendCap": 5, "mostHeld": 1000},
             "rules": {"drainGraceS": 1, "startCapacity": 0.2, "coldS": 10, "fallS": 1, "overloadFactor": 2.5}});
-        Terms::read(&Paths::from_json(&settings)?)
+        Settings::read(&Paths::from_json(&settings)?)
     }
 
     /// Said with each figure.
--- a/crates/merlinreel-testkit/src/scale/quotas/tables.rs
+++ b/crates/merlinreel-testkit/src/scale/quotas/tables.rs
@@ -4,8 +4,8 @@
 use super::{FleetSetting, Point, START};
 use crate::scale::{Emit, MeasureRequest, Meter, ScaleError, Unit};
 use merlinreel_policy::decide::Limiter;
-use merlinreel_policy::peer_message::{Head, Row, write};
-use merlinreel_policy::{Job, PeerMessage, Round, Writer};
+use merlinreel_policy::peer_message::{CounterRow, Head, write};
+use merlinreel_policy::{Actions, EventBatch, PeerMessage, Request};
 use std::time::Duration;
 
 /// Tenants that asked at one limiter; the last is all.
@@ -14,11 +14,11 @@
 pub const REPORTED_TENANT_SIZES: &[u64] = &[165, 1_000, 4_000, 16_000];
 /// The full size: each limiter keeps some numbers of each other one.
 const LIMITERS: u32 = 2_300;
-/// Peers whose first message of a life is measured; enough that the kernel's clock tells.
+/// FleetConfig whose first message of a life is measured; enough that the kernel's clock tells.
 const LIVES: u32 = 200;
 /// Of an account and its place in the tables, generously.
 const ACCOUNT_BYTES: u64 = 1_024;
-/// Peers' reports of one window, by limiter.
+/// FleetConfig' reports of one window, by limiter.
 const REPORT_BYTES: u64 = 8;
 const IDLE: Duration = Duration::from_secs(5);
 const BEAT: Duration = Duration::from_millis(100);
@@ -27,20 +27,20 @@
 
 struct Unheeded;
 
-impl Writer for Unheeded {
-    fn send(&mut self, _: u32, _: u32, _: Option<Duration>) {}
-    fn refuse(&mut self, _: u32, _: Option<Duration>) {}
+impl Actions for Unheeded {
+    fn start_attempt(&mut self, _: u32, _: u32, _: Option<Duration>) {}
+    fn reject(&mut self, _: u32, _: Option<Duration>) {}
     fn fail(&mut self, _: u32) {}
-    fn revoke(&mut self, _: u32, _: u32) {}
-    fn probe(&mut self, _: u32) {}
-    fn tell(&mut self, _: u32, _: &[u8]) {}
-    fn count(&mut self, _: u64, _: u64, _: f64, _: Duration) {}
-    fn follow_discovery(&mut self, _: bool) {}
-    fn ask_discovery(&mut self) {}
-    fn close_idle(&mut self, _: u32) {}
-    fn forget(&mut self, _: u32) {}
-    fn wake(&mut self, _: Duration) {}
-    fn note(&mut self, _: &str) {}
+    fn cancel_attempt(&mut self, _: u32, _: u32) {}
+    fn start_health_check(&mut self, _: u32) {}
+    fn send_peer_message(&mut self, _: u32, _: &[u8]) {}
+    fn increment_counter(&mut self, _: u64, _: u64, _: f64, _: Duration) {}
+    fn set_endpoint_subscription(&mut self, _: bool) {}
+    fn poll_endpoints(&mut self) {}
+    fn close_idle_connections(&mut self, _: u32) {}
+    fn release_endpoint(&mut self, _: u32) {}
+    fn schedule_wakeup(&mut self, _: Duration) {}
+    fn log(&mut self, _: &str) {}
 }
 
 /// One limiter of the full fleet, fed by hand.
@@ -61,38 +61,38 @@
             now: START,
             setting,
         };
-        tables.round(Round::default());
+        tables.round(EventBatch::default());
         Ok(tables)
     }
 
-    fn round(&mut self, round: Round) {
+    fn round(&mut self, round: EventBatch) {
         self.limiter.round(self.now, &round, &mut Unheeded);
     }
 
     /// Each of so many tenants asks once, and leaves.
     pub fn ask(&mut self, tenants: u64) {
         for tenant in 0..tenants {
-            let job = Job {
-                job: (tenant % 2) as u32,
+            let job = Request {
+                id: (tenant % 2) as u32,
                 customer: tenant_number(tenant),
                 plan: super::CALM,
                 class: 0,
                 units: 1.0,
-                time_left: Duration::from_secs(4),
+                remaining_time: Duration::from_secs(4),
                 set_size: self.setting.set_size(),
                 set_first: 0,
-                again: false,
+                is_retry: false,
             };
             let left = vec![((tenant + 1) % 2) as u32];
-            self.round(Round {
-                jobs: vec![job],
-                left,
-                ..Round::default()
+            self.round(EventBatch {
+                requests: vec![job],
+                disconnects: left,
+                ..EventBatch::default()
             });
         }
-        self.round(Round {
-            left: vec![0, 1],
-            ..Round::default()
+        self.round(EventBatch {
+            disconnects: vec![0, 1],
+            ..EventBatch::default()
         });
     }
 
@@ -100,7 +100,7 @@
     pub fn report(&mut self, tenants: u64) {
         let tenants: Vec<u64> = (0..tenants).collect();
         for (number, tenants) in tenants.chunks(TENANTS_A_MESSAGE as usize).enumerate() {
-            let rows: Vec<Row> = tenants
+            let rows: Vec<CounterRow> = tenants
                 .iter()
                 .map(|&tenant| self.report_of(tenant))
                 .collect();
@@ -115,18 +115,18 @@
                     bytes,
                 })
                 .collect();
-            self.round(Round {
+            self.round(EventBatch {
                 peer_messages,
-                ..Round::default()
+                ..EventBatch::default()
             });
         }
     }
 
-    fn report_of(&self, tenant: u64) -> Row {
+    fn report_of(&self, tenant: u64) -> CounterRow {
         let length = self.setting.burst(super::CALM) / self.setting.rate(super::CALM);
         let window = (self.now.as_secs_f64() / length) as u64;
         let (customer, plan) = (tenant_number(tenant), super::CALM);
-        Row {
+        CounterRow {
             customer,
             plan,
             window,
@@ -141,9 +141,9 @@
     pub fn hear_new_lives(&mut self, life: u64, peers: u32) {
         for from in 1..=peers {
             let bytes = write(Head { life, number: 1 }, &[]).concat();
-            self.round(Round {
+            self.round(EventBatch {
                 peer_messages: vec![PeerMessage { from, bytes }],
-                ..Round::default()
+                ..EventBatch::default()
             });
         }
     }
@@ -167,7 +167,7 @@
         let end = self.now + time;
         while self.now < end {
             self.now += BEAT;
-            self.round(Round::default());
+            self.round(EventBatch::default());
         }
     }
 }
--- a/crates/merlinreel-testkit/src/scale/server_list/holder.rs
+++ b/crates/merlinreel-testkit/src/scale/server_list/holder.rs
@@ -3,23 +3,23 @@
 use super::report::Report;
 use super::source::{Form, ListSource};
 use crate::scale::{Figure, MeasureRequest, ScaleError, Source, Unit};
-use merlinreel_discovery::{DiscoveryNews, ServerTable, decode};
+use merlinreel_discovery::{DiscoveryUpdate, EndpointTable, decode};
 
 /// Takes lists in, and counts what it does for them.
 pub trait ListHolder {
     /// Steps that it took: entries handed on, and comparisons or look-ups where they can be counted.
-    fn take(&mut self, news: DiscoveryNews) -> u64;
+    fn take(&mut self, news: DiscoveryUpdate) -> u64;
 }
 
 /// The program's table. Look-ups inside its maps can't be counted from outside: the steps are the entries that it hands
 /// to the decision module and the indices that it gave.
 #[derive(Default)]
-pub struct RealHolder(ServerTable);
+pub struct RealHolder(EndpointTable);
 
 impl ListHolder for RealHolder {
-    fn take(&mut self, news: DiscoveryNews) -> u64 {
+    fn take(&mut self, news: DiscoveryUpdate) -> u64 {
         let list = self.0.apply(news, false);
-        list.entries.len() as u64 + self.0.indices() as u64
+        list.endpoints.len() as u64 + self.0.indices() as u64
     }
 }
 
--- a/crates/merlinreel-testkit/src/scale/server_list/hollow.rs
+++ b/crates/merlinreel-testkit/src/scale/server_list/hollow.rs
@@ -1,9 +1,11 @@
 //! A hollow limiter: the real table of servers and the real decision module, without sockets and on a test's clock.
 
-use merlinreel_discovery::{MessageError, ServerTable, decode};
+use merlinreel_discovery::{EndpointTable, MessageError, decode};
 use merlinreel_policy::decide::Limiter;
-use merlinreel_policy::{AttemptEnd, Ending, Job, Load, Round, ServerList, Writer};
-use merlinreel_settings::{Paths, Terms};
+use merlinreel_policy::{
+    Actions, AttemptOutcome, AttemptResult, EndpointUpdate, EventBatch, LoadReport, Request,
+};
+use merlinreel_settings::{Paths, Settings};
 use serde_json::{Value, json};
 use std::time::Duration;
 
@@ -33,54 +35,54 @@
     wake_after: Duration,
 }
 
-impl Writer for CountingWriter {
-    fn send(&mut self, _: u32, server: u32, _: Option<Duration>) {
+impl Actions for CountingWriter {
+    fn start_attempt(&mut self, _: u32, server: u32, _: Option<Duration>) {
         self.written.sent += 1;
         self.sent_to = Some(server);
     }
-    fn refuse(&mut self, _: u32, _: Option<Duration>) {
+    fn reject(&mut self, _: u32, _: Option<Duration>) {
         self.written.others += 1;
     }
     fn fail(&mut self, _: u32) {
         self.written.others += 1;
     }
-    fn revoke(&mut self, _: u32, _: u32) {
+    fn cancel_attempt(&mut self, _: u32, _: u32) {
         self.written.others += 1;
     }
-    fn probe(&mut self, _: u32) {
+    fn start_health_check(&mut self, _: u32) {
         self.written.others += 1;
     }
-    fn tell(&mut self, _: u32, _: &[u8]) {
+    fn send_peer_message(&mut self, _: u32, _: &[u8]) {
         self.written.others += 1;
     }
-    fn count(&mut self, _: u64, _: u64, _: f64, _: Duration) {
+    fn increment_counter(&mut self, _: u64, _: u64, _: f64, _: Duration) {
         self.written.others += 1;
     }
-    fn follow_discovery(&mut self, _: bool) {
+    fn set_endpoint_subscription(&mut self, _: bool) {
         self.written.others += 1;
     }
-    fn ask_discovery(&mut self) {
+    fn poll_endpoints(&mut self) {
         self.written.others += 1;
     }
-    fn close_idle(&mut self, _: u32) {
+    fn close_idle_connections(&mut self, _: u32) {
         self.written.others += 1;
     }
-    fn forget(&mut self, server: u32) {
+    fn release_endpoint(&mut self, server: u32) {
         self.written.forgotten += 1;
         self.forgotten.push(server);
     }
-    fn wake(&mut self, after: Duration) {
+    fn schedule_wakeup(&mut self, after: Duration) {
         self.written.wakes += 1;
         self.wake_after = after;
     }
-    fn note(&mut self, _: &str) {
+    fn log(&mut self, _: &str) {
         self.written.others += 1;
     }
 }
 
 /// One limiter of [`LIMITERS`].
 pub struct HollowLimiter {
-    pub table: ServerTable,
+    pub table: EndpointTable,
     limiter: Limiter,
     writer: CountingWriter,
     now: Duration,
@@ -89,14 +91,14 @@
 impl HollowLimiter {
     /// Its first round is made, so that what comes next lies between two beats.
     pub fn new(seed: u64) -> Result<HollowLimiter, String> {
-        let terms = Terms::read(&Paths::from_json(&settings())?)?;
+        let terms = Settings::read(&Paths::from_json(&settings())?)?;
         let mut hollow = HollowLimiter {
-            table: ServerTable::new(terms.wire.zones.clone()),
+            table: EndpointTable::new(terms.sockets.zones.clone()),
             limiter: terms.limiter(seed),
             writer: CountingWriter::default(),
             now: START,
         };
-        hollow.round(&Round::default());
+        hollow.round(&EventBatch::default());
         Ok(hollow)
     }
 
@@ -110,10 +112,10 @@
 
     /// Servers listed and not gone, as the decision module knows them.
     pub fn servers_known(&self) -> u64 {
-        self.limiter.servers_seen(self.now).0 as u64
+        self.limiter.endpoint_counts(self.now).0 as u64
     }
 
-    fn round(&mut self, round: &Round) {
+    fn round(&mut self, round: &EventBatch) {
         self.limiter.round(self.now, round, &mut self.writer);
         for server in std::mem::take(&mut self.writer.forgotten) {
             self.table.forget(server);
@@ -121,10 +123,10 @@
     }
 
     /// Brings a list to the decision module.
-    pub fn follow(&mut self, list: ServerList) {
-        self.round(&Round {
-            server_list: vec![list],
-            ..Round::default()
+    pub fn follow(&mut self, list: EndpointUpdate) {
+        self.round(&EventBatch {
+            endpoint_updates: vec![list],
+            ..EventBatch::default()
         });
     }
 
@@ -133,7 +135,7 @@
         let news = decode(&bytes)?;
         drop(bytes);
         let list = self.table.apply(news, false);
-        let entries = list.entries.len() as u64;
+        let entries = list.endpoints.len() as u64;
         self.follow(list);
         Ok(entries)
     }
@@ -143,7 +145,7 @@
         let until = self.now + span;
         while self.now + self.writer.wake_after <= until {
             self.now += self.writer.wake_after;
-            self.round(&Round::default());
+            self.round(&EventBatch::default());
         }
         self.now = until;
     }
@@ -152,58 +154,58 @@
     pub fn rest_by_seconds(&mut self, span: Duration) {
         for _ in 0..span.as_secs() {
             self.now += Duration::from_secs(1);
-            self.round(&Round::default());
+            self.round(&EventBatch::default());
         }
     }
 
     /// One round, a turn of the credits later.
     pub fn next_turn(&mut self) {
         self.now += TURN;
-        self.round(&Round::default());
+        self.round(&EventBatch::default());
     }
 
     /// One request, answered at once where a server is chosen; else its client leaves.
     pub fn request(&mut self) {
-        let job = Job {
-            job: 0,
+        let job = Request {
+            id: 0,
             customer: CUSTOMER,
             plan: 0,
             class: 0,
             units: 1.0,
-            time_left: Duration::from_secs(2),
+            remaining_time: Duration::from_secs(2),
             set_size: 1,
             set_first: 0,
-            again: false,
+            is_retry: false,
         };
         self.writer.sent_to = None;
-        self.round(&Round {
-            jobs: vec![job],
-            ..Round::default()
+        self.round(&EventBatch {
+            requests: vec![job],
+            ..EventBatch::default()
         });
         match self.writer.sent_to {
-            Some(server) => self.round(&Round {
-                attempt_ends: vec![served(server)],
-                ..Round::default()
+            Some(server) => self.round(&EventBatch {
+                attempt_results: vec![served(server)],
+                ..EventBatch::default()
             }),
-            None => self.round(&Round {
-                left: vec![job.job],
-                ..Round::default()
+            None => self.round(&EventBatch {
+                disconnects: vec![job.id],
+                ..EventBatch::default()
             }),
         }
     }
 }
 
-fn served(server: u32) -> AttemptEnd {
-    AttemptEnd {
-        job: 0,
+fn served(server: u32) -> AttemptResult {
+    AttemptResult {
+        request: 0,
         attempt: 0,
         server,
-        ending: Ending::Served,
-        took: ANSWER_TIME,
-        finished: true,
+        outcome: AttemptOutcome::Success,
+        latency: ANSWER_TIME,
+        request_completed: true,
         units: None,
-        metered: None,
-        load: Load::default(),
+        metered_usage: None,
+        load: LoadReport::default(),
     }
 }
 
--- a/crates/merlinreel-testkit/src/scale/server_list/reading.rs
+++ b/crates/merlinreel-testkit/src/scale/server_list/reading.rs
@@ -4,8 +4,8 @@
 use super::report::{Report, peak_bytes, reset_peak, resident_bytes, unsettled};
 use super::source::{Form, ListSource};
 use crate::scale::{Meter, ScaleError, Source, Unit};
-use merlinreel_discovery::{DiscoveryNews, ServerTable, decode};
-use merlinreel_policy::ServerList;
+use merlinreel_discovery::{DiscoveryUpdate, EndpointTable, decode};
+use merlinreel_policy::EndpointUpdate;
 use std::time::Duration;
 
 /// Servers in a large change message.
@@ -25,7 +25,7 @@
     source.full_list().map_err(|error| report.failed(error))
 }
 
-fn news(report: &Report) -> Result<DiscoveryNews, ScaleError> {
+fn news(report: &Report) -> Result<DiscoveryUpdate, ScaleError> {
     decode(&list(report, Form::Compact)?).map_err(|error| report.failed(error))
 }
 
@@ -106,7 +106,7 @@
         "apply_all_new_cpu",
         || {
             Ok((0..repeats)
-                .map(|_| (ServerTable::default(), news.clone()))
+                .map(|_| (EndpointTable::default(), news.clone()))
                 .collect())
         },
         |(mut table, news)| {
@@ -114,7 +114,7 @@
             Ok((table, list))
         },
     )?;
-    let mut table = ServerTable::default();
+    let mut table = EndpointTable::default();
     table.apply(news.clone(), false);
     report.cpu_of_each(
         "apply_all_known_cpu",
@@ -125,7 +125,7 @@
 
 /// The round that brings a list to the decision module.
 fn follow(report: &mut Report) -> Result<(), ScaleError> {
-    let list = ServerTable::default().apply(news(report)?, false);
+    let list = EndpointTable::default().apply(news(report)?, false);
     let (seed, size, repeats) = (report.request.seed, report.size, report.repeats());
     let limiter = || HollowLimiter::new(seed).map_err(|why| unsettled(size, why));
     report.cpu_of_each(
@@ -145,7 +145,7 @@
     report.cpu_of_each(
         "follow_all_known_cpu",
         || Ok((0..KNOWN_LISTS * repeats).map(|_| list.clone()).collect()),
-        |list: ServerList| {
+        |list: EndpointUpdate| {
             limiter.follow(list);
             Ok(())
         },
--- a/crates/merlinreel-testkit/src/scale/server_list/source/tests.rs
+++ b/crates/merlinreel-testkit/src/scale/server_list/source/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 use merlinreel_discovery::decode;
-use merlinreel_policy::Standing;
+use merlinreel_policy::EndpointState;
 use serde_json::Value;
 use std::collections::BTreeSet;
 use test_case::test_case;
@@ -30,7 +30,7 @@
         .collect();
     let addresses: BTreeSet<SocketAddr> =
         news.servers.iter().map(|server| server.address).collect();
-    assert!(news.whole);
+    assert!(news.complete);
     assert_eq!(
         (names.len(), addresses.len()),
         (SERVERS as usize, SERVERS as usize)
@@ -45,13 +45,13 @@
     let removed = news
         .servers
         .iter()
-        .filter(|server| server.standing == Standing::Gone)
+        .filter(|server| server.state == EndpointState::Removed)
         .count();
     let names: BTreeSet<&str> = news
         .servers
         .iter()
         .map(|server| server.name.as_str())
         .collect();
-    assert!(!news.whole);
+    assert!(!news.complete);
     assert_eq!((removed, news.servers.len(), names.len()), (30, 60, 60));
 }
--- a/crates/merlinreel-testkit/src/scale/tenants/hollow.rs
+++ b/crates/merlinreel-testkit/src/scale/tenants/hollow.rs
@@ -1,12 +1,12 @@
 //! One limiter's decision module with many tenants and no sockets, on a clock that the caller moves.
 
 use merlinreel_policy::decide::Limiter;
-use merlinreel_policy::peer_message::{self, Head, Row};
+use merlinreel_policy::peer_message::{self, CounterRow, Head};
 use merlinreel_policy::{
-    AttemptEnd, Ending, Job, Load, PeerMessage, Round, ServerEntry, ServerList, Standing, Writer,
-    mark,
+    Actions, AttemptOutcome, AttemptResult, Endpoint, EndpointState, EndpointUpdate, EventBatch,
+    LoadReport, PeerMessage, Request, ring_hash,
 };
-use merlinreel_settings::{Paths, Terms};
+use merlinreel_settings::{Paths, Settings};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use serde_json::json;
@@ -51,28 +51,28 @@
     told: Vec<u32>,
 }
 
-impl Writer for Decisions {
-    fn send(&mut self, _: u32, server: u32, _: Option<Duration>) {
+impl Actions for Decisions {
+    fn start_attempt(&mut self, _: u32, server: u32, _: Option<Duration>) {
         self.sent = Some(server);
     }
-    fn refuse(&mut self, _: u32, _: Option<Duration>) {
+    fn reject(&mut self, _: u32, _: Option<Duration>) {
         self.refused = true;
     }
-    fn tell(&mut self, limiter: u32, peer_message: &[u8]) {
+    fn send_peer_message(&mut self, limiter: u32, peer_message: &[u8]) {
         self.said.peer_messages += 1;
         self.said.peer_bytes += peer_message.len() as u64;
         self.told.push(limiter);
     }
     fn fail(&mut self, _: u32) {}
-    fn revoke(&mut self, _: u32, _: u32) {}
-    fn probe(&mut self, _: u32) {}
-    fn count(&mut self, _: u64, _: u64, _: f64, _: Duration) {}
-    fn follow_discovery(&mut self, _: bool) {}
-    fn ask_discovery(&mut self) {}
-    fn close_idle(&mut self, _: u32) {}
-    fn forget(&mut self, _: u32) {}
-    fn wake(&mut self, _: Duration) {}
-    fn note(&mut self, _: &str) {}
+    fn cancel_attempt(&mut self, _: u32, _: u32) {}
+    fn start_health_check(&mut self, _: u32) {}
+    fn increment_counter(&mut self, _: u64, _: u64, _: f64, _: Duration) {}
+    fn set_endpoint_subscription(&mut self, _: bool) {}
+    fn poll_endpoints(&mut self) {}
+    fn close_idle_connections(&mut self, _: u32) {}
+    fn release_endpoint(&mut self, _: u32) {}
+    fn schedule_wakeup(&mut self, _: Duration) {}
+    fn log(&mut self, _: &str) {}
 }
 
 #[derive(Clone, Copy)]
@@ -99,7 +99,7 @@
     /// The last of its fleet, which all others have greeted; it knows no tenant yet.
     pub fn new(fleet: Fleet, seed: u64) -> Result<HollowLimiter, String> {
         let me = fleet.limiters - 1;
-        let terms = Terms::read(&Paths::from_json(&settings(fleet, me))?)?;
+        let terms = Settings::read(&Paths::from_json(&settings(fleet, me))?)?;
         let mut chance = ChaCha8Rng::seed_from_u64(seed);
         let first_customer = u64::from(chance.random::<u32>());
         let mut hollow = HollowLimiter {
@@ -113,9 +113,9 @@
             decisions: Decisions::default(),
             heads: vec![Head { life: 1, number: 0 }; fleet.limiters as usize],
         };
-        let round = Round {
-            server_list: vec![server_list()],
-            ..Round::default()
+        let round = EventBatch {
+            endpoint_updates: vec![server_list()],
+            ..EventBatch::default()
         };
         hollow.run(&round);
         hollow.hear_from(0..me);
@@ -130,7 +130,7 @@
         self.tenants.len() as u64
     }
 
-    fn run(&mut self, round: &Round) {
+    fn run(&mut self, round: &EventBatch) {
         self.limiter.round(self.now, round, &mut self.decisions);
     }
 
@@ -140,13 +140,13 @@
             .into_iter()
             .flat_map(|peer| self.messages(peer, &[]))
             .collect();
-        self.run(&Round {
+        self.run(&EventBatch {
             peer_messages,
-            ..Round::default()
+            ..EventBatch::default()
         });
     }
 
-    fn messages(&mut self, from: u32, rows: &[Row]) -> Vec<PeerMessage> {
+    fn messages(&mut self, from: u32, rows: &[CounterRow]) -> Vec<PeerMessage> {
         let head = &mut self.heads[from as usize];
         head.number += 1;
         let written = peer_message::write(*head, rows);
@@ -190,21 +190,21 @@
             set_first,
         } = self.tenants[tenant];
         let set_size = self.fleet.set_size;
-        let job = Job {
-            job: 0,
+        let job = Request {
+            id: 0,
             customer,
             plan: 0,
             class: 0,
             units,
-            time_left: TIME_LEFT,
+            remaining_time: TIME_LEFT,
             set_size,
             set_first,
-            again: false,
+            is_retry: false,
         };
         (self.decisions.sent, self.decisions.refused) = (None, false);
-        self.run(&Round {
-            jobs: vec![job],
-            ..Round::default()
+        self.run(&EventBatch {
+            requests: vec![job],
+            ..EventBatch::default()
         });
         if self.decisions.refused {
             self.decisions.said.refused += 1;
@@ -212,13 +212,13 @@
         }
         self.decisions.said.admitted += 1;
         let over = match self.decisions.sent {
-            Some(server) => Round {
-                attempt_ends: vec![answered(server)],
-                ..Round::default()
+            Some(server) => EventBatch {
+                attempt_results: vec![answered(server)],
+                ..EventBatch::default()
             },
-            None => Round {
-                left: vec![0],
-                ..Round::default()
+            None => EventBatch {
+                disconnects: vec![0],
+                ..EventBatch::default()
             },
         };
         self.run(&over);
@@ -240,7 +240,7 @@
     /// The same after another time, in which no beat is run.
     pub fn step(&mut self, after: Duration) {
         self.now += after;
-        self.run(&Round::default());
+        self.run(&EventBatch::default());
         let told = std::mem::take(&mut self.decisions.told);
         if !told.is_empty() {
             self.hear_from(told);
@@ -263,7 +263,7 @@
     /// All others of each tenant's set report one unit in the present window. The number of rows told.
     pub fn hear_reports(&mut self) -> u64 {
         let window = self.now.as_secs() / WINDOW_SECONDS;
-        let mut rows: Vec<Vec<Row>> = vec![Vec::new(); self.fleet.limiters as usize];
+        let mut rows: Vec<Vec<CounterRow>> = vec![Vec::new(); self.fleet.limiters as usize];
         for tenant in &self.tenants {
             for peer in set(self.fleet, tenant.set_first).filter(|&peer| peer != self.me) {
                 rows[peer as usize].push(report(tenant.customer, window));
@@ -273,9 +273,9 @@
         for (peer, rows) in rows.iter().enumerate().filter(|(_, rows)| !rows.is_empty()) {
             told += rows.len() as u64;
             let peer_messages = self.messages(peer as u32, rows);
-            self.run(&Round {
+            self.run(&EventBatch {
                 peer_messages,
-                ..Round::default()
+                ..EventBatch::default()
             });
         }
         told
@@ -294,8 +294,8 @@
     (0..fleet.set_size).map(move |place| (first + place) % fleet.limiters)
 }
 
-fn report(customer: u64, window: u64) -> Row {
-    Row {
+fn report(customer: u64, window: u64) -> CounterRow {
+    CounterRow {
         customer,
         plan: 0,
         window: window & 3,
@@ -306,33 +306,33 @@
     }
 }
 
-fn answered(server: u32) -> AttemptEnd {
-    AttemptEnd {
-        job: 0,
+fn answered(server: u32) -> AttemptResult {
+    AttemptResult {
+        request: 0,
         attempt: 0,
         server,
-        ending: Ending::Served,
-        took: Duration::from_millis(100),
-        finished: true,
+        outcome: AttemptOutcome::Success,
+        latency: Duration::from_millis(100),
+        request_completed: true,
         units: None,
-        metered: None,
-        load: Load::default(),
+        metered_usage: None,
+        load: LoadReport::default(),
     }
 }
 
-fn server_list() -> ServerList {
-    let entry = |server: u32| ServerEntry {
+fn server_list() -> EndpointUpdate {
+    let entry = |server: u32| Endpoint {
         server,
-        mark: mark(&server.to_string()),
-        standing: Standing::Up,
+        ring_hash: ring_hash(&server.to_string()),
+        state: EndpointState::Ready,
         weight: 1.0,
-        ..ServerEntry::default()
+        ..Endpoint::default()
     };
-    ServerList {
-        whole: true,
-        restored: false,
+    EndpointUpdate {
+        complete: true,
+        cached: false,
         unavailable: false,
-        entries: (0..SERVERS).map(entry).collect(),
+        endpoints: (0..SERVERS).map(entry).collect(),
     }
 }
 
--- a/crates/merlinreel-testkit/tests/scale_configuration.rs
+++ b/crates/merlinreel-testkit/tests/scale_configuration.rs
@@ -21,7 +21,7 @@
     for _ in 0..CHANGES {
         change(&mut entries);
         let terms = configuration::read(&entries.text()).expect("sound");
-        limiter.retune(&terms.classes, terms.jobs);
+        limiter.reconfigure(&terms.classes, terms.request_limits);
     }
     (limiter.sizes().1 - entries.classes()) as f64
 }
--- a/crates/merlinreel-testkit/tests/scale_server_list.rs
+++ b/crates/merlinreel-testkit/tests/scale_server_list.rs
@@ -1,6 +1,6 @@
 //! The scale measurement of the servers' list in a short form: counts only, which are the same each run.
 
-use merlinreel_discovery::DiscoveryNews;
+use merlinreel_discovery::DiscoveryUpdate;
 use merlinreel_testkit::scale::server_list::{
     Form, HollowLimiter, ListHolder, ListSource, RealHolder, measure, measure_limiters_restarting,
     measure_steps,
@@ -147,7 +147,7 @@
 struct ScannedTable(Vec<String>);
 
 impl ListHolder for ScannedTable {
-    fn take(&mut self, news: DiscoveryNews) -> u64 {
+    fn take(&mut self, news: DiscoveryUpdate) -> u64 {
         let mut comparisons = 0;
         for server in news.servers {
             let known = self.0.iter().any(|name| {
--- a/crates/merlinreel/src/admin.rs
+++ b/crates/merlinreel/src/admin.rs
@@ -7,7 +7,7 @@
 use crate::config::limits::Limits;
 use crate::log;
 use crate::net::backoff::Backoff;
-use crate::net::observed_stream::{Tallied, Untallied};
+use crate::net::observed_stream::{ObservedStream, Unobserved};
 use http_body_util::Full;
 use hyper::body::{Bytes, Incoming};
 use hyper::server::conn::http1::Builder;
@@ -89,7 +89,7 @@
                 .timer(TokioTimer::new())
                 .header_read_timeout(call)
                 .serve_connection(
-                    TokioIo::new(Tallied::new(stream, Arc::new(Untallied))),
+                    TokioIo::new(ObservedStream::new(stream, Arc::new(Unobserved))),
                     service,
                 );
             // A call whose body never ends is cut off, too.
--- a/crates/merlinreel/src/client.rs
+++ b/crates/merlinreel/src/client.rs
@@ -13,11 +13,11 @@
 #[cfg(test)]
 mod tests;
 
-use crate::client::admission::Claims;
+use crate::client::admission::AdmissionPermits;
 use crate::config::limits::Limits;
 use crate::log;
-use crate::messages::{Queue, Tuned};
-use crate::telemetry::metrics::{Figures, Outcome, class_of};
+use crate::messages::{ActiveSettings, Queue};
+use crate::telemetry::metrics::{Metrics, Outcome, class_of};
 use connection::{ClientConnection, lock, who_gives_way};
 use http_body_util::Either;
 use hyper::header::{CONNECTION, HeaderValue};
@@ -30,18 +30,18 @@
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex, OnceLock};
 use std::time::{Duration, Instant};
-use stream::Line;
+use stream::ClientStream;
 use tokio::net::TcpStream;
 use tokio::sync::watch;
 use tokio::time::sleep;
 
-type Wire = TokioIo<Line>;
+type Wire = TokioIo<ClientStream>;
 
 /// What all clients' connections share.
-pub struct Door {
+pub struct ClientListener {
     limits: Limits,
     /// The settings in force, and each class's index in the module.
-    tuned: watch::Receiver<Arc<Tuned>>,
+    tuned: watch::Receiver<Arc<ActiveSettings>>,
     queue: Queue,
     tickets: AtomicU64,
     /// Whether jobs were taken yet.
@@ -51,21 +51,21 @@
     /// From some time after that on: answers tell that their connection closes.
     closing: AtomicBool,
     in_hand: AtomicUsize,
-    claims: Claims,
+    claims: AdmissionPermits,
     client_connections: Mutex<HashMap<u64, Arc<ClientConnection>>>,
-    figures: Arc<Figures>,
+    figures: Arc<Metrics>,
 }
 
-impl Door {
+impl ClientListener {
     pub fn new(
         limits: Limits,
-        tuned: watch::Receiver<Arc<Tuned>>,
+        tuned: watch::Receiver<Arc<ActiveSettings>>,
         queue: Queue,
-        figures: Arc<Figures>,
-    ) -> Arc<Door> {
-        Arc::new(Door {
+        figures: Arc<Metrics>,
+    ) -> Arc<ClientListener> {
+        Arc::new(ClientListener {
             figures,
-            claims: Claims::new(&limits),
+            claims: AdmissionPermits::new(&limits),
             limits,
             tuned,
             queue,
@@ -116,9 +116,13 @@
         }
     }
 
-    async fn serve(self: &Arc<Door>, stream: TcpStream, client_connection: Arc<ClientConnection>) {
+    async fn serve(
+        self: &Arc<ClientListener>,
+        stream: TcpStream,
+        client_connection: Arc<ClientConnection>,
+    ) {
         let _ = stream.set_nodelay(true);
-        let mut io = TokioIo::new(Line::new(
+        let mut io = TokioIo::new(ClientStream::new(
             stream,
             client_connection.clone(),
             &self.limits,
@@ -136,7 +140,7 @@
     /// Serves a connection until its end. Where it is to close between requests it is given back: to be closed, or
     /// served on if something had come. The answer then tells the closing.
     async fn serve_on(
-        self: &Arc<Door>,
+        self: &Arc<ClientListener>,
         io: Wire,
         client_connection: &Arc<ClientConnection>,
     ) -> Option<Wire> {
