--- a/crates/merlinreel/src/client/admission.rs
+++ b/crates/merlinreel/src/client/admission.rs
@@ -8,22 +8,22 @@
 
 /// All that is claimed at one limiter.
 #[derive(Clone, Debug)]
-pub struct Claims {
+pub struct AdmissionPermits {
     ids: Arc<Mutex<HashSet<HeaderValue>>>,
     bodies: Arc<Semaphore>,
 }
 
 /// Given back with its end.
 #[derive(Debug)]
-pub struct Claim {
-    of: Claims,
+pub struct AdmissionPermit {
+    of: AdmissionPermits,
     id: HeaderValue,
     _body: Option<OwnedSemaphorePermit>,
 }
 
-impl Claims {
-    pub fn new(limits: &Limits) -> Claims {
-        Claims {
+impl AdmissionPermits {
+    pub fn new(limits: &Limits) -> AdmissionPermits {
+        AdmissionPermits {
             ids: Arc::default(),
             bodies: Arc::new(Semaphore::new(limits.bodies)),
         }
@@ -43,13 +43,17 @@
     }
 
     /// Guards a job that is open against another under its id, which servers would take for a second copy of it.
-    pub fn open(&self, id: &HeaderValue, body: Option<OwnedSemaphorePermit>) -> Option<Claim> {
+    pub fn open(
+        &self,
+        id: &HeaderValue,
+        body: Option<OwnedSemaphorePermit>,
+    ) -> Option<AdmissionPermit> {
         let fresh = self
             .ids
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
             .insert(id.clone());
-        fresh.then(|| Claim {
+        fresh.then(|| AdmissionPermit {
             of: self.clone(),
             id: id.clone(),
             _body: body,
@@ -57,7 +61,7 @@
     }
 }
 
-impl Drop for Claim {
+impl Drop for AdmissionPermit {
     fn drop(&mut self) {
         self.of
             .ids
--- a/crates/merlinreel/src/client/admission/tests.rs
+++ b/crates/merlinreel/src/client/admission/tests.rs
@@ -2,7 +2,7 @@
 
 #[test]
 fn an_id_and_a_body_s_bytes_are_held_until_the_job_is_over() {
-    let claims = Claims {
+    let claims = AdmissionPermits {
         ids: Arc::default(),
         bodies: Arc::new(Semaphore::new(8)),
     };
@@ -19,7 +19,7 @@
 }
 #[test]
 fn a_place_grows_by_what_is_left_and_is_given_back_whole() {
-    let claims = Claims {
+    let claims = AdmissionPermits {
         ids: Arc::default(),
         bodies: Arc::new(Semaphore::new(8)),
     };
--- a/crates/merlinreel/src/client/body.rs
+++ b/crates/merlinreel/src/client/body.rs
@@ -1,6 +1,6 @@
 //! Bodies of clients' requests: read whole, within their time and the memory that they share.
 
-use super::Door;
+use super::ClientListener;
 use super::connection::{ClientConnection, lock};
 use crate::client::decode::respond;
 use crate::config::limits::Limits;
@@ -67,7 +67,7 @@
     }
 }
 
-impl Door {
+impl ClientListener {
     /// The whole of a body and its place in the memory. One that comes in chunks, its length untold, takes its place
     /// piece by piece; trailers are dropped.
     pub(super) async fn body(
--- a/crates/merlinreel/src/client/connection.rs
+++ b/crates/merlinreel/src/client/connection.rs
@@ -1,10 +1,10 @@
 //! One client's connection: what it did last, and who gives way where places are short.
 
 use super::framing::ObservedHead;
-use super::stream::Line;
+use super::stream::ClientStream;
 use crate::config::limits::Limits;
-use crate::messages::News;
-use crate::net::observed_stream::Tally;
+use crate::messages::Event;
+use crate::net::observed_stream::IoObserver;
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Instant;
@@ -32,7 +32,7 @@
     pub times: Mutex<Times>,
     pub close: Notify,
     /// A place in the queue for the news that the client has left; it can leave but once.
-    pub leaving: Mutex<Option<mpsc::OwnedPermit<News>>>,
+    pub leaving: Mutex<Option<mpsc::OwnedPermit<Event>>>,
 }
 
 /// Since when it waits for a request, since when part of one is there, since when the rest of an answer waits
@@ -56,7 +56,7 @@
 }
 
 impl ClientConnection {
-    pub fn new(leaving: mpsc::OwnedPermit<News>) -> ClientConnection {
+    pub fn new(leaving: mpsc::OwnedPermit<Event>) -> ClientConnection {
         ClientConnection {
             busy: AtomicBool::new(false),
             requests: AtomicUsize::new(0),
@@ -178,7 +178,7 @@
     }
 
     /// Closes it, for as long as that lingers or until it has to give way.
-    pub async fn close(&self, line: &mut Line) {
+    pub async fn close(&self, line: &mut ClientStream) {
         // An order to close that came before is carried out by this.
         tokio::select! {
             biased;
@@ -201,7 +201,7 @@
     }
 }
 
-impl Tally for ClientConnection {
+impl IoObserver for ClientConnection {
     fn read(&self, _: usize) {
         if !self.busy.load(Ordering::Relaxed) {
             lock(&self.times).heard.get_or_insert_with(Instant::now);
--- a/crates/merlinreel/src/client/decode.rs
+++ b/crates/merlinreel/src/client/decode.rs
@@ -1,14 +1,14 @@
 //! What a client sent as a job, and an answer as the client gets it.
 
-use crate::messages::Answer;
+use crate::messages::ClientResponse;
 use crate::upstream::streaming_body::Reply;
 use http_body_util::{Either, Full};
 use hyper::body::Bytes;
 use hyper::header::{CONNECTION, CONTENT_LENGTH, HeaderMap, HeaderName, HeaderValue, RETRY_AFTER};
 use hyper::http::request::Parts;
 use hyper::{Method, Response, StatusCode};
-use merlinreel_policy::{Class, Job, Peers, Repeats};
-use merlinreel_settings::Terms;
+use merlinreel_policy::{FleetConfig, Idempotency, Request, RequestClass};
+use merlinreel_settings::Settings;
 use std::time::Duration;
 
 pub const TXN: HeaderName = HeaderName::from_static("x-txn");
@@ -71,7 +71,7 @@
 }
 
 /// The units that a job draws, and its customer's set: how many limiters, and the first.
-fn quota(text: &str, peers: &Peers) -> Result<(f64, u32, u32), String> {
+fn quota(text: &str, peers: &FleetConfig) -> Result<(f64, u32, u32), String> {
     let (mut units, mut set_size, mut set_first) = (None, None, None);
     for pair in text.split(',') {
         let (name, value) = pair
@@ -90,7 +90,7 @@
     }
     let units = units
         .flatten()
-        .filter(|&units| units > 0.0 && units <= peers.most_units);
+        .filter(|&units| units > 0.0 && units <= peers.max_units);
     let units = units.ok_or("x-quota: units is no number in range")?;
     match (set_size.flatten(), set_first.flatten()) {
         (Some(size @ 1..), Some(first)) if size <= peers.limiters && first < peers.limiters => {
@@ -101,7 +101,7 @@
 }
 
 /// Reads a job from a request's head: its class, customer, plan and quota, and the time the client waits.
-pub fn decode(head: &Parts, terms: &Terms) -> Result<Job, String> {
+pub fn decode(head: &Parts, terms: &Settings) -> Result<Request, String> {
     let path = head.uri.path().trim_start_matches('/');
     let lane = path.split('/').next().unwrap_or(path);
     if let Some(value) = once(&head.headers, &LANE)?
@@ -109,16 +109,16 @@
     {
         return Err("the path and x-lane name two classes".to_owned());
     }
-    let class = terms.wire.classes.iter().position(|name| name == lane);
+    let class = terms.sockets.classes.iter().position(|name| name == lane);
     let class = class.ok_or_else(|| format!("class '{lane}' is unknown"))?;
     let plan = text(&head.headers, &PLAN)?;
-    let plan = terms.wire.plans.iter().position(|name| name == plan);
+    let plan = terms.sockets.plans.iter().position(|name| name == plan);
     let plan = plan.ok_or("x-plan: unknown")?;
     text(&head.headers, &TXN)?;
-    let Class {
+    let RequestClass {
         repeats, deadline, ..
     } = &terms.classes[class];
-    let method = if *repeats == Repeats::Replayable {
+    let method = if *repeats == Idempotency::Idempotent {
         Method::GET
     } else {
         Method::POST
@@ -130,7 +130,7 @@
     if method == Method::GET && length.is_some_and(|length| length != "0") {
         return Err(format!("class '{lane}' comes without a body"));
     }
-    if matches!(repeats, Repeats::Keyed(..)) {
+    if matches!(repeats, Idempotency::IdempotencyKey(..)) {
         text(&head.headers, &IDEMPOTENCY_KEY)?;
     }
     let pairs = head.uri.query().unwrap_or_default().split('&');
@@ -144,22 +144,22 @@
         .then(|| u64::from_str_radix(key, 16).ok());
     let customer = customer.flatten().filter(|&number| number < CUSTOMERS);
     let customer = customer.ok_or("key: no customer's number")?;
-    let (units, set_size, set_first) = quota(text(&head.headers, &QUOTA)?, &terms.peers)?;
-    let time_left =
+    let (units, set_size, set_first) = quota(text(&head.headers, &QUOTA)?, &terms.fleet)?;
+    let remaining_time =
         remaining(text(&head.headers, &REMAINING)?).ok_or("x-remaining: no number with m or u")?;
     // No client of a class waits longer than its deadline.
-    let time_left = time_left.min(*deadline);
+    let remaining_time = remaining_time.min(*deadline);
     let again = once(&head.headers, &RESENT)?.is_some_and(|value| value == "1");
-    Ok(Job {
-        job: 0,
+    Ok(Request {
+        id: 0,
         customer,
         plan,
         class,
         units,
-        time_left,
+        remaining_time,
         set_size,
         set_first,
-        again,
+        is_retry: again,
     })
 }
 
@@ -177,9 +177,9 @@
 }
 
 /// An answer as the client gets it.
-pub fn encode(answer: Answer) -> Response<Reply> {
+pub fn encode(answer: ClientResponse) -> Response<Reply> {
     let answer = match answer {
-        Answer::Served(delivery) => {
+        ClientResponse::Success(delivery) => {
             let body = match delivery.flow {
                 Some(flow) => Either::Right(*flow),
                 None => Either::Left(Full::new(delivery.body)),
@@ -188,14 +188,14 @@
             *response.headers_mut() = delivery.headers;
             return response;
         }
-        Answer::Refused(wait) => {
+        ClientResponse::Rejected(wait) => {
             let mut response = respond(StatusCode::TOO_MANY_REQUESTS, String::new());
             let value = wait
                 .and_then(|wait| HeaderValue::try_from(format!("{:.3}", wait.as_secs_f64())).ok());
             value.map(|value| response.headers_mut().insert(RETRY_AFTER, value));
             response
         }
-        Answer::Failed => respond(StatusCode::BAD_GATEWAY, "failed\n".to_owned()),
+        ClientResponse::Failed => respond(StatusCode::BAD_GATEWAY, "failed\n".to_owned()),
     };
     answer.map(Either::Left)
 }
--- a/crates/merlinreel/src/client/decode/tests.rs
+++ b/crates/merlinreel/src/client/decode/tests.rs
@@ -1,5 +1,4 @@
 use super::*;
-use hyper::Request;
 use merlinreel_settings::Paths;
 use serde_json::json;
 use test_case::test_case;
@@ -14,15 +13,15 @@
     ("x-quota", "units=2,spread=2,first=1,odd=4"),
 ];
 
-fn read(uri: &str, changed: (&str, &str)) -> Result<Job, String> {
+fn read(uri: &str, changed: (&str, &str)) -> Result<Request, String> {
     let settings = json!({"balancers": 3, "familyInfo": {"maxUnits": 8}, "packages": [{"name": "solo"}, {"name": "team"}], "classes": [
         {"name": "look", "idempotency": "read_like", "hardLimitS": 1},
         {"name": "put", "idempotency": "idempotency_key", "group": "all", "hardLimitS": 1}]});
-    let terms = Terms::read(&Paths::from_json(&settings)?)?;
+    let terms = Settings::read(&Paths::from_json(&settings)?)?;
     let mut request = if changed.1 == "GET" {
-        Request::get(uri)
+        hyper::Request::get(uri)
     } else {
-        Request::post(uri)
+        hyper::Request::post(uri)
     };
     // A `+` before a name: once more.
     let (name, more) = (
@@ -47,12 +46,12 @@
     let job = read(URI, ("x-resent", "1")).expect("sound");
     assert_eq!((job.customer, job.plan, job.class), (0xb4d6_5521, 1, 1));
     assert_eq!(
-        (job.units, job.set_size, job.set_first, job.again),
+        (job.units, job.set_size, job.set_first, job.is_retry),
         (2.0, 2, 1, true)
     );
-    assert_eq!(job.time_left, Duration::from_millis(480));
+    assert_eq!(job.remaining_time, Duration::from_millis(480));
     let patient = read(URI, ("x-remaining", "4000000000m")).expect("sound");
-    assert_eq!(patient.time_left, Duration::from_secs(1));
+    assert_eq!(patient.remaining_time, Duration::from_secs(1));
 }
 
 #[test]
@@ -91,10 +90,10 @@
     read(uri, changed).map(|_| ()).expect_err("malformed")
 }
 
-#[test_case(Answer::Refused(Some(Duration::from_millis(1250))) => (429, Some("1.250".to_owned())) ; "refused")]
-#[test_case(Answer::Refused(None) => (429, None) ; "refused without advice")]
-#[test_case(Answer::Failed => (502, None) ; "failed")]
-fn answers(answer: Answer) -> (u16, Option<String>) {
+#[test_case(ClientResponse::Rejected(Some(Duration::from_millis(1250))) => (429, Some("1.250".to_owned())) ; "refused")]
+#[test_case(ClientResponse::Rejected(None) => (429, None) ; "refused without advice")]
+#[test_case(ClientResponse::Failed => (502, None) ; "failed")]
+fn answers(answer: ClientResponse) -> (u16, Option<String>) {
     let response = encode(answer);
     let wait = response
         .headers()
--- a/crates/merlinreel/src/client/in_flight.rs
+++ b/crates/merlinreel/src/client/in_flight.rs
@@ -1,42 +1,45 @@
 //! What is in hand at a client's connection: a request, or a long answer that flows.
 
-use super::Door;
+use super::ClientListener;
 use super::connection::{ClientConnection, lock};
-use crate::messages::News;
+use crate::messages::Event;
 use crate::telemetry::metrics::Outcome;
 use crate::upstream::streaming_body::Held;
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 
 /// Tells the driver that the client has left, unless its job has been answered.
-pub struct Attending<'a> {
+pub struct DisconnectGuard<'a> {
     pub client_connection: &'a ClientConnection,
     pub ticket: Option<u64>,
 }
 
-impl Drop for Attending<'_> {
+impl Drop for DisconnectGuard<'_> {
     fn drop(&mut self) {
         if let Some(ticket) = self.ticket
             && let Some(place) = lock(&self.client_connection.leaving).take()
         {
-            place.send(News::Left(ticket));
+            place.send(Event::ClientDisconnected(ticket));
         }
     }
 }
 
 /// A request in hand, answered or left at its end.
-pub struct Hand<'a> {
-    door: &'a Door,
+pub struct InFlightGuard<'a> {
+    door: &'a ClientListener,
     client_connection: &'a ClientConnection,
     /// How many there were before it.
     pub number: usize,
 }
 
-impl<'a> Hand<'a> {
-    pub fn take(door: &'a Door, client_connection: &'a ClientConnection) -> Hand<'a> {
+impl<'a> InFlightGuard<'a> {
+    pub fn take(
+        door: &'a ClientListener,
+        client_connection: &'a ClientConnection,
+    ) -> InFlightGuard<'a> {
         client_connection.busy.store(true, Ordering::Relaxed);
         client_connection.requests.fetch_add(1, Ordering::Relaxed);
-        Hand {
+        InFlightGuard {
             door,
             client_connection,
             number: door.in_hand.fetch_add(1, Ordering::Relaxed),
@@ -44,7 +47,7 @@
     }
 }
 
-impl Drop for Hand<'_> {
+impl Drop for InFlightGuard<'_> {
     fn drop(&mut self) {
         self.door.let_go(self.client_connection);
     }
@@ -54,14 +57,14 @@
 /// against a connection that looks idle once its request is answered at the head, and is closed under the body,
 /// and against a stop that ends the process with nothing else in hand.
 pub struct Flowing {
-    door: Arc<Door>,
+    door: Arc<ClientListener>,
     client_connection: Arc<ClientConnection>,
     class: String,
 }
 
 impl Flowing {
     pub fn new(
-        door: Arc<Door>,
+        door: Arc<ClientListener>,
         client_connection: Arc<ClientConnection>,
         class: String,
     ) -> Flowing {
--- a/crates/merlinreel/src/client/request_reader.rs
+++ b/crates/merlinreel/src/client/request_reader.rs
@@ -1,30 +1,30 @@
 //! A request taken in: read whole, handed to the driver as a job, and answered.
 
-use super::Door;
+use super::ClientListener;
 use super::body::BodyPatience;
 use super::connection::ClientConnection;
 use super::framing::{self, ObservedHead};
-use super::in_flight::{Attending, Hand};
+use super::in_flight::{DisconnectGuard, InFlightGuard};
 use crate::client::decode::{TXN, decode, encode, last, respond};
 use crate::log;
-use crate::messages::{Arrival, News, Parcel};
-use crate::net::observed_stream::Tally;
+use crate::messages::{Event, IncomingRequest, UpstreamRequest};
+use crate::net::observed_stream::IoObserver;
 use crate::upstream::streaming_body::Reply;
 use crate::upstream::strip_hop_by_hop;
 use http_body_util::{Either, Full};
 use hyper::body::{Body, Bytes, Incoming};
-use hyper::{Method, Request, Response, StatusCode, Uri};
-use merlinreel_policy::Job;
+use hyper::{Method, Response, StatusCode, Uri};
+use merlinreel_policy::Request;
 use std::sync::atomic::Ordering;
 use std::time::Instant;
 use tokio::sync::oneshot;
 
-impl Door {
+impl ClientListener {
     /// The answer to a request, whose head showed what is `observed` and came at `sent`: the client's time runs from its
     /// sending, and that is the earliest that is known of it here.
     pub(super) async fn request(
         &self,
-        request: Request<Incoming>,
+        request: hyper::Request<Incoming>,
         observed: ObservedHead,
         sent: Instant,
         client_connection: &ClientConnection,
@@ -58,7 +58,7 @@
             Some(length) => client_connection.extend_consumed(length),
             None => client_connection.consume(),
         }
-        let hand = Hand::take(self, client_connection);
+        let hand = InFlightGuard::take(self, client_connection);
         // The places beyond are kept to say so to whoever comes, at once.
         if hand.number >= self.limits.clients {
             let busy = respond(
@@ -74,7 +74,7 @@
             return answer.map(Either::Left);
         }
         // A stop has its own end: what comes late has its answer by then.
-        let until = sent + job.time_left;
+        let until = sent + job.remaining_time;
         let until = self.stops_at().map_or(until, |end| until.min(end));
         self.job(job, parcel, until, client_connection).await
     }
@@ -83,11 +83,11 @@
     /// never whole can give way to others.
     async fn read(
         &self,
-        request: Request<Incoming>,
+        request: hyper::Request<Incoming>,
         sent: Instant,
         due: Instant,
         client_connection: &ClientConnection,
-    ) -> Result<(Job, Parcel), Response<Full<Bytes>>> {
+    ) -> Result<(Request, UpstreamRequest), Response<Full<Bytes>>> {
         let (mut head, body) = request.into_parts();
         // A job keeps the rules that were in force when it came, whatever is read later.
         let tuned = self.tuned.borrow().clone();
@@ -101,7 +101,7 @@
             let allowed = head.method != Method::GET;
             let patience = BodyPatience {
                 due,
-                gone: sent + job.time_left,
+                gone: sent + job.remaining_time,
                 begun: Instant::now(),
             };
             let read = self.body(body, allowed, patience, client_connection).await;
@@ -120,7 +120,7 @@
             )
         })?;
         strip_hop_by_hop(&mut head.headers);
-        // Servers get the path alone, whichever form the client's target had.
+        // UpstreamPool get the path alone, whichever form the client's target had.
         let uri = match head.uri.authority() {
             Some(_) => head
                 .uri
@@ -133,7 +133,7 @@
         let claim = Some(claim);
         Ok((
             job,
-            Parcel {
+            UpstreamRequest {
                 method: head.method,
                 uri,
                 headers: head.headers,
@@ -145,27 +145,27 @@
 
     async fn job(
         &self,
-        job: Job,
-        parcel: Parcel,
+        job: Request,
+        parcel: UpstreamRequest,
         until: Instant,
         client_connection: &ClientConnection,
     ) -> Response<Reply> {
         let ticket = self.tickets.fetch_add(1, Ordering::Relaxed);
         let (answer, answered) = oneshot::channel();
-        let arrival = Arrival {
+        let arrival = IncomingRequest {
             ticket,
             job,
             until,
             parcel,
             answer,
         };
-        let mut attending = Attending {
+        let mut attending = DisconnectGuard {
             client_connection,
             ticket: Some(ticket),
         };
         if self
             .queue
-            .send(News::Arrival(Box::new(arrival)))
+            .send(Event::Request(Box::new(arrival)))
             .await
             .is_err()
         {
--- a/crates/merlinreel/src/client/shutdown.rs
+++ b/crates/merlinreel/src/client/shutdown.rs
@@ -3,7 +3,7 @@
 //! that its connection closes, and connections that rest are closed between requests; then the socket is let
 //! go of, with all that waited on it taken first; and the limiter ends once nobody is left.
 
-use super::Door;
+use super::ClientListener;
 use super::connection::{ClientConnection, lock};
 use crate::config::limits::stop_end;
 use crate::log;
@@ -22,7 +22,7 @@
 /// for the news that its client left, whatever else waits there.
 type Seat = (
     OwnedSemaphorePermit,
-    mpsc::OwnedPermit<crate::messages::News>,
+    mpsc::OwnedPermit<crate::messages::Event>,
 );
 
 /// What a stop still waits for.
@@ -39,7 +39,7 @@
     TcpStream::from_std(stream)
 }
 
-impl Door {
+impl ClientListener {
     /// When the last job has its answer, once the stop was asked for.
     pub(super) fn stops_at(&self) -> Option<Instant> {
         self.asked.get().map(|&asked| self.stop_end(asked))
@@ -53,7 +53,7 @@
     /// Takes connections until the stop, serves on while they come, and returns once nobody is left. A socket that
     /// was `handed` down stays open elsewhere, in the process that follows: it is let go of at the stop.
     pub async fn attend(
-        self: Arc<Door>,
+        self: Arc<ClientListener>,
         listener: TcpListener,
         handed: bool,
         stop: impl Future<Output = ()>,
@@ -150,7 +150,7 @@
         remaining
     }
 
-    async fn accept(self: &Arc<Door>, listener: &TcpListener, places: &Arc<Semaphore>) {
+    async fn accept(self: &Arc<ClientListener>, listener: &TcpListener, places: &Arc<Semaphore>) {
         let mut backoff = Backoff::default();
         loop {
             let Some(seat) = self.seat(places).await else {
@@ -175,7 +175,7 @@
     /// socket: the kernel resets what waits there, the requests on it unread. Where they can't be taken just then, for
     /// want of descriptors or memory, it goes on trying until the stop's end.
     pub(super) async fn take_waiting(
-        self: &Arc<Door>,
+        self: &Arc<ClientListener>,
         listener: TcpListener,
         places: &Arc<Semaphore>,
     ) -> io::Result<()> {
@@ -218,7 +218,7 @@
     }
 
     /// Serves a connection in a task of its own.
-    fn admit(self: &Arc<Door>, stream: TcpStream, (place, leaving): Seat) {
+    fn admit(self: &Arc<ClientListener>, stream: TcpStream, (place, leaving): Seat) {
         let client_connection = Arc::new(ClientConnection::new(leaving));
         let number = self.tickets.fetch_add(1, Ordering::Relaxed);
         lock(&self.client_connections).insert(number, client_connection.clone());
--- a/crates/merlinreel/src/client/stream.rs
+++ b/crates/merlinreel/src/client/stream.rs
@@ -6,9 +6,9 @@
 use super::arrival_times::Arrivals;
 use super::connection::ClientConnection;
 use super::framing::HeadScanner;
-use crate::client::admission::Claims;
+use crate::client::admission::AdmissionPermits;
 use crate::config::limits::Limits;
-use crate::net::observed_stream::{Tallied, Tally};
+use crate::net::observed_stream::{IoObserver, ObservedStream};
 use bytes::{Buf, Bytes, BytesMut};
 use std::io::{self, IoSlice};
 use std::pin::Pin;
@@ -32,8 +32,8 @@
     ends: Pin<Box<Sleep>>,
 }
 
-pub struct Line {
-    stream: Tallied<ClientConnection>,
+pub struct ClientStream {
+    stream: ObservedStream<ClientConnection>,
     client_connection: Arc<ClientConnection>,
     scanner: HeadScanner,
     /// Came behind a blank line in one read of the library, or while a request was in hand: read before the rest.
@@ -44,7 +44,7 @@
     /// What may be read ahead at all, and how much of that needs no place in the memory that bodies share.
     most_ahead: usize,
     free_ahead: usize,
-    claims: Claims,
+    claims: AdmissionPermits,
     room: Option<OwnedSemaphorePermit>,
     /// More came than that: the rest is dropped, and nothing behind it is read.
     flooded: bool,
@@ -54,15 +54,15 @@
     closing: Option<Closing>,
 }
 
-impl Line {
+impl ClientStream {
     pub fn new(
         stream: TcpStream,
         client_connection: Arc<ClientConnection>,
         limits: &Limits,
-        claims: Claims,
-    ) -> Line {
-        Line {
-            stream: Tallied::new(stream, client_connection.clone()),
+        claims: AdmissionPermits,
+    ) -> ClientStream {
+        ClientStream {
+            stream: ObservedStream::new(stream, client_connection.clone()),
             client_connection,
             scanner: HeadScanner::default(),
             unread: BytesMut::new(),
@@ -204,7 +204,7 @@
     }
 }
 
-impl AsyncRead for Line {
+impl AsyncRead for ClientStream {
     /// At most one section.
     fn poll_read(
         mut self: Pin<&mut Self>,
@@ -225,7 +225,7 @@
     }
 }
 
-impl AsyncWrite for Line {
+impl AsyncWrite for ClientStream {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context,
@@ -268,7 +268,7 @@
             });
         }
         let ended = self.stream.poll_other_end(cx).is_ready();
-        let Line {
+        let ClientStream {
             stream,
             closing: Some(closing),
             ..
--- a/crates/merlinreel/src/client/tests.rs
+++ b/crates/merlinreel/src/client/tests.rs
@@ -2,10 +2,10 @@
 
 use super::connection::{ClientConnection, Times, lock, who_gives_way};
 use super::*;
-use crate::messages::News;
-use crate::net::observed_stream::Tally;
+use crate::messages::Event;
+use crate::net::observed_stream::IoObserver;
 use hyper::body::Bytes;
-use merlinreel_settings::{Paths, Terms};
+use merlinreel_settings::{Paths, Settings};
 use test_case::test_case;
 use tokio::sync::mpsc;
 
@@ -27,9 +27,9 @@
     Arc::new(client_connection)
 }
 
-fn terms() -> Terms {
+fn terms() -> Settings {
     Paths::from_json(&serde_json::json!({}))
-        .and_then(|paths| Terms::read(&paths))
+        .and_then(|paths| Settings::read(&paths))
         .expect("sound")
 }
 
@@ -38,11 +38,11 @@
 }
 
 /// One class, whose clients wait for up to 9 s.
-fn looking() -> Terms {
+fn looking() -> Settings {
     let settings = serde_json::json!({"packages": [{"name": "team"}], "balancers": 1, "classes":
         [{"name": "look", "idempotency": "read_like", "hardLimitS": 9}]});
     Paths::from_json(&settings)
-        .and_then(|paths| Terms::read(&paths))
+        .and_then(|paths| Settings::read(&paths))
         .expect("sound")
 }
 
@@ -69,11 +69,11 @@
     let asked = client_connection(0, 1.0, None);
     asked.evicted.store(true, Ordering::Relaxed);
     asked.close.notify_one();
-    let door = Door::new(
+    let door = ClientListener::new(
         limits(),
-        watch::channel(Arc::new(Tuned::first(terms()))).1,
+        watch::channel(Arc::new(ActiveSettings::first(terms()))).1,
         queue,
-        Figures::new(&[]),
+        Metrics::new(&[]),
     );
     door.opened.store(true, Ordering::Relaxed);
     door.serve(stream, asked).await;
@@ -106,28 +106,28 @@
         client_whole: Duration::from_millis(40),
         ..limits()
     };
-    let door = Door::new(
+    let door = ClientListener::new(
         limits,
-        watch::channel(Arc::new(Tuned::first(looking()))).1,
+        watch::channel(Arc::new(ActiveSettings::first(looking()))).1,
         queue,
-        Figures::new(&[]),
+        Metrics::new(&[]),
     );
     let one = client_connection(0, 0.0, None);
     tokio::spawn(async move {
         door.serve(stream, one).await;
     });
-    let Some(News::Arrival(arrival)) = news.recv().await else {
+    let Some(Event::Request(arrival)) = news.recv().await else {
         panic!("no job")
     };
     let body = Bytes::from(vec![b'x'; LENGTH]);
-    let delivery = crate::messages::Delivery {
+    let delivery = crate::messages::UpstreamResponse {
         headers: Default::default(),
         body,
         flow: None,
     };
     arrival
         .answer
-        .send(crate::messages::Answer::Served(delivery))
+        .send(crate::messages::ClientResponse::Success(delivery))
         .expect("a client that waits");
     let read = tokio::task::spawn_blocking(move || {
         std::thread::sleep(Duration::from_millis(400));
@@ -183,11 +183,11 @@
         clients.push(client);
     }
     let (queue, _news) = mpsc::channel(64);
-    let door = Door::new(
+    let door = ClientListener::new(
         limits(),
-        watch::channel(Arc::new(Tuned::first(terms()))).1,
+        watch::channel(Arc::new(ActiveSettings::first(terms()))).1,
         queue,
-        Figures::new(&[]),
+        Metrics::new(&[]),
     );
     door.take_waiting(listener, &Arc::new(tokio::sync::Semaphore::new(64)))
         .await?;
@@ -231,11 +231,11 @@
     assert_eq!(end, Duration::from_millis(3300));
     let (_client, stream) = came_with(LOOK)?;
     let (queue, mut news) = mpsc::channel(9);
-    let tuned = watch::channel(Arc::new(Tuned::first(looking()))).1;
-    let door = Door::new(limits.clone(), tuned, queue, Figures::new(&[]));
+    let tuned = watch::channel(Arc::new(ActiveSettings::first(looking()))).1;
+    let door = ClientListener::new(limits.clone(), tuned, queue, Metrics::new(&[]));
     let asked = *door.asked.get_or_init(Instant::now);
     tokio::spawn(async move { door.serve(stream, client_connection(0, 0.0, None)).await });
-    let Some(News::Arrival(arrival)) = news.recv().await else {
+    let Some(Event::Request(arrival)) = news.recv().await else {
         panic!("no job")
     };
     assert_eq!(arrival.until, asked + end);
@@ -243,17 +243,17 @@
 }
 
 /// A door that takes jobs of one class, with the news that the driver would get.
-fn open_door(limits: Limits) -> (Arc<Door>, mpsc::Receiver<News>) {
+fn open_door(limits: Limits) -> (Arc<ClientListener>, mpsc::Receiver<Event>) {
     let (queue, news) = mpsc::channel(9);
-    let tuned = watch::channel(Arc::new(Tuned::first(looking()))).1;
-    let door = Door::new(limits, tuned, queue, Figures::new(&[]));
+    let tuned = watch::channel(Arc::new(ActiveSettings::first(looking()))).1;
+    let door = ClientListener::new(limits, tuned, queue, Metrics::new(&[]));
     door.opened.store(true, Ordering::Relaxed);
     (door, news)
 }
 
 /// A connection served as the door serves each, and the client's news with a place of its own.
 fn served(
-    door: &Arc<Door>,
+    door: &Arc<ClientListener>,
     stream: TcpStream,
 ) -> (Arc<ClientConnection>, tokio::task::JoinHandle<()>) {
     let client_connection = Arc::new(ClientConnection::new(
@@ -278,7 +278,7 @@
         .expect("in time");
 }
 
-async fn next(news: &mut mpsc::Receiver<News>) -> News {
+async fn next(news: &mut mpsc::Receiver<Event>) -> Event {
     let next = tokio::time::timeout(Duration::from_secs(20), news.recv()).await;
     next.expect("in time").expect("a door")
 }
@@ -295,11 +295,11 @@
     let (mut client, stream) = came_with(LOOK)?;
     let (door, mut news) = open_door(limits());
     let _served = served(&door, stream);
-    let News::Arrival(arrival) = next(&mut news).await else {
+    let Event::Request(arrival) = next(&mut news).await else {
         panic!("no job")
     };
     let goes = tokio::task::spawn_blocking(move || client.write_all(&vec![b'x'; behind]));
-    let News::Left(ticket) = next(&mut news).await else {
+    let Event::ClientDisconnected(ticket) = next(&mut news).await else {
         panic!("it has not left")
     };
     assert_eq!(ticket, arrival.ticket);
--- a/crates/merlinreel/src/client/tests/reading.rs
+++ b/crates/merlinreel/src/client/tests/reading.rs
@@ -16,7 +16,7 @@
     let (mut client, stream) = came_with(LOOK).expect("a client");
     let (door, mut news) = open_door(limits());
     let (client_connection, serving) = served(&door, stream);
-    let News::Arrival(first) = next(&mut news).await else {
+    let Event::Request(first) = next(&mut news).await else {
         panic!("no job")
     };
     let writing = tokio::task::spawn_blocking(move || {
@@ -35,17 +35,17 @@
     }
     first
         .answer
-        .send(crate::messages::Answer::Failed)
+        .send(crate::messages::ClientResponse::Failed)
         .expect("a client that waits");
     let jobs = if flood {
         1
     } else {
-        let News::Arrival(second) = next(&mut news).await else {
+        let Event::Request(second) = next(&mut news).await else {
             panic!("no second job")
         };
         second
             .answer
-            .send(crate::messages::Answer::Failed)
+            .send(crate::messages::ClientResponse::Failed)
             .expect("a client that waits");
         2
     };
@@ -75,11 +75,11 @@
     const THIRD: &[u8] = b"0\r\n\r\n";
     let (_client, stream) = came_with(&[FIRST, SECOND, THIRD].concat())?;
     let client_connection = client_connection(2, 0.0, None);
-    let mut line = Line::new(
+    let mut line = ClientStream::new(
         stream,
         client_connection.clone(),
         &limits(),
-        Claims::new(&limits()),
+        AdmissionPermits::new(&limits()),
     );
     let mut into = [0; 8192];
     for (section, content_length) in [(FIRST, true), (SECOND, false), (THIRD, false)] {
@@ -113,11 +113,11 @@
         client_ahead: AHEAD,
         ..limits()
     };
-    let mut line = Line::new(
+    let mut line = ClientStream::new(
         stream,
         client_connection.clone(),
         &limits,
-        Claims::new(&limits),
+        AdmissionPermits::new(&limits),
     );
     let length = line.read(&mut [0; 8192]).await.expect("read");
     assert_eq!(length, 2);
@@ -155,7 +155,7 @@
     };
     let (door, mut news) = open_door(limits);
     let _served = served(&door, TcpStream::from_std(stream)?);
-    let News::Arrival(arrival) = next(&mut news).await else {
+    let Event::Request(arrival) = next(&mut news).await else {
         panic!("no job")
     };
     assert_eq!(arrival.parcel.uri.path(), "/look");
@@ -163,11 +163,11 @@
 }
 
 /// A class whose requests have a body.
-fn paying() -> Terms {
+fn paying() -> Settings {
     let settings = serde_json::json!({"packages": [{"name": "team"}], "balancers": 1, "classes":
         [{"name": "pay", "idempotency": "non_idempotent", "hardLimitS": 9}]});
     Paths::from_json(&settings)
-        .and_then(|paths| Terms::read(&paths))
+        .and_then(|paths| Settings::read(&paths))
         .expect("sound")
 }
 
@@ -179,15 +179,15 @@
     const HEAD: &str = "POST /pay?key=7 HTTP/1.1\r\nX-Txn: 9b\r\nX-Lane: pay\r\nX-Plan: team\r\n\
         X-Remaining: 8000m\r\nX-Quota: units=1,spread=1,first=0\r\nTransfer-Encoding: chunked\r\n\r\n";
     let (queue, mut news) = mpsc::channel(9);
-    let tuned = watch::channel(Arc::new(Tuned::first(paying()))).1;
-    let door = Door::new(
+    let tuned = watch::channel(Arc::new(ActiveSettings::first(paying()))).1;
+    let door = ClientListener::new(
         Limits {
             bodies: 8,
             ..limits()
         },
         tuned,
         queue,
-        Figures::new(&[]),
+        Metrics::new(&[]),
     );
     let (mut client, stream) =
         came_with(format!("{HEAD}6\r\na body\r\n3\r\nabc\r\n0\r\n\r\n").as_bytes())?;
@@ -205,7 +205,7 @@
     let (_client, stream) =
         came_with(format!("{HEAD}6\r\na body\r\n2\r\nab\r\n0\r\n\r\n").as_bytes())?;
     let _taken = served(&door, stream);
-    let News::Arrival(arrival) = next(&mut news).await else {
+    let Event::Request(arrival) = next(&mut news).await else {
         panic!("no job")
     };
     assert_eq!(arrival.parcel.body, "a bodyab");
--- a/crates/merlinreel/src/config.rs
+++ b/crates/merlinreel/src/config.rs
@@ -3,11 +3,11 @@
 
 pub mod limits;
 
-use crate::config::limits::{Limits, RoomError};
+use crate::config::limits::{CapacityError, Limits};
 use crate::log;
 use crate::mesh::Ground;
-use merlinreel_discovery::{DiscoveryNews, Message, MessageError};
-use merlinreel_settings::{Paths, Terms};
+use merlinreel_discovery::{DiscoveryUpdate, Message, MessageError};
+use merlinreel_settings::{Paths, Settings};
 use serde::Deserialize;
 use std::collections::HashSet;
 use std::net::SocketAddr;
@@ -15,7 +15,7 @@
 
 /// What is wrong with a configuration: the key at fault first, then what it should be.
 #[derive(Debug, Error)]
-pub enum StationError {
+pub enum ConfigError {
     #[error("PROXY_CONFIG is not set: it names the configuration file")]
     NoFile,
     #[error("{path}: {error}; the file must be there and readable by the limiter's user")]
@@ -23,7 +23,7 @@
     #[error("{path}: {error}")]
     In {
         path: String,
-        error: Box<StationError>,
+        error: Box<ConfigError>,
     },
     #[error("{0}")]
     Json(#[from] serde_json::Error),
@@ -55,20 +55,20 @@
     #[error("setting familyInfo.hasCounter: this limiter speaks no counter's protocol")]
     Counter,
     #[error("peers: {given} addresses, but setting balancers says {wanted}")]
-    Peers { given: usize, wanted: usize },
+    FleetConfig { given: usize, wanted: usize },
     #[error("peers: {0} stands there twice")]
     PeerTwice(SocketAddr),
     #[error("seed: '{0}' is not 16 hex digits")]
     Seed(String),
     #[error(transparent)]
-    Room(#[from] RoomError),
+    Room(#[from] CapacityError),
     #[error("known.{0}")]
     Known(#[from] MessageError),
 }
 
 /// What a limiter is run with.
 #[derive(Clone, Debug)]
-pub struct Station {
+pub struct GatewayConfig {
     pub name: String,
     pub listen: SocketAddr,
     pub discovery: SocketAddr,
@@ -79,9 +79,9 @@
     pub peers: Vec<SocketAddr>,
     pub seed: u64,
     pub limits: Limits,
-    pub terms: Terms,
+    pub terms: Settings,
     /// The server list as this limiter last had it.
-    pub known: Option<DiscoveryNews>,
+    pub known: Option<DiscoveryUpdate>,
     /// The mesh of limiters, where this one takes part.
     pub mesh: Option<Ground>,
     /// Keys of the file that mean nothing here: misspelt, or meant for another version.
@@ -129,13 +129,13 @@
 const SOCKETS: u32 = 1024;
 
 /// Reads the file named by `PROXY_CONFIG`, with the environment's own values where it leaves them out.
-pub fn read(variable: impl Fn(&str) -> Option<String>) -> Result<Station, StationError> {
-    let path = variable("PROXY_CONFIG").ok_or(StationError::NoFile)?;
+pub fn read(variable: impl Fn(&str) -> Option<String>) -> Result<GatewayConfig, ConfigError> {
+    let path = variable("PROXY_CONFIG").ok_or(ConfigError::NoFile)?;
     let text = match std::fs::read_to_string(&path) {
         Ok(text) => text,
-        Err(error) => return Err(StationError::Unread { path, error }),
+        Err(error) => return Err(ConfigError::Unread { path, error }),
     };
-    parse(&text, variable).map_err(|error| StationError::In {
+    parse(&text, variable).map_err(|error| ConfigError::In {
         path,
         error: Box::new(error),
     })
@@ -143,7 +143,7 @@
 
 /// Reads the file again, for a limiter that runs. The address of discovery and the settings are taken over (of
 /// these the module takes classes and attempts), and the keys of the mesh; all else holds until the next start; a faulty file is named and changes nothing. Whether the file was taken.
-pub fn reread(present: &mut Station, variable: impl Fn(&str) -> Option<String>) -> bool {
+pub fn reread(present: &mut GatewayConfig, variable: impl Fn(&str) -> Option<String>) -> bool {
     let new = match read(variable) {
         Ok(new) => new,
         Err(what) => {
@@ -192,7 +192,7 @@
 pub fn parse(
     text: &str,
     variable: impl Fn(&str) -> Option<String>,
-) -> Result<Station, StationError> {
+) -> Result<GatewayConfig, ConfigError> {
     let (mut json, mut track) = (
         serde_json::Deserializer::from_str(text),
         serde_path_to_error::Track::new(),
@@ -205,9 +205,9 @@
         .map_err(|error| {
             let key = track.path().to_string();
             if key == "." {
-                StationError::Json(error)
+                ConfigError::Json(error)
             } else {
-                StationError::Key { key, error }
+                ConfigError::Key { key, error }
             }
         })?;
     // Discovery's lists may hold more than is read here.
@@ -215,37 +215,37 @@
     let address =
         |key, given: Option<SocketAddr>, variable_named| match (given, variable(variable_named)) {
             (Some(address), _) => Ok(address),
-            (None, Some(given)) => given.parse().map_err(|_| StationError::NoAddress {
+            (None, Some(given)) => given.parse().map_err(|_| ConfigError::NoAddress {
                 variable: variable_named,
                 given,
             }),
-            (None, None) => Err(StationError::Missing {
+            (None, None) => Err(ConfigError::Missing {
                 key,
                 variable: variable_named,
             }),
         };
-    let settings = file.settings.ok_or(StationError::NoSettings)?;
-    let terms = Paths::from_json(&settings).and_then(|paths| Terms::read(&paths));
-    let terms = terms.map_err(StationError::Settings)?;
+    let settings = file.settings.ok_or(ConfigError::NoSettings)?;
+    let terms = Paths::from_json(&settings).and_then(|paths| Settings::read(&paths));
+    let terms = terms.map_err(ConfigError::Settings)?;
     checked(&terms)?;
-    if terms.peers.peer_messages && file.peer_listen.is_some() {
-        let (given, wanted) = (file.peers.len(), terms.peers.limiters as usize);
+    if terms.fleet.peer_messages && file.peer_listen.is_some() {
+        let (given, wanted) = (file.peers.len(), terms.fleet.limiters as usize);
         if given != wanted {
-            return Err(StationError::Peers { given, wanted });
+            return Err(ConfigError::FleetConfig { given, wanted });
         }
         let mut seen = HashSet::new();
         if let Some(twice) = file.peers.iter().find(|&peer| !seen.insert(peer)) {
-            return Err(StationError::PeerTwice(*twice));
+            return Err(ConfigError::PeerTwice(*twice));
         }
     }
     let seed = match file.seed {
         None => std::process::id().into(),
         Some(Seed::Number(seed)) => seed,
         Some(Seed::Hex(text)) => {
-            u64::from_str_radix(&text, 16).map_err(|_| StationError::Seed(text))?
+            u64::from_str_radix(&text, 16).map_err(|_| ConfigError::Seed(text))?
         }
     };
-    Ok(Station {
+    Ok(GatewayConfig {
         name: file
             .name
             .or_else(|| variable("PROXY_NAME"))
@@ -257,7 +257,7 @@
             (given, _) => Some(address("ops", given, "PROXY_OPS")?),
         },
         mesh: file.mesh.map(|ground| Ground {
-            limiters: terms.peers.limiters as usize,
+            limiters: terms.fleet.limiters as usize,
             ..ground
         }),
         peer_listen: file.peer_listen,
@@ -268,29 +268,29 @@
             file.limits.memory_mb.unwrap_or(MEMORY_MB),
             &terms,
         )?,
-        known: file.known.map(DiscoveryNews::try_from).transpose()?,
+        known: file.known.map(DiscoveryUpdate::try_from).transpose()?,
         terms,
         unknown,
     })
 }
 
 /// What the bench may leave out, but sockets need.
-fn checked(terms: &Terms) -> Result<(), StationError> {
-    if terms.peers.counter {
-        return Err(StationError::Counter);
+fn checked(terms: &Settings) -> Result<(), ConfigError> {
+    if terms.fleet.counter {
+        return Err(ConfigError::Counter);
     }
     let needed = [
-        ("classes", &terms.wire.classes),
-        ("packages", &terms.wire.plans),
+        ("classes", &terms.sockets.classes),
+        ("packages", &terms.sockets.plans),
     ];
     for (list, names) in needed {
         if names.is_empty() {
-            return Err(StationError::Empty(list));
+            return Err(ConfigError::Empty(list));
         }
         let mut seen = HashSet::new();
         for (i, name) in names.iter().enumerate() {
             if name == "-" || !seen.insert(name) {
-                return Err(StationError::Name {
+                return Err(ConfigError::Name {
                     key: format!("{list}.{i}"),
                 });
             }
@@ -298,7 +298,7 @@
     }
     for (i, class) in terms.classes.iter().enumerate() {
         if class.deadline.is_zero() {
-            return Err(StationError::SettingMissing {
+            return Err(ConfigError::SettingMissing {
                 key: format!("classes.{i}.hardLimitS"),
             });
         }
--- a/crates/merlinreel/src/config/limits.rs
+++ b/crates/merlinreel/src/config/limits.rs
@@ -1,13 +1,13 @@
 //! All sizes, counts and times that bound the limiter's sockets: filled once at start and handed down.
 
-use merlinreel_policy::Class;
-use merlinreel_settings::Terms;
+use merlinreel_policy::RequestClass;
+use merlinreel_settings::Settings;
 use std::time::Duration;
 use thiserror::Error;
 
 /// Too little to run on.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
-pub enum RoomError {
+pub enum CapacityError {
     #[error(
         "limits.memory_mb: {given} is too little, {needed} are needed; give the limiter more memory"
     )]
@@ -29,7 +29,7 @@
     pub servers: usize,
     /// Jobs held at once.
     pub jobs: usize,
-    /// News waiting for the driver, and how many it takes into one round.
+    /// Event waiting for the driver, and how many it takes into one round.
     pub queue: usize,
     pub round: usize,
     /// Bytes of a client's body, of all clients' bodies in hand, of all whole answers that their clients have not taken
@@ -41,7 +41,7 @@
     /// Bytes of a long answer that goes on as it comes: beyond, it is not made for a job.
     pub flowing: u64,
     /// Bytes of a list of servers, as discovery's answer brings it.
-    pub server_list: usize,
+    pub endpoint_list_bytes: usize,
     /// Connections that wait on the clients' socket, at most; the kernel drops those beyond, whose clients come again after
     /// a second.
     pub backlog: u32,
@@ -113,7 +113,7 @@
 const LEAST_LIST: usize = 4 << 20;
 
 impl Limits {
-    pub fn new(sockets: u32, memory_mb: u32, terms: &Terms) -> Result<Limits, RoomError> {
+    pub fn new(sockets: u32, memory_mb: u32, terms: &Settings) -> Result<Limits, CapacityError> {
         // A fifth for clients' bodies, most of which are far smaller than they may be.
         let bodies = memory_mb as usize * 1024 / 5;
         // And a tenth for whole answers on their way to clients.
@@ -123,14 +123,14 @@
             .map(|kb| kb / CONNECTION_KB)
             .filter(|&connections| connections >= 32);
         let needed = ((PROGRAM_MB * 1024 + 32 * CONNECTION_KB) * 10 / 7).div_ceil(1024);
-        let by_memory = by_memory.ok_or(RoomError::Memory {
+        let by_memory = by_memory.ok_or(CapacityError::Memory {
             given: memory_mb,
             needed,
         })?;
         let by_sockets = (sockets as usize)
             .checked_sub(OWN)
             .filter(|&left| left >= 32);
-        let by_sockets = by_sockets.ok_or(RoomError::Sockets {
+        let by_sockets = by_sockets.ok_or(CapacityError::Sockets {
             given: sockets,
             needed: OWN + 32,
         })?;
@@ -138,12 +138,12 @@
         // A job holds its client's connection and at most one to a server; clients keep idle ones too.
         let servers = room * 2 / 5;
         let clients_most = room - servers;
-        let idle = if terms.wire.server_idle.is_zero() {
+        let idle = if terms.sockets.server_idle.is_zero() {
             Duration::from_secs(15)
         } else {
-            terms.wire.server_idle
+            terms.sockets.server_idle
         };
-        let connect = terms.wire.connect_within;
+        let connect = terms.sockets.connect_within;
         Ok(Limits {
             // A quarter is kept for who comes and goes, and to tell newcomers that it is busy.
             clients: clients_most - clients_most / 4,
@@ -151,10 +151,10 @@
             // Fronts hold up to a third of the descriptors: idle ones must end short of that.
             clients_kept: (sockets as usize / 4).min(clients_most - clients_most / 4),
             servers,
-            jobs: if terms.jobs.most_held == 0 {
+            jobs: if terms.request_limits.max_in_flight == 0 {
                 clients_most
             } else {
-                terms.jobs.most_held
+                terms.request_limits.max_in_flight
             },
             // Each connection may have a job and its leaving there, each attempt its end.
             queue: 4 * room + 256,
@@ -166,7 +166,7 @@
             head: 8 * 1024,
             // Answers of these days reach 32 MB; far more is a server's fault, and would hold a client for hours.
             flowing: 1 << 30,
-            server_list: (((memory_mb as usize) << 20) / LIST_PART).max(LEAST_LIST),
+            endpoint_list_bytes: (((memory_mb as usize) << 20) / LIST_PART).max(LEAST_LIST),
             // Well within the time in which a process is to be ready.
             bind: Duration::from_secs(3),
             // As many as most kernels allow; they hold no descriptors of the process.
@@ -199,7 +199,7 @@
             watch: Duration::from_secs(1),
             watch_again: Duration::from_millis(10),
             // What discovery tells at the end of an outage counts at once, and a drain's grace runs from then.
-            watch_slack: (terms.servers.drain_grace / 2)
+            watch_slack: (terms.endpoints.drain_grace / 2)
                 .clamp(Duration::from_millis(100), Duration::from_millis(500)),
             // A few seconds' answers, of a discovery that is that slow; they are descriptors.
             watch_calls: 4,
@@ -227,7 +227,7 @@
 
 /// How long after the signal of a stop the last request has its answer, by the classes in force: well before the process
 /// is killed, which is no sooner than the longest deadline, 3 s at most, and 0.7 s. A busy machine needs some of that.
-pub fn stop_end(classes: &[Class]) -> Duration {
+pub fn stop_end(classes: &[RequestClass]) -> Duration {
     let longest = classes
         .iter()
         .map(|class| class.deadline)
--- a/crates/merlinreel/src/config/tests.rs
+++ b/crates/merlinreel/src/config/tests.rs
@@ -34,7 +34,7 @@
     assert_eq!(station.unknown, ["peer", "limits.memory"]);
 }
 
-/// Peers' addresses, and what the mesh holds of others, follow the settings' number of limiters.
+/// FleetConfig' addresses, and what the mesh holds of others, follow the settings' number of limiters.
 #[test_case(1 ; "alone")]
 #[test_case(2300 ; "a large fleet")]
 fn lists_of_limiters_follow_the_settings(limiters: u16) {
--- a/crates/merlinreel/src/endpoints.rs
+++ b/crates/merlinreel/src/endpoints.rs
@@ -5,8 +5,8 @@
 
 use crate::config::limits::Limits;
 use crate::log;
-use crate::messages::{News, Queue};
-use crate::net::observed_stream::{Tallied, Untallied};
+use crate::messages::{Event, Queue};
+use crate::net::observed_stream::{ObservedStream, Unobserved};
 use failure_log::FailureLog;
 use http_body_util::{BodyExt, Empty};
 use hyper::body::{Body, Bytes, Incoming};
@@ -14,7 +14,7 @@
 use hyper::header::HOST;
 use hyper::{Request, StatusCode};
 use hyper_util::rt::TokioIo;
-use merlinreel_discovery::{DiscoveryNews, MessageError, decode};
+use merlinreel_discovery::{DiscoveryUpdate, MessageError, decode};
 use open_calls::{OpenCalls, Progress};
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -64,8 +64,11 @@
     let stream = timeout(within, TcpStream::connect(discovery)).await;
     let stream = stream.map_err(|_| DiscoveryError::NoConnection(within))??;
     let _ = stream.set_nodelay(true);
-    let (sender, connection) =
-        handshake(TokioIo::new(Tallied::new(stream, Arc::new(Untallied)))).await?;
+    let (sender, connection) = handshake(TokioIo::new(ObservedStream::new(
+        stream,
+        Arc::new(Unobserved),
+    )))
+    .await?;
     let task = tokio::spawn(async move { drop(connection.await) }).abort_handle();
     Ok(Line { sender, task })
 }
@@ -76,7 +79,7 @@
     path: String,
     most: usize,
     progress: &Progress,
-) -> Result<DiscoveryNews, DiscoveryError> {
+) -> Result<DiscoveryUpdate, DiscoveryError> {
     let request = Request::get(path)
         .header(HOST, discovery.to_string())
         .body(Empty::new())?;
@@ -172,14 +175,14 @@
     }
 }
 
-type Calls = JoinSet<Result<(Line, DiscoveryNews), DiscoveryError>>;
+type Calls = JoinSet<Result<(Line, DiscoveryUpdate), DiscoveryError>>;
 
 /// What the first call brings that ends by itself, within the time after which the newest is silent. Calls that were ended
 /// here bring nothing: guards discovery against a call at once, and so without end, for each of those.
 async fn answered(
     calls: &mut Calls,
     silent: Duration,
-) -> Result<(Line, DiscoveryNews), DiscoveryError> {
+) -> Result<(Line, DiscoveryUpdate), DiscoveryError> {
     let first = async {
         loop {
             match calls.join_next().await {
@@ -220,7 +223,7 @@
             ),
             None => "/discovery/hosts".to_owned(),
         };
-        let (rested, connect, most) = (line.take(), limits.connect, limits.server_list);
+        let (rested, connect, most) = (line.take(), limits.connect, limits.endpoint_list_bytes);
         let progress = Progress::default();
         let told = progress.clone();
         let task = calls.spawn(async move {
@@ -243,8 +246,8 @@
                 }
                 failed = 0;
                 failure_log = FailureLog::default();
-                if !news.servers.is_empty() || news.whole {
-                    let _ = queue.send(News::ServerList(news)).await;
+                if !news.servers.is_empty() || news.complete {
+                    let _ = queue.send(Event::EndpointUpdate(news)).await;
                 }
                 let _ = first.take().map(|first| first.send(()));
             }
--- a/crates/merlinreel/src/endpoints/tests.rs
+++ b/crates/merlinreel/src/endpoints/tests.rs
@@ -6,7 +6,7 @@
     let paths =
         merlinreel_settings::Paths::from_json(&serde_json::json!({"rules": {"drainGraceS": 2}}));
     let terms = paths
-        .and_then(|paths| merlinreel_settings::Terms::read(&paths))
+        .and_then(|paths| merlinreel_settings::Settings::read(&paths))
         .expect("sound");
     Limits::new(1024, 192, &terms).expect("room")
 }
@@ -31,7 +31,7 @@
     let settings = serde_json::json!({"rules": {"drainGraceS": grace}});
     let paths = merlinreel_settings::Paths::from_json(&settings);
     let terms = paths
-        .and_then(|paths| merlinreel_settings::Terms::read(&paths))
+        .and_then(|paths| merlinreel_settings::Settings::read(&paths))
         .expect("sound");
     let limits = Limits::new(1024, 192, &terms).expect("room");
     for failed in 1..40 {
@@ -74,7 +74,10 @@
     assert!(
         matches!(
             list,
-            Ok(Some(News::ServerList(DiscoveryNews { version: 7, .. })))
+            Ok(Some(Event::EndpointUpdate(DiscoveryUpdate {
+                version: 7,
+                ..
+            })))
         ),
         "{list:?}"
     );
@@ -214,7 +217,7 @@
     let watching = tokio::spawn(super::watch(discovery, None, limits, queue, told));
     let list = timeout(Duration::from_secs(60), news.recv()).await;
     watching.abort();
-    let Ok(Some(News::ServerList(list))) = list else {
+    let Ok(Some(Event::EndpointUpdate(list))) = list else {
         panic!("no list")
     };
     assert_eq!((list.version, list.servers.len()), (7, servers as usize));
@@ -289,14 +292,14 @@
     let (told, _first) = oneshot::channel();
     let (_turn, discovery) = watch::channel(at);
     let limits = Limits {
-        server_list: 1000,
+        endpoint_list_bytes: 1000,
         watch_slack: Duration::from_secs(60),
         ..limits()
     };
     let watching = tokio::spawn(super::watch(discovery, None, limits, queue, told));
     for (version, servers) in [(1, 0), (7, 1)] {
         let list = timeout(Duration::from_secs(20), news.recv()).await;
-        let Ok(Some(News::ServerList(list))) = list else {
+        let Ok(Some(Event::EndpointUpdate(list))) = list else {
             panic!("no list")
         };
         assert_eq!((list.version, list.servers.len()), (version, servers));
@@ -338,7 +341,7 @@
     let watching = tokio::spawn(super::watch(discovery, None, limits, queue, told));
     let list = timeout(Duration::from_secs(20), news.recv()).await;
     watching.abort();
-    assert!(matches!(list, Ok(Some(News::ServerList(list))) if list.servers.len() == 40));
+    assert!(matches!(list, Ok(Some(Event::EndpointUpdate(list))) if list.servers.len() == 40));
     Ok(())
 }
 
--- a/crates/merlinreel/src/event_loop.rs
+++ b/crates/merlinreel/src/event_loop.rs
@@ -6,15 +6,15 @@
 mod tests;
 
 use crate::log;
-use crate::messages::{Answer, Arrival, News, Tuned};
-use crate::peers::Post;
-use crate::telemetry::metrics::Figures;
-use crate::upstream::Servers;
-use action_executor::{Desk, Held};
-use merlinreel_discovery::DiscoveryNews;
+use crate::messages::{ActiveSettings, ClientResponse, Event, IncomingRequest};
+use crate::peers::PeerSender;
+use crate::telemetry::metrics::Metrics;
+use crate::upstream::UpstreamPool;
+use action_executor::{ActionExecutor, InFlightRequest};
+use merlinreel_discovery::DiscoveryUpdate;
 use merlinreel_policy::decide::Limiter;
 use merlinreel_policy::*;
-use merlinreel_settings::Terms;
+use merlinreel_settings::Settings;
 use std::collections::HashMap;
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -46,32 +46,32 @@
     }
 }
 
-pub struct Driver {
+pub struct EventLoop {
     limiter: Limiter,
-    figures: Arc<Figures>,
+    figures: Arc<Metrics>,
     /// Where the door learns of settings read again.
-    door: Option<watch::Sender<Arc<Tuned>>>,
-    desk: Desk,
+    door: Option<watch::Sender<Arc<ActiveSettings>>>,
+    desk: ActionExecutor,
     most_jobs: usize,
     batch: usize,
 }
 
-impl Driver {
+impl EventLoop {
     pub fn new(
         limiter: Limiter,
-        servers: Servers,
-        post: Option<Post>,
+        servers: UpstreamPool,
+        post: Option<PeerSender>,
         clock: Clock,
-        figures: Arc<Figures>,
-    ) -> Driver {
+        figures: Arc<Metrics>,
+    ) -> EventLoop {
         let limits = servers.limits().clone();
-        Driver {
+        EventLoop {
             limiter,
             figures,
             door: None,
             most_jobs: limits.jobs,
             batch: limits.round,
-            desk: Desk {
+            desk: ActionExecutor {
                 clock,
                 servers,
                 post,
@@ -90,11 +90,13 @@
     }
 
     /// Runs without end; `known` is the server list as it was last held.
-    pub async fn run(mut self, known: Option<DiscoveryNews>, mut queue: mpsc::Receiver<News>) {
+    pub async fn run(mut self, known: Option<DiscoveryUpdate>, mut queue: mpsc::Receiver<Event>) {
         let mut news = Vec::with_capacity(self.batch);
-        let mut round = Round::default();
+        let mut round = EventBatch::default();
         if let Some(known) = known {
-            round.server_list.push(self.desk.servers.list(known, true));
+            round
+                .endpoint_updates
+                .push(self.desk.servers.list(known, true));
         }
         self.round(round);
         let timer = sleep_until(Instant::now().into());
@@ -116,53 +118,57 @@
     }
 
     /// One round with all that waits.
-    fn step(&mut self, news: &mut Vec<News>) {
-        let mut round = Round::default();
+    fn step(&mut self, news: &mut Vec<Event>) {
+        let mut round = EventBatch::default();
         self.desk.now = Instant::now();
         for one in news.drain(..) {
             match one {
-                News::Arrival(arrival) => self.arrive(*arrival, &mut round),
-                News::Left(ticket) => {
+                Event::Request(arrival) => self.arrive(*arrival, &mut round),
+                Event::ClientDisconnected(ticket) => {
                     if let Some(job) = self.desk.tickets.remove(&ticket) {
                         self.desk.forget_client(job);
-                        round.left.push(job);
+                        round.disconnects.push(job);
                     }
                 }
-                News::Attempt(end) => round.attempt_ends.extend(self.desk.end_attempt(end)),
-                News::Retune(terms) => self.retune(*terms),
-                News::Probe(answer) => round.probes.push(answer),
-                News::ServerList(server_list) => {
+                Event::AttemptCompleted(end) => {
+                    round.attempt_results.extend(self.desk.end_attempt(end))
+                }
+                Event::Reconfigure(terms) => self.reconfigure(*terms),
+                Event::HealthCheck(answer) => round.health_checks.push(answer),
+                Event::EndpointUpdate(endpoint_updates) => {
                     round
-                        .server_list
-                        .push(self.desk.servers.list(server_list, false));
+                        .endpoint_updates
+                        .push(self.desk.servers.list(endpoint_updates, false));
                     self.desk.withdraw_from_leaving();
                 }
-                News::PeerMessage(peer_message) => round.peer_messages.push(peer_message),
+                Event::PeerMessage(peer_message) => round.peer_messages.push(peer_message),
             }
         }
         self.round(round);
     }
 
     /// The door is told of settings read again from now on.
-    pub fn tells(mut self, door: watch::Sender<Arc<Tuned>>) -> Driver {
+    pub fn tells(mut self, door: watch::Sender<Arc<ActiveSettings>>) -> EventLoop {
         self.door = Some(door);
         self
     }
 
     /// Settings read again: the module first, so that the door never names a class that it does not know.
-    fn retune(&mut self, terms: Terms) {
-        let indices = self.limiter.retune(&terms.classes, terms.jobs);
-        self.figures.classes_now(&terms.wire.classes);
+    fn reconfigure(&mut self, terms: Settings) {
+        let indices = self
+            .limiter
+            .reconfigure(&terms.classes, terms.request_limits);
+        self.figures.classes_now(&terms.sockets.classes);
         log!(
             "settings read again: classes {} and their rules in force",
-            terms.wire.classes.join(", ")
+            terms.sockets.classes.join(", ")
         );
         if let Some(door) = &self.door {
-            door.send_replace(Arc::new(Tuned { terms, indices }));
+            door.send_replace(Arc::new(ActiveSettings { terms, indices }));
         }
     }
 
-    fn round(&mut self, mut round: Round) {
+    fn round(&mut self, mut round: EventBatch) {
         loop {
             let desk = &mut self.desk;
             desk.now = Instant::now();
@@ -171,7 +177,7 @@
             }
             let now = desk.clock.at(desk.now);
             self.limiter.round(now, &round, desk);
-            let (known, excluded) = self.limiter.servers_seen(now);
+            let (known, excluded) = self.limiter.endpoint_counts(now);
             self.figures
                 .servers_known
                 .store(known as u64, Ordering::Relaxed);
@@ -184,32 +190,32 @@
             if desk.unsent.is_empty() {
                 return;
             }
-            round = Round {
-                attempt_ends: std::mem::take(&mut desk.unsent),
-                ..Round::default()
+            round = EventBatch {
+                attempt_results: std::mem::take(&mut desk.unsent),
+                ..EventBatch::default()
             };
         }
     }
 
-    fn arrive(&mut self, arrival: Arrival, round: &mut Round) {
+    fn arrive(&mut self, arrival: IncomingRequest, round: &mut EventBatch) {
         let desk = &mut self.desk;
         if desk.tickets.len() >= self.most_jobs {
             // Never taken in: trying again is harmless.
-            let _ = arrival.answer.send(Answer::Refused(None));
+            let _ = arrival.answer.send(ClientResponse::Rejected(None));
             return;
         }
         let index = desk.free.pop().unwrap_or_else(|| {
             desk.held.push(None);
             desk.held.len() as u32 - 1
         });
-        let time_left = arrival.until.saturating_duration_since(desk.now);
-        round.jobs.push(Job {
-            job: index,
-            time_left,
+        let remaining_time = arrival.until.saturating_duration_since(desk.now);
+        round.requests.push(Request {
+            id: index,
+            remaining_time,
             ..arrival.job
         });
         desk.tickets.insert(arrival.ticket, index);
-        desk.held[index as usize] = Some(Held {
+        desk.held[index as usize] = Some(InFlightRequest {
             ticket: arrival.ticket,
             until: arrival.until,
             parcel: Arc::new(arrival.parcel),
--- a/crates/merlinreel/src/event_loop/action_executor.rs
+++ b/crates/merlinreel/src/event_loop/action_executor.rs
@@ -2,9 +2,9 @@
 
 use super::Clock;
 use crate::log;
-use crate::messages::{Answer, AttemptNews, Parcel};
-use crate::peers::Post;
-use crate::upstream::{Attempt, Link, Servers};
+use crate::messages::{AttemptCompletion, ClientResponse, UpstreamRequest};
+use crate::peers::PeerSender;
+use crate::upstream::{Attempt, ConnectionHandle, UpstreamPool};
 use merlinreel_policy::*;
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -12,51 +12,51 @@
 use tokio::sync::oneshot;
 
 /// An attempt that is out: of which job, which number, where, and by which connection.
-pub struct Out {
+pub struct InFlightAttempt {
     pub job: u32,
     pub attempt: u32,
     pub server: u32,
-    pub link: Link,
+    pub link: ConnectionHandle,
 }
 
 /// A job that is held.
-pub struct Held {
+pub struct InFlightRequest {
     pub ticket: u64,
     pub until: Instant,
-    pub parcel: Arc<Parcel>,
-    pub answer: Option<oneshot::Sender<Answer>>,
+    pub parcel: Arc<UpstreamRequest>,
+    pub answer: Option<oneshot::Sender<ClientResponse>>,
     pub attempts: u32,
     /// Serial numbers of the attempts that are out, with their own numbers.
     pub out: Vec<(u32, u64)>,
 }
 
 /// Everything that decisions are carried out with.
-pub struct Desk {
+pub struct ActionExecutor {
     pub clock: Clock,
-    pub servers: Servers,
-    pub post: Option<Post>,
+    pub servers: UpstreamPool,
+    pub post: Option<PeerSender>,
     /// Attempts end so long before the client gives up.
     pub margin: Duration,
-    pub held: Vec<Option<Held>>,
+    pub held: Vec<Option<InFlightRequest>>,
     pub free: Vec<u32>,
     pub tickets: HashMap<u64, u32>,
-    pub attempts: HashMap<u64, Out>,
+    pub attempts: HashMap<u64, InFlightAttempt>,
     pub serial: u64,
     /// Attempts that could not begin: news for the next round.
-    pub unsent: Vec<AttemptEnd>,
+    pub unsent: Vec<AttemptResult>,
     /// Jobs that may be over once the round is.
     pub closed: Vec<u32>,
     pub wake_at: Option<Instant>,
     pub now: Instant,
 }
 
-impl Desk {
-    pub fn held(&mut self, job: u32) -> Option<&mut Held> {
+impl ActionExecutor {
+    pub fn held(&mut self, job: u32) -> Option<&mut InFlightRequest> {
         self.held.get_mut(job as usize).and_then(Option::as_mut)
     }
 
     /// The client's final answer; there is none after it.
-    pub fn answer(&mut self, job: u32, answer: Answer) {
+    pub fn answer(&mut self, job: u32, answer: ClientResponse) {
         let Some(held) = self.held(job) else { return };
         if let Some(client) = held.answer.take() {
             let ticket = held.ticket;
@@ -102,7 +102,7 @@
     }
 
     /// The first good answer goes to the client as it stands.
-    pub fn end_attempt(&mut self, end: AttemptNews) -> Option<AttemptEnd> {
+    pub fn end_attempt(&mut self, end: AttemptCompletion) -> Option<AttemptResult> {
         let out = self.attempts.remove(&end.serial)?;
         if end.reusable {
             self.servers.keep(out.server, out.link);
@@ -110,26 +110,26 @@
         let held = self.held(out.job)?;
         held.out.retain(|&(_, serial)| serial != end.serial);
         if let Some(delivery) = end.delivery {
-            self.answer(out.job, Answer::Served(delivery));
+            self.answer(out.job, ClientResponse::Success(delivery));
         }
         self.closed.push(out.job);
         let finished = self.held(out.job).is_none_or(|held| held.answer.is_none());
-        Some(AttemptEnd {
-            job: out.job,
+        Some(AttemptResult {
+            request: out.job,
             attempt: out.attempt,
             server: out.server,
-            ending: end.ending,
-            took: end.took,
-            finished,
+            outcome: end.outcome,
+            latency: end.latency,
+            request_completed: finished,
             units: end.units,
-            metered: None,
+            metered_usage: None,
             load: end.load,
         })
     }
 }
 
-impl Writer for Desk {
-    fn send(&mut self, job: u32, server: u32, within: Option<Duration>) {
+impl Actions for ActionExecutor {
+    fn start_attempt(&mut self, job: u32, server: u32, within: Option<Duration>) {
         let (now, margin, serial) = (self.now, self.margin, self.serial + 1);
         let Some(held) = self.held(job) else { return };
         let number = held.attempts;
@@ -152,7 +152,7 @@
             self.serial = serial;
             self.attempts.insert(
                 serial,
-                Out {
+                InFlightAttempt {
                     job,
                     attempt: number,
                     server,
@@ -165,28 +165,28 @@
             return;
         }
         let finished = self.held(job).is_none_or(|held| held.answer.is_none());
-        self.unsent.push(AttemptEnd {
-            job,
+        self.unsent.push(AttemptResult {
+            request: job,
             attempt: number,
             server,
-            ending: Ending::Unsent,
-            took: Duration::ZERO,
-            finished,
+            outcome: AttemptOutcome::NotSent,
+            latency: Duration::ZERO,
+            request_completed: finished,
             units: None,
-            metered: None,
-            load: Load::default(),
+            metered_usage: None,
+            load: LoadReport::default(),
         });
     }
 
-    fn refuse(&mut self, job: u32, retry_after: Option<Duration>) {
-        self.answer(job, Answer::Refused(retry_after));
+    fn reject(&mut self, job: u32, retry_after: Option<Duration>) {
+        self.answer(job, ClientResponse::Rejected(retry_after));
     }
 
     fn fail(&mut self, job: u32) {
-        self.answer(job, Answer::Failed);
+        self.answer(job, ClientResponse::Failed);
     }
 
-    fn revoke(&mut self, job: u32, attempt: u32) {
+    fn cancel_attempt(&mut self, job: u32, attempt: u32) {
         let out = self
             .held(job)
             .and_then(|held| held.out.iter().find(|(n, _)| *n == attempt).copied());
@@ -197,40 +197,40 @@
         }
     }
 
-    fn probe(&mut self, server: u32) {
+    fn start_health_check(&mut self, server: u32) {
         self.servers.probe(server);
     }
 
-    fn tell(&mut self, limiter: u32, peer_message: &[u8]) {
+    fn send_peer_message(&mut self, limiter: u32, peer_message: &[u8]) {
         if let Some(post) = &self.post {
             post.tell(limiter, peer_message);
         }
     }
 
     /// A configuration with a counter is refused at start.
-    fn count(&mut self, customer: u64, window: u64, _: f64, _: Duration) {
+    fn increment_counter(&mut self, customer: u64, window: u64, _: f64, _: Duration) {
         log!("no counter to tell of customer {customer}, window {window}");
     }
 
     /// The server list is always watched.
-    fn follow_discovery(&mut self, _: bool) {}
+    fn set_endpoint_subscription(&mut self, _: bool) {}
 
-    fn ask_discovery(&mut self) {}
+    fn poll_endpoints(&mut self) {}
 
-    fn close_idle(&mut self, server: u32) {
+    fn close_idle_connections(&mut self, server: u32) {
         self.servers.close_idle(server);
     }
 
-    fn forget(&mut self, server: u32) {
+    fn release_endpoint(&mut self, server: u32) {
         self.servers.forget(server);
     }
 
-    fn wake(&mut self, after: Duration) {
+    fn schedule_wakeup(&mut self, after: Duration) {
         let at = self.now + after;
         self.wake_at = Some(self.wake_at.map_or(at, |set| set.min(at)));
     }
 
-    fn note(&mut self, text: &str) {
+    fn log(&mut self, text: &str) {
         log!("{text}");
     }
 }
--- a/crates/merlinreel/src/event_loop/tests.rs
+++ b/crates/merlinreel/src/event_loop/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 use crate::messages::Queue;
-use crate::messages::{AttemptNews, Parcel};
+use crate::messages::{AttemptCompletion, UpstreamRequest};
 use tokio::sync::oneshot;
 
 #[test]
@@ -18,41 +18,41 @@
 }
 
 /// A driver that holds one job at most, and an arrival of that ticket.
-fn driver() -> (Driver, Queue, mpsc::Receiver<News>) {
+fn driver() -> (EventLoop, Queue, mpsc::Receiver<Event>) {
     let settings = serde_json::json!({"classes": [{"idempotency": "non_idempotent", "promiseS": 30.0,
         "hardLimitS": 60.0}], "packages": [{"unitsPerS": 9.0, "mostAtOnce": 9.0}],
         "policyLimits": {"mostHeld": 1, "mayCancel": true}});
     let paths = merlinreel_settings::Paths::from_json(&settings);
     let terms = paths
-        .and_then(|paths| merlinreel_settings::Terms::read(&paths))
+        .and_then(|paths| merlinreel_settings::Settings::read(&paths))
         .expect("sound");
     let limits = crate::config::limits::Limits::new(1024, 192, &terms).expect("room");
     let (queue, news) = mpsc::channel(16);
-    let figures = Figures::new(&[]);
-    let servers = Servers::new(limits, &terms, queue.clone(), figures.clone());
+    let figures = Metrics::new(&[]);
+    let servers = UpstreamPool::new(limits, &terms, queue.clone(), figures.clone());
     (
-        Driver::new(terms.limiter(7), servers, None, Clock::start(), figures),
+        EventLoop::new(terms.limiter(7), servers, None, Clock::start(), figures),
         queue,
         news,
     )
 }
 
-fn arrival(ticket: u64) -> (News, oneshot::Receiver<Answer>) {
+fn arrival(ticket: u64) -> (Event, oneshot::Receiver<ClientResponse>) {
     let (answer, answered) = oneshot::channel();
-    let job = Job {
-        job: 0,
+    let job = Request {
+        id: 0,
         customer: 7,
         plan: 0,
         class: 0,
         units: 1.0,
-        time_left: Duration::ZERO,
+        remaining_time: Duration::ZERO,
         set_size: 1,
         set_first: 0,
-        again: false,
+        is_retry: false,
     };
     let (method, uri, headers, body, claim) = Default::default();
     let until = Instant::now() + Duration::from_secs(60);
-    let parcel = Parcel {
+    let parcel = UpstreamRequest {
         method,
         uri,
         headers,
@@ -60,7 +60,7 @@
         claim,
     };
     (
-        News::Arrival(Box::new(Arrival {
+        Event::Request(Box::new(IncomingRequest {
             ticket,
             job,
             until,
@@ -78,9 +78,15 @@
     // All that waits goes into one round, in order.
     driver.step(&mut vec![first, second]);
     assert!(waits.try_recv().is_err());
-    assert!(matches!(refused.try_recv(), Ok(Answer::Refused(None))));
+    assert!(matches!(
+        refused.try_recv(),
+        Ok(ClientResponse::Rejected(None))
+    ));
     let (third, mut held) = arrival(3);
-    driver.step(&mut vec![News::Left(1), News::Left(99)]);
+    driver.step(&mut vec![
+        Event::ClientDisconnected(1),
+        Event::ClientDisconnected(99),
+    ]);
     assert!(driver.desk.held.iter().all(Option::is_none) && driver.desk.tickets.is_empty());
     driver.step(&mut vec![third]);
     assert!(held.try_recv().is_err() && driver.desk.held.len() == 1);
@@ -90,12 +96,12 @@
 #[tokio::test]
 async fn an_end_told_twice_or_of_no_attempt_changes_nothing() {
     let (mut driver, _queue, _news) = driver();
-    let end = AttemptNews {
+    let end = AttemptCompletion {
         serial: 5,
-        ending: Ending::Served,
-        took: Duration::ZERO,
+        outcome: AttemptOutcome::Success,
+        latency: Duration::ZERO,
         units: None,
-        load: Load::default(),
+        load: LoadReport::default(),
         delivery: None,
         reusable: false,
     };
@@ -103,6 +109,6 @@
     let (first, mut waits) = arrival(1);
     driver.step(&mut vec![first]);
     driver.desk.fail(0);
-    driver.desk.refuse(0, None);
-    assert!(matches!(waits.try_recv(), Ok(Answer::Failed)));
+    driver.desk.reject(0, None);
+    assert!(matches!(waits.try_recv(), Ok(ClientResponse::Failed)));
 }
--- a/crates/merlinreel/src/lib.rs
+++ b/crates/merlinreel/src/lib.rs
@@ -61,9 +61,9 @@
 
 /// What the operators' door tells.
 struct Told {
-    door: Arc<client::Door>,
+    door: Arc<client::ClientListener>,
     mesh: Option<merlinreel_mesh::shell::Mesh>,
-    figures: Arc<telemetry::metrics::Figures>,
+    figures: Arc<telemetry::metrics::Metrics>,
 }
 
 impl admin::Telling for Told {
@@ -80,8 +80,8 @@
 
 /// What may turn while a limiter runs, with the values at its start.
 #[derive(Debug)]
-pub struct Turns {
-    pub settings: watch::Receiver<merlinreel_settings::Terms>,
+pub struct ReloadChannels {
+    pub settings: watch::Receiver<merlinreel_settings::Settings>,
     /// Where the server list is watched.
     pub discovery: watch::Receiver<SocketAddr>,
     /// The mesh's keys are read again at each word of it.
@@ -92,19 +92,19 @@
 /// the operators change meanwhile. Clients come through `handed` where the platform holds their socket, else
 /// through `listen`. Needs a runtime of tokio's with time and I/O; one thread is enough.
 pub async fn run(
-    station: config::Station,
+    station: config::GatewayConfig,
     handed: Option<std::net::TcpListener>,
-    figures: Arc<telemetry::metrics::Figures>,
-    turns: Turns,
+    figures: Arc<telemetry::metrics::Metrics>,
+    turns: ReloadChannels,
     stop: impl Future<Output = ()>,
 ) -> io::Result<()> {
     let clock = event_loop::Clock::start();
-    let Turns {
+    let ReloadChannels {
         settings: mut tunes,
         discovery,
         ground: mut grounds,
     } = turns;
-    let config::Station {
+    let config::GatewayConfig {
         name,
         listen,
         ops,
@@ -126,10 +126,10 @@
     };
     let (queue, news) = mpsc::channel(limits.queue);
     let inherited = handed.is_some();
-    let post = match peer_listen.filter(|_| terms.peers.peer_messages) {
+    let post = match peer_listen.filter(|_| terms.fleet.peer_messages) {
         Some(at) => {
             let post = bound(limits.bind, async || {
-                peers::Post::open(at, &peers, inherited).await
+                peers::PeerSender::open(at, &peers, inherited).await
             })
             .await;
             Some(post.map_err(|error| named("peer_listen", at, error))?)
@@ -144,9 +144,10 @@
             .map_err(|error| named("listen", listen, error))?,
     };
     let version = known.as_ref().map(|known| known.version);
-    let servers = upstream::Servers::new(limits.clone(), &terms, queue.clone(), figures.clone());
-    let (tune, tuned) = watch::channel(Arc::new(messages::Tuned::first(terms.clone())));
-    let driver = event_loop::Driver::new(
+    let servers =
+        upstream::UpstreamPool::new(limits.clone(), &terms, queue.clone(), figures.clone());
+    let (tune, tuned) = watch::channel(Arc::new(messages::ActiveSettings::first(terms.clone())));
+    let driver = event_loop::EventLoop::new(
         terms.limiter(seed),
         servers,
         post.clone(),
@@ -164,7 +165,7 @@
         while tunes.changed().await.is_ok() {
             let terms = tunes.borrow_and_update().clone();
             if retuning
-                .send(messages::News::Retune(Box::new(terms)))
+                .send(messages::Event::Reconfigure(Box::new(terms)))
                 .await
                 .is_err()
             {
@@ -183,7 +184,7 @@
             ""
         }
     );
-    let door = client::Door::new(limits.clone(), tuned, queue, figures.clone());
+    let door = client::ClientListener::new(limits.clone(), tuned, queue, figures.clone());
     let first = timeout(limits.first_list, first);
     let taking = match &ground {
         Some(ground) => {
--- a/crates/merlinreel/src/main.rs
+++ b/crates/merlinreel/src/main.rs
@@ -25,7 +25,7 @@
     #[error("signals can't be heard: {0}")]
     Signals(std::io::Error),
     #[error(transparent)]
-    Station(#[from] config::StationError),
+    GatewayConfig(#[from] config::ConfigError),
     #[error(transparent)]
     Ended(#[from] std::io::Error),
 }
@@ -86,7 +86,7 @@
     let station = config::read(|name| std::env::var(name).ok())?;
     let (turn, discovery) = watch::channel(station.discovery);
     let mut present = station.clone();
-    let figures = merlinreel::telemetry::metrics::Figures::new(&station.terms.wire.classes);
+    let figures = merlinreel::telemetry::metrics::Metrics::new(&station.terms.sockets.classes);
     let counted = figures.clone();
     let (tune, settings) = watch::channel(station.terms.clone());
     let (reground, ground) = watch::channel(station.mesh.clone());
@@ -105,7 +105,7 @@
     let stop = async move {
         asked.recv().await;
     };
-    let turns = merlinreel::Turns {
+    let turns = merlinreel::ReloadChannels {
         settings,
         discovery,
         ground,
--- a/crates/merlinreel/src/messages.rs
+++ b/crates/merlinreel/src/messages.rs
@@ -1,95 +1,95 @@
 //! What passes between the driver and the tasks round it. Nothing here knows who sends or takes it, so that no task
 //! needs the driver's own module, nor another's.
 
-use crate::client::admission::Claim;
-use crate::upstream::streaming_body::Flow;
+use crate::client::admission::AdmissionPermit;
+use crate::upstream::streaming_body::StreamingBody;
 use hyper::body::Bytes;
 use hyper::{HeaderMap, Method, Uri};
-use merlinreel_discovery::DiscoveryNews;
-use merlinreel_policy::{Ending, Job, Load, PeerMessage, ProbeAnswer};
-use merlinreel_settings::Terms;
+use merlinreel_discovery::DiscoveryUpdate;
+use merlinreel_policy::{AttemptOutcome, HealthCheckResult, LoadReport, PeerMessage, Request};
+use merlinreel_settings::Settings;
 use std::time::{Duration, Instant};
 use tokio::sync::{mpsc, oneshot};
 
 /// What a client sent and a server is to get, whatever the protocol that brought it.
 #[derive(Debug)]
-pub struct Parcel {
+pub struct UpstreamRequest {
     pub method: Method,
     pub uri: Uri,
     /// End-to-end headers only.
     pub headers: HeaderMap,
     pub body: Bytes,
     /// Its id and its place among the bodies in hand, given back with it.
-    pub claim: Option<Claim>,
+    pub claim: Option<AdmissionPermit>,
 }
 
 /// A server's good answer.
 #[derive(Debug)]
-pub struct Delivery {
+pub struct UpstreamResponse {
     pub headers: HeaderMap,
     pub body: Bytes,
     /// A long body that goes on as it comes, in `body`'s place.
-    pub flow: Option<Box<Flow>>,
+    pub flow: Option<Box<StreamingBody>>,
 }
 
 #[derive(Debug)]
-pub enum Answer {
-    Served(Delivery),
-    Refused(Option<Duration>),
+pub enum ClientResponse {
+    Success(UpstreamResponse),
+    Rejected(Option<Duration>),
     Failed,
 }
 
 /// A job that a client's connection took whole.
 #[derive(Debug)]
-pub struct Arrival {
+pub struct IncomingRequest {
     /// Names it until it has its answer.
     pub ticket: u64,
     /// Its index and the time left are filled in by the driver.
-    pub job: Job,
+    pub job: Request,
     /// When the client gives up.
     pub until: Instant,
-    pub parcel: Parcel,
-    pub answer: oneshot::Sender<Answer>,
+    pub parcel: UpstreamRequest,
+    pub answer: oneshot::Sender<ClientResponse>,
 }
 
 /// How an attempt ended.
 #[derive(Debug)]
-pub struct AttemptNews {
+pub struct AttemptCompletion {
     pub serial: u64,
-    pub ending: Ending,
-    pub took: Duration,
+    pub outcome: AttemptOutcome,
+    pub latency: Duration,
     pub units: Option<f64>,
-    pub load: Load,
-    pub delivery: Option<Delivery>,
+    pub load: LoadReport,
+    pub delivery: Option<UpstreamResponse>,
     /// Its connection can carry another attempt.
     pub reusable: bool,
 }
 
 #[derive(Debug)]
-pub enum News {
-    Arrival(Box<Arrival>),
+pub enum Event {
+    Request(Box<IncomingRequest>),
     /// The client of this ticket has left.
-    Left(u64),
-    Attempt(AttemptNews),
-    Probe(ProbeAnswer),
-    ServerList(DiscoveryNews),
+    ClientDisconnected(u64),
+    AttemptCompleted(AttemptCompletion),
+    HealthCheck(HealthCheckResult),
+    EndpointUpdate(DiscoveryUpdate),
     PeerMessage(PeerMessage),
     /// Settings read again, found sound.
-    Retune(Box<Terms>),
+    Reconfigure(Box<Settings>),
 }
 
-pub type Queue = mpsc::Sender<News>;
+pub type Queue = mpsc::Sender<Event>;
 
 /// The settings in force at the door, and each of their classes' index in the module.
 #[derive(Debug)]
-pub struct Tuned {
-    pub terms: Terms,
+pub struct ActiveSettings {
+    pub terms: Settings,
     pub indices: Vec<usize>,
 }
 
-impl Tuned {
-    pub fn first(terms: Terms) -> Tuned {
-        Tuned {
+impl ActiveSettings {
+    pub fn first(terms: Settings) -> ActiveSettings {
+        ActiveSettings {
             indices: (0..terms.classes.len()).collect(),
             terms,
         }
--- a/crates/merlinreel/src/net/observed_stream.rs
+++ b/crates/merlinreel/src/net/observed_stream.rs
@@ -14,7 +14,7 @@
 use tokio::net::TcpStream;
 
 /// Hears of all bytes that the kernel gave or took.
-pub trait Tally {
+pub trait IoObserver {
     fn read(&self, _bytes: usize) {}
     fn wrote(&self, _bytes: usize) {}
     /// The kernel takes no more for now: something is still to be written.
@@ -32,11 +32,11 @@
 
 /// For streams of which nothing needs to be known.
 #[derive(Debug)]
-pub struct Untallied;
+pub struct Unobserved;
 
-impl Tally for Untallied {}
+impl IoObserver for Unobserved {}
 
-pub struct Tallied<T> {
+pub struct ObservedStream<T> {
     stream: TcpStream,
     tally: Arc<T>,
     /// The last read, or write, moved less than was asked for.
@@ -59,9 +59,9 @@
     }
 }
 
-impl<T: Tally> Tallied<T> {
-    pub fn new(stream: TcpStream, tally: Arc<T>) -> Tallied<T> {
-        Tallied {
+impl<T: IoObserver> ObservedStream<T> {
+    pub fn new(stream: TcpStream, tally: Arc<T>) -> ObservedStream<T> {
+        ObservedStream {
             stream,
             tally,
             short_read: false,
@@ -152,7 +152,7 @@
     }
 }
 
-impl<T: Tally> AsyncRead for Tallied<T> {
+impl<T: IoObserver> AsyncRead for ObservedStream<T> {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context,
@@ -175,7 +175,7 @@
     }
 }
 
-impl<T: Tally> AsyncWrite for Tallied<T> {
+impl<T: IoObserver> AsyncWrite for ObservedStream<T> {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context,
--- a/crates/merlinreel/src/peers.rs
+++ b/crates/merlinreel/src/peers.rs
@@ -1,7 +1,7 @@
 //! Peer messages between limiters: datagrams, known by the address they come from.
 
 use crate::log;
-use crate::messages::{News, Queue};
+use crate::messages::{Event, Queue};
 use crate::net::backoff::Backoff;
 use merlinreel_policy::PeerMessage;
 use merlinreel_policy::peer_message::MOST_BYTES;
@@ -12,15 +12,19 @@
 use tokio::net::UdpSocket;
 
 #[derive(Clone)]
-pub struct Post {
+pub struct PeerSender {
     socket: Arc<UdpSocket>,
     peers: Arc<[SocketAddr]>,
 }
 
-impl Post {
+impl PeerSender {
     /// Where the process that follows is to share the address (`beside`), both bind it with `SO_REUSEPORT`; guards
     /// against an upgrade that ends at start as the one before holds the port. Elsewhere a second holder is an error.
-    pub async fn open(at: SocketAddr, peers: &[SocketAddr], beside: bool) -> io::Result<Post> {
+    pub async fn open(
+        at: SocketAddr,
+        peers: &[SocketAddr],
+        beside: bool,
+    ) -> io::Result<PeerSender> {
         let socket = if beside {
             let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::DGRAM, None)?;
             socket.set_reuse_port(true)?;
@@ -30,7 +34,7 @@
         } else {
             UdpSocket::bind(at).await?
         };
-        Ok(Post {
+        Ok(PeerSender {
             socket: Arc::new(socket),
             peers: peers.into(),
         })
@@ -66,7 +70,7 @@
                     backoff.reset();
                     if let Some(&from) = senders.get(&from) {
                         let bytes = buffer[..length].to_vec();
-                        let _ = queue.try_send(News::PeerMessage(PeerMessage { from, bytes }));
+                        let _ = queue.try_send(Event::PeerMessage(PeerMessage { from, bytes }));
                     }
                 }
                 Ok(_) => {}
--- a/crates/merlinreel/src/peers/tests.rs
+++ b/crates/merlinreel/src/peers/tests.rs
@@ -13,11 +13,11 @@
     ];
     let peers: Arc<[SocketAddr]> = [&one, &two].map(|s| s.local_addr().expect("bound")).into();
     let (queue, mut news) = mpsc::channel(8);
-    let receiver = Post {
+    let receiver = PeerSender {
         socket: Arc::new(one),
         peers: peers.clone(),
     };
-    let sender = Post {
+    let sender = PeerSender {
         socket: Arc::new(two),
         peers: peers.clone(),
     };
@@ -29,7 +29,7 @@
     let first = timeout(Duration::from_secs(5), news.recv())
         .await
         .expect("a peer message");
-    let Some(News::PeerMessage(peer_message)) = first else {
+    let Some(Event::PeerMessage(peer_message)) = first else {
         panic!("no peer message")
     };
     assert_eq!(
--- a/crates/merlinreel/src/telemetry/log.rs
+++ b/crates/merlinreel/src/telemetry/log.rs
@@ -11,15 +11,15 @@
 
 /// Guards the disk and the CPU against a trouble that repeats with every job.
 #[derive(Debug)]
-pub struct Gauge {
+pub struct LogRateLimiter {
     since: Option<Instant>,
     lines: u32,
     held_back: u64,
 }
 
-impl Gauge {
-    pub const fn new() -> Gauge {
-        Gauge {
+impl LogRateLimiter {
+    pub const fn new() -> LogRateLimiter {
+        LogRateLimiter {
             since: None,
             lines: 0,
             held_back: 0,
@@ -43,13 +43,13 @@
     }
 }
 
-impl Default for Gauge {
-    fn default() -> Gauge {
-        Gauge::new()
+impl Default for LogRateLimiter {
+    fn default() -> LogRateLimiter {
+        LogRateLimiter::new()
     }
 }
 
-static GAUGE: Mutex<Gauge> = Mutex::new(Gauge::new());
+static GAUGE: Mutex<LogRateLimiter> = Mutex::new(LogRateLimiter::new());
 
 /// Whether the process may write a line now; used by the macro.
 pub fn admits() -> Option<u64> {
--- a/crates/merlinreel/src/telemetry/metrics.rs
+++ b/crates/merlinreel/src/telemetry/metrics.rs
@@ -50,7 +50,7 @@
 }
 
 #[derive(Default)]
-pub struct Figures {
+pub struct Metrics {
     /// One lock for both, taken once an answer.
     classes: Mutex<Classes>,
     attempts: AtomicU64,
@@ -65,9 +65,9 @@
     path.trim_start_matches('/').split('/').next().unwrap_or("")
 }
 
-impl Figures {
-    pub fn new(classes: &[String]) -> Arc<Figures> {
-        let figures = Arc::new(Figures::default());
+impl Metrics {
+    pub fn new(classes: &[String]) -> Arc<Metrics> {
+        let figures = Arc::new(Metrics::default());
         figures.classes_now(classes);
         figures
     }
--- a/crates/merlinreel/src/telemetry/metrics/tests.rs
+++ b/crates/merlinreel/src/telemetry/metrics/tests.rs
@@ -12,7 +12,7 @@
 
 #[test]
 fn classes_dropped_keep_their_counts_and_strangers_count_nothing() {
-    let figures = Figures::new(&["look".to_owned()]);
+    let figures = Metrics::new(&["look".to_owned()]);
     figures.answered("look", Outcome::Served);
     figures.answered("garbage", Outcome::Failed);
     figures.classes_now(&["put".to_owned()]);
--- a/crates/merlinreel/src/upstream.rs
+++ b/crates/merlinreel/src/upstream.rs
@@ -15,13 +15,13 @@
 
 use crate::config::limits::Limits;
 use crate::log;
-use crate::messages::{News, Parcel, Queue};
-use crate::telemetry::metrics::Figures;
+use crate::messages::{Event, Queue, UpstreamRequest};
+use crate::telemetry::metrics::Metrics;
 use crate::upstream::response_memory::AnswerMemory;
 use connection::UpstreamConnection;
 use health_check::probe;
-use merlinreel_discovery::{DiscoveryNews, ServerTable};
-use merlinreel_policy::{ProbeAnswer, ServerList, Standing};
+use merlinreel_discovery::{DiscoveryUpdate, EndpointTable};
+use merlinreel_policy::{EndpointState, EndpointUpdate, HealthCheckResult};
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -33,7 +33,7 @@
 #[derive(Debug)]
 pub struct Attempt {
     pub serial: u64,
-    pub parcel: Arc<Parcel>,
+    pub parcel: Arc<UpstreamRequest>,
     pub started: Instant,
     /// The limiter stops waiting then.
     pub until: Instant,
@@ -58,12 +58,12 @@
 
 /// The driver's hold on one connection; the connection closes once it is let go of.
 #[derive(Debug)]
-pub struct Link {
+pub struct ConnectionHandle {
     commands: mpsc::Sender<Command>,
     address: SocketAddr,
 }
 
-impl Link {
+impl ConnectionHandle {
     /// Closes the connection of that attempt, if it still carries it.
     pub fn abandon(&self, serial: u64) {
         let _ = self.commands.try_send(Command::Abandon(serial));
@@ -77,13 +77,18 @@
 
 /// Connections to one server that rest, with the time since when, the newest last.
 #[derive(Default)]
-struct IdleConnections(Vec<(Instant, Link)>);
+struct IdleConnections(Vec<(Instant, ConnectionHandle)>);
 
 impl IdleConnections {
     /// The newest idle connection that is settled, so that few are kept; else the oldest, unless `only_settled`.
     /// Guards attempts against servers that end a connection behind an answer, where the end crosses the next attempt,
     /// and against those that send a second answer.
-    fn take(&mut self, now: Instant, settled: Duration, only_settled: bool) -> Option<Link> {
+    fn take(
+        &mut self,
+        now: Instant,
+        settled: Duration,
+        only_settled: bool,
+    ) -> Option<ConnectionHandle> {
         let newest = self
             .0
             .iter()
@@ -94,36 +99,36 @@
 }
 
 /// The servers by index, with their idle connections.
-pub struct Servers {
+pub struct UpstreamPool {
     limits: Limits,
     loads_in_answers: bool,
     memory: AnswerMemory,
     loads_in_probes: bool,
     probes: bool,
-    table: ServerTable,
+    table: EndpointTable,
     /// By index.
     idle: Vec<IdleConnections>,
     slots: Arc<Semaphore>,
     queue: Queue,
-    figures: Arc<Figures>,
+    figures: Arc<Metrics>,
     unasked: Arc<UnaskedBytes>,
 }
 
-impl Servers {
+impl UpstreamPool {
     pub fn new(
         limits: Limits,
-        terms: &merlinreel_settings::Terms,
+        terms: &merlinreel_settings::Settings,
         queue: Queue,
-        figures: Arc<Figures>,
-    ) -> Servers {
-        Servers {
+        figures: Arc<Metrics>,
+    ) -> UpstreamPool {
+        UpstreamPool {
             figures,
             unasked: Arc::default(),
-            loads_in_answers: terms.wire.loads_in_answers,
+            loads_in_answers: terms.sockets.loads_in_answers,
             memory: AnswerMemory::new(&limits),
-            loads_in_probes: terms.wire.loads_in_probes,
-            probes: terms.servers.probes,
-            table: ServerTable::new(terms.wire.zones.clone()),
+            loads_in_probes: terms.sockets.loads_in_probes,
+            probes: terms.endpoints.health_checks,
+            table: EndpointTable::new(terms.sockets.zones.clone()),
             idle: Vec::new(),
             slots: Arc::new(Semaphore::new(limits.servers)),
             limits,
@@ -136,18 +141,18 @@
     }
 
     /// Takes a message of discovery in, for the module; no connection rests to a server that is not up.
-    pub fn list(&mut self, news: DiscoveryNews, restored: bool) -> ServerList {
+    pub fn list(&mut self, news: DiscoveryUpdate, restored: bool) -> EndpointUpdate {
         let list = self.table.apply(news, restored);
         self.idle
             .resize_with(self.table.indices(), IdleConnections::default);
         for entry in list
-            .entries
+            .endpoints
             .iter()
-            .filter(|entry| entry.standing != Standing::Up)
+            .filter(|entry| entry.state != EndpointState::Ready)
         {
             self.close_idle(entry.server);
         }
-        if list.whole {
+        if list.complete {
             self.close_idle_to_the_gone();
         }
         list
@@ -172,7 +177,7 @@
     }
 
     /// Starts an attempt on an idle connection, else on a new one; none where all descriptors are taken.
-    pub fn send(&mut self, server: u32, mut attempt: Attempt) -> Option<Link> {
+    pub fn send(&mut self, server: u32, mut attempt: Attempt) -> Option<ConnectionHandle> {
         let address = self.table.address(server)?;
         let idle = self.idle.get_mut(server as usize)?;
         let only_settled = self.unasked.seen();
@@ -201,7 +206,7 @@
             unasked: self.unasked.clone(),
         };
         tokio::spawn(upstream.run(attempt, slot));
-        Some(Link { commands, address })
+        Some(ConnectionHandle { commands, address })
     }
 
     /// With the last place taken the longest idle connection of the fullest pool is let go of, for the next.
@@ -220,7 +225,7 @@
     }
 
     /// Takes back a connection whose attempt is over.
-    pub fn keep(&mut self, server: u32, link: Link) {
+    pub fn keep(&mut self, server: u32, link: ConnectionHandle) {
         if self.table.address(server) != Some(link.address) {
             return;
         }
@@ -258,13 +263,13 @@
                 .flatten();
             drop(slot);
             let (answered, load) = (found.is_some(), found.unwrap_or_default());
-            let answer = ProbeAnswer {
+            let answer = HealthCheckResult {
                 server,
                 answered,
-                took: started.elapsed(),
+                latency: started.elapsed(),
                 load,
             };
-            let _ = queue.send(News::Probe(answer)).await;
+            let _ = queue.send(Event::HealthCheck(answer)).await;
         });
     }
 }
--- a/crates/merlinreel/src/upstream/connection.rs
+++ b/crates/merlinreel/src/upstream/connection.rs
@@ -1,22 +1,22 @@
 //! The task of one connection to a server: one attempt at a time, and what each attempt's end proves.
 
-use super::message::{Said, decode, encode, wire_length};
+use super::message::{DecodedResponse, decode, encode, wire_length};
 use super::response::{Answer, receive};
 use super::unsolicited::{UnaskedBytes, is_unasked};
 use super::{Attempt, Command};
 use crate::config::limits::Limits;
 use crate::log;
-use crate::messages::{AttemptNews, News, Queue};
+use crate::messages::{AttemptCompletion, Event, Queue};
 use crate::net::backoff::Backoff;
-use crate::net::observed_stream::{Tallied, Tally};
+use crate::net::observed_stream::{IoObserver, ObservedStream};
 use crate::net::system_errors::is_of_this_machine;
-use crate::telemetry::metrics::{Figures, class_of};
+use crate::telemetry::metrics::{Metrics, class_of};
 use crate::upstream::response_memory::AnswerMemory;
 use http_body_util::Full;
 use hyper::body::Bytes;
 use hyper::client::conn::http1::{Builder, Connection, SendRequest};
 use hyper_util::rt::TokioIo;
-use merlinreel_policy::Ending;
+use merlinreel_policy::AttemptOutcome;
 use std::io::{self, ErrorKind};
 use std::net::SocketAddr;
 use std::pin::Pin;
@@ -49,7 +49,7 @@
     }
 }
 
-impl Tally for Sent {
+impl IoObserver for Sent {
     fn read(&self, _: usize) {
         if self.resting.load(Ordering::Relaxed) {
             self.unasked.note();
@@ -70,7 +70,7 @@
     }
 }
 
-type Wire = Connection<TokioIo<Tallied<Sent>>, Full<Bytes>>;
+type Wire = Connection<TokioIo<ObservedStream<Sent>>, Full<Bytes>>;
 
 /// Connects, again and again while this machine can't: a fault of its own says nothing of the server, and may be over in
 /// a moment.
@@ -93,9 +93,12 @@
 /// An attempt whose answer may go to the client.
 enum Answered {
     /// Whole; the connection may carry another attempt, or ends.
-    Whole { said: Said, reusable: bool },
+    Whole {
+        said: DecodedResponse,
+        reusable: bool,
+    },
     /// Long: its connection serves it alone until its end.
-    Flows { said: Said, ended: Ended },
+    Flows { said: DecodedResponse, ended: Ended },
 }
 
 /// A connection that is up.
@@ -115,7 +118,7 @@
     pub loads: bool,
     pub memory: AnswerMemory,
     pub queue: Queue,
-    pub figures: Arc<Figures>,
+    pub figures: Arc<Metrics>,
     pub unasked: Arc<UnaskedBytes>,
 }
 
@@ -128,9 +131,9 @@
                 Some(open) => open,
                 None => match self.open(&attempt).await {
                     Ok(open) => open,
-                    Err(ending) => {
+                    Err(outcome) => {
                         return self
-                            .report(serial, started, Said::nothing(ending), false)
+                            .report(serial, started, DecodedResponse::nothing(outcome), false)
                             .await;
                     }
                 },
@@ -138,7 +141,9 @@
             let before = open.sent.bytes();
             let said = match self.exchange(&mut open, &attempt).await {
                 // The server closed while it was idle, and nothing of this attempt was written: it starts anew.
-                Err(Ending::TurnedAway) if before > 0 && open.sent.bytes() == before => continue,
+                Err(AttemptOutcome::Rejected) if before > 0 && open.sent.bytes() == before => {
+                    continue;
+                }
                 said => said,
             };
             // Nothing of the request stays with a connection that rests.
@@ -163,11 +168,11 @@
                     }
                     return;
                 }
-                Err(ending) => {
+                Err(outcome) => {
                     // Closed before anybody hears of it, and so before a next attempt starts.
                     drop(open);
                     return self
-                        .report(serial, started, Said::nothing(ending), false)
+                        .report(serial, started, DecodedResponse::nothing(outcome), false)
                         .await;
                 }
             }
@@ -192,16 +197,16 @@
         }
     }
 
-    async fn open(&mut self, attempt: &Attempt) -> Result<OpenConnection, Ending> {
+    async fn open(&mut self, attempt: &Attempt) -> Result<OpenConnection, AttemptOutcome> {
         let (address, within) = (self.address, self.limits.connect);
         let head = self.limits.head;
         let stream = tokio::select! {
             biased;
-            () = self.abandoned(attempt.serial, || false) => return Err(Ending::Unsent),
+            () = self.abandoned(attempt.serial, || false) => return Err(AttemptOutcome::NotSent),
             stream = timeout(within, connect(address)) => stream,
             () = sleep_until(attempt.written_by().into()) => return Err(match attempt.begins_by {
-                Some(_) => Ending::Unsent,
-                None => Ending::Unreachable,
+                Some(_) => AttemptOutcome::NotSent,
+                None => AttemptOutcome::Unreachable,
             }),
         };
         let stream = match stream {
@@ -210,21 +215,21 @@
                 log!("server at {address}: no connection: {error}");
                 return Err(match error.kind() {
                     // It was up.
-                    ErrorKind::ConnectionReset => Ending::TurnedAway,
-                    ErrorKind::ConnectionRefused => Ending::NoConnection,
-                    _ => Ending::Unreachable,
+                    ErrorKind::ConnectionReset => AttemptOutcome::Rejected,
+                    ErrorKind::ConnectionRefused => AttemptOutcome::ConnectionRefused,
+                    _ => AttemptOutcome::Unreachable,
                 });
             }
             Err(_) => {
                 log!("server at {address}: no connection within {within:?}");
-                return Err(Ending::Unreachable);
+                return Err(AttemptOutcome::Unreachable);
             }
         };
         let _ = stream.set_nodelay(true);
         let sent = Arc::new(Sent::new(self.unasked.clone()));
-        let io = TokioIo::new(Tallied::new(stream, sent.clone()));
+        let io = TokioIo::new(ObservedStream::new(stream, sent.clone()));
         let shaken = Builder::new().max_buf_size(head).handshake(io).await;
-        let (sender, connection) = shaken.map_err(|_| Ending::Unreachable)?;
+        let (sender, connection) = shaken.map_err(|_| AttemptOutcome::Unreachable)?;
         Ok(OpenConnection {
             sender,
             connection: Box::pin(connection),
@@ -238,10 +243,10 @@
         &mut self,
         up: &mut OpenConnection,
         attempt: &Attempt,
-    ) -> Result<Answered, Ending> {
+    ) -> Result<Answered, AttemptOutcome> {
         // Asked of the clock itself: a timer may be a millisecond late.
         if attempt.written_by() <= Instant::now() {
-            return Err(Ending::Unsent);
+            return Err(AttemptOutcome::NotSent);
         }
         let request = encode(
             &attempt.parcel,
@@ -269,13 +274,13 @@
         let limit = sleep_until(attempt.until.into());
         let written_by = sleep_until(attempt.written_by().into());
         tokio::pin!(answer, limit, written_by);
-        let ending = loop {
+        let outcome = loop {
             tokio::select! {
                 biased;
-                () = self.abandoned(attempt.serial, || sent.bytes() > before) => break Ending::Revoked,
+                () = self.abandoned(attempt.serial, || sent.bytes() > before) => break AttemptOutcome::Cancelled,
                 // Before anything more is written. Guards keyed jobs against a repeat that comes after its servers
                 // have forgotten the key, where the connection came up late or takes the request in parts.
-                () = &mut written_by, if sent.bytes() < whole => break Ending::Expired,
+                () = &mut written_by, if sent.bytes() < whole => break AttemptOutcome::DeadlineExceeded,
                 // First, as what it reads is the answer: that saves a turn.
                 ended = connection.as_mut(), if !*over => *over = self.over(ended),
                 answer = &mut answer => match answer {
@@ -293,10 +298,10 @@
                     Err(error) => {
                         let part = if sent.bytes() < whole { "before" } else { "after" };
                         log!("server at {}: connection broke {part} an attempt's last byte: {error}", self.address);
-                        break Ending::Dropped;
+                        break AttemptOutcome::ConnectionLost;
                     }
                 },
-                () = &mut limit => break Ending::Expired,
+                () = &mut limit => break AttemptOutcome::DeadlineExceeded,
             }
         };
         // Nothing is written any more: short of the last byte, no server can have run it.
@@ -304,12 +309,12 @@
         if !never_ran {
             attempted();
         }
-        Err(match ending {
+        Err(match outcome {
             // Guards a server that lives against being taken for a dead one, and for a cold one after that: it
             // took the connection and would not have the attempt.
-            Ending::Dropped if never_ran => Ending::TurnedAway,
-            _ if never_ran => Ending::Unsent,
-            ending => ending,
+            AttemptOutcome::ConnectionLost if never_ran => AttemptOutcome::Rejected,
+            _ if never_ran => AttemptOutcome::NotSent,
+            outcome => outcome,
         })
     }
 
@@ -349,7 +354,7 @@
                 self.report(
                     attempt.serial,
                     attempt.started,
-                    Said::nothing(Ending::Unsent),
+                    DecodedResponse::nothing(AttemptOutcome::NotSent),
                     false,
                 )
                 .await;
@@ -358,16 +363,16 @@
         None
     }
 
-    async fn report(&self, serial: u64, started: Instant, said: Said, reusable: bool) {
-        let news = AttemptNews {
+    async fn report(&self, serial: u64, started: Instant, said: DecodedResponse, reusable: bool) {
+        let news = AttemptCompletion {
             serial,
-            ending: said.ending,
-            took: started.elapsed(),
+            outcome: said.outcome,
+            latency: started.elapsed(),
             units: said.units,
             load: said.load,
             delivery: said.delivery,
             reusable,
         };
-        let _ = self.queue.send(News::Attempt(news)).await;
+        let _ = self.queue.send(Event::AttemptCompleted(news)).await;
     }
 }
--- a/crates/merlinreel/src/upstream/health_check.rs
+++ b/crates/merlinreel/src/upstream/health_check.rs
@@ -6,13 +6,13 @@
 use hyper::header::{CONNECTION, HOST};
 use hyper::{Request, StatusCode};
 use hyper_util::rt::TokioIo;
-use merlinreel_policy::Load;
+use merlinreel_policy::LoadReport;
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use tokio::net::TcpStream;
 
 /// What a server says of itself, on a connection of its own; none where it says nothing good.
-pub async fn probe(address: SocketAddr, path: &str, limits: &Limits) -> Option<Load> {
+pub async fn probe(address: SocketAddr, path: &str, limits: &Limits) -> Option<LoadReport> {
     let stream = TcpStream::connect(address).await.ok()?;
     let (mut sender, connection) = hyper::client::conn::http1::handshake(TokioIo::new(stream))
         .await
@@ -36,19 +36,19 @@
 }
 
 /// A load report; what it does not hold is absent.
-pub fn read_load(bytes: &[u8]) -> Load {
+pub fn read_load(bytes: &[u8]) -> LoadReport {
     let Ok(fields) = serde_json::from_slice::<HashMap<String, f64>>(bytes) else {
-        return Load::default();
+        return LoadReport::default();
     };
-    let mut load = Load::default();
+    let mut load = LoadReport::default();
     for (name, value) in fields.into_iter().filter(|(_, value)| value.is_finite()) {
         match name.as_str() {
-            "inflight" | "busy_reqs" => load.in_hand = Some(value),
-            "queue" | "pending" => load.waiting = Some(value),
-            "util" | "cpu_share" => load.busy = Some(value),
-            "latency_ms" | "svc_ms" => load.service_ms = Some(value),
-            "qps" | "served_ps" => load.served_per_s = Some(value),
-            "eps" | "failed_ps" => load.errors_per_s = Some(value),
+            "inflight" | "busy_reqs" => load.in_flight = Some(value),
+            "queue" | "pending" => load.queued = Some(value),
+            "util" | "cpu_share" => load.utilization = Some(value),
+            "latency_ms" | "svc_ms" => load.service_time_ms = Some(value),
+            "qps" | "served_ps" => load.requests_per_second = Some(value),
+            "eps" | "failed_ps" => load.errors_per_second = Some(value),
             _ => {}
         }
     }
--- a/crates/merlinreel/src/upstream/message.rs
+++ b/crates/merlinreel/src/upstream/message.rs
@@ -1,14 +1,14 @@
 //! A job as a server gets it, and what its answer says.
 
 use super::health_check::read_load;
-use crate::messages::{Delivery, Parcel};
-use crate::upstream::streaming_body::Flow;
+use crate::messages::{UpstreamRequest, UpstreamResponse};
+use crate::upstream::streaming_body::StreamingBody;
 use http_body_util::Full;
 use hyper::body::Bytes;
 use hyper::header::{CONNECTION, CONTENT_LENGTH, HeaderMap, HeaderName, HeaderValue};
 use hyper::http::response::Parts;
 use hyper::{Request, StatusCode};
-use merlinreel_policy::{Ending, Load};
+use merlinreel_policy::{AttemptOutcome, LoadReport};
 use std::time::Duration;
 
 /// The bytes that a request takes on the wire at least.
@@ -31,7 +31,7 @@
 const UNITS_CHARGED: HeaderName = HeaderName::from_static("x-units-charged");
 
 /// A job as a server gets it: unchanged but for the time that the limiter will wait.
-pub fn encode(parcel: &Parcel, waits: Duration) -> Request<Full<Bytes>> {
+pub fn encode(parcel: &UpstreamRequest, waits: Duration) -> Request<Full<Bytes>> {
     let mut request = Request::new(Full::new(parcel.body.clone()));
     *request.method_mut() = parcel.method.clone();
     *request.uri_mut() = parcel.uri.clone();
@@ -65,36 +65,41 @@
 }
 
 /// What an answer says, besides how long it took.
-pub struct Said {
-    pub ending: Ending,
+pub struct DecodedResponse {
+    pub outcome: AttemptOutcome,
     pub units: Option<f64>,
-    pub load: Load,
-    pub delivery: Option<Delivery>,
+    pub load: LoadReport,
+    pub delivery: Option<UpstreamResponse>,
 }
 
-impl Said {
-    pub fn nothing(ending: Ending) -> Said {
-        Said {
-            ending,
+impl DecodedResponse {
+    pub fn nothing(outcome: AttemptOutcome) -> DecodedResponse {
+        DecodedResponse {
+            outcome,
             units: None,
-            load: Load::default(),
+            load: LoadReport::default(),
             delivery: None,
         }
     }
 }
 
 /// A whole `body`, or a `flow` in its place.
-pub fn decode(mut head: Parts, body: Bytes, flow: Option<Box<Flow>>, loads: bool) -> Said {
+pub fn decode(
+    mut head: Parts,
+    body: Bytes,
+    flow: Option<Box<StreamingBody>>,
+    loads: bool,
+) -> DecodedResponse {
     let turned_away = head
         .headers
         .get(TURNED_AWAY)
         .is_some_and(|value| value == "1");
-    let ending = match head.status {
-        StatusCode::OK => Ending::Served,
+    let outcome = match head.status {
+        StatusCode::OK => AttemptOutcome::Success,
         StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if turned_away => {
-            Ending::TurnedAway
+            AttemptOutcome::Rejected
         }
-        _ => Ending::Error,
+        _ => AttemptOutcome::Error,
     };
     let units = head
         .headers
@@ -104,17 +109,17 @@
         .and_then(|text| text.parse::<f64>().ok())
         .filter(|units| units.is_finite() && *units > 0.0);
     let load = head.headers.remove(PRESSURE).filter(|_| loads);
-    let load = load.map_or_else(Load::default, |value| read_load(value.as_bytes()));
-    let delivery = (ending == Ending::Served).then(|| {
+    let load = load.map_or_else(LoadReport::default, |value| read_load(value.as_bytes()));
+    let delivery = (outcome == AttemptOutcome::Success).then(|| {
         strip_hop_by_hop(&mut head.headers);
-        Delivery {
+        UpstreamResponse {
             headers: head.headers,
             body,
             flow,
         }
     });
-    Said {
-        ending,
+    DecodedResponse {
+        outcome,
         units,
         load,
         delivery,
--- a/crates/merlinreel/src/upstream/response.rs
+++ b/crates/merlinreel/src/upstream/response.rs
@@ -1,7 +1,7 @@
 //! A server's answer as it is read from its connection: whole, or long and still coming.
 
 use crate::upstream::response_memory::{AnswerMemory, BodyError, Received, read_to_end};
-use crate::upstream::streaming_body::Flow;
+use crate::upstream::streaming_body::StreamingBody;
 use hyper::body::{Body, Bytes, Incoming};
 use hyper::header::{CONTENT_LENGTH, TRANSFER_ENCODING};
 use hyper::http::response::Parts;
@@ -30,7 +30,7 @@
     /// The whole body, or nothing where it flows.
     pub body: Bytes,
     /// The rest of a long one, and where its end is told.
-    pub flow: Option<(Flow, oneshot::Receiver<bool>)>,
+    pub flow: Option<(StreamingBody, oneshot::Receiver<bool>)>,
     /// Its end is told by its framing, not by the connection's, which may carry another request.
     pub framed: bool,
 }
@@ -47,7 +47,7 @@
     let (body, flow) = match memory.receive(body).await? {
         Received::Whole(body) => (body, None),
         Received::Long { beginning, rest } if head.status == StatusCode::OK => {
-            (Bytes::new(), Some(Flow::new(beginning, rest)))
+            (Bytes::new(), Some(StreamingBody::new(beginning, rest)))
         }
         // Of any other status the client gets none of the server's body.
         Received::Long { rest, .. } => {
--- a/crates/merlinreel/src/upstream/streaming_body.rs
+++ b/crates/merlinreel/src/upstream/streaming_body.rs
@@ -9,9 +9,9 @@
 use tokio::sync::oneshot;
 
 /// What a client's answer carries: a body in hand, or one that flows.
-pub type Reply = Either<Full<Bytes>, Flow>;
+pub type Reply = Either<Full<Bytes>, StreamingBody>;
 
-pub struct Flow {
+pub struct StreamingBody {
     /// What was read of it; taken first.
     beginning: Option<Bytes>,
     body: Incoming,
@@ -25,7 +25,7 @@
     fn ended(self: Box<Self>, whole: bool);
 }
 
-impl std::fmt::Debug for Flow {
+impl std::fmt::Debug for StreamingBody {
     fn fmt(&self, out: &mut std::fmt::Formatter) -> std::fmt::Result {
         out.debug_struct("Flow")
             .field("body", &self.body)
@@ -33,12 +33,12 @@
     }
 }
 
-impl Flow {
+impl StreamingBody {
     /// The beginning of a body and the rest of it, and where its end is told.
-    pub fn new(beginning: Bytes, body: Incoming) -> (Flow, oneshot::Receiver<bool>) {
+    pub fn new(beginning: Bytes, body: Incoming) -> (StreamingBody, oneshot::Receiver<bool>) {
         let (end, ended) = oneshot::channel();
         (
-            Flow {
+            StreamingBody {
                 beginning: Some(beginning),
                 body,
                 end: Some(end),
@@ -62,7 +62,7 @@
     }
 }
 
-impl Body for Flow {
+impl Body for StreamingBody {
     type Data = Bytes;
     type Error = hyper::Error;
 
@@ -103,7 +103,7 @@
     }
 }
 
-impl Drop for Flow {
+impl Drop for StreamingBody {
     fn drop(&mut self) {
         // A client that left, or an answer that the driver did not pass on.
         self.tell(false);
--- a/crates/merlinreel/src/upstream/tests.rs
+++ b/crates/merlinreel/src/upstream/tests.rs
@@ -2,11 +2,11 @@
 
 use super::message::{PRESSURE, encode, wire_length};
 use super::*;
-use crate::messages::AttemptNews;
+use crate::messages::AttemptCompletion;
 use hyper::body::Bytes;
 use hyper::header::{HeaderMap, HeaderName, HeaderValue};
 use hyper::{Method, Uri};
-use merlinreel_policy::{Ending, Load};
+use merlinreel_policy::{AttemptOutcome, LoadReport};
 use test_case::test_case;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
@@ -14,7 +14,7 @@
 
 const LONG: Duration = Duration::from_secs(20);
 
-fn parcel(body: usize) -> Arc<Parcel> {
+fn parcel(body: usize) -> Arc<UpstreamRequest> {
     let headers = [
         ("x-txn", "9b"),
         ("host", "origin.svc"),
@@ -26,7 +26,7 @@
             HeaderValue::from_static(value),
         )
     });
-    Arc::new(Parcel {
+    Arc::new(UpstreamRequest {
         method: Method::POST,
         uri: Uri::from_static("/pay?key=07"),
         headers: HeaderMap::from_iter(headers),
@@ -47,44 +47,44 @@
 }
 
 /// The servers with one at that address.
-fn servers(address: SocketAddr, slots: usize) -> (Servers, mpsc::Receiver<News>) {
+fn servers(address: SocketAddr, slots: usize) -> (UpstreamPool, mpsc::Receiver<Event>) {
     let settings =
         serde_json::json!({"report": {"how": "answers"}, "policyLimits": {"probes": true}});
     let paths = merlinreel_settings::Paths::from_json(&settings);
     let terms = paths
-        .and_then(|paths| merlinreel_settings::Terms::read(&paths))
+        .and_then(|paths| merlinreel_settings::Settings::read(&paths))
         .expect("sound");
     let limits = Limits {
         servers: slots,
         ..Limits::new(1024, 192, &terms).expect("room")
     };
     let (queue, news) = mpsc::channel(16);
-    let mut servers = Servers::new(limits, &terms, queue, Figures::new(&[]));
-    servers.list(list(address, Standing::Up), true);
+    let mut servers = UpstreamPool::new(limits, &terms, queue, Metrics::new(&[]));
+    servers.list(list(address, EndpointState::Ready), true);
     (servers, news)
 }
 
-fn list(address: SocketAddr, standing: Standing) -> DiscoveryNews {
+fn list(address: SocketAddr, standing: EndpointState) -> DiscoveryUpdate {
     let (name, zone) = ("s-1".to_owned(), "a".to_owned());
-    let listed = merlinreel_discovery::Listed {
+    let listed = merlinreel_discovery::DiscoveredEndpoint {
         name,
         address,
         zone,
         cell: 0,
-        standing,
+        state: standing,
         weight: 1.0,
-        up_since: None,
+        started_at: None,
     };
-    DiscoveryNews {
+    DiscoveryUpdate {
         version: 1,
-        whole: true,
+        complete: true,
         servers: vec![listed],
     }
 }
 
-async fn end(news: &mut mpsc::Receiver<News>) -> AttemptNews {
+async fn end(news: &mut mpsc::Receiver<Event>) -> AttemptCompletion {
     match timeout(LONG, news.recv()).await {
-        Ok(Some(News::Attempt(end))) => end,
+        Ok(Some(Event::AttemptCompleted(end))) => end,
         other => panic!("{other:?}"),
     }
 }
@@ -113,7 +113,11 @@
 }
 
 /// An attempt that has reached the server.
-async fn begun(listener: &TcpListener, servers: &mut Servers, serial: u64) -> (Link, TcpStream) {
+async fn begun(
+    listener: &TcpListener,
+    servers: &mut UpstreamPool,
+    serial: u64,
+) -> (ConnectionHandle, TcpStream) {
     let link = servers.send(0, attempt(serial, 1, LONG)).expect("a slot");
     let mut stream = accept(listener).await;
     request(&mut stream).await;
@@ -121,7 +125,7 @@
 }
 
 /// The server answers it.
-async fn done(stream: &mut TcpStream, news: &mut mpsc::Receiver<News>) -> AttemptNews {
+async fn done(stream: &mut TcpStream, news: &mut mpsc::Receiver<Event>) -> AttemptCompletion {
     stream.write_all(GOOD.as_bytes()).await.expect("written");
     end(news).await
 }
@@ -133,50 +137,50 @@
 const GOOD: &str = "HTTP/1.1 200 OK\r\nX-Units-Charged: 3\r\nX-Pressure: {\"queue\":2,\"util\":0.5,\"odd\":1}\r\n\
     Content-Length: 4\r\n\r\ndone";
 
-#[test_case(GOOD => (Ending::Served, true) ; "a good answer")]
-#[test_case("HTTP/1.1 500 Odd\r\nContent-Length: 0\r\n\r\n" => (Ending::Error, true) ; "an error")]
-#[test_case("HTTP/1.1 503 Odd\r\nContent-Length: 0\r\n\r\n" => (Ending::Error, true) ; "unavailable, but it may have run")]
-#[test_case("HTTP/1.1 503 Full\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n" => (Ending::TurnedAway, true) ; "turned away")]
-#[test_case("HTTP/1.1 504 Over\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n" => (Ending::TurnedAway, true) ; "over already")]
-#[test_case("HTTP/1.1 500 Odd\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n" => (Ending::Error, true) ; "the header alone proves nothing")]
-#[test_case("" => (Ending::Dropped, false) ; "no answer")]
-#[test_case("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndo" => (Ending::Dropped, false) ; "half an answer")]
-#[test_case("HTTP/1.1 200 OK\r\nContent-Length: 3221225472\r\n\r\n" => (Ending::Dropped, false) ; "too long an answer")]
-#[test_case("HTTP/1.1 200 OK\r\n\r\ndone" => (Ending::Served, false) ; "an answer that ends with the connection")]
-#[test_case("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\n" => (Ending::Dropped, false) ; "a told length, its head alone")]
-#[test_case("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" => (Ending::Dropped, false) ; "chunked, its head alone")]
-#[test_case("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4" => (Ending::Dropped, false) ; "chunked, within the size line")]
-#[test_case("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\ndo" => (Ending::Dropped, false) ; "chunked, within a chunk")]
-#[test_case("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\ndone\r\n" => (Ending::Dropped, false) ; "chunked, before the last chunk")]
-#[test_case("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\ndone\r\n0\r\n" => (Ending::Dropped, false) ; "chunked, short of its last line end")]
-#[test_case("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\ndone\r\n0\r\n\r\n" => (Ending::Served, true) ; "chunked")]
-#[test_case("HTTP/1.1 500 Odd\r\n\r\nodd" => (Ending::Error, false) ; "an error that ends with the connection")]
-#[test_case("HTTP/1.1 200 OK\r\nContent-Length: 4\r\nContent-Length: 3\r\n\r\ndone" => (Ending::Dropped, false) ; "two lengths")]
+#[test_case(GOOD => (AttemptOutcome::Success, true) ; "a good answer")]
+#[test_case("HTTP/1.1 500 Odd\r\nContent-Length: 0\r\n\r\n" => (AttemptOutcome::Error, true) ; "an error")]
+#[test_case("HTTP/1.1 503 Odd\r\nContent-Length: 0\r\n\r\n" => (AttemptOutcome::Error, true) ; "unavailable, but it may have run")]
+#[test_case("HTTP/1.1 503 Full\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n" => (AttemptOutcome::Rejected, true) ; "turned away")]
+#[test_case("HTTP/1.1 504 Over\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n" => (AttemptOutcome::Rejected, true) ; "over already")]
+#[test_case("HTTP/1.1 500 Odd\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n" => (AttemptOutcome::Error, true) ; "the header alone proves nothing")]
+#[test_case("" => (AttemptOutcome::ConnectionLost, false) ; "no answer")]
+#[test_case("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndo" => (AttemptOutcome::ConnectionLost, false) ; "half an answer")]
+#[test_case("HTTP/1.1 200 OK\r\nContent-Length: 3221225472\r\n\r\n" => (AttemptOutcome::ConnectionLost, false) ; "too long an answer")]
+#[test_case("HTTP/1.1 200 OK\r\n\r\ndone" => (AttemptOutcome::Success, false) ; "an answer that ends with the connection")]
+#[test_case("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\n" => (AttemptOutcome::ConnectionLost, false) ; "a told length, its head alone")]
+#[test_case("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" => (AttemptOutcome::ConnectionLost, false) ; "chunked, its head alone")]
+#[test_case("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4" => (AttemptOutcome::ConnectionLost, false) ; "chunked, within the size line")]
+#[test_case("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\ndo" => (AttemptOutcome::ConnectionLost, false) ; "chunked, within a chunk")]
+#[test_case("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\ndone\r\n" => (AttemptOutcome::ConnectionLost, false) ; "chunked, before the last chunk")]
+#[test_case("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\ndone\r\n0\r\n" => (AttemptOutcome::ConnectionLost, false) ; "chunked, short of its last line end")]
+#[test_case("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\ndone\r\n0\r\n\r\n" => (AttemptOutcome::Success, true) ; "chunked")]
+#[test_case("HTTP/1.1 500 Odd\r\n\r\nodd" => (AttemptOutcome::Error, false) ; "an error that ends with the connection")]
+#[test_case("HTTP/1.1 200 OK\r\nContent-Length: 4\r\nContent-Length: 3\r\n\r\ndone" => (AttemptOutcome::ConnectionLost, false) ; "two lengths")]
 #[test_case("HTTP/1.1 200 OK\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n4\r\ndone\r\n0\r\n\r\n"
-    => (Ending::Dropped, false) ; "a length and pieces")]
-#[test_case("HTTP/1.1 101 Other\r\nConnection: upgrade\r\nUpgrade: x\r\n\r\n" => (Ending::Dropped, false) ; "another protocol")]
-#[test_case(INFORMED => (Ending::Served, true) ; "told first that it goes on")]
-#[test_case("gibberish\r\n\r\n" => (Ending::Dropped, false) ; "no answer in HTTP")]
+    => (AttemptOutcome::ConnectionLost, false) ; "a length and pieces")]
+#[test_case("HTTP/1.1 101 Other\r\nConnection: upgrade\r\nUpgrade: x\r\n\r\n" => (AttemptOutcome::ConnectionLost, false) ; "another protocol")]
+#[test_case(INFORMED => (AttemptOutcome::Success, true) ; "told first that it goes on")]
+#[test_case("gibberish\r\n\r\n" => (AttemptOutcome::ConnectionLost, false) ; "no answer in HTTP")]
 #[tokio::test]
-async fn what_comes_back_after_the_last_byte(text: &str) -> (Ending, bool) {
+async fn what_comes_back_after_the_last_byte(text: &str) -> (AttemptOutcome, bool) {
     let (listener, address) = listener().await;
     let (mut servers, mut news) = servers(address, 4);
     let (_link, mut stream) = begun(&listener, &mut servers, 1).await;
     stream.write_all(text.as_bytes()).await.expect("written");
     drop(stream);
     let end = end(&mut news).await;
-    if end.ending == Ending::Served && text == INFORMED {
-        let load = Load {
-            waiting: Some(2.0),
-            busy: Some(0.5),
-            ..Load::default()
+    if end.outcome == AttemptOutcome::Success && text == INFORMED {
+        let load = LoadReport {
+            queued: Some(2.0),
+            utilization: Some(0.5),
+            ..LoadReport::default()
         };
         assert_eq!((end.units, end.load), (Some(3.0), load));
         let delivery = end.delivery.expect("an answer");
         assert_eq!(&delivery.body[..], b"done");
         assert!(delivery.headers.get(PRESSURE).is_none());
     }
-    (end.ending, end.reusable)
+    (end.outcome, end.reusable)
 }
 
 #[tokio::test]
@@ -185,15 +189,18 @@
     drop(listener);
     let (mut servers, mut news) = servers(address, 4);
     let _link = servers.send(0, attempt(1, 1, LONG));
-    assert_eq!(end(&mut news).await.ending, Ending::NoConnection);
+    assert_eq!(
+        end(&mut news).await.outcome,
+        AttemptOutcome::ConnectionRefused
+    );
 }
 
-#[test_case(HUGE, true, Ending::TurnedAway ; "the server closes before the last byte")]
-#[test_case(HUGE, false, Ending::Unsent ; "the time is over before the last byte")]
-#[test_case(1, true, Ending::Dropped ; "the server closes after it")]
-#[test_case(1, false, Ending::Expired ; "the time is over after it")]
+#[test_case(HUGE, true, AttemptOutcome::Rejected ; "the server closes before the last byte")]
+#[test_case(HUGE, false, AttemptOutcome::NotSent ; "the time is over before the last byte")]
+#[test_case(1, true, AttemptOutcome::ConnectionLost ; "the server closes after it")]
+#[test_case(1, false, AttemptOutcome::DeadlineExceeded ; "the time is over after it")]
 #[tokio::test]
-async fn the_last_byte_tells_what_may_have_run(body: usize, closes: bool, ending: Ending) {
+async fn the_last_byte_tells_what_may_have_run(body: usize, closes: bool, outcome: AttemptOutcome) {
     let (listener, address) = listener().await;
     let (mut servers, mut news) = servers(address, 4);
     let within = if closes {
@@ -209,7 +216,7 @@
     }
     let held = (!closes).then_some(stream);
     let end = end(&mut news).await;
-    assert_eq!((end.ending, end.reusable), (ending, false));
+    assert_eq!((end.outcome, end.reusable), (outcome, false));
     drop(held);
 }
 
@@ -221,7 +228,7 @@
     // An order for an attempt that is over is none for this one.
     link.abandon(4);
     link.abandon(5);
-    assert_eq!(end(&mut news).await.ending, Ending::Revoked);
+    assert_eq!(end(&mut news).await.outcome, AttemptOutcome::Cancelled);
     assert_eq!(
         stream
             .try_read(&mut [0; 8])
@@ -252,7 +259,7 @@
     // An order for another attempt is none for this one.
     link.withdraw(6);
     link.withdraw(7);
-    assert_eq!(end(&mut news).await.ending, Ending::Unsent);
+    assert_eq!(end(&mut news).await.outcome, AttemptOutcome::NotSent);
 }
 
 /// One that has begun goes on: where attempts may not be cancelled its server works for it.
@@ -262,7 +269,10 @@
     let (mut servers, mut news) = servers(address, 4);
     let (link, mut stream) = begun(&listener, &mut servers, 5).await;
     link.withdraw(5);
-    assert_eq!(done(&mut stream, &mut news).await.ending, Ending::Served);
+    assert_eq!(
+        done(&mut stream, &mut news).await.outcome,
+        AttemptOutcome::Success
+    );
 }
 
 #[test_case("HTTP/1.1 200 OK\r\nContent-Length: 11\r\n\r\n{\"queue\":3}" => (true, Some(3.0)) ; "answered")]
@@ -279,7 +289,7 @@
     assert!(bytes[..length].starts_with(b"GET /metrics/load HTTP/1.1\r\n"));
     stream.write_all(text.as_bytes()).await.expect("written");
     match timeout(LONG, news.recv()).await {
-        Ok(Some(News::Probe(answer))) => (answer.answered, answer.load.waiting),
+        Ok(Some(Event::HealthCheck(answer))) => (answer.answered, answer.load.queued),
         other => panic!("{other:?}"),
     }
 }
@@ -331,7 +341,7 @@
             },
         )
         .expect("a slot");
-    assert_eq!(end(&mut news).await.ending, Ending::Unsent);
+    assert_eq!(end(&mut news).await.outcome, AttemptOutcome::NotSent);
     let mut read = Vec::new();
     if let Some(stream) = &mut server {
         let _ = timeout(LONG, stream.read_to_end(&mut read))
--- a/crates/merlinreel/src/upstream/tests/idle_connections.rs
+++ b/crates/merlinreel/src/upstream/tests/idle_connections.rs
@@ -14,7 +14,7 @@
         let address = SocketAddr::from(([127, 0, 0, 1], *ms as u16));
         (
             now - Duration::from_millis(*ms),
-            Link {
+            ConnectionHandle {
                 commands: mpsc::channel(1).0,
                 address,
             },
@@ -61,7 +61,7 @@
     let mut stream = accept(&listener).await;
     request(&mut stream).await;
     let end = done(&mut stream, &mut news).await;
-    assert_eq!((end.serial, end.ending), (2, Ending::Served));
+    assert_eq!((end.serial, end.outcome), (2, AttemptOutcome::Success));
 }
 
 /// A server that has sent something unasked may do so again, some milliseconds late: an attempt that follows an answer
@@ -120,10 +120,10 @@
     );
 }
 
-#[test_case(Standing::Draining, 0 ; "a server that drains")]
-#[test_case(Standing::Up, 1 ; "a server at another address")]
+#[test_case(EndpointState::Draining, 0 ; "a server that drains")]
+#[test_case(EndpointState::Ready, 1 ; "a server at another address")]
 #[tokio::test]
-async fn idle_connections_are_let_go_of(standing: Standing, port: u16) {
+async fn idle_connections_are_let_go_of(standing: EndpointState, port: u16) {
     let (listener, address) = listener().await;
     let (mut servers, mut news) = servers(address, 4);
     let (link, mut stream) = begun(&listener, &mut servers, 1).await;
@@ -184,11 +184,11 @@
 
 /// What a whole list does to a connection that rests: to a server that it names as up it is used again, to any other it
 /// closes.
-#[test_case("s-1", Standing::Up => true ; "named as up")]
-#[test_case("s-1", Standing::Draining => false ; "named as draining")]
-#[test_case("s-2", Standing::Up => false ; "not named")]
+#[test_case("s-1", EndpointState::Ready => true ; "named as up")]
+#[test_case("s-1", EndpointState::Draining => false ; "named as draining")]
+#[test_case("s-2", EndpointState::Ready => false ; "not named")]
 #[tokio::test]
-async fn a_whole_list_and_a_connection_that_rests(name: &str, standing: Standing) -> bool {
+async fn a_whole_list_and_a_connection_that_rests(name: &str, standing: EndpointState) -> bool {
     let (listener, address) = listener().await;
     let (mut servers, mut news) = servers(address, 4);
     let (link, mut stream) = begun(&listener, &mut servers, 1).await;
@@ -201,7 +201,7 @@
     }
     servers.list(whole, false);
     let _next = standing
-        .eq(&Standing::Up)
+        .eq(&EndpointState::Ready)
         .then(|| servers.send(0, attempt(2, 1, LONG)));
     let mut byte = [0];
     timeout(LONG, stream.read(&mut byte))
--- a/crates/merlinreel/tests/sockets/drains.rs
+++ b/crates/merlinreel/tests/sockets/drains.rs
@@ -1,4 +1,4 @@
-//! Servers that begin to drain while attempts to them are on their way.
+//! UpstreamPool that begin to drain while attempts to them are on their way.
 
 use super::gone_clients::{server_with_a_full_queue, wait_for_connecting};
 use merlinreel_testkit::*;
--- a/crates/merlinreel/tests/sockets/stop.rs
+++ b/crates/merlinreel/tests/sockets/stop.rs
@@ -168,11 +168,11 @@
     let mut station = merlinreel::config::parse(&config.to_string(), |_| None).expect("sound");
     station.limits.first_list = first_list;
     thread::spawn(move || {
-        let figures = merlinreel::telemetry::metrics::Figures::new(&station.terms.wire.classes);
+        let figures = merlinreel::telemetry::metrics::Metrics::new(&station.terms.sockets.classes);
         let (_tune, settings) = tokio::sync::watch::channel(station.terms.clone());
         let (_turn, discovery) = tokio::sync::watch::channel(station.discovery);
         let (_reground, ground) = tokio::sync::watch::channel(None);
-        let turns = merlinreel::Turns {
+        let turns = merlinreel::ReloadChannels {
             settings,
             discovery,
             ground,
