--- a/crates/merlinreel/src/admin.rs
+++ b/crates/merlinreel/src/admin.rs
@@ -71,11 +71,11 @@
         backoff.reset();
         open.retain(|task| !task.is_finished());
         // Guards against callers who hold connections and never call: the oldest gives way to who comes.
-        while open.len() >= limits.ops_connections {
+        while open.len() >= limits.admin.max_connections {
             open.pop_front().into_iter().for_each(|task| task.abort());
         }
         let telling = telling.clone();
-        let call = limits.ops_call;
+        let call = limits.admin.call_timeout;
         open.push_back(tokio::spawn(async move {
             let _ = stream.set_nodelay(true);
             let service = service_fn(move |request: Request<Incoming>| {
--- a/crates/merlinreel/src/client.rs
+++ b/crates/merlinreel/src/client.rs
@@ -103,7 +103,7 @@
             || client_connection.evicted.load(Ordering::Relaxed);
         let over = self
             .stops_at()
-            .is_some_and(|end| end + self.limits.stop_over <= Instant::now());
+            .is_some_and(|end| end + self.limits.shutdown.response_grace <= Instant::now());
         client_connection.flooded.load(Ordering::Relaxed)
             || ends && (over || !client_connection.more_was_read())
     }
@@ -177,11 +177,11 @@
         });
         let mut connection = Builder::new()
             .header_read_timeout(None)
-            .max_buf_size(self.limits.head)
+            .max_buf_size(self.limits.max_head_bytes)
             .serve_connection(io, service);
         let turn = sleep(Duration::ZERO);
         // One timer a connection that looks when it was last used costs less than one a request.
-        let idle = sleep(self.limits.client_whole);
+        let idle = sleep(self.limits.client.request_timeout);
         tokio::pin!(turn, idle);
         let mut leaving = false;
         let soon = || tokio::time::Instant::now() + Duration::from_millis(1);
@@ -218,7 +218,7 @@
                         turn.as_mut().reset(soon());
                     }
                     // Part of a request may come at any time: looked at often enough to end it in its time.
-                    let next = now + self.limits.client_whole / 4;
+                    let next = now + self.limits.client.request_timeout / 4;
                     idle.as_mut().reset(if due > now { due.min(next) } else { next }.into());
                 }
                 () = client_connection.close.notified(), if !leaving => {
--- a/crates/merlinreel/src/client/admission.rs
+++ b/crates/merlinreel/src/client/admission.rs
@@ -25,7 +25,7 @@
     pub fn new(limits: &Limits) -> AdmissionPermits {
         AdmissionPermits {
             ids: Arc::default(),
-            bodies: Arc::new(Semaphore::new(limits.bodies)),
+            bodies: Arc::new(Semaphore::new(limits.client.max_buffered_body_bytes)),
         }
     }
 
--- a/crates/merlinreel/src/client/body.rs
+++ b/crates/merlinreel/src/client/body.rs
@@ -41,9 +41,11 @@
     /// When the next piece must be there, with so many bytes before it: one that comes as fast as the slowest client sends
     /// has longer than others.
     fn until(&self, bytes: usize, limits: &Limits) -> Instant {
-        let sent_in = Duration::from_secs_f64(bytes as f64 / f64::from(limits.client_body_rate));
+        let sent_in = Duration::from_secs_f64(
+            bytes as f64 / f64::from(limits.client.min_body_bytes_per_second),
+        );
         self.due
-            .max(self.begun + sent_in + limits.client_body_pause)
+            .max(self.begun + sent_in + limits.client.max_body_pause)
             .min(self.gone)
     }
 }
@@ -77,7 +79,7 @@
         patience: BodyPatience,
         client_connection: &ClientConnection,
     ) -> Result<(Bytes, OwnedSemaphorePermit), BodyError> {
-        let (most, least) = (self.limits.body, body.size_hint().lower());
+        let (most, least) = (self.limits.max_body_bytes, body.size_hint().lower());
         if least > most as u64 {
             return Err(BodyError::TooLong { least, most });
         }
--- a/crates/merlinreel/src/client/connection.rs
+++ b/crates/merlinreel/src/client/connection.rs
@@ -51,7 +51,7 @@
     /// here. Who takes none of them for as long as a connection may be idle has gone.
     pub fn held_up(&self, limits: &Limits) -> bool {
         self.held_up
-            .is_some_and(|since| since.elapsed() < limits.client_idle)
+            .is_some_and(|since| since.elapsed() < limits.client.idle_timeout)
     }
 }
 
@@ -133,9 +133,9 @@
     pub fn due(&self, limits: &Limits) -> Instant {
         let times = lock(&self.times);
         let due = match (self.requests.load(Ordering::Relaxed), times.heard) {
-            (0, _) | (1, None) => times.idle + limits.client_whole,
-            (_, Some(heard)) => heard + limits.client_whole,
-            (_, None) => times.idle + limits.client_idle,
+            (0, _) | (1, None) => times.idle + limits.client.request_timeout,
+            (_, Some(heard)) => heard + limits.client.request_timeout,
+            (_, None) => times.idle + limits.client.idle_timeout,
         };
         times.body_due.map_or(due, |body_due| due.max(body_due))
     }
@@ -148,9 +148,9 @@
             return false;
         }
         let settled = match (times.heard, self.requests.load(Ordering::Relaxed)) {
-            (Some(_), _) => limits.client_unended,
-            (None, 0) => limits.client_silent,
-            (None, _) => limits.client_settled,
+            (Some(_), _) => limits.client.evict_partial_after,
+            (None, 0) => limits.client.evict_unused_after,
+            (None, _) => limits.client.evict_idle_after,
         };
         !self.busy.load(Ordering::Relaxed) && times.heard.unwrap_or(times.idle).elapsed() >= settled
     }
@@ -159,9 +159,9 @@
     /// and it has rested for a while; `late` in the stop, at all. One whose first request is still to come has longer.
     pub fn may_go(&self, limits: &Limits, late: bool) -> bool {
         let rest = match self.requests.load(Ordering::Relaxed) {
-            0 => limits.stop_first,
-            _ if late => limits.client_settled,
-            _ => limits.stop_rest,
+            0 => limits.shutdown.first_request_timeout,
+            _ if late => limits.client.evict_idle_after,
+            _ => limits.shutdown.idle_before_close,
         };
         let times = lock(&self.times);
         times.heard.is_none()
@@ -238,7 +238,7 @@
     limits: &Limits,
 ) -> Vec<&'a ClientConnection> {
     let all = client_connections.len() + 1;
-    if all <= limits.clients_kept {
+    if all <= limits.client.max_idle_connections {
         return Vec::new();
     }
     // What was asked before to give way may still be there.
@@ -249,10 +249,10 @@
         .into_iter()
         .filter(|client_connection| client_connection.rests(limits))
         .collect();
-    if all <= limits.clients_most {
+    if all <= limits.client.max_connections {
         idle.retain(|client_connection| client_connection.requests.load(Ordering::Relaxed) < 2);
     }
     idle.sort_unstable_by_key(|client_connection| client_connection.rank());
-    idle.truncate((all - limits.clients_kept).saturating_sub(leaving.len()));
+    idle.truncate((all - limits.client.max_idle_connections).saturating_sub(leaving.len()));
     idle
 }
--- a/crates/merlinreel/src/client/request_reader.rs
+++ b/crates/merlinreel/src/client/request_reader.rs
@@ -46,7 +46,7 @@
         // The whole request must be there by then, whatever time the client claims to have.
         let due = client_connection
             .due(&self.limits)
-            .min(Instant::now() + self.limits.client_whole);
+            .min(Instant::now() + self.limits.client.request_timeout);
         client_connection.read(0);
         let length = request.body().size_hint().exact();
         let (job, parcel) = match self.read(request, sent, due, client_connection).await {
@@ -60,7 +60,7 @@
         }
         let hand = InFlightGuard::take(self, client_connection);
         // The places beyond are kept to say so to whoever comes, at once.
-        if hand.number >= self.limits.clients {
+        if hand.number >= self.limits.client.max_served_connections {
             let busy = respond(
                 StatusCode::SERVICE_UNAVAILABLE,
                 "too many connections\n".to_owned(),
--- a/crates/merlinreel/src/client/shutdown.rs
+++ b/crates/merlinreel/src/client/shutdown.rs
@@ -5,7 +5,7 @@
 
 use super::ClientListener;
 use super::connection::{ClientConnection, lock};
-use crate::config::limits::stop_end;
+use crate::config::limits::shutdown_deadline;
 use crate::log;
 use crate::net::backoff::Backoff;
 use crate::net::system_errors::concerns_one_connection;
@@ -42,12 +42,12 @@
 impl ClientListener {
     /// When the last job has its answer, once the stop was asked for.
     pub(super) fn stops_at(&self) -> Option<Instant> {
-        self.asked.get().map(|&asked| self.stop_end(asked))
+        self.asked.get().map(|&asked| self.shutdown_deadline(asked))
     }
 
     /// The same, for a stop that was asked for then.
-    fn stop_end(&self, asked: Instant) -> Instant {
-        asked + stop_end(&self.tuned.borrow().terms.classes)
+    fn shutdown_deadline(&self, asked: Instant) -> Instant {
+        asked + shutdown_deadline(&self.tuned.borrow().terms.classes)
     }
 
     /// Takes connections until the stop, serves on while they come, and returns once nobody is left. A socket that
@@ -58,7 +58,7 @@
         handed: bool,
         stop: impl Future<Output = ()>,
     ) {
-        let places = Arc::new(Semaphore::new(self.limits.clients_most));
+        let places = Arc::new(Semaphore::new(self.limits.client.max_connections));
         self.opened.store(true, Ordering::Relaxed);
         tokio::pin!(stop);
         tokio::select! {
@@ -77,22 +77,23 @@
         log!("asked to stop: serving on for a moment, then finishing what is in hand");
         tokio::select! {
             () = self.accept(&listener, &places) => {}
-            () = sleep(self.limits.stop_tells) => {}
+            () = sleep(self.limits.shutdown.announce_after) => {}
         }
         self.closing.store(true, Ordering::Relaxed);
         // Short of the end, so that what is taken last has its answer.
         let shuts = self
-            .stop_end(asked)
-            .checked_sub(self.limits.stop_quiet)
+            .shutdown_deadline(asked)
+            .checked_sub(self.limits.shutdown.quiet_period)
             .unwrap_or(asked);
         let late = self
             .limits
-            .stop_late
+            .shutdown
+            .accept_for
             .min(shuts.saturating_duration_since(Instant::now()));
         tokio::select! {
             () = self.accept(&listener, &places) => {}
             () = sleep(late) => {}
-            () = self.empty(self.limits.stop_quiet) => {}
+            () = self.empty(self.limits.shutdown.quiet_period) => {}
         }
         // Meanwhile those that rest make room for those that wait.
         tokio::select! {
@@ -108,7 +109,7 @@
     async fn go_on_emptying(&self) {
         loop {
             self.evict_resting();
-            sleep(self.limits.stop_quiet / 20).await;
+            sleep(self.limits.shutdown.quiet_period / 20).await;
         }
     }
 
@@ -124,7 +125,7 @@
             } else if since.elapsed() >= quiet {
                 return;
             }
-            sleep(self.limits.stop_quiet / 20).await;
+            sleep(self.limits.shutdown.quiet_period / 20).await;
         }
     }
 
@@ -133,7 +134,7 @@
         let closes = self
             .asked
             .get()
-            .map(|&asked| asked + self.limits.stop_closes);
+            .map(|&asked| asked + self.limits.shutdown.close_idle_after);
         let late = closes.is_some_and(|at| at <= Instant::now());
         let mut remaining = Remaining {
             left: false,
@@ -204,12 +205,17 @@
         let place = loop {
             // Idle connections must not hold all places: looked at before the wait for one, and during it.
             self.make_room();
-            match timeout(self.limits.client_settled, places.clone().acquire_owned()).await {
+            match timeout(
+                self.limits.client.evict_idle_after,
+                places.clone().acquire_owned(),
+            )
+            .await
+            {
                 Ok(place) => break place.ok()?,
                 Err(_) => {
                     log!(
                         "clients: all {} places are taken; new connections wait",
-                        self.limits.clients_most
+                        self.limits.client.max_connections
                     )
                 }
             }
--- a/crates/merlinreel/src/client/stream.rs
+++ b/crates/merlinreel/src/client/stream.rs
@@ -68,13 +68,16 @@
             unread: BytesMut::new(),
             had_room: 0,
             arrivals: Arrivals::default(),
-            most_ahead: limits.client_ahead,
-            free_ahead: limits.head,
+            most_ahead: limits.client.max_read_ahead_bytes,
+            free_ahead: limits.max_head_bytes,
             claims,
             room: None,
             flooded: false,
-            lingers: limits.client_lingers,
-            lingers_over_unread: limits.client_whole.max(limits.client_lingers),
+            lingers: limits.client.linger_timeout,
+            lingers_over_unread: limits
+                .client
+                .request_timeout
+                .max(limits.client.linger_timeout),
             closing: None,
         }
     }
--- a/crates/merlinreel/src/client/tests.rs
+++ b/crates/merlinreel/src/client/tests.rs
@@ -102,9 +102,10 @@
     const LENGTH: usize = 24 << 20;
     let (mut client, stream) = came_with(LOOK)?;
     let (queue, mut news) = mpsc::channel(9);
-    let limits = Limits {
-        client_whole: Duration::from_millis(40),
-        ..limits()
+    let limits = {
+        let mut changed = limits();
+        changed.client.request_timeout = Duration::from_millis(40);
+        changed
     };
     let door = ClientListener::new(
         limits,
@@ -143,11 +144,12 @@
 #[test_case(3, 9 => vec![3, 1, 2] ; "then who asked once, the longest idle first")]
 #[test_case(2, 6 => vec![3, 1, 2, 0] ; "who comes back where all places are taken")]
 fn who_leaves_for_others(kept: usize, places: usize) -> Vec<usize> {
-    let limits = Limits {
-        clients_kept: kept,
-        clients_most: places,
-        client_unended: Duration::from_secs(9),
-        ..limits()
+    let limits = {
+        let mut changed = limits();
+        changed.client.max_idle_connections = kept;
+        changed.client.max_connections = places;
+        changed.client.evict_partial_after = Duration::from_secs(9);
+        changed
     };
     let mut client_connections = vec![
         client_connection(9, 5.0, None),
@@ -227,7 +229,7 @@
 #[tokio::test]
 async fn a_job_that_comes_late_ends_before_the_kill() -> std::io::Result<()> {
     let limits = Limits::new(1024, 192, &looking()).expect("room");
-    let end = crate::config::limits::stop_end(&looking().classes);
+    let end = crate::config::limits::shutdown_deadline(&looking().classes);
     assert_eq!(end, Duration::from_millis(3300));
     let (_client, stream) = came_with(LOOK)?;
     let (queue, mut news) = mpsc::channel(9);
@@ -337,9 +339,10 @@
     let (mut client, stream) = came_with(b"GET /up HTTP/1.1\r\nConnection: close\r\n\r\n")?;
     let stream = stream.into_std()?;
     let kernel = stream.try_clone()?;
-    let limits = Limits {
-        client_lingers: Duration::from_secs(3600),
-        ..limits()
+    let limits = {
+        let mut changed = limits();
+        changed.client.linger_timeout = Duration::from_secs(3600);
+        changed
     };
     let (door, mut news) = open_door(limits);
     let (client_connection, serving) = served(&door, TcpStream::from_std(stream)?);
@@ -370,9 +373,10 @@
 async fn a_client_that_never_ends_its_side_holds_nothing_up(needed: bool) -> std::io::Result<()> {
     let (_client, stream) = came_with(b"GET /up HTTP/1.1\r\nConnection: close\r\n\r\n")?;
     let lingers = Duration::from_secs(if needed { 3600 } else { 0 });
-    let (door, _news) = open_door(Limits {
-        client_lingers: lingers,
-        ..limits()
+    let (door, _news) = open_door({
+        let mut changed = limits();
+        changed.client.linger_timeout = lingers;
+        changed
     });
     let (client_connection, serving) = served(&door, stream);
     if needed {
--- a/crates/merlinreel/src/client/tests/reading.rs
+++ b/crates/merlinreel/src/client/tests/reading.rs
@@ -29,7 +29,7 @@
     });
     let client = writing.await.expect("written");
     // All of it was taken by the kernel; that it was seen to be too much shows in the connection's own mark.
-    let flood = noise > limits().client_ahead;
+    let flood = noise > limits().client.max_read_ahead_bytes;
     if flood {
         marked(&client_connection.flooded).await;
     }
@@ -109,9 +109,10 @@
     let (mut client, stream) =
         came_with(&[b"\r\n", vec![b'x'; first - 2].as_slice()].concat()).expect("a client");
     let client_connection = client_connection(2, 0.0, None);
-    let limits = Limits {
-        client_ahead: AHEAD,
-        ..limits()
+    let limits = {
+        let mut changed = limits();
+        changed.client.max_read_ahead_bytes = AHEAD;
+        changed
     };
     let mut line = ClientStream::new(
         stream,
@@ -149,9 +150,10 @@
         tokio::task::yield_now().await;
     }
     tokio::time::sleep(Duration::from_millis(50)).await;
-    let limits = Limits {
-        client_whole: Duration::from_secs(3600),
-        ..limits()
+    let limits = {
+        let mut changed = limits();
+        changed.client.request_timeout = Duration::from_secs(3600);
+        changed
     };
     let (door, mut news) = open_door(limits);
     let _served = served(&door, TcpStream::from_std(stream)?);
@@ -181,9 +183,10 @@
     let (queue, mut news) = mpsc::channel(9);
     let tuned = watch::channel(Arc::new(ActiveSettings::first(paying()))).1;
     let door = ClientListener::new(
-        Limits {
-            bodies: 8,
-            ..limits()
+        {
+            let mut changed = limits();
+            changed.client.max_buffered_body_bytes = 8;
+            changed
         },
         tuned,
         queue,
--- a/crates/merlinreel/src/config/limits.rs
+++ b/crates/merlinreel/src/config/limits.rs
@@ -1,239 +1,392 @@
-//! All sizes, counts and times that bound the limiter's sockets: filled once at start and handed down.
+//! Sizes, counts and times that bound the limiter's sockets: computed once at start from the configured descriptors and
+//! memory, grouped by the part of the program that reads them.
 
 use merlinreel_policy::RequestClass;
 use merlinreel_settings::Settings;
 use std::time::Duration;
 use thiserror::Error;
 
-/// Too little to run on.
+/// The configured descriptors or memory are too little to run on.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum CapacityError {
+    /// `limits.memory_mb` leaves no memory for the least number of connections.
     #[error(
         "limits.memory_mb: {given} is too little, {needed} are needed; give the limiter more memory"
     )]
-    Memory { given: u32, needed: usize },
+    Memory {
+        /// Configured MiB.
+        given: u32,
+        /// MiB needed.
+        needed: usize,
+    },
+    /// `limits.sockets` leaves no descriptors for the least number of connections.
     #[error(
         "limits.sockets: {given} is too few, {needed} are needed; raise the limit on descriptors"
     )]
-    Sockets { given: u32, needed: usize },
+    Sockets {
+        /// Configured descriptors.
+        given: u32,
+        /// Descriptors needed.
+        needed: usize,
+    },
 }
 
+/// All bounds, by the part that reads them.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Limits {
-    /// Client connections served at once; further ones are answered that it is busy, up to `clients_most`.
-    pub clients: usize,
-    pub clients_most: usize,
-    /// Beyond these the idle ones of who came once give way.
-    pub clients_kept: usize,
-    /// Connections to servers, open or opening.
-    pub servers: usize,
-    /// Jobs held at once.
-    pub jobs: usize,
-    /// Event waiting for the driver, and how many it takes into one round.
-    pub queue: usize,
-    pub round: usize,
-    /// Bytes of a client's body, of all clients' bodies in hand, of all whole answers that their clients have not taken
-    /// yet, and of the head of a message. An answer of no more than a body has its place with its connection as it comes.
-    pub body: usize,
-    pub bodies: usize,
-    pub answers: usize,
-    pub head: usize,
-    /// Bytes of a long answer that goes on as it comes: beyond, it is not made for a job.
-    pub flowing: u64,
-    /// Bytes of a list of servers, as discovery's answer brings it.
-    pub endpoint_list_bytes: usize,
-    /// Connections that wait on the clients' socket, at most; the kernel drops those beyond, whose clients come again after
-    /// a second.
+    /// A connection to a server or to the discovery agent must be up within this.
+    pub connect_timeout: Duration,
+    /// Bytes of a body that is held whole, of a request or of a response.
+    pub max_body_bytes: usize,
+    /// Bytes of the head of a message.
+    pub max_head_bytes: usize,
+    /// Listening sockets.
+    pub listener: ListenerLimits,
+    /// Clients' connections.
+    pub client: ClientLimits,
+    /// Connections to servers.
+    pub upstream: UpstreamLimits,
+    /// The watch of the endpoint list.
+    pub endpoints: EndpointWatchLimits,
+    /// The event loop and its queue.
+    pub event_loop: EventLoopLimits,
+    /// Graceful shutdown.
+    pub shutdown: ShutdownLimits,
+    /// The admin endpoint.
+    pub admin: AdminLimits,
+}
+
+/// Bounds of the listening sockets.
+#[derive(Clone, Debug, PartialEq)]
+pub struct ListenerLimits {
+    /// A socket that can't be bound at the start is tried again for this long.
+    pub bind_timeout: Duration,
+    /// Connections that wait to be accepted; the kernel drops those beyond, whose clients try again after a second.
     pub backlog: u32,
-    /// A socket that can't be bound at the start is tried for so long.
-    pub bind: Duration,
-    /// A connection to a server must be up within this.
-    pub connect: Duration,
-    /// One that is idle for this long is dropped; a server that ends one behind an answer does so within this.
-    pub server_idle: Duration,
-    pub server_settled: Duration,
-    /// A client's connection closes after this without a request; or after that with one that is not whole, the
-    /// first counted from the connection's beginning, and without a second one.
-    pub client_idle: Duration,
-    pub client_whole: Duration,
-    /// A body that is on its way has longer: as long as it comes at this many bytes a second, and no pause is longer.
-    pub client_body_rate: u32,
-    pub client_body_pause: Duration,
-    /// Where places are short, it gives way after this: idle between requests, without its first one, or with
-    /// part of one.
-    pub client_settled: Duration,
-    pub client_silent: Duration,
-    pub client_unended: Duration,
-    /// A connection whose limiter's side has ended waits so long for the client's end.
-    pub client_lingers: Duration,
-    /// Bytes read ahead of a client's request in hand, at most. Beyond a head's they have a place among the bodies.
-    pub client_ahead: usize,
-    /// Attempts end so long before the client gives up, so that the answer is there in time.
-    pub answer_margin: Duration,
-    /// How long a watch of the server list may wait, and where an answer is wanted at once; how late it may be before another
-    /// is made beside it, how many there are at once, and how soon a failed call is tried again.
-    pub watch: Duration,
-    pub watch_again: Duration,
-    pub watch_slack: Duration,
-    pub watch_calls: usize,
-    pub watch_retry: Duration,
-    /// A new process waits so long for discovery's first answer before it takes jobs.
-    pub first_list: Duration,
-    /// A probe unanswered for this long has failed.
-    pub probe: Duration,
-    /// After a stop is asked for: served as before so long, then answers tell that their connection closes; one that
-    /// rested for a while is closed between requests, from a later moment on each that rests at all, and one whose
-    /// first request is still to come after a while of its own. Late ones are taken for so long, and all ends once
-    /// nothing came for a while.
-    pub stop_tells: Duration,
-    pub stop_rest: Duration,
-    pub stop_closes: Duration,
-    pub stop_first: Duration,
-    pub stop_late: Duration,
-    pub stop_quiet: Duration,
-    /// So long after its end requests that were read ahead may still have their answers, which then are refusals.
-    pub stop_over: Duration,
-    /// Connections to the operators' door at once, and the time in which a call must be whole.
-    pub ops_connections: usize,
-    pub ops_call: Duration,
-}
-
-/// Descriptors that are neither clients' nor servers': standard streams, poller, listener, peer messages, server list.
-const OWN: usize = 24;
-/// What the program and the module take: 4 MB on busy days, and as much again for a day with more customers.
-/// Guards against a start that is refused on a small machine, too.
+}
+
+/// Bounds of clients' connections.
+#[derive(Clone, Debug, PartialEq)]
+pub struct ClientLimits {
+    /// Connections served at once; further ones are answered 503, up to `max_connections`.
+    pub max_served_connections: usize,
+    /// Connections held at once.
+    pub max_connections: usize,
+    /// Beyond this many connections idle ones that carried one request at most are evicted.
+    pub max_idle_connections: usize,
+    /// Bytes of all request bodies that are held at once.
+    pub max_buffered_body_bytes: usize,
+    /// A connection closes after this long without a request.
+    pub idle_timeout: Duration,
+    /// A request must be complete within this, the first one counted from the connection's beginning; a connection that
+    /// carried one request closes after this without a second one.
+    pub request_timeout: Duration,
+    /// A body that arrives at this rate, in bytes a second, has as long as it takes.
+    pub min_body_bytes_per_second: u32,
+    /// The longest pause in a body that arrives.
+    pub max_body_pause: Duration,
+    /// Under pressure a connection idle between requests is evicted after this.
+    pub evict_idle_after: Duration,
+    /// Under pressure a connection that never carried a request is evicted after this.
+    pub evict_unused_after: Duration,
+    /// Under pressure a connection with an incomplete request is evicted after this.
+    pub evict_partial_after: Duration,
+    /// After the limiter has ended its side of a connection it waits this long for the client's end.
+    pub linger_timeout: Duration,
+    /// Bytes read ahead behind a request in flight; those beyond a head count against `max_buffered_body_bytes`.
+    pub max_read_ahead_bytes: usize,
+}
+
+/// Bounds of connections to servers.
+#[derive(Clone, Debug, PartialEq)]
+pub struct UpstreamLimits {
+    /// Connections open or opening.
+    pub max_connections: usize,
+    /// Bytes of all complete responses that clients have not taken yet.
+    pub max_buffered_response_bytes: usize,
+    /// Bytes of a streaming response.
+    pub max_streaming_bytes: u64,
+    /// A connection idle for this long is closed.
+    pub idle_timeout: Duration,
+    /// A server that closes a connection behind a response does so within this.
+    pub settle_time: Duration,
+    /// A health check unanswered for this long has failed.
+    pub health_check_timeout: Duration,
+}
+
+/// Bounds of the watch of the endpoint list.
+#[derive(Clone, Debug, PartialEq)]
+pub struct EndpointWatchLimits {
+    /// Bytes of an endpoint list.
+    pub max_list_bytes: usize,
+    /// How long a watch may wait for a change.
+    pub watch_timeout: Duration,
+    /// How long a call may wait where an answer is wanted at once.
+    pub immediate_timeout: Duration,
+    /// A call that is late by this counts as silent: another one is made beside it.
+    pub response_grace: Duration,
+    /// Calls open at once.
+    pub max_open_calls: usize,
+    /// A failed call is repeated after this.
+    pub retry_delay: Duration,
+    /// A new process waits this long for the first list before it admits requests.
+    pub first_list_timeout: Duration,
+}
+
+/// Bounds of the event loop.
+#[derive(Clone, Debug, PartialEq)]
+pub struct EventLoopLimits {
+    /// Requests in flight at once.
+    pub max_requests: usize,
+    /// Events that wait in the queue.
+    pub queue_length: usize,
+    /// Events taken into one batch.
+    pub batch_size: usize,
+    /// Attempts end this long before the client gives up, so that the response arrives in time.
+    pub response_margin: Duration,
+}
+
+/// Bounds of a graceful shutdown; times count from the signal where nothing else is said.
+#[derive(Clone, Debug, PartialEq)]
+pub struct ShutdownLimits {
+    /// Requests are served as before until then; from then on responses announce that their connection closes.
+    pub announce_after: Duration,
+    /// A connection idle for this long is closed between requests.
+    pub idle_before_close: Duration,
+    /// From then on every idle connection is closed.
+    pub close_idle_after: Duration,
+    /// A connection whose first request is still to come closes after this long of its own.
+    pub first_request_timeout: Duration,
+    /// Connections are accepted until then.
+    pub accept_for: Duration,
+    /// The listener closes earlier once nobody has connected for this long.
+    pub quiet_period: Duration,
+    /// For this long after its end requests that were read ahead are still answered.
+    pub response_grace: Duration,
+}
+
+/// Bounds of the admin endpoint.
+#[derive(Clone, Debug, PartialEq)]
+pub struct AdminLimits {
+    /// Connections at once.
+    pub max_connections: usize,
+    /// A call must be complete within this.
+    pub call_timeout: Duration,
+}
+
+/// Descriptors that are neither clients' nor servers': standard streams, poller, listeners, peer socket, discovery.
+const RESERVED_DESCRIPTORS: usize = 24;
+/// MiB that the program and the policy module take.
 const PROGRAM_MB: usize = 8;
-/// Bytes that a connection may hold at worst, with its buffers: a client's has a body in the common share for
-/// bodies, a server's one of its own; two fifths of the connections are servers'.
+/// KiB that a connection may hold with its buffers.
 const CONNECTION_KB: usize = 64;
+/// The least number of connections to run with.
+const MIN_CONNECTIONS: usize = 32;
+/// An endpoint list may take this part of the memory while it is received.
+const LIST_MEMORY_DIVISOR: usize = 5;
+/// Bytes of an endpoint list that are allowed whatever the memory.
+const MIN_LIST_BYTES: usize = 4 << 20;
+/// A server's idle limit where the settings give none.
+const DEFAULT_SERVER_IDLE_TIMEOUT: Duration = Duration::from_secs(15);
+/// The connect timeout where the settings give none.
+const DEFAULT_CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
+/// A pooled connection is dropped at this part of the server's idle limit: a request written to a connection that the
+/// server just closed would be lost.
+const POOLED_IDLE_FRACTION: f64 = 0.6;
+/// The last request of a shutdown is answered this long after the longest deadline.
+const SHUTDOWN_MARGIN: Duration = Duration::from_millis(300);
+/// A process is killed no sooner than this and 0.7 s after the signal, however long deadlines are.
+const MAX_SHUTDOWN_DEADLINE: Duration = Duration::from_secs(3);
 
-/// Part of the memory that a list of servers may take as it comes, and the least that it may: thousands of servers on
-/// the smallest machine. Once read it takes about as much again in the tables that are kept of it.
-const LIST_PART: usize = 5;
-const LEAST_LIST: usize = 4 << 20;
+/// How many connections and bytes each side gets.
+struct Budget {
+    connections: usize,
+    client_connections: usize,
+    upstream_connections: usize,
+    body_kb: usize,
+    response_kb: usize,
+}
 
-impl Limits {
-    pub fn new(sockets: u32, memory_mb: u32, terms: &Settings) -> Result<Limits, CapacityError> {
-        // A fifth for clients' bodies, most of which are far smaller than they may be.
-        let bodies = memory_mb as usize * 1024 / 5;
-        // And a tenth for whole answers on their way to clients.
-        let answers = bodies / 2;
-        let memory = (memory_mb as usize * 1024).checked_sub(PROGRAM_MB * 1024 + bodies + answers);
-        let by_memory = memory
-            .map(|kb| kb / CONNECTION_KB)
-            .filter(|&connections| connections >= 32);
-        let needed = ((PROGRAM_MB * 1024 + 32 * CONNECTION_KB) * 10 / 7).div_ceil(1024);
-        let by_memory = by_memory.ok_or(CapacityError::Memory {
+impl Budget {
+    fn new(sockets: u32, memory_mb: u32) -> Result<Budget, CapacityError> {
+        let memory_kb = memory_mb as usize * 1024;
+        let body_kb = memory_kb / 5;
+        let response_kb = body_kb / 2;
+        let by_memory = connections_by_memory(memory_mb, body_kb + response_kb)?;
+        let by_sockets = connections_by_sockets(sockets)?;
+        let connections = by_sockets.min(by_memory);
+        // A request holds its client's connection and at most one to a server; clients keep idle ones too.
+        let upstream_connections = connections * 2 / 5;
+        Ok(Budget {
+            connections,
+            client_connections: connections - upstream_connections,
+            upstream_connections,
+            body_kb,
+            response_kb,
+        })
+    }
+}
+
+fn connections_by_memory(memory_mb: u32, buffered_kb: usize) -> Result<usize, CapacityError> {
+    let needed_kb = (PROGRAM_MB * 1024 + MIN_CONNECTIONS * CONNECTION_KB) * 10 / 7;
+    let left_kb = (memory_mb as usize * 1024).checked_sub(PROGRAM_MB * 1024 + buffered_kb);
+    left_kb
+        .map(|kb| kb / CONNECTION_KB)
+        .filter(|&connections| connections >= MIN_CONNECTIONS)
+        .ok_or(CapacityError::Memory {
             given: memory_mb,
-            needed,
-        })?;
-        let by_sockets = (sockets as usize)
-            .checked_sub(OWN)
-            .filter(|&left| left >= 32);
-        let by_sockets = by_sockets.ok_or(CapacityError::Sockets {
+            needed: needed_kb.div_ceil(1024),
+        })
+}
+
+fn connections_by_sockets(sockets: u32) -> Result<usize, CapacityError> {
+    (sockets as usize)
+        .checked_sub(RESERVED_DESCRIPTORS)
+        .filter(|&left| left >= MIN_CONNECTIONS)
+        .ok_or(CapacityError::Sockets {
             given: sockets,
-            needed: OWN + 32,
-        })?;
-        let room = by_sockets.min(by_memory);
-        // A job holds its client's connection and at most one to a server; clients keep idle ones too.
-        let servers = room * 2 / 5;
-        let clients_most = room - servers;
-        let idle = if terms.sockets.server_idle.is_zero() {
-            Duration::from_secs(15)
-        } else {
-            terms.sockets.server_idle
-        };
-        let connect = terms.sockets.connect_within;
+            needed: RESERVED_DESCRIPTORS + MIN_CONNECTIONS,
+        })
+}
+
+impl Limits {
+    /// Shares descriptors and memory (in MiB) out.
+    ///
+    /// # Errors
+    ///
+    /// Too few descriptors or too little memory for the least number of connections.
+    pub fn new(sockets: u32, memory_mb: u32, settings: &Settings) -> Result<Limits, CapacityError> {
+        let budget = Budget::new(sockets, memory_mb)?;
         Ok(Limits {
-            // A quarter is kept for who comes and goes, and to tell newcomers that it is busy.
-            clients: clients_most - clients_most / 4,
-            clients_most,
-            // Fronts hold up to a third of the descriptors: idle ones must end short of that.
-            clients_kept: (sockets as usize / 4).min(clients_most - clients_most / 4),
-            servers,
-            jobs: if terms.request_limits.max_in_flight == 0 {
-                clients_most
-            } else {
-                terms.request_limits.max_in_flight
-            },
-            // Each connection may have a job and its leaving there, each attempt its end.
-            queue: 4 * room + 256,
-            round: 512,
-            body: 64 * 1024,
-            bodies: bodies * 1024,
-            answers: answers * 1024,
-            // As much as servers usually take.
-            head: 8 * 1024,
-            // Answers of these days reach 32 MB; far more is a server's fault, and would hold a client for hours.
-            flowing: 1 << 30,
-            endpoint_list_bytes: (((memory_mb as usize) << 20) / LIST_PART).max(LEAST_LIST),
-            // Well within the time in which a process is to be ready.
-            bind: Duration::from_secs(3),
-            // As many as most kernels allow; they hold no descriptors of the process.
+            connect_timeout: given_or(settings.sockets.connect_within, DEFAULT_CONNECT_TIMEOUT),
+            max_body_bytes: 64 * 1024,
+            max_head_bytes: 8 * 1024,
+            listener: ListenerLimits::new(),
+            client: ClientLimits::new(&budget, sockets),
+            upstream: UpstreamLimits::new(&budget, settings),
+            endpoints: EndpointWatchLimits::new(memory_mb, settings),
+            event_loop: EventLoopLimits::new(&budget, settings),
+            shutdown: ShutdownLimits::new(),
+            admin: AdminLimits::new(),
+        })
+    }
+}
+
+/// Settings give zero for a time that they leave out.
+fn given_or(given: Duration, default: Duration) -> Duration {
+    if given.is_zero() { default } else { given }
+}
+
+impl ListenerLimits {
+    fn new() -> ListenerLimits {
+        ListenerLimits {
+            bind_timeout: Duration::from_secs(3),
             backlog: 4096,
-            connect: if connect.is_zero() {
-                Duration::from_millis(250)
+        }
+    }
+}
+
+impl ClientLimits {
+    fn new(budget: &Budget, sockets: u32) -> ClientLimits {
+        // The rest answers newcomers that the limiter is busy.
+        let max_served_connections = budget.client_connections - budget.client_connections / 4;
+        ClientLimits {
+            max_served_connections,
+            max_connections: budget.client_connections,
+            max_idle_connections: (sockets as usize / 4).min(max_served_connections),
+            max_buffered_body_bytes: budget.body_kb * 1024,
+            idle_timeout: Duration::from_secs(10),
+            // A client that sends nothing usable is owed an end within 3 s.
+            request_timeout: Duration::from_millis(2200),
+            min_body_bytes_per_second: 64_000,
+            max_body_pause: Duration::from_millis(700),
+            evict_idle_after: Duration::from_millis(10),
+            evict_unused_after: Duration::from_millis(30),
+            evict_partial_after: Duration::from_millis(100),
+            linger_timeout: Duration::from_millis(250),
+            max_read_ahead_bytes: 512 * 1024,
+        }
+    }
+}
+
+impl UpstreamLimits {
+    fn new(budget: &Budget, settings: &Settings) -> UpstreamLimits {
+        let server_idle = given_or(settings.sockets.server_idle, DEFAULT_SERVER_IDLE_TIMEOUT);
+        UpstreamLimits {
+            max_connections: budget.upstream_connections,
+            max_buffered_response_bytes: budget.response_kb * 1024,
+            max_streaming_bytes: 1 << 30,
+            idle_timeout: server_idle.mul_f64(POOLED_IDLE_FRACTION),
+            settle_time: Duration::from_millis(25),
+            health_check_timeout: Duration::from_millis(250),
+        }
+    }
+}
+
+impl EndpointWatchLimits {
+    fn new(memory_mb: u32, settings: &Settings) -> EndpointWatchLimits {
+        let memory_bytes = (memory_mb as usize) << 20;
+        // A drain's grace runs from the end of an outage of discovery, so a silent call must not outlast half of it.
+        let half_grace = settings.endpoints.drain_grace / 2;
+        EndpointWatchLimits {
+            max_list_bytes: (memory_bytes / LIST_MEMORY_DIVISOR).max(MIN_LIST_BYTES),
+            watch_timeout: Duration::from_secs(1),
+            immediate_timeout: Duration::from_millis(10),
+            response_grace: half_grace
+                .clamp(Duration::from_millis(100), Duration::from_millis(500)),
+            max_open_calls: 4,
+            retry_delay: Duration::from_millis(100),
+            first_list_timeout: Duration::from_millis(250),
+        }
+    }
+}
+
+impl EventLoopLimits {
+    fn new(budget: &Budget, settings: &Settings) -> EventLoopLimits {
+        let max_in_flight = settings.request_limits.max_in_flight;
+        EventLoopLimits {
+            max_requests: if max_in_flight == 0 {
+                budget.client_connections
             } else {
-                connect
+                max_in_flight
             },
-            // What is written to a connection that the server just closed is lost: far from that moment.
-            server_idle: idle.mul_f64(0.6),
-            // Measured: those closed behind an answer were so within 23 ms, evenly spread.
-            server_settled: Duration::from_millis(25),
-            client_idle: Duration::from_secs(10),
-            // Who sends nothing usable is owed an end within 3 s, which a busy machine must keep too.
-            client_whole: Duration::from_millis(2200),
-            // As slow as the operators' page has it. A pause behind the slowest head still ends within 3 s.
-            client_body_rate: 64_000,
-            client_body_pause: Duration::from_millis(700),
-            client_settled: Duration::from_millis(10),
-            client_silent: Duration::from_millis(30),
-            client_unended: Duration::from_millis(100),
-            // What crosses the end is there within a round attempt of some milliseconds; a client on a machine that is
-            // busy may need more, and a stop must not wait long for one that never ends its side.
-            client_lingers: Duration::from_millis(250),
-            // Thousands of requests in one piece; small beside the memory for bodies, which hundreds share.
-            client_ahead: 512 * 1024,
-            answer_margin: Duration::from_millis(5),
-            // The agent is near and asked at no cost: a call that has fallen silent must not hide changes for long.
-            watch: Duration::from_secs(1),
-            watch_again: Duration::from_millis(10),
-            // What discovery tells at the end of an outage counts at once, and a drain's grace runs from then.
-            watch_slack: (terms.endpoints.drain_grace / 2)
-                .clamp(Duration::from_millis(100), Duration::from_millis(500)),
-            // A few seconds' answers, of a discovery that is that slow; they are descriptors.
-            watch_calls: 4,
-            watch_retry: Duration::from_millis(100),
-            // The agent is on this machine and answers at once; one that is silent has nothing to tell for long, and
-            // fleets that are killed in an outage must be back soon.
-            first_list: Duration::from_millis(250),
-            probe: Duration::from_millis(250),
-            // New connections come for up to 0.4 s.
-            stop_tells: Duration::from_millis(400),
-            stop_rest: Duration::from_millis(100),
-            // A request that crosses its connection's end is sent again; from 0.7 s on it may count as lost.
-            stop_closes: Duration::from_millis(620),
-            stop_first: Duration::from_millis(400),
-            stop_late: Duration::from_secs(1),
-            stop_quiet: Duration::from_millis(200),
-            stop_over: Duration::from_millis(100),
-            // Callers who hold one and never call are owed nothing; enough for staff and their scrapers.
-            ops_connections: 16,
-            // Answers are owed within 1 s: a whole call comes within half of that from a caller who means it.
-            ops_call: Duration::from_millis(500),
-        })
+            // Each connection may have a request and its disconnect there, each attempt its end.
+            queue_length: 4 * budget.connections + 256,
+            batch_size: 512,
+            response_margin: Duration::from_millis(5),
+        }
+    }
+}
+
+impl ShutdownLimits {
+    fn new() -> ShutdownLimits {
+        ShutdownLimits {
+            announce_after: Duration::from_millis(400),
+            idle_before_close: Duration::from_millis(100),
+            // From 0.7 s on a request that crosses its connection's end may count as lost.
+            close_idle_after: Duration::from_millis(620),
+            first_request_timeout: Duration::from_millis(400),
+            accept_for: Duration::from_secs(1),
+            quiet_period: Duration::from_millis(200),
+            response_grace: Duration::from_millis(100),
+        }
+    }
+}
+
+impl AdminLimits {
+    fn new() -> AdminLimits {
+        AdminLimits {
+            max_connections: 16,
+            call_timeout: Duration::from_millis(500),
+        }
     }
 }
 
-/// How long after the signal of a stop the last request has its answer, by the classes in force: well before the process
-/// is killed, which is no sooner than the longest deadline, 3 s at most, and 0.7 s. A busy machine needs some of that.
-pub fn stop_end(classes: &[RequestClass]) -> Duration {
-    let longest = classes
-        .iter()
-        .map(|class| class.deadline)
-        .max()
-        .unwrap_or_default();
-    longest.min(Duration::from_secs(3)) + Duration::from_millis(300)
+/// How long after the signal of a shutdown the last request is answered, by the classes in force: before the process is
+/// killed, which is no sooner than the longest deadline (at most 3 s) and 0.7 s.
+pub fn shutdown_deadline(classes: &[RequestClass]) -> Duration {
+    let longest = classes.iter().map(|class| class.deadline).max();
+    longest.unwrap_or_default().min(MAX_SHUTDOWN_DEADLINE) + SHUTDOWN_MARGIN
 }
 
 #[cfg(test)]
--- a/crates/merlinreel/src/config/limits/tests.rs
+++ b/crates/merlinreel/src/config/limits/tests.rs
@@ -2,7 +2,7 @@
 use merlinreel_settings::Paths;
 use test_case::test_case;
 
-/// UpstreamPool that a list may name, at the 220 bytes each that one takes where an agent indents its lists.
+/// Servers that a list may name, at the 220 bytes each that one takes where an agent indents its lists.
 #[test_case(32 => true ; "a small machine, a thousand and more")]
 #[test_case(192 => true ; "the usual, a hundred and sixty thousand")]
 fn the_list_of_servers_has_room(memory_mb: u32) -> bool {
@@ -10,7 +10,7 @@
         .and_then(|paths| Settings::read(&paths))
         .expect("sound");
     let limits = Limits::new(256, memory_mb, &terms).expect("room");
-    limits.endpoint_list_bytes >= 220 * if memory_mb < 192 { 1024 } else { 160_000 }
+    limits.endpoints.max_list_bytes >= 220 * if memory_mb < 192 { 1024 } else { 160_000 }
 }
 
 #[test_case(1024, 192 ; "as scored")]
@@ -22,22 +22,28 @@
         .and_then(|paths| Settings::read(&paths))
         .expect("sound");
     let limits = Limits::new(sockets, memory_mb, &terms).expect("room");
-    let connections = limits.clients_most + limits.servers;
-    assert!(limits.clients < limits.clients_most && limits.servers >= 12);
-    assert!(connections + OWN <= sockets as usize);
+    let connections = limits.client.max_connections + limits.upstream.max_connections;
+    assert!(
+        limits.client.max_served_connections < limits.client.max_connections
+            && limits.upstream.max_connections >= 12
+    );
+    assert!(connections + RESERVED_DESCRIPTORS <= sockets as usize);
     // Bodies and buffers of both sides at their fullest, what is held back and read ahead, and the program itself.
-    let buffers = connections * 2 * limits.head
-        + limits.clients_most * 2 * limits.head
-        + limits.servers * limits.body
-        + limits.bodies
-        + limits.answers;
+    let buffers = connections * 2 * limits.max_head_bytes
+        + limits.client.max_connections * 2 * limits.max_head_bytes
+        + limits.upstream.max_connections * limits.max_body_bytes
+        + limits.client.max_buffered_body_bytes
+        + limits.upstream.max_buffered_response_bytes;
     assert!(buffers + (PROGRAM_MB << 20) <= (memory_mb as usize) << 20);
-    assert!(limits.queue > 2 * connections);
+    assert!(limits.event_loop.queue_length > 2 * connections);
     // Never less than it was, nor than thousands of servers; and it leaves the memory to what is read of it.
     assert!(
-        limits.endpoint_list_bytes >= LEAST_LIST
-            && limits.endpoint_list_bytes <= LEAST_LIST.max((memory_mb as usize) << 18)
+        limits.endpoints.max_list_bytes >= MIN_LIST_BYTES
+            && limits.endpoints.max_list_bytes <= MIN_LIST_BYTES.max((memory_mb as usize) << 18)
     );
     // What a page or a font takes flows; of those that are held there is room for some dozens at their largest.
-    assert!(limits.flowing >= 1 << 20 && limits.answers >= 32 * limits.body);
+    assert!(
+        limits.upstream.max_streaming_bytes >= 1 << 20
+            && limits.upstream.max_buffered_response_bytes >= 32 * limits.max_body_bytes
+    );
 }
--- a/crates/merlinreel/src/endpoints.rs
+++ b/crates/merlinreel/src/endpoints.rs
@@ -155,12 +155,12 @@
     fn next(limits: &Limits, watches: bool, first: bool, failed: u32) -> Call {
         let wait = match (watches, first || failed > 0) {
             (false, _) => Duration::ZERO,
-            (true, true) => limits.watch_again,
-            (true, false) => limits.watch,
+            (true, true) => limits.endpoints.immediate_timeout,
+            (true, false) => limits.endpoints.watch_timeout,
         };
         Call {
             wait,
-            silent: wait + limits.watch_slack,
+            silent: wait + limits.endpoints.response_grace,
         }
     }
 }
@@ -170,8 +170,8 @@
 fn pause_after(what: &DiscoveryError, limits: &Limits) -> Duration {
     match what {
         DiscoveryError::NoAnswer(_) => Duration::ZERO,
-        DiscoveryError::TooLong { .. } => limits.watch,
-        _ => limits.watch_retry,
+        DiscoveryError::TooLong { .. } => limits.endpoints.watch_timeout,
+        _ => limits.endpoints.retry_delay,
     }
 }
 
@@ -223,7 +223,11 @@
             ),
             None => "/discovery/hosts".to_owned(),
         };
-        let (rested, connect, most) = (line.take(), limits.connect, limits.endpoint_list_bytes);
+        let (rested, connect, most) = (
+            line.take(),
+            limits.connect_timeout,
+            limits.endpoints.max_list_bytes,
+        );
         let progress = Progress::default();
         let told = progress.clone();
         let task = calls.spawn(async move {
@@ -234,7 +238,12 @@
             let news = ask(&mut at, discovery, path, most, &told).await?;
             Ok((at, news))
         });
-        open.add(task, progress, limits.watch_calls, limits.watch);
+        open.add(
+            task,
+            progress,
+            limits.endpoints.max_open_calls,
+            limits.endpoints.watch_timeout,
+        );
         match answered(&mut calls, call.silent).await {
             Ok((at, news)) => {
                 calls.shutdown().await;
--- a/crates/merlinreel/src/endpoints/tests.rs
+++ b/crates/merlinreel/src/endpoints/tests.rs
@@ -20,7 +20,8 @@
 fn an_answer_comes_within_the_list_s_clock(silent: u32) -> bool {
     let limits = limits();
     let each = |failed| Call::next(&limits, true, false, failed).silent;
-    (0..silent).map(each).sum::<Duration>() + limits.watch_again < Duration::from_millis(5500)
+    (0..silent).map(each).sum::<Duration>() + limits.endpoints.immediate_timeout
+        < Duration::from_millis(5500)
 }
 
 /// However long an outage lasted, a call is made within half of a drain's grace of its end: what the agent gets then
@@ -37,7 +38,7 @@
     for failed in 1..40 {
         let call = Call::next(&limits, true, false, failed);
         assert!(
-            call.silent <= Duration::from_secs_f64(within) + limits.watch_again,
+            call.silent <= Duration::from_secs_f64(within) + limits.endpoints.immediate_timeout,
             "{failed}"
         );
     }
@@ -52,10 +53,11 @@
     const LIST: &str = r#"{"generation":7,"reset":true,"instances":[]}"#;
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await?;
     let at = listener.local_addr()?;
-    let limits = Limits {
-        watch_slack: Duration::from_millis(20),
-        watch_calls: 1000,
-        ..limits()
+    let limits = {
+        let mut changed = limits();
+        changed.endpoints.response_grace = Duration::from_millis(20);
+        changed.endpoints.max_open_calls = 1000;
+        changed
     };
     let (queue, mut news) = tokio::sync::mpsc::channel(4);
     let (told, _first) = oneshot::channel();
@@ -104,11 +106,12 @@
 #[tokio::test]
 async fn silent_calls_are_few() -> std::io::Result<()> {
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await?;
-    let limits = Limits {
-        watch_slack: Duration::from_millis(5),
-        ..limits()
+    let limits = {
+        let mut changed = limits();
+        changed.endpoints.response_grace = Duration::from_millis(5);
+        changed
     };
-    let most = limits.watch_calls;
+    let most = limits.endpoints.max_open_calls;
     let (queue, _news) = tokio::sync::mpsc::channel(4);
     let (told, _first) = oneshot::channel();
     let (_turn, discovery) = watch::channel(listener.local_addr()?);
@@ -210,9 +213,10 @@
     let (told, _first) = oneshot::channel();
     let (_turn, discovery) = watch::channel(at);
     // However slow the machine that tests is, no call counts as silent.
-    let limits = Limits {
-        watch_slack: Duration::from_secs(60),
-        ..limits()
+    let limits = {
+        let mut changed = limits();
+        changed.endpoints.response_grace = Duration::from_secs(60);
+        changed
     };
     let watching = tokio::spawn(super::watch(discovery, None, limits, queue, told));
     let list = timeout(Duration::from_secs(60), news.recv()).await;
@@ -291,10 +295,11 @@
     let (queue, mut news) = tokio::sync::mpsc::channel(4);
     let (told, _first) = oneshot::channel();
     let (_turn, discovery) = watch::channel(at);
-    let limits = Limits {
-        endpoint_list_bytes: 1000,
-        watch_slack: Duration::from_secs(60),
-        ..limits()
+    let limits = {
+        let mut changed = limits();
+        changed.endpoints.max_list_bytes = 1000;
+        changed.endpoints.response_grace = Duration::from_secs(60);
+        changed
     };
     let watching = tokio::spawn(super::watch(discovery, None, limits, queue, told));
     for (version, servers) in [(1, 0), (7, 1)] {
@@ -329,12 +334,13 @@
         }
     });
     let at = at.await?;
-    let limits = Limits {
-        watch: Duration::from_secs(20),
-        watch_slack: Duration::from_millis(20),
-        ..limits()
+    let limits = {
+        let mut changed = limits();
+        changed.endpoints.watch_timeout = Duration::from_secs(20);
+        changed.endpoints.response_grace = Duration::from_millis(20);
+        changed
     };
-    assert!(limits.watch_calls < PIECES / 2);
+    assert!(limits.endpoints.max_open_calls < PIECES / 2);
     let (queue, mut news) = tokio::sync::mpsc::channel(4);
     let (told, _first) = oneshot::channel();
     let (_turn, discovery) = watch::channel(at);
--- a/crates/merlinreel/src/lib.rs
+++ b/crates/merlinreel/src/lib.rs
@@ -124,11 +124,11 @@
     let named = |what: &str, at, error: io::Error| {
         io::Error::new(error.kind(), format!("{what}: {at}: {error}"))
     };
-    let (queue, news) = mpsc::channel(limits.queue);
+    let (queue, news) = mpsc::channel(limits.event_loop.queue_length);
     let inherited = handed.is_some();
     let post = match peer_listen.filter(|_| terms.fleet.peer_messages) {
         Some(at) => {
-            let post = bound(limits.bind, async || {
+            let post = bound(limits.listener.bind_timeout, async || {
                 peers::PeerSender::open(at, &peers, inherited).await
             })
             .await;
@@ -139,9 +139,11 @@
     let listener = match handed {
         Some(handed) => TcpListener::from_std(handed)
             .map_err(|error| named("PROXY_LISTEN_FD", listen, error))?,
-        None => bound(limits.bind, async || listen_at(listen, limits.backlog))
-            .await
-            .map_err(|error| named("listen", listen, error))?,
+        None => bound(limits.listener.bind_timeout, async || {
+            listen_at(listen, limits.listener.backlog)
+        })
+        .await
+        .map_err(|error| named("listen", listen, error))?,
     };
     let version = known.as_ref().map(|known| known.version);
     let servers =
@@ -185,7 +187,7 @@
         }
     );
     let door = client::ClientListener::new(limits.clone(), tuned, queue, figures.clone());
-    let first = timeout(limits.first_list, first);
+    let first = timeout(limits.endpoints.first_list_timeout, first);
     let taking = match &ground {
         Some(ground) => {
             let serving = door.clone();
@@ -209,9 +211,11 @@
     }
     let told = taking.as_ref().map(|taking| taking.mesh.clone());
     if let Some(at) = ops {
-        let listener = bound(limits.bind, async || TcpListener::bind(at).await)
-            .await
-            .map_err(|error| named("ops", at, error))?;
+        let listener = bound(limits.listener.bind_timeout, async || {
+            TcpListener::bind(at).await
+        })
+        .await
+        .map_err(|error| named("ops", at, error))?;
         others.push(tokio::spawn(admin::attend(
             listener,
             limits,
--- a/crates/merlinreel/src/upstream.rs
+++ b/crates/merlinreel/src/upstream.rs
@@ -130,7 +130,7 @@
             probes: terms.endpoints.health_checks,
             table: EndpointTable::new(terms.sockets.zones.clone()),
             idle: Vec::new(),
-            slots: Arc::new(Semaphore::new(limits.servers)),
+            slots: Arc::new(Semaphore::new(limits.upstream.max_connections)),
             limits,
             queue,
         }
@@ -181,8 +181,11 @@
         let address = self.table.address(server)?;
         let idle = self.idle.get_mut(server as usize)?;
         let only_settled = self.unasked.seen();
-        while let Some(link) = idle.take(attempt.started, self.limits.server_settled, only_settled)
-        {
+        while let Some(link) = idle.take(
+            attempt.started,
+            self.limits.upstream.settle_time,
+            only_settled,
+        ) {
             if link.address != address {
                 continue;
             }
@@ -257,10 +260,13 @@
         let (queue, limits) = (self.queue.clone(), self.limits.clone());
         tokio::spawn(async move {
             let started = Instant::now();
-            let found = timeout(limits.probe, probe(address, path, &limits))
-                .await
-                .ok()
-                .flatten();
+            let found = timeout(
+                limits.upstream.health_check_timeout,
+                probe(address, path, &limits),
+            )
+            .await
+            .ok()
+            .flatten();
             drop(slot);
             let (answered, load) = (found.is_some(), found.unwrap_or_default());
             let answer = HealthCheckResult {
--- a/crates/merlinreel/src/upstream/connection.rs
+++ b/crates/merlinreel/src/upstream/connection.rs
@@ -198,8 +198,8 @@
     }
 
     async fn open(&mut self, attempt: &Attempt) -> Result<OpenConnection, AttemptOutcome> {
-        let (address, within) = (self.address, self.limits.connect);
-        let head = self.limits.head;
+        let (address, within) = (self.address, self.limits.connect_timeout);
+        let head = self.limits.max_head_bytes;
         let stream = tokio::select! {
             biased;
             () = self.abandoned(attempt.serial, || false) => return Err(AttemptOutcome::NotSent),
@@ -260,7 +260,11 @@
             sent,
             over,
         } = up;
-        let (memory, most, loads) = (self.memory.clone(), self.limits.flowing, self.loads);
+        let (memory, most, loads) = (
+            self.memory.clone(),
+            self.limits.upstream.max_streaming_bytes,
+            self.loads,
+        );
         // Counted once its last byte is written: the class is the first part of the path.
         let attempted = {
             let figures = self.figures.clone();
@@ -328,7 +332,7 @@
 
     /// Waits for the next attempt, as long as the connection is good.
     async fn rest(&mut self, up: &mut OpenConnection) -> Option<Attempt> {
-        let idle = sleep(self.limits.server_idle);
+        let idle = sleep(self.limits.upstream.idle_timeout);
         tokio::pin!(idle);
         loop {
             tokio::select! {
--- a/crates/merlinreel/src/upstream/health_check.rs
+++ b/crates/merlinreel/src/upstream/health_check.rs
@@ -24,7 +24,7 @@
     let answer = async {
         let answer = sender.send_request(request).await.ok()?;
         let fine = answer.status() == StatusCode::OK;
-        let body = Limited::new(answer.into_body(), limits.body)
+        let body = Limited::new(answer.into_body(), limits.max_body_bytes)
             .collect()
             .await
             .ok()?
--- a/crates/merlinreel/src/upstream/response_memory.rs
+++ b/crates/merlinreel/src/upstream/response_memory.rs
@@ -53,8 +53,8 @@
 impl AnswerMemory {
     pub fn new(limits: &Limits) -> AnswerMemory {
         AnswerMemory {
-            bytes: Arc::new(Semaphore::new(limits.answers)),
-            whole: limits.body,
+            bytes: Arc::new(Semaphore::new(limits.upstream.max_buffered_response_bytes)),
+            whole: limits.max_body_bytes,
         }
     }
 
--- a/crates/merlinreel/src/upstream/tests.rs
+++ b/crates/merlinreel/src/upstream/tests.rs
@@ -54,9 +54,10 @@
     let terms = paths
         .and_then(|paths| merlinreel_settings::Settings::read(&paths))
         .expect("sound");
-    let limits = Limits {
-        servers: slots,
-        ..Limits::new(1024, 192, &terms).expect("room")
+    let limits = {
+        let mut changed = Limits::new(1024, 192, &terms).expect("room");
+        changed.upstream.max_connections = slots;
+        changed
     };
     let (queue, news) = mpsc::channel(16);
     let mut servers = UpstreamPool::new(limits, &terms, queue, Metrics::new(&[]));
@@ -254,7 +255,7 @@
     // The one place of its queue is taken: further connections come up only once it is accepted.
     let _place = std::net::TcpStream::connect(address).expect("the one place");
     let (mut servers, mut news) = servers(address, 4);
-    servers.limits.connect = LONG;
+    servers.limits.connect_timeout = LONG;
     let link = servers.send(0, attempt(7, 1, LONG)).expect("a slot");
     // An order for another attempt is none for this one.
     link.withdraw(6);
--- a/crates/merlinreel/src/upstream/tests/idle_connections.rs
+++ b/crates/merlinreel/src/upstream/tests/idle_connections.rs
@@ -93,7 +93,7 @@
     .expect("seen");
     let (second, mut stream) = begun(&listener, &mut servers, 2).await;
     done(&mut stream, &mut news).await;
-    servers.limits.server_settled = LONG;
+    servers.limits.upstream.settle_time = LONG;
     servers.keep(0, second);
     let _third = servers.send(0, attempt(3, 1, LONG)).expect("a slot");
     request(&mut accept(&listener).await).await;
@@ -148,8 +148,8 @@
 async fn an_idle_connection_is_dropped_before_the_server_does() {
     let (listener, address) = listener().await;
     let (mut servers, mut news) = servers(address, 4);
-    assert!(servers.limits.server_idle < Duration::from_secs(15));
-    servers.limits.server_idle = Duration::from_millis(1);
+    assert!(servers.limits.upstream.idle_timeout < Duration::from_secs(15));
+    servers.limits.upstream.idle_timeout = Duration::from_millis(1);
     let (link, mut stream) = begun(&listener, &mut servers, 1).await;
     done(&mut stream, &mut news).await;
     servers.keep(0, link);
--- a/crates/merlinreel/tests/sockets/stop.rs
+++ b/crates/merlinreel/tests/sockets/stop.rs
@@ -166,7 +166,7 @@
 /// the test's process.
 fn start_here(config: &Value, first_list: Duration) {
     let mut station = merlinreel::config::parse(&config.to_string(), |_| None).expect("sound");
-    station.limits.first_list = first_list;
+    station.limits.endpoints.first_list_timeout = first_list;
     thread::spawn(move || {
         let figures = merlinreel::telemetry::metrics::Metrics::new(&station.terms.sockets.classes);
         let (_tune, settings) = tokio::sync::watch::channel(station.terms.clone());
