--- a/crates/merlinreel/src/admin.rs
+++ b/crates/merlinreel/src/admin.rs
@@ -22,8 +22,8 @@
 use tokio::time::timeout;
 
 /// What the door tells: whether the process serves, and the figures as text.
-pub trait Telling: Send + Sync + 'static {
-    fn serves(&self) -> bool;
+pub trait AdminStatus: Send + Sync + 'static {
+    fn is_serving(&self) -> bool;
     fn stats(&self) -> String;
     /// What is known of the mesh, as JSON; none where this limiter takes no part.
     fn mesh(&self) -> Option<String> {
@@ -32,15 +32,17 @@
 }
 
 /// Answers one call.
-pub fn answer(method: &Method, path: &str, telling: &dyn Telling) -> Response<Full<Bytes>> {
+pub fn answer(method: &Method, path: &str, status: &dyn AdminStatus) -> Response<Full<Bytes>> {
     match (path, method == Method::GET) {
         ("/healthcheck" | "/stats" | "/mesh", false) => {
             respond(StatusCode::METHOD_NOT_ALLOWED, "GET only\n".to_owned())
         }
-        ("/healthcheck", true) if telling.serves() => respond(StatusCode::OK, "yes\n".to_owned()),
+        ("/healthcheck", true) if status.is_serving() => {
+            respond(StatusCode::OK, "yes\n".to_owned())
+        }
         ("/healthcheck", true) => respond(StatusCode::SERVICE_UNAVAILABLE, "no\n".to_owned()),
-        ("/stats", true) => respond(StatusCode::OK, telling.stats()),
-        ("/mesh", true) => match telling.mesh() {
+        ("/stats", true) => respond(StatusCode::OK, status.stats()),
+        ("/mesh", true) => match status.mesh() {
             Some(text) => respond(StatusCode::OK, text + "\n"),
             None => respond(
                 StatusCode::NOT_FOUND,
@@ -55,7 +57,7 @@
 }
 
 /// Serves the door until the task is dropped.
-pub async fn attend(listener: TcpListener, limits: Limits, telling: Arc<dyn Telling>) {
+pub async fn attend(listener: TcpListener, limits: Limits, status: Arc<dyn AdminStatus>) {
     let mut open: VecDeque<JoinHandle<()>> = VecDeque::new();
     let mut backoff = Backoff::default();
     loop {
@@ -74,14 +76,14 @@
         while open.len() >= limits.admin.max_connections {
             open.pop_front().into_iter().for_each(|task| task.abort());
         }
-        let telling = telling.clone();
+        let status = status.clone();
         let call = limits.admin.call_timeout;
         open.push_back(tokio::spawn(async move {
             let _ = stream.set_nodelay(true);
             let service = service_fn(move |request: Request<Incoming>| {
-                let telling = telling.clone();
+                let status = status.clone();
                 async move {
-                    Ok::<_, Infallible>(answer(request.method(), request.uri().path(), &*telling))
+                    Ok::<_, Infallible>(answer(request.method(), request.uri().path(), &*status))
                 }
             });
             let connection = Builder::new()
--- a/crates/merlinreel/src/admin/tests.rs
+++ b/crates/merlinreel/src/admin/tests.rs
@@ -3,8 +3,8 @@
 
 struct Told(bool);
 
-impl Telling for Told {
-    fn serves(&self) -> bool {
+impl AdminStatus for Told {
+    fn is_serving(&self) -> bool {
         self.0
     }
     fn stats(&self) -> String {
@@ -17,10 +17,10 @@
 #[test_case("GET", "/stats", false, 200 ; "figures")]
 #[test_case("POST", "/stats", true, 405 ; "another method")]
 #[test_case("GET", "/up", true, 404 ; "another path")]
-fn each_call_has_its_answer(method: &str, path: &str, serves: bool, status: u16) {
+fn each_call_has_its_answer(method: &str, path: &str, is_serving: bool, status: u16) {
     let method = Method::from_bytes(method.as_bytes()).expect("a method");
     assert_eq!(
-        answer(&method, path, &Told(serves)).status().as_u16(),
+        answer(&method, path, &Told(is_serving)).status().as_u16(),
         status
     );
 }
--- a/crates/merlinreel/src/client.rs
+++ b/crates/merlinreel/src/client.rs
@@ -41,57 +41,57 @@
 pub struct ClientListener {
     limits: Limits,
     /// The settings in force, and each class's index in the module.
-    tuned: watch::Receiver<Arc<ActiveSettings>>,
+    active_settings: watch::Receiver<Arc<ActiveSettings>>,
     queue: Queue,
-    tickets: AtomicU64,
+    request_ids: AtomicU64,
     /// Whether jobs were taken yet.
     opened: AtomicBool,
     /// When the stop was asked for.
     asked: OnceLock<Instant>,
     /// From some time after that on: answers tell that their connection closes.
     closing: AtomicBool,
-    in_hand: AtomicUsize,
-    claims: AdmissionPermits,
+    in_flight: AtomicUsize,
+    permits: AdmissionPermits,
     client_connections: Mutex<HashMap<u64, Arc<ClientConnection>>>,
-    figures: Arc<Metrics>,
+    metrics: Arc<Metrics>,
 }
 
 impl ClientListener {
     pub fn new(
         limits: Limits,
-        tuned: watch::Receiver<Arc<ActiveSettings>>,
+        active_settings: watch::Receiver<Arc<ActiveSettings>>,
         queue: Queue,
-        figures: Arc<Metrics>,
+        metrics: Arc<Metrics>,
     ) -> Arc<ClientListener> {
         Arc::new(ClientListener {
-            figures,
-            claims: AdmissionPermits::new(&limits),
+            metrics,
+            permits: AdmissionPermits::new(&limits),
             limits,
-            tuned,
+            active_settings,
             queue,
-            tickets: AtomicU64::new(0),
+            request_ids: AtomicU64::new(0),
             opened: AtomicBool::new(false),
             asked: OnceLock::new(),
             closing: AtomicBool::new(false),
-            in_hand: AtomicUsize::new(0),
+            in_flight: AtomicUsize::new(0),
             client_connections: Mutex::new(HashMap::new()),
         })
     }
 
     /// A job in hand has ended: its connection rests from now on.
     fn let_go(&self, client_connection: &ClientConnection) {
-        self.in_hand.fetch_sub(1, Ordering::Relaxed);
+        self.in_flight.fetch_sub(1, Ordering::Relaxed);
         client_connection.rest();
         client_connection.busy.store(false, Ordering::Relaxed);
     }
 
     /// Jobs in hand: read whole and not answered, or flowing.
-    pub fn in_hand(&self) -> usize {
-        self.in_hand.load(Ordering::Relaxed)
+    pub fn in_flight(&self) -> usize {
+        self.in_flight.load(Ordering::Relaxed)
     }
 
     /// Whether jobs are taken: from the start to the stop.
-    pub fn serves(&self) -> bool {
+    pub fn is_serving(&self) -> bool {
         self.opened.load(Ordering::Relaxed) && self.asked.get().is_none()
     }
 
@@ -108,7 +108,7 @@
             || ends && (over || !client_connection.more_was_read())
     }
 
-    fn make_room(&self) {
+    fn evict_idle(&self) {
         for client_connection in
             who_gives_way(lock(&self.client_connections).values(), &self.limits)
         {
@@ -126,7 +126,7 @@
             stream,
             client_connection.clone(),
             &self.limits,
-            self.claims.clone(),
+            self.permits.clone(),
         ));
         while let Some(mut rests) = self.serve_on(io, &client_connection).await {
             // The kernel is asked last: what came since the poller looked must not meet the end.
@@ -145,7 +145,7 @@
         client_connection: &Arc<ClientConnection>,
     ) -> Option<Wire> {
         let service = service_fn(|request| {
-            let (door, client_connection) = (self.clone(), client_connection.clone());
+            let (client_listener, client_connection) = (self.clone(), client_connection.clone());
             // Asked here, not in the request's own turn: the next head may have been read by then.
             let (observed, arrived) = (client_connection.observed(), client_connection.arrived());
             client_connection.consume();
@@ -154,20 +154,22 @@
                     class_of(request.uri().path()).to_owned(),
                     request.uri().path() == "/up",
                 );
-                let mut answer = door
+                let mut answer = client_listener
                     .request(request, observed, arrived, &client_connection)
                     .await;
                 let status = answer.status().as_u16();
                 match answer.body_mut() {
                     Either::Right(flow) => flow.hold(Box::new(Flowing::new(
-                        door.clone(),
+                        client_listener.clone(),
                         client_connection.clone(),
                         class,
                     ))),
-                    Either::Left(_) if !up => door.figures.answered(&class, Outcome::of(status)),
+                    Either::Left(_) if !up => client_listener
+                        .metrics
+                        .answered(&class, Outcome::of(status)),
                     Either::Left(_) => {}
                 }
-                if door.tells_closing(&client_connection) {
+                if client_listener.tells_closing(&client_connection) {
                     answer
                         .headers_mut()
                         .insert(CONNECTION, HeaderValue::from_static("close"));
--- a/crates/merlinreel/src/client/body.rs
+++ b/crates/merlinreel/src/client/body.rs
@@ -85,7 +85,7 @@
         }
         let told = least as usize;
         // Guards the memory against many large bodies at once.
-        let mut room = self.claims.body(told).ok_or(BodyError::NoRoom)?;
+        let mut room = self.permits.body(told).ok_or(BodyError::NoRoom)?;
         // Copied: pieces as they are would each keep a whole buffer of the connection's.
         let mut whole = Vec::with_capacity(told);
         loop {
@@ -111,7 +111,7 @@
                 });
             }
             let beyond = length.saturating_sub(room.num_permits());
-            if !self.claims.grow(&mut room, beyond) {
+            if !self.permits.grow(&mut room, beyond) {
                 return Err(BodyError::NoRoom);
             }
             whole.extend_from_slice(&piece);
--- a/crates/merlinreel/src/client/decode.rs
+++ b/crates/merlinreel/src/client/decode.rs
@@ -101,7 +101,7 @@
 }
 
 /// Reads a job from a request's head: its class, customer, plan and quota, and the time the client waits.
-pub fn decode(head: &Parts, terms: &Settings) -> Result<Request, String> {
+pub fn decode(head: &Parts, settings: &Settings) -> Result<Request, String> {
     let path = head.uri.path().trim_start_matches('/');
     let lane = path.split('/').next().unwrap_or(path);
     if let Some(value) = once(&head.headers, &LANE)?
@@ -109,15 +109,19 @@
     {
         return Err("the path and x-lane name two classes".to_owned());
     }
-    let class = terms.sockets.classes.iter().position(|name| name == lane);
+    let class = settings
+        .sockets
+        .classes
+        .iter()
+        .position(|name| name == lane);
     let class = class.ok_or_else(|| format!("class '{lane}' is unknown"))?;
     let plan = text(&head.headers, &PLAN)?;
-    let plan = terms.sockets.plans.iter().position(|name| name == plan);
+    let plan = settings.sockets.plans.iter().position(|name| name == plan);
     let plan = plan.ok_or("x-plan: unknown")?;
     text(&head.headers, &TXN)?;
     let RequestClass {
         repeats, deadline, ..
-    } = &terms.classes[class];
+    } = &settings.classes[class];
     let method = if *repeats == Idempotency::Idempotent {
         Method::GET
     } else {
@@ -144,7 +148,7 @@
         .then(|| u64::from_str_radix(key, 16).ok());
     let customer = customer.flatten().filter(|&number| number < CUSTOMERS);
     let customer = customer.ok_or("key: no customer's number")?;
-    let (units, set_size, set_first) = quota(text(&head.headers, &QUOTA)?, &terms.fleet)?;
+    let (units, set_size, set_first) = quota(text(&head.headers, &QUOTA)?, &settings.fleet)?;
     let remaining_time =
         remaining(text(&head.headers, &REMAINING)?).ok_or("x-remaining: no number with m or u")?;
     // No client of a class waits longer than its deadline.
@@ -179,13 +183,13 @@
 /// An answer as the client gets it.
 pub fn encode(answer: ClientResponse) -> Response<Reply> {
     let answer = match answer {
-        ClientResponse::Success(delivery) => {
-            let body = match delivery.flow {
+        ClientResponse::Success(upstream_response) => {
+            let body = match upstream_response.flow {
                 Some(flow) => Either::Right(*flow),
-                None => Either::Left(Full::new(delivery.body)),
+                None => Either::Left(Full::new(upstream_response.body)),
             };
             let mut response = Response::new(body);
-            *response.headers_mut() = delivery.headers;
+            *response.headers_mut() = upstream_response.headers;
             return response;
         }
         ClientResponse::Rejected(wait) => {
--- a/crates/merlinreel/src/client/decode/tests.rs
+++ b/crates/merlinreel/src/client/decode/tests.rs
@@ -17,7 +17,7 @@
     let settings = json!({"balancers": 3, "familyInfo": {"maxUnits": 8}, "packages": [{"name": "solo"}, {"name": "team"}], "classes": [
         {"name": "look", "idempotency": "read_like", "hardLimitS": 1},
         {"name": "put", "idempotency": "idempotency_key", "group": "all", "hardLimitS": 1}]});
-    let terms = Settings::read(&Paths::from_json(&settings)?)?;
+    let settings = Settings::read(&Paths::from_json(&settings)?)?;
     let mut request = if changed.1 == "GET" {
         hyper::Request::get(uri)
     } else {
@@ -38,7 +38,7 @@
         }
     }
     let (head, ()) = request.body(()).expect("sound").into_parts();
-    decode(&head, &terms)
+    decode(&head, &settings)
 }
 
 #[test]
--- a/crates/merlinreel/src/client/in_flight.rs
+++ b/crates/merlinreel/src/client/in_flight.rs
@@ -11,22 +11,22 @@
 /// Tells the driver that the client has left, unless its job has been answered.
 pub struct DisconnectGuard<'a> {
     pub client_connection: &'a ClientConnection,
-    pub ticket: Option<u64>,
+    pub request_id: Option<u64>,
 }
 
 impl Drop for DisconnectGuard<'_> {
     fn drop(&mut self) {
-        if let Some(ticket) = self.ticket
+        if let Some(request_id) = self.request_id
             && let Some(place) = lock(&self.client_connection.leaving).take()
         {
-            place.send(Event::ClientDisconnected(ticket));
+            place.send(Event::ClientDisconnected(request_id));
         }
     }
 }
 
 /// A request in hand, answered or left at its end.
 pub struct InFlightGuard<'a> {
-    door: &'a ClientListener,
+    client_listener: &'a ClientListener,
     client_connection: &'a ClientConnection,
     /// How many there were before it.
     pub number: usize,
@@ -34,22 +34,22 @@
 
 impl<'a> InFlightGuard<'a> {
     pub fn take(
-        door: &'a ClientListener,
+        client_listener: &'a ClientListener,
         client_connection: &'a ClientConnection,
     ) -> InFlightGuard<'a> {
         client_connection.busy.store(true, Ordering::Relaxed);
         client_connection.requests.fetch_add(1, Ordering::Relaxed);
         InFlightGuard {
-            door,
+            client_listener,
             client_connection,
-            number: door.in_hand.fetch_add(1, Ordering::Relaxed),
+            number: client_listener.in_flight.fetch_add(1, Ordering::Relaxed),
         }
     }
 }
 
 impl Drop for InFlightGuard<'_> {
     fn drop(&mut self) {
-        self.door.let_go(self.client_connection);
+        self.client_listener.let_go(self.client_connection);
     }
 }
 
@@ -57,21 +57,21 @@
 /// against a connection that looks idle once its request is answered at the head, and is closed under the body,
 /// and against a stop that ends the process with nothing else in hand.
 pub struct Flowing {
-    door: Arc<ClientListener>,
+    client_listener: Arc<ClientListener>,
     client_connection: Arc<ClientConnection>,
     class: String,
 }
 
 impl Flowing {
     pub fn new(
-        door: Arc<ClientListener>,
+        client_listener: Arc<ClientListener>,
         client_connection: Arc<ClientConnection>,
         class: String,
     ) -> Flowing {
         client_connection.busy.store(true, Ordering::Relaxed);
-        door.in_hand.fetch_add(1, Ordering::Relaxed);
+        client_listener.in_flight.fetch_add(1, Ordering::Relaxed);
         Flowing {
-            door,
+            client_listener,
             client_connection,
             class,
         }
@@ -86,12 +86,12 @@
         } else {
             Outcome::Failed
         };
-        self.door.figures.answered(&self.class, outcome);
+        self.client_listener.metrics.answered(&self.class, outcome);
     }
 }
 
 impl Drop for Flowing {
     fn drop(&mut self) {
-        self.door.let_go(&self.client_connection);
+        self.client_listener.let_go(&self.client_connection);
     }
 }
--- a/crates/merlinreel/src/client/request_reader.rs
+++ b/crates/merlinreel/src/client/request_reader.rs
@@ -34,7 +34,7 @@
             return last(respond(StatusCode::BAD_REQUEST, format!("{error}\n"))).map(Either::Left);
         }
         if request.uri().path() == "/up" {
-            let status = if self.serves() {
+            let status = if self.is_serving() {
                 StatusCode::OK
             } else {
                 StatusCode::SERVICE_UNAVAILABLE
@@ -49,7 +49,7 @@
             .min(Instant::now() + self.limits.client.request_timeout);
         client_connection.read(0);
         let length = request.body().size_hint().exact();
-        let (job, parcel) = match self.read(request, sent, due, client_connection).await {
+        let (job, upstream_request) = match self.read(request, sent, due, client_connection).await {
             Ok(whole) => whole,
             Err(answer) => return last(answer).map(Either::Left),
         };
@@ -76,7 +76,8 @@
         // A stop has its own end: what comes late has its answer by then.
         let until = sent + job.remaining_time;
         let until = self.stops_at().map_or(until, |end| until.min(end));
-        self.job(job, parcel, until, client_connection).await
+        self.job(job, upstream_request, until, client_connection)
+            .await
     }
 
     /// The whole of a request, or what is wrong with it. Until it is there nothing is taken, so that one that is
@@ -90,10 +91,10 @@
     ) -> Result<(Request, UpstreamRequest), Response<Full<Bytes>>> {
         let (mut head, body) = request.into_parts();
         // A job keeps the rules that were in force when it came, whatever is read later.
-        let tuned = self.tuned.borrow().clone();
-        let mut job = decode(&head, &tuned.terms)
+        let active_settings = self.active_settings.borrow().clone();
+        let mut job = decode(&head, &active_settings.settings)
             .map_err(|what| respond(StatusCode::BAD_REQUEST, what + "\n"))?;
-        job.class = tuned.indices[job.class];
+        job.class = active_settings.indices[job.class];
         let mut room = None;
         let body = if body.is_end_stream() {
             Bytes::new()
@@ -112,8 +113,8 @@
         let id = head
             .headers
             .get(TXN)
-            .and_then(|id| self.claims.open(id, room));
-        let claim = id.ok_or_else(|| {
+            .and_then(|id| self.permits.open(id, room));
+        let permit = id.ok_or_else(|| {
             respond(
                 StatusCode::CONFLICT,
                 "x-txn: such a job is open\n".to_owned(),
@@ -130,7 +131,7 @@
                 .unwrap_or_default(),
             None => head.uri,
         };
-        let claim = Some(claim);
+        let permit = Some(permit);
         Ok((
             job,
             UpstreamRequest {
@@ -138,7 +139,7 @@
                 uri,
                 headers: head.headers,
                 body,
-                claim,
+                permit,
             },
         ))
     }
@@ -146,22 +147,22 @@
     async fn job(
         &self,
         job: Request,
-        parcel: UpstreamRequest,
+        upstream_request: UpstreamRequest,
         until: Instant,
         client_connection: &ClientConnection,
     ) -> Response<Reply> {
-        let ticket = self.tickets.fetch_add(1, Ordering::Relaxed);
+        let request_id = self.request_ids.fetch_add(1, Ordering::Relaxed);
         let (answer, answered) = oneshot::channel();
         let arrival = IncomingRequest {
-            ticket,
-            job,
+            request_id,
+            request: job,
             until,
-            parcel,
+            upstream_request,
             answer,
         };
         let mut attending = DisconnectGuard {
             client_connection,
-            ticket: Some(ticket),
+            request_id: Some(request_id),
         };
         if self
             .queue
@@ -172,7 +173,7 @@
             return last(respond(StatusCode::SERVICE_UNAVAILABLE, String::new())).map(Either::Left);
         }
         let answer = answered.await;
-        attending.ticket = None;
+        attending.request_id = None;
         match answer {
             Ok(answer) => encode(answer),
             // The driver has ended; nothing is known of the job.
--- a/crates/merlinreel/src/client/shutdown.rs
+++ b/crates/merlinreel/src/client/shutdown.rs
@@ -47,7 +47,7 @@
 
     /// The same, for a stop that was asked for then.
     fn shutdown_deadline(&self, asked: Instant) -> Instant {
-        asked + shutdown_deadline(&self.tuned.borrow().terms.classes)
+        asked + shutdown_deadline(&self.active_settings.borrow().settings.classes)
     }
 
     /// Takes connections until the stop, serves on while they come, and returns once nobody is left. A socket that
@@ -138,7 +138,7 @@
         let late = closes.is_some_and(|at| at <= Instant::now());
         let mut remaining = Remaining {
             left: false,
-            bound: self.in_hand() > 0,
+            bound: self.in_flight() > 0,
         };
         for client_connection in lock(&self.client_connections).values() {
             remaining.left = true;
@@ -204,7 +204,7 @@
     async fn seat(&self, places: &Arc<Semaphore>) -> Option<Seat> {
         let place = loop {
             // Idle connections must not hold all places: looked at before the wait for one, and during it.
-            self.make_room();
+            self.evict_idle();
             match timeout(
                 self.limits.client.evict_idle_after,
                 places.clone().acquire_owned(),
@@ -226,12 +226,12 @@
     /// Serves a connection in a task of its own.
     fn admit(self: &Arc<ClientListener>, stream: TcpStream, (place, leaving): Seat) {
         let client_connection = Arc::new(ClientConnection::new(leaving));
-        let number = self.tickets.fetch_add(1, Ordering::Relaxed);
+        let number = self.request_ids.fetch_add(1, Ordering::Relaxed);
         lock(&self.client_connections).insert(number, client_connection.clone());
-        let door = self.clone();
+        let client_listener = self.clone();
         tokio::spawn(async move {
-            door.serve(stream, client_connection).await;
-            lock(&door.client_connections).remove(&number);
+            client_listener.serve(stream, client_connection).await;
+            lock(&client_listener.client_connections).remove(&number);
             drop(place);
         });
     }
--- a/crates/merlinreel/src/client/stream.rs
+++ b/crates/merlinreel/src/client/stream.rs
@@ -44,7 +44,7 @@
     /// What may be read ahead at all, and how much of that needs no place in the memory that bodies share.
     most_ahead: usize,
     free_ahead: usize,
-    claims: AdmissionPermits,
+    permits: AdmissionPermits,
     room: Option<OwnedSemaphorePermit>,
     /// More came than that: the rest is dropped, and nothing behind it is read.
     flooded: bool,
@@ -59,7 +59,7 @@
         stream: TcpStream,
         client_connection: Arc<ClientConnection>,
         limits: &Limits,
-        claims: AdmissionPermits,
+        permits: AdmissionPermits,
     ) -> ClientStream {
         ClientStream {
             stream: ObservedStream::new(stream, client_connection.clone()),
@@ -70,7 +70,7 @@
             arrivals: Arrivals::default(),
             most_ahead: limits.client.max_read_ahead_bytes,
             free_ahead: limits.max_head_bytes,
-            claims,
+            permits,
             room: None,
             flooded: false,
             lingers: limits.client.linger_timeout,
@@ -124,9 +124,9 @@
             return true;
         };
         match &mut self.room {
-            Some(room) => self.claims.grow(room, more),
+            Some(room) => self.permits.grow(room, more),
             None => {
-                self.room = self.claims.body(more);
+                self.room = self.permits.body(more);
                 self.room.is_some()
             }
         }
--- a/crates/merlinreel/src/client/tests.rs
+++ b/crates/merlinreel/src/client/tests.rs
@@ -27,14 +27,14 @@
     Arc::new(client_connection)
 }
 
-fn terms() -> Settings {
+fn settings() -> Settings {
     Paths::from_json(&serde_json::json!({}))
         .and_then(|paths| Settings::read(&paths))
         .expect("sound")
 }
 
 fn limits() -> Limits {
-    Limits::new(1024, 192, &terms()).expect("room")
+    Limits::new(1024, 192, &settings()).expect("room")
 }
 
 /// One class, whose clients wait for up to 9 s.
@@ -69,14 +69,14 @@
     let asked = client_connection(0, 1.0, None);
     asked.evicted.store(true, Ordering::Relaxed);
     asked.close.notify_one();
-    let door = ClientListener::new(
+    let client_listener = ClientListener::new(
         limits(),
-        watch::channel(Arc::new(ActiveSettings::first(terms()))).1,
+        watch::channel(Arc::new(ActiveSettings::first(settings()))).1,
         queue,
         Metrics::new(&[]),
     );
-    door.opened.store(true, Ordering::Relaxed);
-    door.serve(stream, asked).await;
+    client_listener.opened.store(true, Ordering::Relaxed);
+    client_listener.serve(stream, asked).await;
     let mut answer = String::new();
     client.read_to_string(&mut answer)?;
     assert!(answer.starts_with("HTTP/1.1 200"), "{answer}");
@@ -101,13 +101,13 @@
     use std::io::Read;
     const LENGTH: usize = 24 << 20;
     let (mut client, stream) = came_with(LOOK)?;
-    let (queue, mut news) = mpsc::channel(9);
+    let (queue, mut events) = mpsc::channel(9);
     let limits = {
         let mut changed = limits();
         changed.client.request_timeout = Duration::from_millis(40);
         changed
     };
-    let door = ClientListener::new(
+    let client_listener = ClientListener::new(
         limits,
         watch::channel(Arc::new(ActiveSettings::first(looking()))).1,
         queue,
@@ -115,20 +115,20 @@
     );
     let one = client_connection(0, 0.0, None);
     tokio::spawn(async move {
-        door.serve(stream, one).await;
+        client_listener.serve(stream, one).await;
     });
-    let Some(Event::Request(arrival)) = news.recv().await else {
+    let Some(Event::Request(arrival)) = events.recv().await else {
         panic!("no job")
     };
     let body = Bytes::from(vec![b'x'; LENGTH]);
-    let delivery = crate::messages::UpstreamResponse {
+    let upstream_response = crate::messages::UpstreamResponse {
         headers: Default::default(),
         body,
         flow: None,
     };
     arrival
         .answer
-        .send(crate::messages::ClientResponse::Success(delivery))
+        .send(crate::messages::ClientResponse::Success(upstream_response))
         .expect("a client that waits");
     let read = tokio::task::spawn_blocking(move || {
         std::thread::sleep(Duration::from_millis(400));
@@ -185,15 +185,16 @@
         clients.push(client);
     }
     let (queue, _news) = mpsc::channel(64);
-    let door = ClientListener::new(
+    let client_listener = ClientListener::new(
         limits(),
-        watch::channel(Arc::new(ActiveSettings::first(terms()))).1,
+        watch::channel(Arc::new(ActiveSettings::first(settings()))).1,
         queue,
         Metrics::new(&[]),
     );
-    door.take_waiting(listener, &Arc::new(tokio::sync::Semaphore::new(64)))
+    client_listener
+        .take_waiting(listener, &Arc::new(tokio::sync::Semaphore::new(64)))
         .await?;
-    while !lock(&door.client_connections).is_empty() {
+    while !lock(&client_listener.client_connections).is_empty() {
         sleep(Duration::from_millis(1)).await;
     }
     for mut client in clients {
@@ -232,12 +233,17 @@
     let end = crate::config::limits::shutdown_deadline(&looking().classes);
     assert_eq!(end, Duration::from_millis(3300));
     let (_client, stream) = came_with(LOOK)?;
-    let (queue, mut news) = mpsc::channel(9);
-    let tuned = watch::channel(Arc::new(ActiveSettings::first(looking()))).1;
-    let door = ClientListener::new(limits.clone(), tuned, queue, Metrics::new(&[]));
-    let asked = *door.asked.get_or_init(Instant::now);
-    tokio::spawn(async move { door.serve(stream, client_connection(0, 0.0, None)).await });
-    let Some(Event::Request(arrival)) = news.recv().await else {
+    let (queue, mut events) = mpsc::channel(9);
+    let active_settings = watch::channel(Arc::new(ActiveSettings::first(looking()))).1;
+    let client_listener =
+        ClientListener::new(limits.clone(), active_settings, queue, Metrics::new(&[]));
+    let asked = *client_listener.asked.get_or_init(Instant::now);
+    tokio::spawn(async move {
+        client_listener
+            .serve(stream, client_connection(0, 0.0, None))
+            .await
+    });
+    let Some(Event::Request(arrival)) = events.recv().await else {
         panic!("no job")
     };
     assert_eq!(arrival.until, asked + end);
@@ -246,25 +252,29 @@
 
 /// A door that takes jobs of one class, with the news that the driver would get.
 fn open_door(limits: Limits) -> (Arc<ClientListener>, mpsc::Receiver<Event>) {
-    let (queue, news) = mpsc::channel(9);
-    let tuned = watch::channel(Arc::new(ActiveSettings::first(looking()))).1;
-    let door = ClientListener::new(limits, tuned, queue, Metrics::new(&[]));
-    door.opened.store(true, Ordering::Relaxed);
-    (door, news)
+    let (queue, events) = mpsc::channel(9);
+    let active_settings = watch::channel(Arc::new(ActiveSettings::first(looking()))).1;
+    let client_listener = ClientListener::new(limits, active_settings, queue, Metrics::new(&[]));
+    client_listener.opened.store(true, Ordering::Relaxed);
+    (client_listener, events)
 }
 
 /// A connection served as the door serves each, and the client's news with a place of its own.
 fn served(
-    door: &Arc<ClientListener>,
+    client_listener: &Arc<ClientListener>,
     stream: TcpStream,
 ) -> (Arc<ClientConnection>, tokio::task::JoinHandle<()>) {
     let client_connection = Arc::new(ClientConnection::new(
-        door.queue.clone().try_reserve_owned().expect("a place"),
+        client_listener
+            .queue
+            .clone()
+            .try_reserve_owned()
+            .expect("a place"),
     ));
-    let (door, one) = (door.clone(), client_connection.clone());
+    let (client_listener, one) = (client_listener.clone(), client_connection.clone());
     (
         client_connection,
-        tokio::spawn(async move { door.serve(stream, one).await }),
+        tokio::spawn(async move { client_listener.serve(stream, one).await }),
     )
 }
 
@@ -280,8 +290,8 @@
         .expect("in time");
 }
 
-async fn next(news: &mut mpsc::Receiver<Event>) -> Event {
-    let next = tokio::time::timeout(Duration::from_secs(20), news.recv()).await;
+async fn next(events: &mut mpsc::Receiver<Event>) -> Event {
+    let next = tokio::time::timeout(Duration::from_secs(20), events.recv()).await;
     next.expect("in time").expect("a door")
 }
 
@@ -295,16 +305,16 @@
 async fn a_client_that_goes_is_seen(behind: usize) -> std::io::Result<()> {
     use std::io::Write;
     let (mut client, stream) = came_with(LOOK)?;
-    let (door, mut news) = open_door(limits());
-    let _served = served(&door, stream);
-    let Event::Request(arrival) = next(&mut news).await else {
+    let (client_listener, mut events) = open_door(limits());
+    let _served = served(&client_listener, stream);
+    let Event::Request(arrival) = next(&mut events).await else {
         panic!("no job")
     };
     let goes = tokio::task::spawn_blocking(move || client.write_all(&vec![b'x'; behind]));
-    let Event::ClientDisconnected(ticket) = next(&mut news).await else {
+    let Event::ClientDisconnected(request_id) = next(&mut events).await else {
         panic!("it has not left")
     };
-    assert_eq!(ticket, arrival.ticket);
+    assert_eq!(request_id, arrival.request_id);
     goes.await.expect("written")
 }
 
@@ -314,8 +324,8 @@
 async fn a_close_over_bytes_on_their_way_is_no_reset() -> std::io::Result<()> {
     use std::io::{Read, Write};
     let (mut client, stream) = came_with(b"GET /up HTTP/1.1\r\nConnection: close\r\n\r\n")?;
-    let (door, mut news) = open_door(limits());
-    let (client_connection, serving) = served(&door, stream);
+    let (client_listener, mut events) = open_door(limits());
+    let (client_connection, serving) = served(&client_listener, stream);
     marked(&client_connection.closing).await;
     let answer = tokio::task::spawn_blocking(move || {
         client.write_all(LOOK)?;
@@ -327,7 +337,7 @@
     });
     assert!(answer.await.expect("read")?.starts_with("HTTP/1.1 200"));
     serving.await.expect("served");
-    assert!(news.try_recv().is_err());
+    assert!(events.try_recv().is_err());
     Ok(())
 }
 
@@ -344,8 +354,8 @@
         changed.client.linger_timeout = Duration::from_secs(3600);
         changed
     };
-    let (door, mut news) = open_door(limits);
-    let (client_connection, serving) = served(&door, TcpStream::from_std(stream)?);
+    let (client_listener, mut events) = open_door(limits);
+    let (client_connection, serving) = served(&client_listener, TcpStream::from_std(stream)?);
     marked(&client_connection.closing).await;
     let crossing = tokio::task::spawn_blocking(move || {
         client.read_to_string(&mut String::new())?;
@@ -361,7 +371,7 @@
         .await
         .expect("over")
         .expect("served");
-    assert!(news.try_recv().is_err());
+    assert!(events.try_recv().is_err());
     Ok(())
 }
 
@@ -373,12 +383,12 @@
 async fn a_client_that_never_ends_its_side_holds_nothing_up(needed: bool) -> std::io::Result<()> {
     let (_client, stream) = came_with(b"GET /up HTTP/1.1\r\nConnection: close\r\n\r\n")?;
     let lingers = Duration::from_secs(if needed { 3600 } else { 0 });
-    let (door, _news) = open_door({
+    let (client_listener, _news) = open_door({
         let mut changed = limits();
         changed.client.linger_timeout = lingers;
         changed
     });
-    let (client_connection, serving) = served(&door, stream);
+    let (client_connection, serving) = served(&client_listener, stream);
     if needed {
         marked(&client_connection.closing).await;
         client_connection.evict();
@@ -396,8 +406,8 @@
 async fn a_call_of_up_leaves_the_connection_at_rest() -> std::io::Result<()> {
     use std::io::Read;
     let (mut client, stream) = came_with(b"GET /up HTTP/1.1\r\n\r\n")?;
-    let (door, _news) = open_door(limits());
-    let (client_connection, _serving) = served(&door, stream);
+    let (client_listener, _news) = open_door(limits());
+    let (client_connection, _serving) = served(&client_listener, stream);
     let read = tokio::task::spawn_blocking(move || client.read(&mut [0; 64]).map(|_| client));
     let _client = read.await.expect("read")?;
     assert!(lock(&client_connection.times).heard.is_none());
--- a/crates/merlinreel/src/client/tests/reading.rs
+++ b/crates/merlinreel/src/client/tests/reading.rs
@@ -14,9 +14,9 @@
 async fn requests_behind_another(noise: usize) -> usize {
     use std::io::{Read, Write};
     let (mut client, stream) = came_with(LOOK).expect("a client");
-    let (door, mut news) = open_door(limits());
-    let (client_connection, serving) = served(&door, stream);
-    let Event::Request(first) = next(&mut news).await else {
+    let (client_listener, mut events) = open_door(limits());
+    let (client_connection, serving) = served(&client_listener, stream);
+    let Event::Request(first) = next(&mut events).await else {
         panic!("no job")
     };
     let writing = tokio::task::spawn_blocking(move || {
@@ -40,7 +40,7 @@
     let jobs = if flood {
         1
     } else {
-        let Event::Request(second) = next(&mut news).await else {
+        let Event::Request(second) = next(&mut events).await else {
             panic!("no second job")
         };
         second
@@ -60,7 +60,7 @@
     });
     assert_eq!(answers.await.expect("read").expect("no reset"), jobs);
     serving.await.expect("served");
-    assert!(news.try_recv().is_err());
+    assert!(events.try_recv().is_err());
     jobs
 }
 
@@ -155,12 +155,12 @@
         changed.client.request_timeout = Duration::from_secs(3600);
         changed
     };
-    let (door, mut news) = open_door(limits);
-    let _served = served(&door, TcpStream::from_std(stream)?);
-    let Event::Request(arrival) = next(&mut news).await else {
+    let (client_listener, mut events) = open_door(limits);
+    let _served = served(&client_listener, TcpStream::from_std(stream)?);
+    let Event::Request(arrival) = next(&mut events).await else {
         panic!("no job")
     };
-    assert_eq!(arrival.parcel.uri.path(), "/look");
+    assert_eq!(arrival.upstream_request.uri.path(), "/look");
     Ok(())
 }
 
@@ -180,22 +180,22 @@
     use std::io::Read;
     const HEAD: &str = "POST /pay?key=7 HTTP/1.1\r\nX-Txn: 9b\r\nX-Lane: pay\r\nX-Plan: team\r\n\
         X-Remaining: 8000m\r\nX-Quota: units=1,spread=1,first=0\r\nTransfer-Encoding: chunked\r\n\r\n";
-    let (queue, mut news) = mpsc::channel(9);
-    let tuned = watch::channel(Arc::new(ActiveSettings::first(paying()))).1;
-    let door = ClientListener::new(
+    let (queue, mut events) = mpsc::channel(9);
+    let active_settings = watch::channel(Arc::new(ActiveSettings::first(paying()))).1;
+    let client_listener = ClientListener::new(
         {
             let mut changed = limits();
             changed.client.max_buffered_body_bytes = 8;
             changed
         },
-        tuned,
+        active_settings,
         queue,
         Metrics::new(&[]),
     );
     let (mut client, stream) =
         came_with(format!("{HEAD}6\r\na body\r\n3\r\nabc\r\n0\r\n\r\n").as_bytes())?;
     client.set_read_timeout(Some(Duration::from_secs(20)))?;
-    let _refused = served(&door, stream);
+    let _refused = served(&client_listener, stream);
     let read = tokio::task::spawn_blocking(move || {
         let mut answer = String::new();
         client.read_to_string(&mut answer).map(|_| answer)
@@ -207,13 +207,13 @@
     );
     let (_client, stream) =
         came_with(format!("{HEAD}6\r\na body\r\n2\r\nab\r\n0\r\n\r\n").as_bytes())?;
-    let _taken = served(&door, stream);
-    let Event::Request(arrival) = next(&mut news).await else {
+    let _taken = served(&client_listener, stream);
+    let Event::Request(arrival) = next(&mut events).await else {
         panic!("no job")
     };
-    assert_eq!(arrival.parcel.body, "a bodyab");
+    assert_eq!(arrival.upstream_request.body, "a bodyab");
     assert!(
-        door.claims.body(1).is_none(),
+        client_listener.permits.body(1).is_none(),
         "all of it is held while the job is open"
     );
     drop(arrival);
--- a/crates/merlinreel/src/config.rs
+++ b/crates/merlinreel/src/config.rs
@@ -55,7 +55,7 @@
     #[error("setting familyInfo.hasCounter: this limiter speaks no counter's protocol")]
     Counter,
     #[error("peers: {given} addresses, but setting balancers says {wanted}")]
-    FleetConfig { given: usize, wanted: usize },
+    Peers { given: usize, wanted: usize },
     #[error("peers: {0} stands there twice")]
     PeerTwice(SocketAddr),
     #[error("seed: '{0}' is not 16 hex digits")]
@@ -79,13 +79,13 @@
     pub peers: Vec<SocketAddr>,
     pub seed: u64,
     pub limits: Limits,
-    pub terms: Settings,
+    pub settings: Settings,
     /// The server list as this limiter last had it.
-    pub known: Option<DiscoveryUpdate>,
+    pub cached_endpoints: Option<DiscoveryUpdate>,
     /// The mesh of limiters, where this one takes part.
     pub mesh: Option<Ground>,
     /// Keys of the file that mean nothing here: misspelt, or meant for another version.
-    pub unknown: Vec<String>,
+    pub unknown_keys: Vec<String>,
 }
 
 #[derive(Deserialize, Default)]
@@ -100,7 +100,8 @@
     peer_listen: Option<SocketAddr>,
     #[serde(default)]
     peers: Vec<SocketAddr>,
-    known: Option<Message>,
+    #[serde(rename = "known")]
+    cached_endpoints: Option<Message>,
     settings: Option<serde_json::Value>,
     mesh: Option<Ground>,
     /// Peer messages go to one limiter at a time.
@@ -166,13 +167,13 @@
     for (key, _) in kept.iter().filter(|(_, changed)| *changed) {
         log!("configuration, read again: {key} is another, which holds from the next start on");
     }
-    if new.terms != present.terms {
+    if new.settings != present.settings {
         log!(
             "configuration, read again: settings taken over: classes and attempts now, the rest from the next start"
         );
     }
     present.discovery = new.discovery;
-    present.terms = new.terms;
+    present.settings = new.settings;
     if let (Some(present), Some(new)) = (&mut present.mesh, new.mesh) {
         (present.keys, present.sign_with) = (new.keys, new.sign_with);
     }
@@ -197,9 +198,9 @@
         serde_json::Deserializer::from_str(text),
         serde_path_to_error::Track::new(),
     );
-    let mut unknown = Vec::new();
+    let mut unknown_keys = Vec::new();
     let reader = serde_path_to_error::Deserializer::new(&mut json, &mut track);
-    let file = serde_ignored::deserialize(reader, |path| unknown.push(path.to_string()));
+    let file = serde_ignored::deserialize(reader, |path| unknown_keys.push(path.to_string()));
     let file: File = file
         .and_then(|file| json.end().map(|()| file))
         .map_err(|error| {
@@ -211,7 +212,7 @@
             }
         })?;
     // Discovery's lists may hold more than is read here.
-    unknown.retain(|key| !key.starts_with("known."));
+    unknown_keys.retain(|key| !key.starts_with("known."));
     let address =
         |key, given: Option<SocketAddr>, variable_named| match (given, variable(variable_named)) {
             (Some(address), _) => Ok(address),
@@ -224,14 +225,14 @@
                 variable: variable_named,
             }),
         };
-    let settings = file.settings.ok_or(ConfigError::NoSettings)?;
-    let terms = Paths::from_json(&settings).and_then(|paths| Settings::read(&paths));
-    let terms = terms.map_err(ConfigError::Settings)?;
-    checked(&terms)?;
-    if terms.fleet.peer_messages && file.peer_listen.is_some() {
-        let (given, wanted) = (file.peers.len(), terms.fleet.limiters as usize);
+    let section = file.settings.ok_or(ConfigError::NoSettings)?;
+    let settings = Paths::from_json(&section).and_then(|paths| Settings::read(&paths));
+    let settings = settings.map_err(ConfigError::Settings)?;
+    checked(&settings)?;
+    if settings.fleet.peer_messages && file.peer_listen.is_some() {
+        let (given, wanted) = (file.peers.len(), settings.fleet.limiters as usize);
         if given != wanted {
-            return Err(ConfigError::FleetConfig { given, wanted });
+            return Err(ConfigError::Peers { given, wanted });
         }
         let mut seen = HashSet::new();
         if let Some(twice) = file.peers.iter().find(|&peer| !seen.insert(peer)) {
@@ -257,7 +258,7 @@
             (given, _) => Some(address("ops", given, "PROXY_OPS")?),
         },
         mesh: file.mesh.map(|ground| Ground {
-            limiters: terms.fleet.limiters as usize,
+            limiters: settings.fleet.limiters as usize,
             ..ground
         }),
         peer_listen: file.peer_listen,
@@ -266,22 +267,25 @@
         limits: Limits::new(
             file.limits.sockets.unwrap_or(SOCKETS),
             file.limits.memory_mb.unwrap_or(MEMORY_MB),
-            &terms,
+            &settings,
         )?,
-        known: file.known.map(DiscoveryUpdate::try_from).transpose()?,
-        terms,
-        unknown,
+        cached_endpoints: file
+            .cached_endpoints
+            .map(DiscoveryUpdate::try_from)
+            .transpose()?,
+        settings,
+        unknown_keys,
     })
 }
 
 /// What the bench may leave out, but sockets need.
-fn checked(terms: &Settings) -> Result<(), ConfigError> {
-    if terms.fleet.counter {
+fn checked(settings: &Settings) -> Result<(), ConfigError> {
+    if settings.fleet.counter {
         return Err(ConfigError::Counter);
     }
     let needed = [
-        ("classes", &terms.sockets.classes),
-        ("packages", &terms.sockets.plans),
+        ("classes", &settings.sockets.classes),
+        ("packages", &settings.sockets.plans),
     ];
     for (list, names) in needed {
         if names.is_empty() {
@@ -296,7 +300,7 @@
             }
         }
     }
-    for (i, class) in terms.classes.iter().enumerate() {
+    for (i, class) in settings.classes.iter().enumerate() {
         if class.deadline.is_zero() {
             return Err(ConfigError::SettingMissing {
                 key: format!("classes.{i}.hardLimitS"),
--- a/crates/merlinreel/src/config/tests.rs
+++ b/crates/merlinreel/src/config/tests.rs
@@ -20,7 +20,7 @@
         (station.seed, station.name.as_str(), station.peers.len()),
         (0x8c1f, "merlinreel", 1)
     );
-    assert!(station.unknown.is_empty());
+    assert!(station.unknown_keys.is_empty());
 }
 
 #[test]
@@ -31,10 +31,10 @@
         {\"generation\":1,\"odd\":1},\"peer\":[],\"peers_all\":\"127.0.0.1:1\"",
     );
     let station = parse(&text, |_| None).expect("sound");
-    assert_eq!(station.unknown, ["peer", "limits.memory"]);
+    assert_eq!(station.unknown_keys, ["peer", "limits.memory"]);
 }
 
-/// FleetConfig' addresses, and what the mesh holds of others, follow the settings' number of limiters.
+/// Peers' addresses, and what the mesh holds of others, follow the settings' number of limiters.
 #[test_case(1 ; "alone")]
 #[test_case(2300 ; "a large fleet")]
 fn lists_of_limiters_follow_the_settings(limiters: u16) {
--- a/crates/merlinreel/src/endpoints.rs
+++ b/crates/merlinreel/src/endpoints.rs
@@ -235,8 +235,8 @@
                 Some(line) => line,
                 None => dial(discovery, connect).await?,
             };
-            let news = ask(&mut at, discovery, path, most, &told).await?;
-            Ok((at, news))
+            let events = ask(&mut at, discovery, path, most, &told).await?;
+            Ok((at, events))
         });
         open.add(
             task,
@@ -245,18 +245,18 @@
             limits.endpoints.watch_timeout,
         );
         match answered(&mut calls, call.silent).await {
-            Ok((at, news)) => {
+            Ok((at, events)) => {
                 calls.shutdown().await;
                 open.clear();
                 line = Some(at);
-                version = Some(news.version);
+                version = Some(events.version);
                 if failed > 0 {
                     log!("discovery: discovery answers again");
                 }
                 failed = 0;
                 failure_log = FailureLog::default();
-                if !news.servers.is_empty() || news.complete {
-                    let _ = queue.send(Event::EndpointUpdate(news)).await;
+                if !events.servers.is_empty() || events.complete {
+                    let _ = queue.send(Event::EndpointUpdate(events)).await;
                 }
                 let _ = first.take().map(|first| first.send(()));
             }
--- a/crates/merlinreel/src/endpoints/tests.rs
+++ b/crates/merlinreel/src/endpoints/tests.rs
@@ -5,10 +5,10 @@
 fn limits() -> Limits {
     let paths =
         merlinreel_settings::Paths::from_json(&serde_json::json!({"rules": {"drainGraceS": 2}}));
-    let terms = paths
+    let settings = paths
         .and_then(|paths| merlinreel_settings::Settings::read(&paths))
         .expect("sound");
-    Limits::new(1024, 192, &terms).expect("room")
+    Limits::new(1024, 192, &settings).expect("room")
 }
 
 /// From a watch's falling silent, at worst as it begins, to the answer of a call that discovery takes: so many
@@ -31,10 +31,10 @@
 fn an_outage_s_end_is_noticed_within_a_drain_s_grace(grace: f64, within: f64) {
     let settings = serde_json::json!({"rules": {"drainGraceS": grace}});
     let paths = merlinreel_settings::Paths::from_json(&settings);
-    let terms = paths
+    let settings = paths
         .and_then(|paths| merlinreel_settings::Settings::read(&paths))
         .expect("sound");
-    let limits = Limits::new(1024, 192, &terms).expect("room");
+    let limits = Limits::new(1024, 192, &settings).expect("room");
     for failed in 1..40 {
         let call = Call::next(&limits, true, false, failed);
         assert!(
@@ -59,7 +59,7 @@
         changed.endpoints.max_open_calls = 1000;
         changed
     };
-    let (queue, mut news) = tokio::sync::mpsc::channel(4);
+    let (queue, mut events) = tokio::sync::mpsc::channel(4);
     let (told, _first) = oneshot::channel();
     let (_turn, discovery) = watch::channel(at);
     let watching = tokio::spawn(super::watch(discovery, None, limits, queue, told));
@@ -71,7 +71,7 @@
         LIST.len()
     );
     tokio::io::AsyncWriteExt::write_all(answering, answer.as_bytes()).await?;
-    let list = timeout(Duration::from_secs(20), news.recv()).await;
+    let list = timeout(Duration::from_secs(20), events.recv()).await;
     watching.abort();
     assert!(
         matches!(
@@ -209,7 +209,7 @@
         }
     });
     let at = at.await?;
-    let (queue, mut news) = tokio::sync::mpsc::channel(4);
+    let (queue, mut events) = tokio::sync::mpsc::channel(4);
     let (told, _first) = oneshot::channel();
     let (_turn, discovery) = watch::channel(at);
     // However slow the machine that tests is, no call counts as silent.
@@ -219,7 +219,7 @@
         changed
     };
     let watching = tokio::spawn(super::watch(discovery, None, limits, queue, told));
-    let list = timeout(Duration::from_secs(60), news.recv()).await;
+    let list = timeout(Duration::from_secs(60), events.recv()).await;
     watching.abort();
     let Ok(Some(Event::EndpointUpdate(list))) = list else {
         panic!("no list")
@@ -292,7 +292,7 @@
         }
     });
     let at = at.await?;
-    let (queue, mut news) = tokio::sync::mpsc::channel(4);
+    let (queue, mut events) = tokio::sync::mpsc::channel(4);
     let (told, _first) = oneshot::channel();
     let (_turn, discovery) = watch::channel(at);
     let limits = {
@@ -303,7 +303,7 @@
     };
     let watching = tokio::spawn(super::watch(discovery, None, limits, queue, told));
     for (version, servers) in [(1, 0), (7, 1)] {
-        let list = timeout(Duration::from_secs(20), news.recv()).await;
+        let list = timeout(Duration::from_secs(20), events.recv()).await;
         let Ok(Some(Event::EndpointUpdate(list))) = list else {
             panic!("no list")
         };
@@ -341,11 +341,11 @@
         changed
     };
     assert!(limits.endpoints.max_open_calls < PIECES / 2);
-    let (queue, mut news) = tokio::sync::mpsc::channel(4);
+    let (queue, mut events) = tokio::sync::mpsc::channel(4);
     let (told, _first) = oneshot::channel();
     let (_turn, discovery) = watch::channel(at);
     let watching = tokio::spawn(super::watch(discovery, None, limits, queue, told));
-    let list = timeout(Duration::from_secs(20), news.recv()).await;
+    let list = timeout(Duration::from_secs(20), events.recv()).await;
     watching.abort();
     assert!(matches!(list, Ok(Some(Event::EndpointUpdate(list))) if list.servers.len() == 40));
     Ok(())
--- a/crates/merlinreel/src/event_loop.rs
+++ b/crates/merlinreel/src/event_loop.rs
@@ -48,10 +48,10 @@
 
 pub struct EventLoop {
     limiter: Limiter,
-    figures: Arc<Metrics>,
+    metrics: Arc<Metrics>,
     /// Where the door learns of settings read again.
-    door: Option<watch::Sender<Arc<ActiveSettings>>>,
-    desk: ActionExecutor,
+    client_listener: Option<watch::Sender<Arc<ActiveSettings>>>,
+    executor: ActionExecutor,
     most_jobs: usize,
     batch: usize,
 }
@@ -60,27 +60,27 @@
     pub fn new(
         limiter: Limiter,
         servers: UpstreamPool,
-        post: Option<PeerSender>,
+        peer_sender: Option<PeerSender>,
         clock: Clock,
-        figures: Arc<Metrics>,
+        metrics: Arc<Metrics>,
     ) -> EventLoop {
         let limits = servers.limits().clone();
         EventLoop {
             limiter,
-            figures,
-            door: None,
+            metrics,
+            client_listener: None,
             most_jobs: limits.event_loop.max_requests,
             batch: limits.event_loop.batch_size,
-            desk: ActionExecutor {
+            executor: ActionExecutor {
                 clock,
                 servers,
-                post,
+                peer_sender,
                 margin: limits.event_loop.response_margin,
-                held: Vec::new(),
+                in_flight: Vec::new(),
                 free: Vec::new(),
-                tickets: HashMap::new(),
+                request_ids: HashMap::new(),
                 attempts: HashMap::new(),
-                serial: 0,
+                attempt_id: 0,
                 unsent: Vec::new(),
                 closed: Vec::new(),
                 wake_at: None,
@@ -91,55 +91,55 @@
 
     /// Runs without end; `known` is the server list as it was last held.
     pub async fn run(mut self, known: Option<DiscoveryUpdate>, mut queue: mpsc::Receiver<Event>) {
-        let mut news = Vec::with_capacity(self.batch);
+        let mut events = Vec::with_capacity(self.batch);
         let mut round = EventBatch::default();
         if let Some(known) = known {
             round
                 .endpoint_updates
-                .push(self.desk.servers.list(known, true));
+                .push(self.executor.servers.list(known, true));
         }
         self.round(round);
         let timer = sleep_until(Instant::now().into());
         tokio::pin!(timer);
         loop {
-            let wake = self.desk.wake_at;
+            let wake = self.executor.wake_at;
             if let Some(at) = wake {
                 timer.as_mut().reset(at.into());
             }
             tokio::select! {
                 biased;
-                count = queue.recv_many(&mut news, self.batch) => if count == 0 {
+                count = queue.recv_many(&mut events, self.batch) => if count == 0 {
                     return;
                 },
                 () = &mut timer, if wake.is_some() => {}
             }
-            self.step(&mut news);
+            self.step(&mut events);
         }
     }
 
     /// One round with all that waits.
-    fn step(&mut self, news: &mut Vec<Event>) {
+    fn step(&mut self, events: &mut Vec<Event>) {
         let mut round = EventBatch::default();
-        self.desk.now = Instant::now();
-        for one in news.drain(..) {
+        self.executor.now = Instant::now();
+        for one in events.drain(..) {
             match one {
                 Event::Request(arrival) => self.arrive(*arrival, &mut round),
-                Event::ClientDisconnected(ticket) => {
-                    if let Some(job) = self.desk.tickets.remove(&ticket) {
-                        self.desk.forget_client(job);
-                        round.disconnects.push(job);
+                Event::ClientDisconnected(request_id) => {
+                    if let Some(request) = self.executor.request_ids.remove(&request_id) {
+                        self.executor.forget_client(request);
+                        round.disconnects.push(request);
                     }
                 }
                 Event::AttemptCompleted(end) => {
-                    round.attempt_results.extend(self.desk.end_attempt(end))
+                    round.attempt_results.extend(self.executor.end_attempt(end))
                 }
-                Event::Reconfigure(terms) => self.reconfigure(*terms),
+                Event::Reconfigure(settings) => self.reconfigure(*settings),
                 Event::HealthCheck(answer) => round.health_checks.push(answer),
                 Event::EndpointUpdate(endpoint_updates) => {
                     round
                         .endpoint_updates
-                        .push(self.desk.servers.list(endpoint_updates, false));
-                    self.desk.withdraw_from_leaving();
+                        .push(self.executor.servers.list(endpoint_updates, false));
+                    self.executor.withdraw_from_leaving();
                 }
                 Event::PeerMessage(peer_message) => round.peer_messages.push(peer_message),
             }
@@ -148,77 +148,77 @@
     }
 
     /// The door is told of settings read again from now on.
-    pub fn tells(mut self, door: watch::Sender<Arc<ActiveSettings>>) -> EventLoop {
-        self.door = Some(door);
+    pub fn tells(mut self, client_listener: watch::Sender<Arc<ActiveSettings>>) -> EventLoop {
+        self.client_listener = Some(client_listener);
         self
     }
 
     /// Settings read again: the module first, so that the door never names a class that it does not know.
-    fn reconfigure(&mut self, terms: Settings) {
+    fn reconfigure(&mut self, settings: Settings) {
         let indices = self
             .limiter
-            .reconfigure(&terms.classes, terms.request_limits);
-        self.figures.classes_now(&terms.sockets.classes);
+            .reconfigure(&settings.classes, settings.request_limits);
+        self.metrics.classes_now(&settings.sockets.classes);
         log!(
             "settings read again: classes {} and their rules in force",
-            terms.sockets.classes.join(", ")
+            settings.sockets.classes.join(", ")
         );
-        if let Some(door) = &self.door {
-            door.send_replace(Arc::new(ActiveSettings { terms, indices }));
+        if let Some(client_listener) = &self.client_listener {
+            client_listener.send_replace(Arc::new(ActiveSettings { settings, indices }));
         }
     }
 
     fn round(&mut self, mut round: EventBatch) {
         loop {
-            let desk = &mut self.desk;
-            desk.now = Instant::now();
-            if desk.wake_at.is_some_and(|at| at <= desk.now) {
-                desk.wake_at = None;
+            let executor = &mut self.executor;
+            executor.now = Instant::now();
+            if executor.wake_at.is_some_and(|at| at <= executor.now) {
+                executor.wake_at = None;
             }
-            let now = desk.clock.at(desk.now);
-            self.limiter.round(now, &round, desk);
+            let now = executor.clock.at(executor.now);
+            self.limiter.round(now, &round, executor);
             let (known, excluded) = self.limiter.endpoint_counts(now);
-            self.figures
+            self.metrics
                 .servers_known
                 .store(known as u64, Ordering::Relaxed);
-            self.figures
+            self.metrics
                 .servers_excluded
                 .store(excluded as u64, Ordering::Relaxed);
-            for job in std::mem::take(&mut desk.closed) {
-                desk.free_if_over(job);
+            for request in std::mem::take(&mut executor.closed) {
+                executor.free_if_over(request);
             }
-            if desk.unsent.is_empty() {
+            if executor.unsent.is_empty() {
                 return;
             }
             round = EventBatch {
-                attempt_results: std::mem::take(&mut desk.unsent),
+                attempt_results: std::mem::take(&mut executor.unsent),
                 ..EventBatch::default()
             };
         }
     }
 
     fn arrive(&mut self, arrival: IncomingRequest, round: &mut EventBatch) {
-        let desk = &mut self.desk;
-        if desk.tickets.len() >= self.most_jobs {
+        let executor = &mut self.executor;
+        if executor.request_ids.len() >= self.most_jobs {
             // Never taken in: trying again is harmless.
             let _ = arrival.answer.send(ClientResponse::Rejected(None));
             return;
         }
-        let index = desk.free.pop().unwrap_or_else(|| {
-            desk.held.push(None);
-            desk.held.len() as u32 - 1
+        let index = executor.free.pop().unwrap_or_else(|| {
+            executor.in_flight.push(None);
+            executor.in_flight.len() as u32 - 1
         });
-        let remaining_time = arrival.until.saturating_duration_since(desk.now);
+        let remaining_time = arrival.until.saturating_duration_since(executor.now);
         round.requests.push(Request {
             id: index,
             remaining_time,
-            ..arrival.job
+            ..arrival.request
         });
-        desk.tickets.insert(arrival.ticket, index);
-        desk.held[index as usize] = Some(InFlightRequest {
-            ticket: arrival.ticket,
+        executor.request_ids.insert(arrival.request_id, index);
+        executor.in_flight[index as usize] = Some(InFlightRequest {
+            request_id: arrival.request_id,
             until: arrival.until,
-            parcel: Arc::new(arrival.parcel),
+            upstream_request: Arc::new(arrival.upstream_request),
             answer: Some(arrival.answer),
             attempts: 0,
             out: Vec::new(),
--- a/crates/merlinreel/src/event_loop/action_executor.rs
+++ b/crates/merlinreel/src/event_loop/action_executor.rs
@@ -13,7 +13,7 @@
 
 /// An attempt that is out: of which job, which number, where, and by which connection.
 pub struct InFlightAttempt {
-    pub job: u32,
+    pub request: u32,
     pub attempt: u32,
     pub server: u32,
     pub link: ConnectionHandle,
@@ -21,9 +21,9 @@
 
 /// A job that is held.
 pub struct InFlightRequest {
-    pub ticket: u64,
+    pub request_id: u64,
     pub until: Instant,
-    pub parcel: Arc<UpstreamRequest>,
+    pub upstream_request: Arc<UpstreamRequest>,
     pub answer: Option<oneshot::Sender<ClientResponse>>,
     pub attempts: u32,
     /// Serial numbers of the attempts that are out, with their own numbers.
@@ -34,14 +34,14 @@
 pub struct ActionExecutor {
     pub clock: Clock,
     pub servers: UpstreamPool,
-    pub post: Option<PeerSender>,
+    pub peer_sender: Option<PeerSender>,
     /// Attempts end so long before the client gives up.
     pub margin: Duration,
-    pub held: Vec<Option<InFlightRequest>>,
+    pub in_flight: Vec<Option<InFlightRequest>>,
     pub free: Vec<u32>,
-    pub tickets: HashMap<u64, u32>,
+    pub request_ids: HashMap<u64, u32>,
     pub attempts: HashMap<u64, InFlightAttempt>,
-    pub serial: u64,
+    pub attempt_id: u64,
     /// Attempts that could not begin: news for the next round.
     pub unsent: Vec<AttemptResult>,
     /// Jobs that may be over once the round is.
@@ -51,33 +51,39 @@
 }
 
 impl ActionExecutor {
-    pub fn held(&mut self, job: u32) -> Option<&mut InFlightRequest> {
-        self.held.get_mut(job as usize).and_then(Option::as_mut)
+    pub fn in_flight(&mut self, request: u32) -> Option<&mut InFlightRequest> {
+        self.in_flight
+            .get_mut(request as usize)
+            .and_then(Option::as_mut)
     }
 
     /// The client's final answer; there is none after it.
-    pub fn answer(&mut self, job: u32, answer: ClientResponse) {
-        let Some(held) = self.held(job) else { return };
-        if let Some(client) = held.answer.take() {
-            let ticket = held.ticket;
+    pub fn answer(&mut self, request: u32, answer: ClientResponse) {
+        let Some(in_flight) = self.in_flight(request) else {
+            return;
+        };
+        if let Some(client) = in_flight.answer.take() {
+            let request_id = in_flight.request_id;
             // A client that left meanwhile needs none.
             let _ = client.send(answer);
-            self.tickets.remove(&ticket);
-            self.closed.push(job);
+            self.request_ids.remove(&request_id);
+            self.closed.push(request);
         }
     }
 
     /// The client has gone: no attempt begins for it any more, also where attempts that have begun may not be
     /// cancelled.
-    pub fn forget_client(&mut self, job: u32) {
-        let Some(held) = self.held(job) else { return };
-        held.answer = None;
-        for (_, serial) in held.out.clone() {
-            if let Some(out) = self.attempts.get(&serial) {
-                out.link.withdraw(serial);
+    pub fn forget_client(&mut self, request: u32) {
+        let Some(in_flight) = self.in_flight(request) else {
+            return;
+        };
+        in_flight.answer = None;
+        for (_, attempt_id) in in_flight.out.clone() {
+            if let Some(out) = self.attempts.get(&attempt_id) {
+                out.link.withdraw(attempt_id);
             }
         }
-        self.closed.push(job);
+        self.closed.push(request);
     }
 
     /// Attempts that have not begun leave servers that drain or are gone. Guards the rule on drains against a connection
@@ -87,35 +93,39 @@
             .attempts
             .iter()
             .filter(|(_, out)| !self.servers.is_up(out.server));
-        leaving.for_each(|(&serial, out)| out.link.withdraw(serial));
+        leaving.for_each(|(&attempt_id, out)| out.link.withdraw(attempt_id));
     }
 
     /// An index is free again once its job is answered and no attempt is out.
-    pub fn free_if_over(&mut self, job: u32) {
+    pub fn free_if_over(&mut self, request: u32) {
         if self
-            .held(job)
-            .is_some_and(|held| held.answer.is_none() && held.out.is_empty())
+            .in_flight(request)
+            .is_some_and(|in_flight| in_flight.answer.is_none() && in_flight.out.is_empty())
         {
-            self.held[job as usize] = None;
-            self.free.push(job);
+            self.in_flight[request as usize] = None;
+            self.free.push(request);
         }
     }
 
     /// The first good answer goes to the client as it stands.
     pub fn end_attempt(&mut self, end: AttemptCompletion) -> Option<AttemptResult> {
-        let out = self.attempts.remove(&end.serial)?;
+        let out = self.attempts.remove(&end.attempt_id)?;
         if end.reusable {
             self.servers.keep(out.server, out.link);
         }
-        let held = self.held(out.job)?;
-        held.out.retain(|&(_, serial)| serial != end.serial);
-        if let Some(delivery) = end.delivery {
-            self.answer(out.job, ClientResponse::Success(delivery));
+        let in_flight = self.in_flight(out.request)?;
+        in_flight
+            .out
+            .retain(|&(_, attempt_id)| attempt_id != end.attempt_id);
+        if let Some(upstream_response) = end.upstream_response {
+            self.answer(out.request, ClientResponse::Success(upstream_response));
         }
-        self.closed.push(out.job);
-        let finished = self.held(out.job).is_none_or(|held| held.answer.is_none());
+        self.closed.push(out.request);
+        let finished = self
+            .in_flight(out.request)
+            .is_none_or(|in_flight| in_flight.answer.is_none());
         Some(AttemptResult {
-            request: out.job,
+            request: out.request,
             attempt: out.attempt,
             server: out.server,
             outcome: end.outcome,
@@ -129,16 +139,21 @@
 }
 
 impl Actions for ActionExecutor {
-    fn start_attempt(&mut self, job: u32, server: u32, within: Option<Duration>) {
-        let (now, margin, serial) = (self.now, self.margin, self.serial + 1);
-        let Some(held) = self.held(job) else { return };
-        let number = held.attempts;
-        held.attempts += 1;
-        let until = held.until.checked_sub(margin).unwrap_or(held.until);
+    fn start_attempt(&mut self, request: u32, server: u32, within: Option<Duration>) {
+        let (now, margin, attempt_id) = (self.now, self.margin, self.attempt_id + 1);
+        let Some(in_flight) = self.in_flight(request) else {
+            return;
+        };
+        let number = in_flight.attempts;
+        in_flight.attempts += 1;
+        let until = in_flight
+            .until
+            .checked_sub(margin)
+            .unwrap_or(in_flight.until);
         let begins_by = within.map(|within| now + within);
         let attempt = Attempt {
-            serial,
-            parcel: held.parcel.clone(),
+            attempt_id,
+            upstream_request: in_flight.upstream_request.clone(),
             started: now,
             until,
             begins_by,
@@ -149,24 +164,26 @@
             None
         };
         if let Some(link) = link {
-            self.serial = serial;
+            self.attempt_id = attempt_id;
             self.attempts.insert(
-                serial,
+                attempt_id,
                 InFlightAttempt {
-                    job,
+                    request,
                     attempt: number,
                     server,
                     link,
                 },
             );
-            if let Some(held) = self.held(job) {
-                held.out.push((number, serial));
+            if let Some(in_flight) = self.in_flight(request) {
+                in_flight.out.push((number, attempt_id));
             }
             return;
         }
-        let finished = self.held(job).is_none_or(|held| held.answer.is_none());
+        let finished = self
+            .in_flight(request)
+            .is_none_or(|in_flight| in_flight.answer.is_none());
         self.unsent.push(AttemptResult {
-            request: job,
+            request,
             attempt: number,
             server,
             outcome: AttemptOutcome::NotSent,
@@ -178,20 +195,20 @@
         });
     }
 
-    fn reject(&mut self, job: u32, retry_after: Option<Duration>) {
-        self.answer(job, ClientResponse::Rejected(retry_after));
+    fn reject(&mut self, request: u32, retry_after: Option<Duration>) {
+        self.answer(request, ClientResponse::Rejected(retry_after));
     }
 
-    fn fail(&mut self, job: u32) {
-        self.answer(job, ClientResponse::Failed);
+    fn fail(&mut self, request: u32) {
+        self.answer(request, ClientResponse::Failed);
     }
 
-    fn cancel_attempt(&mut self, job: u32, attempt: u32) {
+    fn cancel_attempt(&mut self, request: u32, attempt: u32) {
         let out = self
-            .held(job)
-            .and_then(|held| held.out.iter().find(|(n, _)| *n == attempt).copied());
-        if let Some(out) =
-            out.and_then(|(_, serial)| self.attempts.get(&serial).map(|out| (serial, out)))
+            .in_flight(request)
+            .and_then(|in_flight| in_flight.out.iter().find(|(n, _)| *n == attempt).copied());
+        if let Some(out) = out
+            .and_then(|(_, attempt_id)| self.attempts.get(&attempt_id).map(|out| (attempt_id, out)))
         {
             out.1.link.abandon(out.0);
         }
@@ -202,8 +219,8 @@
     }
 
     fn send_peer_message(&mut self, limiter: u32, peer_message: &[u8]) {
-        if let Some(post) = &self.post {
-            post.tell(limiter, peer_message);
+        if let Some(peer_sender) = &self.peer_sender {
+            peer_sender.tell(limiter, peer_message);
         }
     }
 
--- a/crates/merlinreel/src/event_loop/tests.rs
+++ b/crates/merlinreel/src/event_loop/tests.rs
@@ -18,28 +18,28 @@
 }
 
 /// A driver that holds one job at most, and an arrival of that ticket.
-fn driver() -> (EventLoop, Queue, mpsc::Receiver<Event>) {
+fn event_loop() -> (EventLoop, Queue, mpsc::Receiver<Event>) {
     let settings = serde_json::json!({"classes": [{"idempotency": "non_idempotent", "promiseS": 30.0,
         "hardLimitS": 60.0}], "packages": [{"unitsPerS": 9.0, "mostAtOnce": 9.0}],
         "policyLimits": {"mostHeld": 1, "mayCancel": true}});
     let paths = merlinreel_settings::Paths::from_json(&settings);
-    let terms = paths
+    let settings = paths
         .and_then(|paths| merlinreel_settings::Settings::read(&paths))
         .expect("sound");
-    let limits = crate::config::limits::Limits::new(1024, 192, &terms).expect("room");
-    let (queue, news) = mpsc::channel(16);
-    let figures = Metrics::new(&[]);
-    let servers = UpstreamPool::new(limits, &terms, queue.clone(), figures.clone());
+    let limits = crate::config::limits::Limits::new(1024, 192, &settings).expect("room");
+    let (queue, events) = mpsc::channel(16);
+    let metrics = Metrics::new(&[]);
+    let servers = UpstreamPool::new(limits, &settings, queue.clone(), metrics.clone());
     (
-        EventLoop::new(terms.limiter(7), servers, None, Clock::start(), figures),
+        EventLoop::new(settings.limiter(7), servers, None, Clock::start(), metrics),
         queue,
-        news,
+        events,
     )
 }
 
-fn arrival(ticket: u64) -> (Event, oneshot::Receiver<ClientResponse>) {
+fn arrival(request_id: u64) -> (Event, oneshot::Receiver<ClientResponse>) {
     let (answer, answered) = oneshot::channel();
-    let job = Request {
+    let request = Request {
         id: 0,
         customer: 7,
         plan: 0,
@@ -50,21 +50,21 @@
         set_first: 0,
         is_retry: false,
     };
-    let (method, uri, headers, body, claim) = Default::default();
+    let (method, uri, headers, body, permit) = Default::default();
     let until = Instant::now() + Duration::from_secs(60);
-    let parcel = UpstreamRequest {
+    let upstream_request = UpstreamRequest {
         method,
         uri,
         headers,
         body,
-        claim,
+        permit,
     };
     (
         Event::Request(Box::new(IncomingRequest {
-            ticket,
-            job,
+            request_id,
+            request,
             until,
-            parcel,
+            upstream_request,
             answer,
         })),
         answered,
@@ -73,42 +73,45 @@
 
 #[tokio::test]
 async fn what_cannot_be_held_is_refused_and_a_leaving_makes_room() {
-    let (mut driver, _queue, _news) = driver();
+    let (mut event_loop, _queue, _news) = event_loop();
     let ((first, mut waits), (second, mut refused)) = (arrival(1), arrival(2));
     // All that waits goes into one round, in order.
-    driver.step(&mut vec![first, second]);
+    event_loop.step(&mut vec![first, second]);
     assert!(waits.try_recv().is_err());
     assert!(matches!(
         refused.try_recv(),
         Ok(ClientResponse::Rejected(None))
     ));
-    let (third, mut held) = arrival(3);
-    driver.step(&mut vec![
+    let (third, mut in_flight) = arrival(3);
+    event_loop.step(&mut vec![
         Event::ClientDisconnected(1),
         Event::ClientDisconnected(99),
     ]);
-    assert!(driver.desk.held.iter().all(Option::is_none) && driver.desk.tickets.is_empty());
-    driver.step(&mut vec![third]);
-    assert!(held.try_recv().is_err() && driver.desk.held.len() == 1);
-    assert!(driver.desk.wake_at.is_some());
+    assert!(
+        event_loop.executor.in_flight.iter().all(Option::is_none)
+            && event_loop.executor.request_ids.is_empty()
+    );
+    event_loop.step(&mut vec![third]);
+    assert!(in_flight.try_recv().is_err() && event_loop.executor.in_flight.len() == 1);
+    assert!(event_loop.executor.wake_at.is_some());
 }
 
 #[tokio::test]
 async fn an_end_told_twice_or_of_no_attempt_changes_nothing() {
-    let (mut driver, _queue, _news) = driver();
+    let (mut event_loop, _queue, _news) = event_loop();
     let end = AttemptCompletion {
-        serial: 5,
+        attempt_id: 5,
         outcome: AttemptOutcome::Success,
         latency: Duration::ZERO,
         units: None,
         load: LoadReport::default(),
-        delivery: None,
+        upstream_response: None,
         reusable: false,
     };
-    assert!(driver.desk.end_attempt(end).is_none());
+    assert!(event_loop.executor.end_attempt(end).is_none());
     let (first, mut waits) = arrival(1);
-    driver.step(&mut vec![first]);
-    driver.desk.fail(0);
-    driver.desk.reject(0, None);
+    event_loop.step(&mut vec![first]);
+    event_loop.executor.fail(0);
+    event_loop.executor.reject(0, None);
     assert!(matches!(waits.try_recv(), Ok(ClientResponse::Failed)));
 }
--- a/crates/merlinreel/src/lib.rs
+++ b/crates/merlinreel/src/lib.rs
@@ -27,9 +27,12 @@
 
 /// Guards against a limiter that takes jobs and decides nothing: where the driver ends first, all does, to be
 /// started again.
-async fn attended(door: impl Future<Output = ()>, driving: &mut JoinHandle<()>) -> io::Result<()> {
+async fn attended(
+    client_listener: impl Future<Output = ()>,
+    driving: &mut JoinHandle<()>,
+) -> io::Result<()> {
     tokio::select! {
-        () = door => Ok(()),
+        () = client_listener => Ok(()),
         end = driving => Err(io::Error::other(match end {
             Ok(()) => "the driver has ended".to_owned(),
             Err(error) => format!("the driver has ended: {error}"),
@@ -61,17 +64,17 @@
 
 /// What the operators' door tells.
 struct Told {
-    door: Arc<client::ClientListener>,
+    client_listener: Arc<client::ClientListener>,
     mesh: Option<merlinreel_mesh::shell::Mesh>,
-    figures: Arc<telemetry::metrics::Metrics>,
+    metrics: Arc<telemetry::metrics::Metrics>,
 }
 
-impl admin::Telling for Told {
-    fn serves(&self) -> bool {
-        self.door.serves()
+impl admin::AdminStatus for Told {
+    fn is_serving(&self) -> bool {
+        self.client_listener.is_serving()
     }
     fn stats(&self) -> String {
-        self.figures.text(self.door.in_hand())
+        self.metrics.text(self.client_listener.in_flight())
     }
     fn mesh(&self) -> Option<String> {
         self.mesh.as_ref().map(|mesh| mesh::told(mesh).to_string())
@@ -94,7 +97,7 @@
 pub async fn run(
     station: config::GatewayConfig,
     handed: Option<std::net::TcpListener>,
-    figures: Arc<telemetry::metrics::Metrics>,
+    metrics: Arc<telemetry::metrics::Metrics>,
     turns: ReloadChannels,
     stop: impl Future<Output = ()>,
 ) -> io::Result<()> {
@@ -112,27 +115,27 @@
         peers,
         seed,
         limits,
-        terms,
-        known,
-        unknown,
+        settings,
+        cached_endpoints,
+        unknown_keys,
         mesh: ground,
         ..
     } = station;
-    unknown
+    unknown_keys
         .iter()
         .for_each(|key| log!("configuration: key {key} is not known and has no effect"));
     let named = |what: &str, at, error: io::Error| {
         io::Error::new(error.kind(), format!("{what}: {at}: {error}"))
     };
-    let (queue, news) = mpsc::channel(limits.event_loop.queue_length);
+    let (queue, events) = mpsc::channel(limits.event_loop.queue_length);
     let inherited = handed.is_some();
-    let post = match peer_listen.filter(|_| terms.fleet.peer_messages) {
+    let peer_sender = match peer_listen.filter(|_| settings.fleet.peer_messages) {
         Some(at) => {
-            let post = bound(limits.listener.bind_timeout, async || {
+            let peer_sender = bound(limits.listener.bind_timeout, async || {
                 peers::PeerSender::open(at, &peers, inherited).await
             })
             .await;
-            Some(post.map_err(|error| named("peer_listen", at, error))?)
+            Some(peer_sender.map_err(|error| named("peer_listen", at, error))?)
         }
         None => None,
     };
@@ -145,29 +148,30 @@
         .await
         .map_err(|error| named("listen", listen, error))?,
     };
-    let version = known.as_ref().map(|known| known.version);
+    let version = cached_endpoints.as_ref().map(|update| update.version);
     let servers =
-        upstream::UpstreamPool::new(limits.clone(), &terms, queue.clone(), figures.clone());
-    let (tune, tuned) = watch::channel(Arc::new(messages::ActiveSettings::first(terms.clone())));
-    let driver = event_loop::EventLoop::new(
-        terms.limiter(seed),
+        upstream::UpstreamPool::new(limits.clone(), &settings, queue.clone(), metrics.clone());
+    let (tune, active_settings) =
+        watch::channel(Arc::new(messages::ActiveSettings::first(settings.clone())));
+    let event_loop = event_loop::EventLoop::new(
+        settings.limiter(seed),
         servers,
-        post.clone(),
+        peer_sender.clone(),
         clock,
-        figures.clone(),
+        metrics.clone(),
     )
     .tells(tune);
-    let mut driving = tokio::spawn(driver.run(known, news));
+    let mut driving = tokio::spawn(event_loop.run(cached_endpoints, events));
     let (told, first) = oneshot::channel();
     let watching = endpoints::watch(discovery, version, limits.clone(), queue.clone(), told);
     let mut others = vec![tokio::spawn(watching)];
-    others.extend(post.map(|post| tokio::spawn(post.receive(queue.clone()))));
+    others.extend(peer_sender.map(|peer_sender| tokio::spawn(peer_sender.receive(queue.clone()))));
     let retuning = queue.clone();
     others.push(tokio::spawn(async move {
         while tunes.changed().await.is_ok() {
-            let terms = tunes.borrow_and_update().clone();
+            let settings = tunes.borrow_and_update().clone();
             if retuning
-                .send(messages::Event::Reconfigure(Box::new(terms)))
+                .send(messages::Event::Reconfigure(Box::new(settings)))
                 .await
                 .is_err()
             {
@@ -186,12 +190,14 @@
             ""
         }
     );
-    let door = client::ClientListener::new(limits.clone(), tuned, queue, figures.clone());
+    let client_listener =
+        client::ClientListener::new(limits.clone(), active_settings, queue, metrics.clone());
     let first = timeout(limits.endpoints.first_list_timeout, first);
     let taking = match &ground {
         Some(ground) => {
-            let serving = door.clone();
-            let taking = mesh::Taking::begin(ground, name, seed, move || serving.serves()).await;
+            let serving = client_listener.clone();
+            let taking =
+                mesh::Taking::begin(ground, name, seed, move || serving.is_serving()).await;
             Some(taking.map_err(io::Error::other)?)
         }
         None => None,
@@ -220,21 +226,21 @@
             listener,
             limits,
             Arc::new(Told {
-                door: door.clone(),
+                client_listener: client_listener.clone(),
                 mesh: told,
-                figures,
+                metrics,
             }),
         )));
     }
-    let door = async {
+    let client_listener = async {
         // What the agent holds counts as told from the first moment on: guards against attempts to servers that left
         // since `known` was written. Clients wait on the socket meanwhile, `/healthcheck` says no.
         if first.await.is_err() {
             log!("discovery: no word from discovery; starting with the list as last held");
         }
-        door.attend(listener, inherited, stop).await
+        client_listener.attend(listener, inherited, stop).await
     };
-    let ended = attended(door, &mut driving).await;
+    let ended = attended(client_listener, &mut driving).await;
     if let Some(taking) = taking {
         taking.end().await;
     }
--- a/crates/merlinreel/src/main.rs
+++ b/crates/merlinreel/src/main.rs
@@ -86,16 +86,16 @@
     let station = config::read(|name| std::env::var(name).ok())?;
     let (turn, discovery) = watch::channel(station.discovery);
     let mut present = station.clone();
-    let figures = merlinreel::telemetry::metrics::Metrics::new(&station.terms.sockets.classes);
-    let counted = figures.clone();
-    let (tune, settings) = watch::channel(station.terms.clone());
+    let metrics = merlinreel::telemetry::metrics::Metrics::new(&station.settings.sockets.classes);
+    let counted = metrics.clone();
+    let (tune, settings) = watch::channel(station.settings.clone());
     let (reground, ground) = watch::channel(station.mesh.clone());
     tokio::spawn(async move {
         while again.recv().await.is_some() {
             let taken = config::reread(&mut present, |name| std::env::var(name).ok());
             counted.reloaded(taken);
             turn.send_if_modified(|at| replaced(at, &present.discovery));
-            tune.send_if_modified(|terms| replaced(terms, &present.terms));
+            tune.send_if_modified(|settings| replaced(settings, &present.settings));
             if taken {
                 // The files may hold other keys under the same names.
                 reground.send_replace(present.mesh.clone());
@@ -110,7 +110,7 @@
         discovery,
         ground,
     };
-    Ok(merlinreel::run(station, handed, figures, turns, stop).await?)
+    Ok(merlinreel::run(station, handed, metrics, turns, stop).await?)
 }
 
 fn begin() -> Result<(), StartError> {
--- a/crates/merlinreel/src/messages.rs
+++ b/crates/merlinreel/src/messages.rs
@@ -20,7 +20,7 @@
     pub headers: HeaderMap,
     pub body: Bytes,
     /// Its id and its place among the bodies in hand, given back with it.
-    pub claim: Option<AdmissionPermit>,
+    pub permit: Option<AdmissionPermit>,
 }
 
 /// A server's good answer.
@@ -43,24 +43,24 @@
 #[derive(Debug)]
 pub struct IncomingRequest {
     /// Names it until it has its answer.
-    pub ticket: u64,
+    pub request_id: u64,
     /// Its index and the time left are filled in by the driver.
-    pub job: Request,
+    pub request: Request,
     /// When the client gives up.
     pub until: Instant,
-    pub parcel: UpstreamRequest,
+    pub upstream_request: UpstreamRequest,
     pub answer: oneshot::Sender<ClientResponse>,
 }
 
 /// How an attempt ended.
 #[derive(Debug)]
 pub struct AttemptCompletion {
-    pub serial: u64,
+    pub attempt_id: u64,
     pub outcome: AttemptOutcome,
     pub latency: Duration,
     pub units: Option<f64>,
     pub load: LoadReport,
-    pub delivery: Option<UpstreamResponse>,
+    pub upstream_response: Option<UpstreamResponse>,
     /// Its connection can carry another attempt.
     pub reusable: bool,
 }
@@ -83,15 +83,15 @@
 /// The settings in force at the door, and each of their classes' index in the module.
 #[derive(Debug)]
 pub struct ActiveSettings {
-    pub terms: Settings,
+    pub settings: Settings,
     pub indices: Vec<usize>,
 }
 
 impl ActiveSettings {
-    pub fn first(terms: Settings) -> ActiveSettings {
+    pub fn first(settings: Settings) -> ActiveSettings {
         ActiveSettings {
-            indices: (0..terms.classes.len()).collect(),
-            terms,
+            indices: (0..settings.classes.len()).collect(),
+            settings,
         }
     }
 }
--- a/crates/merlinreel/src/peers/tests.rs
+++ b/crates/merlinreel/src/peers/tests.rs
@@ -12,7 +12,7 @@
         UdpSocket::bind(free).await.expect("a port"),
     ];
     let peers: Arc<[SocketAddr]> = [&one, &two].map(|s| s.local_addr().expect("bound")).into();
-    let (queue, mut news) = mpsc::channel(8);
+    let (queue, mut events) = mpsc::channel(8);
     let receiver = PeerSender {
         socket: Arc::new(one),
         peers: peers.clone(),
@@ -26,7 +26,7 @@
     sender.tell(0, &[0; MOST_BYTES + 1]);
     sender.tell(7, b"nobody");
     sender.tell(0, b"hello");
-    let first = timeout(Duration::from_secs(5), news.recv())
+    let first = timeout(Duration::from_secs(5), events.recv())
         .await
         .expect("a peer message");
     let Some(Event::PeerMessage(peer_message)) = first else {
--- a/crates/merlinreel/src/telemetry/metrics.rs
+++ b/crates/merlinreel/src/telemetry/metrics.rs
@@ -67,9 +67,9 @@
 
 impl Metrics {
     pub fn new(classes: &[String]) -> Arc<Metrics> {
-        let figures = Arc::new(Metrics::default());
-        figures.classes_now(classes);
-        figures
+        let metrics = Arc::new(Metrics::default());
+        metrics.classes_now(classes);
+        metrics
     }
 
     /// The classes in force from now on.
@@ -139,14 +139,14 @@
             }
         }
         let _ = writeln!(text, "limiter.in_flight:{in_flight}|g");
-        let figures = [
+        let metrics = [
             ("attempts", &self.attempts, "c"),
             ("servers_known", &self.servers_known, "g"),
             ("servers_excluded", &self.servers_excluded, "g"),
             ("reloads_ok", &self.reloads_ok, "c"),
             ("reloads_failed", &self.reloads_failed, "c"),
         ];
-        for (name, figure, kind) in figures {
+        for (name, figure, kind) in metrics {
             let _ = writeln!(
                 text,
                 "limiter.{name}:{}|{kind}",
--- a/crates/merlinreel/src/telemetry/metrics/tests.rs
+++ b/crates/merlinreel/src/telemetry/metrics/tests.rs
@@ -12,13 +12,13 @@
 
 #[test]
 fn classes_dropped_keep_their_counts_and_strangers_count_nothing() {
-    let figures = Metrics::new(&["look".to_owned()]);
-    figures.answered("look", Outcome::Served);
-    figures.answered("garbage", Outcome::Failed);
-    figures.classes_now(&["put".to_owned()]);
-    figures.answered("look", Outcome::Served);
-    figures.attempted("put");
-    let text = figures.text(3);
+    let metrics = Metrics::new(&["look".to_owned()]);
+    metrics.answered("look", Outcome::Served);
+    metrics.answered("garbage", Outcome::Failed);
+    metrics.classes_now(&["put".to_owned()]);
+    metrics.answered("look", Outcome::Served);
+    metrics.attempted("put");
+    let text = metrics.text(3);
     assert!(
         text.contains("limiter.requests.look.served:1|c\n"),
         "{text}"
--- a/crates/merlinreel/src/upstream.rs
+++ b/crates/merlinreel/src/upstream.rs
@@ -32,8 +32,8 @@
 /// One attempt to make at a server.
 #[derive(Debug)]
 pub struct Attempt {
-    pub serial: u64,
-    pub parcel: Arc<UpstreamRequest>,
+    pub attempt_id: u64,
+    pub upstream_request: Arc<UpstreamRequest>,
     pub started: Instant,
     /// The limiter stops waiting then.
     pub until: Instant,
@@ -65,13 +65,13 @@
 
 impl ConnectionHandle {
     /// Closes the connection of that attempt, if it still carries it.
-    pub fn abandon(&self, serial: u64) {
-        let _ = self.commands.try_send(Command::Abandon(serial));
+    pub fn abandon(&self, attempt_id: u64) {
+        let _ = self.commands.try_send(Command::Abandon(attempt_id));
     }
 
     /// Keeps that attempt from beginning, if it has not yet: its client has gone.
-    pub fn withdraw(&self, serial: u64) {
-        let _ = self.commands.try_send(Command::Withdraw(serial));
+    pub fn withdraw(&self, attempt_id: u64) {
+        let _ = self.commands.try_send(Command::Withdraw(attempt_id));
     }
 }
 
@@ -110,25 +110,25 @@
     idle: Vec<IdleConnections>,
     slots: Arc<Semaphore>,
     queue: Queue,
-    figures: Arc<Metrics>,
+    metrics: Arc<Metrics>,
     unasked: Arc<UnaskedBytes>,
 }
 
 impl UpstreamPool {
     pub fn new(
         limits: Limits,
-        terms: &merlinreel_settings::Settings,
+        settings: &merlinreel_settings::Settings,
         queue: Queue,
-        figures: Arc<Metrics>,
+        metrics: Arc<Metrics>,
     ) -> UpstreamPool {
         UpstreamPool {
-            figures,
+            metrics,
             unasked: Arc::default(),
-            loads_in_answers: terms.sockets.loads_in_answers,
+            loads_in_answers: settings.sockets.loads_in_answers,
             memory: AnswerMemory::new(&limits),
-            loads_in_probes: terms.sockets.loads_in_probes,
-            probes: terms.endpoints.health_checks,
-            table: EndpointTable::new(terms.sockets.zones.clone()),
+            loads_in_probes: settings.sockets.loads_in_probes,
+            probes: settings.endpoints.health_checks,
+            table: EndpointTable::new(settings.sockets.zones.clone()),
             idle: Vec::new(),
             slots: Arc::new(Semaphore::new(limits.upstream.max_connections)),
             limits,
@@ -141,8 +141,8 @@
     }
 
     /// Takes a message of discovery in, for the module; no connection rests to a server that is not up.
-    pub fn list(&mut self, news: DiscoveryUpdate, restored: bool) -> EndpointUpdate {
-        let list = self.table.apply(news, restored);
+    pub fn list(&mut self, events: DiscoveryUpdate, restored: bool) -> EndpointUpdate {
+        let list = self.table.apply(events, restored);
         self.idle
             .resize_with(self.table.indices(), IdleConnections::default);
         for entry in list
@@ -205,7 +205,7 @@
             loads: self.loads_in_answers,
             memory: self.memory.clone(),
             queue: self.queue.clone(),
-            figures: self.figures.clone(),
+            metrics: self.metrics.clone(),
             unasked: self.unasked.clone(),
         };
         tokio::spawn(upstream.run(attempt, slot));
--- a/crates/merlinreel/src/upstream/connection.rs
+++ b/crates/merlinreel/src/upstream/connection.rs
@@ -118,7 +118,7 @@
     pub loads: bool,
     pub memory: AnswerMemory,
     pub queue: Queue,
-    pub figures: Arc<Metrics>,
+    pub metrics: Arc<Metrics>,
     pub unasked: Arc<UnaskedBytes>,
 }
 
@@ -126,14 +126,19 @@
     pub async fn run(mut self, mut attempt: Attempt, _slot: OwnedSemaphorePermit) {
         let mut up: Option<OpenConnection> = None;
         loop {
-            let (serial, started) = (attempt.serial, attempt.started);
+            let (attempt_id, started) = (attempt.attempt_id, attempt.started);
             let mut open = match up.take() {
                 Some(open) => open,
                 None => match self.open(&attempt).await {
                     Ok(open) => open,
                     Err(outcome) => {
                         return self
-                            .report(serial, started, DecodedResponse::nothing(outcome), false)
+                            .report(
+                                attempt_id,
+                                started,
+                                DecodedResponse::nothing(outcome),
+                                false,
+                            )
                             .await;
                     }
                 },
@@ -150,13 +155,13 @@
             drop(attempt);
             match said {
                 Ok(Answered::Whole { said, reusable }) => {
-                    self.report(serial, started, said, reusable).await;
+                    self.report(attempt_id, started, said, reusable).await;
                     if !reusable {
                         return;
                     }
                 }
                 Ok(Answered::Flows { said, ended }) => {
-                    self.report(serial, started, said, false).await;
+                    self.report(attempt_id, started, said, false).await;
                     // Guards the answer against a connection closed under it: kept and read until the client has
                     // all of it or has gone, then closed, as one client may read for minutes.
                     let mut ended = std::pin::pin!(ended);
@@ -172,7 +177,12 @@
                     // Closed before anybody hears of it, and so before a next attempt starts.
                     drop(open);
                     return self
-                        .report(serial, started, DecodedResponse::nothing(outcome), false)
+                        .report(
+                            attempt_id,
+                            started,
+                            DecodedResponse::nothing(outcome),
+                            false,
+                        )
                         .await;
                 }
             }
@@ -187,11 +197,11 @@
     }
 
     /// A command to give this attempt up, or the driver's end. One to withdraw it counts as long as it has not begun.
-    async fn abandoned(&mut self, serial: u64, begun: impl Fn() -> bool) {
+    async fn abandoned(&mut self, attempt_id: u64, begun: impl Fn() -> bool) {
         while let Some(command) = self.commands.recv().await {
             match command {
-                Command::Abandon(which) if which == serial => return,
-                Command::Withdraw(which) if which == serial && !begun() => return,
+                Command::Abandon(which) if which == attempt_id => return,
+                Command::Withdraw(which) if which == attempt_id && !begun() => return,
                 _ => {}
             }
         }
@@ -202,7 +212,7 @@
         let head = self.limits.max_head_bytes;
         let stream = tokio::select! {
             biased;
-            () = self.abandoned(attempt.serial, || false) => return Err(AttemptOutcome::NotSent),
+            () = self.abandoned(attempt.attempt_id, || false) => return Err(AttemptOutcome::NotSent),
             stream = timeout(within, connect(address)) => stream,
             () = sleep_until(attempt.written_by().into()) => return Err(match attempt.begins_by {
                 Some(_) => AttemptOutcome::NotSent,
@@ -249,11 +259,11 @@
             return Err(AttemptOutcome::NotSent);
         }
         let request = encode(
-            &attempt.parcel,
+            &attempt.upstream_request,
             attempt.until.saturating_duration_since(Instant::now()),
         );
         let before = up.sent.bytes();
-        let whole = before + wire_length(&request, attempt.parcel.body.len());
+        let whole = before + wire_length(&request, attempt.upstream_request.body.len());
         let OpenConnection {
             sender,
             connection,
@@ -267,9 +277,9 @@
         );
         // Counted once its last byte is written: the class is the first part of the path.
         let attempted = {
-            let figures = self.figures.clone();
-            let class = class_of(attempt.parcel.uri.path()).to_owned();
-            move || figures.attempted(&class)
+            let metrics = self.metrics.clone();
+            let class = class_of(attempt.upstream_request.uri.path()).to_owned();
+            move || metrics.attempted(&class)
         };
         let answer = async {
             sender.ready().await?;
@@ -281,7 +291,7 @@
         let outcome = loop {
             tokio::select! {
                 biased;
-                () = self.abandoned(attempt.serial, || sent.bytes() > before) => break AttemptOutcome::Cancelled,
+                () = self.abandoned(attempt.attempt_id, || sent.bytes() > before) => break AttemptOutcome::Cancelled,
                 // Before anything more is written. Guards keyed jobs against a repeat that comes after its servers
                 // have forgotten the key, where the connection came up late or takes the request in parts.
                 () = &mut written_by, if sent.bytes() < whole => break AttemptOutcome::DeadlineExceeded,
@@ -356,7 +366,7 @@
         while let Some(command) = self.commands.recv().await {
             if let Command::Send(attempt) = command {
                 self.report(
-                    attempt.serial,
+                    attempt.attempt_id,
                     attempt.started,
                     DecodedResponse::nothing(AttemptOutcome::NotSent),
                     false,
@@ -367,16 +377,22 @@
         None
     }
 
-    async fn report(&self, serial: u64, started: Instant, said: DecodedResponse, reusable: bool) {
-        let news = AttemptCompletion {
-            serial,
+    async fn report(
+        &self,
+        attempt_id: u64,
+        started: Instant,
+        said: DecodedResponse,
+        reusable: bool,
+    ) {
+        let events = AttemptCompletion {
+            attempt_id,
             outcome: said.outcome,
             latency: started.elapsed(),
             units: said.units,
             load: said.load,
-            delivery: said.delivery,
+            upstream_response: said.upstream_response,
             reusable,
         };
-        let _ = self.queue.send(Event::AttemptCompleted(news)).await;
+        let _ = self.queue.send(Event::AttemptCompleted(events)).await;
     }
 }
--- a/crates/merlinreel/src/upstream/message.rs
+++ b/crates/merlinreel/src/upstream/message.rs
@@ -31,17 +31,20 @@
 const UNITS_CHARGED: HeaderName = HeaderName::from_static("x-units-charged");
 
 /// A job as a server gets it: unchanged but for the time that the limiter will wait.
-pub fn encode(parcel: &UpstreamRequest, waits: Duration) -> Request<Full<Bytes>> {
-    let mut request = Request::new(Full::new(parcel.body.clone()));
-    *request.method_mut() = parcel.method.clone();
-    *request.uri_mut() = parcel.uri.clone();
+pub fn encode(upstream_request: &UpstreamRequest, waits: Duration) -> Request<Full<Bytes>> {
+    let mut request = Request::new(Full::new(upstream_request.body.clone()));
+    *request.method_mut() = upstream_request.method.clone();
+    *request.uri_mut() = upstream_request.uri.clone();
     let headers = request.headers_mut();
-    headers.clone_from(&parcel.headers);
+    headers.clone_from(&upstream_request.headers);
     if let Ok(value) = HeaderValue::try_from(format!("{}m", waits.as_millis())) {
         headers.insert(REMAINING, value);
     }
-    if !parcel.body.is_empty() {
-        headers.insert(CONTENT_LENGTH, HeaderValue::from(parcel.body.len()));
+    if !upstream_request.body.is_empty() {
+        headers.insert(
+            CONTENT_LENGTH,
+            HeaderValue::from(upstream_request.body.len()),
+        );
     }
     request
 }
@@ -69,7 +72,7 @@
     pub outcome: AttemptOutcome,
     pub units: Option<f64>,
     pub load: LoadReport,
-    pub delivery: Option<UpstreamResponse>,
+    pub upstream_response: Option<UpstreamResponse>,
 }
 
 impl DecodedResponse {
@@ -78,7 +81,7 @@
             outcome,
             units: None,
             load: LoadReport::default(),
-            delivery: None,
+            upstream_response: None,
         }
     }
 }
@@ -110,7 +113,7 @@
         .filter(|units| units.is_finite() && *units > 0.0);
     let load = head.headers.remove(PRESSURE).filter(|_| loads);
     let load = load.map_or_else(LoadReport::default, |value| read_load(value.as_bytes()));
-    let delivery = (outcome == AttemptOutcome::Success).then(|| {
+    let upstream_response = (outcome == AttemptOutcome::Success).then(|| {
         strip_hop_by_hop(&mut head.headers);
         UpstreamResponse {
             headers: head.headers,
@@ -122,6 +125,6 @@
         outcome,
         units,
         load,
-        delivery,
+        upstream_response,
     }
 }
--- a/crates/merlinreel/src/upstream/response_memory.rs
+++ b/crates/merlinreel/src/upstream/response_memory.rs
@@ -80,10 +80,10 @@
                 });
             }
         }
-        self.claim(bytes).await.map(Received::Whole)
+        self.permit(bytes).await.map(Received::Whole)
     }
 
-    async fn claim(&self, bytes: Vec<u8>) -> Result<Bytes, BodyError> {
+    async fn permit(&self, bytes: Vec<u8>) -> Result<Bytes, BodyError> {
         let count = u32::try_from(bytes.len()).map_err(|_| BodyError::NoMemory)?;
         let claimed = self.bytes.clone().acquire_many_owned(count).await;
         let _memory = claimed.map_err(|_| BodyError::NoMemory)?;
--- a/crates/merlinreel/src/upstream/tests.rs
+++ b/crates/merlinreel/src/upstream/tests.rs
@@ -14,7 +14,7 @@
 
 const LONG: Duration = Duration::from_secs(20);
 
-fn parcel(body: usize) -> Arc<UpstreamRequest> {
+fn upstream_request(body: usize) -> Arc<UpstreamRequest> {
     let headers = [
         ("x-txn", "9b"),
         ("host", "origin.svc"),
@@ -31,15 +31,15 @@
         uri: Uri::from_static("/pay?key=07"),
         headers: HeaderMap::from_iter(headers),
         body: Bytes::from(vec![b'x'; body]),
-        claim: None,
+        permit: None,
     })
 }
 
-fn attempt(serial: u64, body: usize, within: Duration) -> Attempt {
+fn attempt(attempt_id: u64, body: usize, within: Duration) -> Attempt {
     let started = Instant::now();
     Attempt {
-        serial,
-        parcel: parcel(body),
+        attempt_id,
+        upstream_request: upstream_request(body),
         started,
         until: started + within,
         begins_by: None,
@@ -51,18 +51,18 @@
     let settings =
         serde_json::json!({"report": {"how": "answers"}, "policyLimits": {"probes": true}});
     let paths = merlinreel_settings::Paths::from_json(&settings);
-    let terms = paths
+    let settings = paths
         .and_then(|paths| merlinreel_settings::Settings::read(&paths))
         .expect("sound");
     let limits = {
-        let mut changed = Limits::new(1024, 192, &terms).expect("room");
+        let mut changed = Limits::new(1024, 192, &settings).expect("room");
         changed.upstream.max_connections = slots;
         changed
     };
-    let (queue, news) = mpsc::channel(16);
-    let mut servers = UpstreamPool::new(limits, &terms, queue, Metrics::new(&[]));
+    let (queue, events) = mpsc::channel(16);
+    let mut servers = UpstreamPool::new(limits, &settings, queue, Metrics::new(&[]));
     servers.list(list(address, EndpointState::Ready), true);
-    (servers, news)
+    (servers, events)
 }
 
 fn list(address: SocketAddr, standing: EndpointState) -> DiscoveryUpdate {
@@ -83,8 +83,8 @@
     }
 }
 
-async fn end(news: &mut mpsc::Receiver<Event>) -> AttemptCompletion {
-    match timeout(LONG, news.recv()).await {
+async fn end(events: &mut mpsc::Receiver<Event>) -> AttemptCompletion {
+    match timeout(LONG, events.recv()).await {
         Ok(Some(Event::AttemptCompleted(end))) => end,
         other => panic!("{other:?}"),
     }
@@ -117,18 +117,20 @@
 async fn begun(
     listener: &TcpListener,
     servers: &mut UpstreamPool,
-    serial: u64,
+    attempt_id: u64,
 ) -> (ConnectionHandle, TcpStream) {
-    let link = servers.send(0, attempt(serial, 1, LONG)).expect("a slot");
+    let link = servers
+        .send(0, attempt(attempt_id, 1, LONG))
+        .expect("a slot");
     let mut stream = accept(listener).await;
     request(&mut stream).await;
     (link, stream)
 }
 
 /// The server answers it.
-async fn done(stream: &mut TcpStream, news: &mut mpsc::Receiver<Event>) -> AttemptCompletion {
+async fn done(stream: &mut TcpStream, events: &mut mpsc::Receiver<Event>) -> AttemptCompletion {
     stream.write_all(GOOD.as_bytes()).await.expect("written");
-    end(news).await
+    end(events).await
 }
 
 /// More than the buffers of both sides hold.
@@ -165,11 +167,11 @@
 #[tokio::test]
 async fn what_comes_back_after_the_last_byte(text: &str) -> (AttemptOutcome, bool) {
     let (listener, address) = listener().await;
-    let (mut servers, mut news) = servers(address, 4);
+    let (mut servers, mut events) = servers(address, 4);
     let (_link, mut stream) = begun(&listener, &mut servers, 1).await;
     stream.write_all(text.as_bytes()).await.expect("written");
     drop(stream);
-    let end = end(&mut news).await;
+    let end = end(&mut events).await;
     if end.outcome == AttemptOutcome::Success && text == INFORMED {
         let load = LoadReport {
             queued: Some(2.0),
@@ -177,9 +179,9 @@
             ..LoadReport::default()
         };
         assert_eq!((end.units, end.load), (Some(3.0), load));
-        let delivery = end.delivery.expect("an answer");
-        assert_eq!(&delivery.body[..], b"done");
-        assert!(delivery.headers.get(PRESSURE).is_none());
+        let upstream_response = end.upstream_response.expect("an answer");
+        assert_eq!(&upstream_response.body[..], b"done");
+        assert!(upstream_response.headers.get(PRESSURE).is_none());
     }
     (end.outcome, end.reusable)
 }
@@ -188,10 +190,10 @@
 async fn a_connection_that_never_comes_up_proves_that_nothing_ran() {
     let (listener, address) = listener().await;
     drop(listener);
-    let (mut servers, mut news) = servers(address, 4);
+    let (mut servers, mut events) = servers(address, 4);
     let _link = servers.send(0, attempt(1, 1, LONG));
     assert_eq!(
-        end(&mut news).await.outcome,
+        end(&mut events).await.outcome,
         AttemptOutcome::ConnectionRefused
     );
 }
@@ -203,7 +205,7 @@
 #[tokio::test]
 async fn the_last_byte_tells_what_may_have_run(body: usize, closes: bool, outcome: AttemptOutcome) {
     let (listener, address) = listener().await;
-    let (mut servers, mut news) = servers(address, 4);
+    let (mut servers, mut events) = servers(address, 4);
     let within = if closes {
         LONG
     } else {
@@ -216,7 +218,7 @@
         request(&mut stream).await;
     }
     let held = (!closes).then_some(stream);
-    let end = end(&mut news).await;
+    let end = end(&mut events).await;
     assert_eq!((end.outcome, end.reusable), (outcome, false));
     drop(held);
 }
@@ -224,12 +226,12 @@
 #[tokio::test]
 async fn an_abandoned_attempt_is_closed_before_its_end_is_told() {
     let (listener, address) = listener().await;
-    let (mut servers, mut news) = servers(address, 4);
+    let (mut servers, mut events) = servers(address, 4);
     let (link, stream) = begun(&listener, &mut servers, 5).await;
     // An order for an attempt that is over is none for this one.
     link.abandon(4);
     link.abandon(5);
-    assert_eq!(end(&mut news).await.outcome, AttemptOutcome::Cancelled);
+    assert_eq!(end(&mut events).await.outcome, AttemptOutcome::Cancelled);
     assert_eq!(
         stream
             .try_read(&mut [0; 8])
@@ -254,24 +256,24 @@
         .expect("bound");
     // The one place of its queue is taken: further connections come up only once it is accepted.
     let _place = std::net::TcpStream::connect(address).expect("the one place");
-    let (mut servers, mut news) = servers(address, 4);
+    let (mut servers, mut events) = servers(address, 4);
     servers.limits.connect_timeout = LONG;
     let link = servers.send(0, attempt(7, 1, LONG)).expect("a slot");
     // An order for another attempt is none for this one.
     link.withdraw(6);
     link.withdraw(7);
-    assert_eq!(end(&mut news).await.outcome, AttemptOutcome::NotSent);
+    assert_eq!(end(&mut events).await.outcome, AttemptOutcome::NotSent);
 }
 
 /// One that has begun goes on: where attempts may not be cancelled its server works for it.
 #[tokio::test]
 async fn an_attempt_that_has_begun_is_not_withdrawn() {
     let (listener, address) = listener().await;
-    let (mut servers, mut news) = servers(address, 4);
+    let (mut servers, mut events) = servers(address, 4);
     let (link, mut stream) = begun(&listener, &mut servers, 5).await;
     link.withdraw(5);
     assert_eq!(
-        done(&mut stream, &mut news).await.outcome,
+        done(&mut stream, &mut events).await.outcome,
         AttemptOutcome::Success
     );
 }
@@ -282,14 +284,14 @@
 #[tokio::test]
 async fn a_probe(text: &str) -> (bool, Option<f64>) {
     let (listener, address) = listener().await;
-    let (mut servers, mut news) = servers(address, 4);
+    let (mut servers, mut events) = servers(address, 4);
     servers.probe(0);
     let mut stream = accept(&listener).await;
     let mut bytes = vec![0; 64];
     let length = stream.read(&mut bytes).await.expect("a request");
     assert!(bytes[..length].starts_with(b"GET /metrics/load HTTP/1.1\r\n"));
     stream.write_all(text.as_bytes()).await.expect("written");
-    match timeout(LONG, news.recv()).await {
+    match timeout(LONG, events.recv()).await {
         Ok(Some(Event::HealthCheck(answer))) => (answer.answered, answer.load.queued),
         other => panic!("{other:?}"),
     }
@@ -321,11 +323,11 @@
 #[tokio::test]
 async fn nothing_is_written_once_the_key_may_be_forgotten(rests: bool, body: usize) {
     let (listener, address) = listener().await;
-    let (mut servers, mut news) = servers(address, 4);
+    let (mut servers, mut events) = servers(address, 4);
     let mut server = None;
     if rests {
         let (link, mut stream) = begun(&listener, &mut servers, 1).await;
-        done(&mut stream, &mut news).await;
+        done(&mut stream, &mut events).await;
         servers.keep(0, link);
         server = Some(stream);
     }
@@ -342,7 +344,7 @@
             },
         )
         .expect("a slot");
-    assert_eq!(end(&mut news).await.outcome, AttemptOutcome::NotSent);
+    assert_eq!(end(&mut events).await.outcome, AttemptOutcome::NotSent);
     let mut read = Vec::new();
     if let Some(stream) = &mut server {
         let _ = timeout(LONG, stream.read_to_end(&mut read))
--- a/crates/merlinreel/src/upstream/tests/idle_connections.rs
+++ b/crates/merlinreel/src/upstream/tests/idle_connections.rs
@@ -28,20 +28,24 @@
 #[tokio::test]
 async fn one_attempt_a_connection_and_idle_ones_first() {
     let (listener, address) = listener().await;
-    let (mut servers, mut news) = servers(address, 4);
-    let links = [1, 2].map(|serial| servers.send(0, attempt(serial, 1, LONG)).expect("a slot"));
+    let (mut servers, mut events) = servers(address, 4);
+    let links = [1, 2].map(|attempt_id| {
+        servers
+            .send(0, attempt(attempt_id, 1, LONG))
+            .expect("a slot")
+    });
     let mut one = accept(&listener).await;
     let mut two = accept(&listener).await;
     for stream in [&mut one, &mut two] {
         request(stream).await;
-        done(stream, &mut news).await;
+        done(stream, &mut events).await;
     }
     links.into_iter().for_each(|link| servers.keep(0, link));
     let _link = servers.send(0, attempt(3, 1, LONG)).expect("an idle one");
     // None is settled: the oldest.
     let bytes = request(&mut one).await;
     assert_eq!(
-        wire_length(&encode(&parcel(1), LONG), 1) as usize,
+        wire_length(&encode(&upstream_request(1), LONG), 1) as usize,
         bytes.len()
     );
 }
@@ -49,9 +53,9 @@
 #[tokio::test]
 async fn a_connection_the_server_closed_while_idle_costs_no_attempt() {
     let (listener, address) = listener().await;
-    let (mut servers, mut news) = servers(address, 4);
+    let (mut servers, mut events) = servers(address, 4);
     let (link, mut stream) = begun(&listener, &mut servers, 1).await;
-    done(&mut stream, &mut news).await;
+    done(&mut stream, &mut events).await;
     servers.keep(0, link);
     drop(stream);
     while !servers.idle[0].0[0].1.commands.is_closed() {
@@ -60,8 +64,8 @@
     let _link = servers.send(0, attempt(2, 1, LONG));
     let mut stream = accept(&listener).await;
     request(&mut stream).await;
-    let end = done(&mut stream, &mut news).await;
-    assert_eq!((end.serial, end.outcome), (2, AttemptOutcome::Success));
+    let end = done(&mut stream, &mut events).await;
+    assert_eq!((end.attempt_id, end.outcome), (2, AttemptOutcome::Success));
 }
 
 /// A server that has sent something unasked may do so again, some milliseconds late: an attempt that follows an answer
@@ -72,17 +76,17 @@
 async fn after_unasked_bytes_only_rested_connections_are_used(rests: bool) {
     const SECOND: &str = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong";
     let (listener, address) = listener().await;
-    let (mut servers, mut news) = servers(address, 8);
+    let (mut servers, mut events) = servers(address, 8);
     let (_first, mut stream) = begun(&listener, &mut servers, 1).await;
     if rests {
-        done(&mut stream, &mut news).await;
+        done(&mut stream, &mut events).await;
         stream.write_all(SECOND.as_bytes()).await.expect("written");
     } else {
         stream
             .write_all(format!("{GOOD}{SECOND}").as_bytes())
             .await
             .expect("written");
-        end(&mut news).await;
+        end(&mut events).await;
     }
     timeout(LONG, async {
         while !servers.unasked.seen() {
@@ -92,7 +96,7 @@
     .await
     .expect("seen");
     let (second, mut stream) = begun(&listener, &mut servers, 2).await;
-    done(&mut stream, &mut news).await;
+    done(&mut stream, &mut events).await;
     servers.limits.upstream.settle_time = LONG;
     servers.keep(0, second);
     let _third = servers.send(0, attempt(3, 1, LONG)).expect("a slot");
@@ -104,18 +108,19 @@
 #[tokio::test]
 async fn what_comes_behind_an_answer_is_never_the_next_one_s(more: &str) {
     let (listener, address) = listener().await;
-    let (mut servers, mut news) = servers(address, 4);
+    let (mut servers, mut events) = servers(address, 4);
     let (link, mut stream) = begun(&listener, &mut servers, 1).await;
-    done(&mut stream, &mut news).await;
+    done(&mut stream, &mut events).await;
     servers.keep(0, link);
     // Not waited for: this limiter's poller has not told of it when the next attempt begins.
     stream.try_write(more.as_bytes()).expect("written");
     let _link = servers.send(0, attempt(2, 1, LONG));
     let mut other = accept(&listener).await;
     request(&mut other).await;
-    let end = done(&mut other, &mut news).await;
+    let end = done(&mut other, &mut events).await;
     assert_eq!(
-        end.delivery.map(|delivery| delivery.body),
+        end.upstream_response
+            .map(|upstream_response| upstream_response.body),
         Some(Bytes::from_static(b"done"))
     );
 }
@@ -125,9 +130,9 @@
 #[tokio::test]
 async fn idle_connections_are_let_go_of(standing: EndpointState, port: u16) {
     let (listener, address) = listener().await;
-    let (mut servers, mut news) = servers(address, 4);
+    let (mut servers, mut events) = servers(address, 4);
     let (link, mut stream) = begun(&listener, &mut servers, 1).await;
-    done(&mut stream, &mut news).await;
+    done(&mut stream, &mut events).await;
     let elsewhere = SocketAddr::from((
         [127, 0, 0, 1],
         if port == 0 { address.port() } else { port },
@@ -147,11 +152,11 @@
 #[tokio::test]
 async fn an_idle_connection_is_dropped_before_the_server_does() {
     let (listener, address) = listener().await;
-    let (mut servers, mut news) = servers(address, 4);
+    let (mut servers, mut events) = servers(address, 4);
     assert!(servers.limits.upstream.idle_timeout < Duration::from_secs(15));
     servers.limits.upstream.idle_timeout = Duration::from_millis(1);
     let (link, mut stream) = begun(&listener, &mut servers, 1).await;
-    done(&mut stream, &mut news).await;
+    done(&mut stream, &mut events).await;
     servers.keep(0, link);
     assert_eq!(
         timeout(LONG, stream.read(&mut [0; 8]))
@@ -165,9 +170,9 @@
 #[tokio::test]
 async fn descriptors_for_servers_are_bounded_and_idle_ones_give_way() {
     let (listener, address) = listener().await;
-    let (mut servers, mut news) = servers(address, 2);
+    let (mut servers, mut events) = servers(address, 2);
     let (first, mut stream) = begun(&listener, &mut servers, 1).await;
-    done(&mut stream, &mut news).await;
+    done(&mut stream, &mut events).await;
     servers
         .idle
         .push(IdleConnections(vec![(Instant::now(), first)]));
@@ -190,9 +195,9 @@
 #[tokio::test]
 async fn a_whole_list_and_a_connection_that_rests(name: &str, standing: EndpointState) -> bool {
     let (listener, address) = listener().await;
-    let (mut servers, mut news) = servers(address, 4);
+    let (mut servers, mut events) = servers(address, 4);
     let (link, mut stream) = begun(&listener, &mut servers, 1).await;
-    done(&mut stream, &mut news).await;
+    done(&mut stream, &mut events).await;
     servers.keep(0, link);
     let mut whole = list(address, standing);
     whole.servers[0].name = name.to_owned();
--- a/crates/merlinreel/tests/sockets/stop.rs
+++ b/crates/merlinreel/tests/sockets/stop.rs
@@ -168,8 +168,9 @@
     let mut station = merlinreel::config::parse(&config.to_string(), |_| None).expect("sound");
     station.limits.endpoints.first_list_timeout = first_list;
     thread::spawn(move || {
-        let figures = merlinreel::telemetry::metrics::Metrics::new(&station.terms.sockets.classes);
-        let (_tune, settings) = tokio::sync::watch::channel(station.terms.clone());
+        let metrics =
+            merlinreel::telemetry::metrics::Metrics::new(&station.settings.sockets.classes);
+        let (_tune, settings) = tokio::sync::watch::channel(station.settings.clone());
         let (_turn, discovery) = tokio::sync::watch::channel(station.discovery);
         let (_reground, ground) = tokio::sync::watch::channel(None);
         let turns = merlinreel::ReloadChannels {
@@ -184,7 +185,7 @@
         runtime.block_on(merlinreel::run(
             station,
             None,
-            figures,
+            metrics,
             turns,
             std::future::pending(),
         ))
