--- a/crates/merlinreel-testkit/src/bin/scale.rs
+++ b/crates/merlinreel-testkit/src/bin/scale.rs
@@ -1,8 +1,8 @@
-//! The scale measurements as a command: figures as lines of JSON, progress on standard error.
+//! The scale measurements as a command: data points as lines of JSON, progress on standard error.
 
 use clap::{Parser, Subcommand};
 use merlinreel_testkit::scale::{
-    Figure, MeasureRequest, Measurement, PowerLaw, ScaleError, chosen, measurements,
+    DataPoint, MeasureRequest, Measurement, PowerLaw, ScaleError, measurements, select,
 };
 use std::collections::BTreeMap;
 use std::fs::File;
@@ -10,7 +10,7 @@
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
-/// Measures what the control work of many limiters costs, by size.
+/// Measures the cost of the control work of many limiters, by size.
 #[derive(Parser)]
 #[command(name = "scale")]
 struct Arguments {
@@ -20,9 +20,9 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Names all measurements and the sizes that they are made at.
+    /// Lists all measurements and their default sizes.
     List,
-    /// Makes measurements; all of them where no role is named.
+    /// Runs measurements; all of them where no role is named.
     Measure {
         /// A role, as `list` names it.
         #[arg(long)]
@@ -30,26 +30,27 @@
         /// One variable of it.
         #[arg(long)]
         variable: Option<String>,
-        /// Sizes in ascending order, in the place of the usual ones.
+        /// Sizes in ascending order, in place of the default ones.
         #[arg(long, value_delimiter = ',')]
         sizes: Vec<u64>,
-        /// All that is drawn comes from it.
+        /// The seed that everything is drawn from.
         #[arg(long, default_value_t = 7)]
         seed: u64,
-        /// How often times and memory are measured at each size.
+        /// How often times are measured at each size.
         #[arg(long, default_value_t = 3)]
         runs: u32,
-        /// What one size may take; half of the machine's memory where none is given.
+        /// The most megabytes that one size may take; half of the machine's memory where none is given.
         #[arg(long)]
         memory_mb: Option<u64>,
-        /// Where the lines go; standard output where none is given.
+        /// The file that lines are written to; standard output where none is given.
         #[arg(long)]
         output: Option<PathBuf>,
     },
-    /// Fits a power law to each metric of a file of figures and tells it at a size.
+    /// Fits a power law to each metric of a file of data points.
     Fit {
+        /// The file, as `measure` writes it.
         file: PathBuf,
-        /// A size to tell every law at; its greatest measured one where none is given.
+        /// The size to evaluate every law at; its greatest measured one where none is given.
         #[arg(long)]
         at: Option<u64>,
     },
@@ -77,12 +78,12 @@
             memory_mb,
             output,
         } => {
-            let chosen = chosen(role.as_deref(), variable.as_deref())?;
-            let requests = requests(&chosen, &sizes, seed, runs, memory_mb)?;
+            let measurements = select(role.as_deref(), variable.as_deref())?;
+            let requests = requests(&measurements, &sizes, seed, runs, memory_mb)?;
             let mut lines = writer(output.as_deref())?;
-            let told = output.unwrap_or_else(|| PathBuf::from("standard output"));
-            for (measurement, request) in chosen.iter().zip(&requests) {
-                measure(measurement, request, &mut *lines, &told)?;
+            let output_name = output.unwrap_or_else(|| PathBuf::from("standard output"));
+            for (measurement, request) in measurements.iter().zip(&requests) {
+                measure(measurement, request, &mut *lines, &output_name)?;
             }
             Ok(())
         }
@@ -97,9 +98,9 @@
     Ok(())
 }
 
-/// All requests are checked before the first measurement begins.
+/// Validates all requests before the first measurement begins.
 fn requests(
-    chosen: &[Measurement],
+    measurements: &[Measurement],
     sizes: &[u64],
     seed: u64,
     runs: u32,
@@ -109,7 +110,7 @@
         let sizes = if sizes.is_empty() { one.sizes } else { sizes };
         MeasureRequest::new(sizes.to_vec(), seed, runs, memory_mb)
     };
-    chosen.iter().map(request).collect()
+    measurements.iter().map(request).collect()
 }
 
 fn writer(output: Option<&Path>) -> Result<Box<dyn Write>, ScaleError> {
@@ -138,36 +139,50 @@
         "{} by {}: {:?}",
         measurement.role, measurement.variable, request.sizes
     );
-    (measurement.run)(request, &mut |figure: Figure| {
-        let line = serde_json::to_string(&figure).map_err(|why| failed(output, why.into()))?;
+    (measurement.run)(request, &mut |data_point: DataPoint| {
+        let line = serde_json::to_string(&data_point).map_err(|why| failed(output, why.into()))?;
         writeln!(lines, "{line}")
             .and_then(|()| lines.flush())
             .map_err(|why| failed(output, why))
     })
 }
 
-/// What tells one curve from another.
-type Curve = (String, String, String);
+/// The values of one metric by the size of one variable.
+#[derive(PartialEq, Eq, PartialOrd, Ord)]
+struct Curve {
+    role: String,
+    variable: String,
+    metric: String,
+}
 
 fn fit(file: &Path, at: Option<u64>) -> Result<(), ScaleError> {
     let lines = BufReader::new(File::open(file).map_err(|why| failed(file, why))?).lines();
     let mut curves: BTreeMap<Curve, Vec<(f64, f64)>> = BTreeMap::new();
     for line in lines {
         let line = line.map_err(|why| failed(file, why))?;
-        let figure: serde_json::Value =
+        let data_point: serde_json::Value =
             serde_json::from_str(&line).map_err(|why| failed(file, why.into()))?;
-        let text = |name: &str| figure[name].as_str().unwrap_or_default().to_owned();
+        let text = |name: &str| data_point[name].as_str().unwrap_or_default().to_owned();
         let point = (
-            figure["size"].as_f64().unwrap_or(0.0),
-            figure["value"].as_f64().unwrap_or(0.0),
+            data_point["size"].as_f64().unwrap_or(0.0),
+            data_point["value"].as_f64().unwrap_or(0.0),
         );
         curves
-            .entry((text("role"), text("variable"), text("metric")))
+            .entry(Curve {
+                role: text("role"),
+                variable: text("variable"),
+                metric: text("metric"),
+            })
             .or_default()
             .push(point);
     }
     println!("role variable metric: points, exponent, R2, size, value there");
-    for ((role, variable, metric), points) in curves {
+    for (curve, points) in curves {
+        let Curve {
+            role,
+            variable,
+            metric,
+        } = curve;
         let greatest = points.iter().map(|(size, _)| *size).fold(0.0, f64::max);
         let size = at.map_or(greatest, |at| at as f64);
         match PowerLaw::through(&points) {
--- a/crates/merlinreel-testkit/src/checker/tests.rs
+++ b/crates/merlinreel-testkit/src/checker/tests.rs
@@ -1,67 +1,71 @@
 use super::*;
+use crate::event_log::Event;
 use test_case::test_case;
 
 fn ms(n: u64) -> Duration {
     Duration::from_millis(n)
 }
 
-fn asked(class: &'static str) -> What {
-    What::Asked {
+fn sent(class: &'static str) -> Event {
+    Event::RequestSent {
         id: "a".into(),
         class,
         customer: 7,
         limiter: 0,
-        patience: ms(1000),
+        timeout: ms(1000),
     }
 }
 
-fn came(worker: usize, attempt: u64) -> What {
-    What::Came {
+fn received(server: usize, attempt: u64) -> Event {
+    Event::AttemptReceived {
         id: "a".into(),
-        worker,
+        server,
         attempt,
-        told: None,
+        advertised_time: None,
     }
 }
 
-fn told(milliseconds: u64) -> What {
-    What::Came {
+fn received_with_time(milliseconds: u64) -> Event {
+    Event::AttemptReceived {
         id: "a".into(),
-        worker: 0,
+        server: 0,
         attempt: 1,
-        told: Some(ms(milliseconds)),
+        advertised_time: Some(ms(milliseconds)),
     }
 }
 
-fn unanswered(fresh: bool) -> What {
-    What::Unanswered {
+fn unanswered(is_first_on_connection: bool) -> Event {
+    Event::NoResponse {
         id: "a".into(),
-        fresh,
+        is_first_on_connection,
     }
 }
 
-fn answered(status: u16) -> What {
-    What::Answered {
+fn answered(status: u16) -> Event {
+    Event::ResponseReceived {
         id: "a".into(),
         status,
-        again: false,
+        has_retry_after: false,
     }
 }
 
-/// The rules that a course of events breaks, by their names in the text that an operator reads.
-fn broken(course: &[(u64, What)]) -> Vec<String> {
-    let entries: Vec<Entry> = course
+/// The rules that a sequence of events violates, by their names in the text.
+fn violated_rules(events: &[(u64, Event)]) -> Vec<String> {
+    let entries: Vec<LogEntry> = events
         .iter()
-        .map(|(at, what)| Entry {
+        .map(|(at, event)| LogEntry {
             at: ms(*at),
-            what: what.clone(),
+            event: event.clone(),
         })
         .collect();
-    let found = check(
+    let found = find_violations(
         &entries,
-        &Bounds {
-            quota: Some((2.0, 1.0)),
-            ..Bounds::default()
+        &Tolerances {
+            quota: Some(QuotaBound {
+                burst: 2.0,
+                units_per_second: 1.0,
+            }),
+            ..Tolerances::default()
         },
     );
     found
@@ -70,71 +74,71 @@
         .collect()
 }
 
-/// Planted violations: the checker finds each, and nothing in a course that holds.
-#[test_case(&[(0, asked("pay")), (1, came(0, 1)), (2, What::Ran { attempt: 1 }), (3, answered(200))] => Vec::<String>::new() ; "as it should be")]
-#[test_case(&[(0, asked("pay")), (900, unanswered(false))] => vec!["no request lost"] ; "lost")]
-#[test_case(&[(0, asked("pay")), (5, What::Killed { limiter: 0 }), (9, unanswered(false))] => Vec::<String>::new() ; "its process was killed")]
-#[test_case(&[(0, What::Crowded { limiter: 0 }), (1, asked("pay")), (9, unanswered(true))] => Vec::<String>::new() ; "a new connection shut in a crowd")]
-#[test_case(&[(0, What::Crowded { limiter: 0 }), (1, asked("pay")), (9, unanswered(false))] => vec!["no request lost"] ; "a kept one shut in a crowd")]
-#[test_case(&[(0, What::Terminated { limiter: 0 }), (800, asked("pay")), (1500, What::Killed { limiter: 0 }), (1501, unanswered(false))] => vec!["no request lost"] ; "late in a stop, found by the kill")]
-#[test_case(&[(0, What::Terminated { limiter: 0 }), (2600, asked("pay")), (2700, What::Killed { limiter: 0 }), (2701, unanswered(false))] => Vec::<String>::new() ; "found by another kill, behind a new start")]
-#[test_case(&[(0, What::Terminated { limiter: 0 }), (600, asked("pay")), (1500, What::Killed { limiter: 0 }), (1501, unanswered(false))] => Vec::<String>::new() ; "early in a stop, found by the kill")]
-#[test_case(&[(0, asked("pay")), (5, What::Gone { id: "a".into() }), (600, came(0, 1)), (601, What::Left { attempt: 1 })] => vec!["no attempt for who has gone"] ; "begun for who has gone")]
-#[test_case(&[(0, asked("pay")), (3, came(0, 1)), (5, What::Gone { id: "a".into() }), (60, What::Left { attempt: 1 })] => Vec::<String>::new() ; "begun before its client went")]
-#[test_case(&[(0, asked("pay")), (700, told(1000)), (701, What::Ran { attempt: 1 }), (702, answered(200))] => vec!["time told to servers"] ; "told the whole time late")]
-#[test_case(&[(0, asked("pay")), (700, told(320)), (701, What::Ran { attempt: 1 }), (702, answered(200))] => Vec::<String>::new() ; "told what is left")]
-#[test_case(&[(0, asked("look")), (3, answered(200)), (4, answered(429))] => vec!["one final answer"] ; "two answers")]
-#[test_case(&[(0, asked("look")), (4000, answered(200))] => vec!["an answer in time"] ; "late")]
-#[test_case(&[(0, asked("look")), (10, What::Stopped { limiter: 0 }), (3000, What::Woken { limiter: 0 }), (4000, answered(502))] => Vec::<String>::new() ; "its process stood still")]
-#[test_case(&[(0, asked("pay")), (1, came(0, 1)), (2, What::Left { attempt: 1 }), (3, came(1, 2)), (4, What::Ran { attempt: 2 }), (5, answered(200))] => vec!["no effect twice"] ; "single-use twice")]
-#[test_case(&[(0, asked("pay")), (1, came(0, 1)), (2, What::Left { attempt: 1 }), (3, answered(429))] => vec!["no effect twice"] ; "refused though it may have run")]
-#[test_case(&[(0, asked("pay")), (1, came(0, 1)), (2, What::TurnedAway { attempt: 1 }), (3, came(1, 2)), (4, What::Ran { attempt: 2 }), (5, answered(200))] => Vec::<String>::new() ; "turned away, then elsewhere")]
-#[test_case(&[(0, asked("look")), (1, came(0, 1)), (2, What::Left { attempt: 1 }), (3, came(1, 2)), (4, What::Ran { attempt: 2 }), (5, answered(200))] => Vec::<String>::new() ; "replayable again")]
-#[test_case(&[(0, asked("look")), (1, came(0, 1)), (2, came(1, 2)), (4, What::Ran { attempt: 2 }), (5, answered(200)), (400, What::Left { attempt: 1 })] => vec!["one attempt out at a time"] ; "two out")]
-#[test_case(&[(0, What::Cut { limiter: 0, worker: 0 }), (1, asked("look")), (2, came(0, 1)), (3, came(1, 2)), (4, What::Ran { attempt: 2 }), (5, answered(200)), (6, What::Healed { limiter: 0, worker: 0 }), (7, What::Left { attempt: 1 })] => Vec::<String>::new() ; "the cut hid its end")]
-#[test_case(&[(0, What::Cut { limiter: 0, worker: 1 }), (1, asked("look")), (2, came(0, 1)), (3, came(1, 2)), (4, What::Ran { attempt: 2 }), (5, answered(200)), (6, What::Healed { limiter: 0, worker: 1 }), (400, What::Left { attempt: 1 })] => vec!["one attempt out at a time"] ; "another way was cut")]
-#[test_case(&[(0, What::Told { limiter: 0, worker: 3 }), (3500, asked("look")), (3600, came(3, 1)), (3601, What::Ran { attempt: 1 }), (3602, answered(200))] => vec!["drains kept"] ; "past the grace")]
-#[test_case(&[(0, What::Told { limiter: 1, worker: 3 }), (3500, asked("look")), (3600, came(3, 1)), (3601, What::Ran { attempt: 1 }), (3602, answered(200))] => Vec::<String>::new() ; "another limiter was told")]
-fn each_rule_is_held(course: &[(u64, What)]) -> Vec<String> {
-    broken(course)
+/// Each rule has a sequence that violates it and one close to it that does not.
+#[test_case(&[(0, sent("pay")), (1, received(0, 1)), (2, Event::AttemptCompleted { attempt: 1 }), (3, answered(200))] => Vec::<String>::new() ; "no violation")]
+#[test_case(&[(0, sent("pay")), (900, unanswered(false))] => vec!["no request lost"] ; "lost")]
+#[test_case(&[(0, sent("pay")), (5, Event::LimiterKilled { limiter: 0 }), (9, unanswered(false))] => Vec::<String>::new() ; "limiter killed")]
+#[test_case(&[(0, Event::BurstStarted { limiter: 0 }), (1, sent("pay")), (9, unanswered(true))] => Vec::<String>::new() ; "new connection closed in a burst")]
+#[test_case(&[(0, Event::BurstStarted { limiter: 0 }), (1, sent("pay")), (9, unanswered(false))] => vec!["no request lost"] ; "kept connection closed in a burst")]
+#[test_case(&[(0, Event::LimiterTerminated { limiter: 0 }), (800, sent("pay")), (1500, Event::LimiterKilled { limiter: 0 }), (1501, unanswered(false))] => vec!["no request lost"] ; "sent late in a shutdown, lost at the kill")]
+#[test_case(&[(0, Event::LimiterTerminated { limiter: 0 }), (2600, sent("pay")), (2700, Event::LimiterKilled { limiter: 0 }), (2701, unanswered(false))] => Vec::<String>::new() ; "lost at a later kill, after a restart")]
+#[test_case(&[(0, Event::LimiterTerminated { limiter: 0 }), (600, sent("pay")), (1500, Event::LimiterKilled { limiter: 0 }), (1501, unanswered(false))] => Vec::<String>::new() ; "sent early in a shutdown, lost at the kill")]
+#[test_case(&[(0, sent("pay")), (5, Event::ClientDisconnected { id: "a".into() }), (600, received(0, 1)), (601, Event::AttemptAborted { attempt: 1 })] => vec!["no attempt after the client disconnected"] ; "attempt after the client disconnected")]
+#[test_case(&[(0, sent("pay")), (3, received(0, 1)), (5, Event::ClientDisconnected { id: "a".into() }), (60, Event::AttemptAborted { attempt: 1 })] => Vec::<String>::new() ; "attempt before the client disconnected")]
+#[test_case(&[(0, sent("pay")), (700, received_with_time(1000)), (701, Event::AttemptCompleted { attempt: 1 }), (702, answered(200))] => vec!["time advertised to servers"] ; "full time advertised late")]
+#[test_case(&[(0, sent("pay")), (700, received_with_time(320)), (701, Event::AttemptCompleted { attempt: 1 }), (702, answered(200))] => Vec::<String>::new() ; "remaining time advertised")]
+#[test_case(&[(0, sent("look")), (3, answered(200)), (4, answered(429))] => vec!["one final response"] ; "two responses")]
+#[test_case(&[(0, sent("look")), (4000, answered(200))] => vec!["response in time"] ; "late")]
+#[test_case(&[(0, sent("look")), (10, Event::LimiterSuspended { limiter: 0 }), (3000, Event::LimiterContinued { limiter: 0 }), (4000, answered(502))] => Vec::<String>::new() ; "limiter suspended")]
+#[test_case(&[(0, sent("pay")), (1, received(0, 1)), (2, Event::AttemptAborted { attempt: 1 }), (3, received(1, 2)), (4, Event::AttemptCompleted { attempt: 2 }), (5, answered(200))] => vec!["no duplicate effect"] ; "non-idempotent request retried")]
+#[test_case(&[(0, sent("pay")), (1, received(0, 1)), (2, Event::AttemptAborted { attempt: 1 }), (3, answered(429))] => vec!["no duplicate effect"] ; "rejected though it may have run")]
+#[test_case(&[(0, sent("pay")), (1, received(0, 1)), (2, Event::AttemptRejected { attempt: 1 }), (3, received(1, 2)), (4, Event::AttemptCompleted { attempt: 2 }), (5, answered(200))] => Vec::<String>::new() ; "rejected by one server, run by another")]
+#[test_case(&[(0, sent("look")), (1, received(0, 1)), (2, Event::AttemptAborted { attempt: 1 }), (3, received(1, 2)), (4, Event::AttemptCompleted { attempt: 2 }), (5, answered(200))] => Vec::<String>::new() ; "idempotent request retried")]
+#[test_case(&[(0, sent("look")), (1, received(0, 1)), (2, received(1, 2)), (4, Event::AttemptCompleted { attempt: 2 }), (5, answered(200)), (400, Event::AttemptAborted { attempt: 1 })] => vec!["one attempt at a time"] ; "two attempts at once")]
+#[test_case(&[(0, Event::LinkPartitioned { limiter: 0, server: 0 }), (1, sent("look")), (2, received(0, 1)), (3, received(1, 2)), (4, Event::AttemptCompleted { attempt: 2 }), (5, answered(200)), (6, Event::LinkHealed { limiter: 0, server: 0 }), (7, Event::AttemptAborted { attempt: 1 })] => Vec::<String>::new() ; "partition hides the end of an attempt")]
+#[test_case(&[(0, Event::LinkPartitioned { limiter: 0, server: 1 }), (1, sent("look")), (2, received(0, 1)), (3, received(1, 2)), (4, Event::AttemptCompleted { attempt: 2 }), (5, answered(200)), (6, Event::LinkHealed { limiter: 0, server: 1 }), (400, Event::AttemptAborted { attempt: 1 })] => vec!["one attempt at a time"] ; "another link partitioned")]
+#[test_case(&[(0, Event::DrainAnnounced { limiter: 0, server: 3 }), (3500, sent("look")), (3600, received(3, 1)), (3601, Event::AttemptCompleted { attempt: 1 }), (3602, answered(200))] => vec!["no attempt after a drain"] ; "after the grace")]
+#[test_case(&[(0, Event::DrainAnnounced { limiter: 1, server: 3 }), (3500, sent("look")), (3600, received(3, 1)), (3601, Event::AttemptCompleted { attempt: 1 }), (3602, answered(200))] => Vec::<String>::new() ; "announced to another limiter")]
+fn event_sequence_breaks_expected_rules(events: &[(u64, Event)]) -> Vec<String> {
+    violated_rules(events)
 }
 
-/// Three requests at once of a customer whose store holds two: one too many; spread over time there is none.
-#[test_case(0 => vec!["ceilings"] ; "at once")]
-#[test_case(1000 => Vec::<String>::new() ; "as it refills")]
-fn a_quota_is_held(apart: u64) -> Vec<String> {
-    let mut course = Vec::new();
+/// Three requests at once exceed a burst of two by one; spread over the refill they do not.
+#[test_case(0 => vec!["quota"] ; "at once")]
+#[test_case(1000 => Vec::<String>::new() ; "spread over the refill")]
+fn use_over_the_quota_is_a_violation(apart: u64) -> Vec<String> {
+    let mut events = Vec::new();
     for n in 0..3u64 {
         let (id, at) = (format!("j{n}"), n * apart);
-        let patience = ms(1000);
-        course.push((
+        let timeout = ms(1000);
+        events.push((
             at,
-            What::Asked {
+            Event::RequestSent {
                 id: id.clone(),
                 class: "look",
                 customer: 7,
                 limiter: 0,
-                patience,
+                timeout,
             },
         ));
-        course.push((
+        events.push((
             at + 1,
-            What::Came {
+            Event::AttemptReceived {
                 id: id.clone(),
-                worker: 0,
+                server: 0,
                 attempt: n,
-                told: None,
+                advertised_time: None,
             },
         ));
-        course.push((at + 2, What::Ran { attempt: n }));
-        course.push((
+        events.push((at + 2, Event::AttemptCompleted { attempt: n }));
+        events.push((
             at + 3,
-            What::Answered {
+            Event::ResponseReceived {
                 id,
                 status: 200,
-                again: false,
+                has_retry_after: false,
             },
         ));
     }
-    broken(&course)
+    violated_rules(&events)
 }
--- a/crates/merlinreel-testkit/src/client.rs
+++ b/crates/merlinreel-testkit/src/client.rs
@@ -1,80 +1,101 @@
 //! A client's connection to a limiter, and requests as clients write them.
 
-use crate::PATIENCE;
+use crate::TEST_TIMEOUT;
 use crate::http::{Message, ReadError, read};
 use std::io::{self, BufReader, Write};
 use std::net::{Shutdown, SocketAddr, TcpStream};
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::time::Duration;
 
-static TRIES: AtomicU32 = AtomicU32::new(0x9b1f_03aa);
+static NEXT_REQUEST_ID: AtomicU32 = AtomicU32::new(0x9b1f_03aa);
 
 /// A connection to a limiter.
 #[derive(Debug)]
 pub struct Client {
-    to: TcpStream,
-    from: BufReader<TcpStream>,
+    writer: TcpStream,
+    reader: BufReader<TcpStream>,
 }
 
 impl Client {
+    /// Connects within [`TEST_TIMEOUT`].
+    ///
+    /// # Errors
+    /// The connection is refused or times out.
     pub fn connect(address: SocketAddr) -> io::Result<Client> {
-        Client::connect_within(address, PATIENCE)
+        Client::connect_within(address, TEST_TIMEOUT)
     }
 
-    /// An error where the connection is not up within that time, as the other side's queue may be full.
-    pub fn connect_within(address: SocketAddr, span: Duration) -> io::Result<Client> {
-        let to = TcpStream::connect_timeout(&address, span)?;
-        to.set_read_timeout(Some(PATIENCE))?;
+    /// Connects within a time of its own.
+    ///
+    /// # Errors
+    /// The connection is refused or not established within that time, as where the listener's queue is full.
+    pub fn connect_within(address: SocketAddr, timeout: Duration) -> io::Result<Client> {
+        let writer = TcpStream::connect_timeout(&address, timeout)?;
+        writer.set_read_timeout(Some(TEST_TIMEOUT))?;
         Ok(Client {
-            from: BufReader::new(to.try_clone()?),
-            to,
+            reader: BufReader::new(writer.try_clone()?),
+            writer,
         })
     }
 
-    /// Waits so long at most for each further read.
-    pub fn wait_at_most(&self, span: Duration) -> io::Result<()> {
-        self.to.set_read_timeout(Some(span))
+    /// Bounds the time of each later read.
+    ///
+    /// # Errors
+    /// The timeout is zero, or the socket refuses it.
+    pub fn set_read_timeout(&self, timeout: Duration) -> io::Result<()> {
+        self.writer.set_read_timeout(Some(timeout))
     }
 
+    /// Sends text as it stands.
     pub fn send(&mut self, text: &str) {
-        // Where the other side has closed, the missing answer tells.
-        let _ = self.to.write_all(text.as_bytes());
+        // Where the other side has closed, the missing response shows it.
+        let _ = self.writer.write_all(text.as_bytes());
     }
 
-    /// A second handle, to write beside the reading.
+    /// A second handle, to write while this one reads.
+    ///
+    /// # Errors
+    /// The socket can't be duplicated.
     pub fn writer(&self) -> io::Result<TcpStream> {
-        self.to.try_clone()
+        self.writer.try_clone()
     }
 
-    /// None where the connection ends without an answer.
+    /// The next response; none where the connection ends without a complete one.
     pub fn receive(&mut self) -> Option<Message> {
         self.receive_or_error().ok().flatten()
     }
 
-    /// Tells an answer that broke off from none; `None` where the connection ended before one.
+    /// The next response; `None` where the connection ended before one began.
+    ///
+    /// # Errors
+    /// The response was truncated, malformed or did not arrive in time.
     pub fn receive_or_error(&mut self) -> Result<Option<Message>, ReadError> {
-        read(&mut self.from, 0)
+        read(&mut self.reader, 0)
     }
 
-    /// Sends nothing more; answers still come.
+    /// Shuts down the sending side; responses still arrive.
     pub fn finish_sending(&mut self) {
-        // Where the other side has closed already, there is nothing to end.
-        let _ = self.to.shutdown(Shutdown::Write);
+        // Where the other side has closed already, there is nothing to shut down.
+        let _ = self.writer.shutdown(Shutdown::Write);
     }
 
+    /// Sends text and reads one response.
     pub fn call(&mut self, text: &str) -> Option<Message> {
         self.send(text);
         self.receive()
     }
 
-    /// The answer to one request of that customer.
+    /// The response to one request of that customer.
+    ///
+    /// # Panics
+    /// There is no complete response.
     pub fn request(&mut self, class: &str, customer: u32, units: u32) -> Message {
         self.call(&request(class, customer, units, "3000m"))
             .expect("an answer")
     }
 }
 
-/// A request as clients send it, with an id of its own.
+/// A request as clients send it, with a unique id.
 pub fn request(class: &str, customer: u32, units: u32, remaining: &str) -> String {
     let (method, key, body) = match class {
         "look" => ("GET", "", ""),
@@ -85,7 +106,7 @@
         "{method} /{class}?key={customer:016x} HTTP/1.1\r\nHost: origin.svc\r\nX-Txn: {:08x}\r\n\
          X-Lane: {class}\r\nX-Plan: team\r\nX-Remaining: {remaining}\r\n{key}Content-Length: {}\r\n\
          X-Quota: units={units},spread=1,first=0\r\n\r\n{body}",
-        TRIES.fetch_add(1, Ordering::Relaxed),
+        NEXT_REQUEST_ID.fetch_add(1, Ordering::Relaxed),
         body.len()
     )
 }
--- a/crates/merlinreel-testkit/src/config.rs
+++ b/crates/merlinreel-testkit/src/config.rs
@@ -1,44 +1,49 @@
-//! Configurations, lists and addresses.
+//! Configurations of the program, discovery messages and free addresses.
 
 use serde_json::{Value, json};
 use std::net::{SocketAddr, TcpListener, UdpSocket};
 use std::sync::atomic::{AtomicU32, Ordering};
 
-/// Ports given out here, below those that the system takes for connections of its own.
-const FIRST: u32 = 10_240;
-const PORTS: u32 = 20_000;
-static NEXT: AtomicU32 = AtomicU32::new(0);
+/// First of the ports given out here, which lie below those that the system assigns to outgoing connections.
+const FIRST_PORT: u32 = 10_240;
+const PORT_COUNT: u32 = 20_000;
+static NEXT_PORT: AtomicU32 = AtomicU32::new(0);
 
-/// An address whose port was free a moment ago, for TCP and UDP. Guards a process that is killed and started again at
-/// the same address against a connection that the system gave its port meanwhile; other tests' processes begin
-/// elsewhere in the range.
+/// An address whose port was free for TCP and UDP a moment ago. A process can be restarted at it, as the system assigns
+/// its port to no connection; other tests' processes begin elsewhere in the range.
+///
+/// # Panics
+/// No port of the range is free.
 pub fn free_address() -> SocketAddr {
     let begin = std::process::id().wrapping_mul(7919);
-    let mut candidates = (0..PORTS).map(|_| {
-        let port = FIRST + begin.wrapping_add(NEXT.fetch_add(1, Ordering::Relaxed)) % PORTS;
+    let mut candidates = (0..PORT_COUNT).map(|_| {
+        let offset = begin.wrapping_add(NEXT_PORT.fetch_add(1, Ordering::Relaxed));
+        let port = FIRST_PORT + offset % PORT_COUNT;
         SocketAddr::from(([127, 0, 0, 1], port as u16))
     });
-    let free = |at: &SocketAddr| TcpListener::bind(at).is_ok() && UdpSocket::bind(at).is_ok();
-    candidates.find(free).expect("a free port")
+    let is_free = |address: &SocketAddr| {
+        TcpListener::bind(address).is_ok() && UdpSocket::bind(address).is_ok()
+    };
+    candidates.find(is_free).expect("a free port")
 }
 
-/// A server as discovery lists it.
-pub fn listed(name: &str, address: SocketAddr, state: &str) -> Value {
+/// A server as a discovery message lists it.
+pub fn instance(name: &str, address: SocketAddr, state: &str) -> Value {
     json!({"instanceId": name, "hostPort": address.to_string(), "zone": "a", "machineType": "m", "cell": 0,
         "lifecycle": state, "weight": 1.0, "startedAtMs": 0})
 }
 
-/// A message of discovery.
-pub fn server_list(generation: u64, whole: bool, servers: &[Value]) -> Value {
-    json!({"generation": generation, "reset": whole, "instances": servers})
+/// A discovery message; `complete` says that it lists all servers.
+pub fn discovery_message(generation: u64, complete: bool, instances: &[Value]) -> Value {
+    json!({"generation": generation, "reset": complete, "instances": instances})
 }
 
-/// A configuration: three classes, a plan that holds ten units and hardly refills, one limiter.
-pub fn config(servers: &[Value]) -> Value {
+/// A configuration: three classes, a plan with a burst of ten units and hardly any refill, one limiter.
+pub fn config(instances: &[Value]) -> Value {
     let listen = free_address();
-    // Nobody's: a free port might be the next test's server, which would be asked for lists.
+    // A free port might become the next test's server, which would then be polled: this port is never used.
     json!({"listen": listen.to_string(), "discovery": "127.0.0.1:9", "seed": "8c1f30d27a5be964",
-        "limits": {"memory_mb": 192, "sockets": 256}, "known": server_list(1, true, servers),
+        "limits": {"memory_mb": 192, "sockets": 256}, "known": discovery_message(1, true, instances),
         "settings": {"balancers": 1, "rank": 0, "zone": 0, "dcs": ["a"], "packages": [
                 {"name": "team", "unitsPerS": 0.1, "mostAtOnce": 10.0, "price": 1.0}],
             "classes": [
--- a/crates/merlinreel-testkit/src/http.rs
+++ b/crates/merlinreel-testkit/src/http.rs
@@ -1,24 +1,27 @@
-//! Messages of HTTP/1.1 as stand-ins and clients read them, in each framing: `Content-Length`, chunked, and ended by
-//! the connection's close. A message that breaks off is told apart from a whole one.
+//! Messages of HTTP/1.1 as stubs and clients read them, in each framing: `Content-Length`, chunked, and delimited by the
+//! connection's close. Truncated messages are distinguished from complete ones.
 
-use std::error::Error;
-use std::fmt;
 use std::io::{self, BufRead, ErrorKind, Read};
+use thiserror::Error;
 
 const STATUS_LINE: &str = "HTTP/";
 const HEXADECIMAL: u32 = 16;
 
-/// A request or an answer.
+/// A request or a response.
 #[derive(Clone, Debug)]
 pub struct Message {
+    /// The request line or the status line.
     pub first: String,
+    /// Names and values in the order of the message.
     pub headers: Vec<(String, String)>,
+    /// The body, with invalid UTF-8 replaced.
     pub body: String,
-    /// By which connection it came, counted from 0.
+    /// The number of the connection that it arrived on, from 0 on.
     pub connection: usize,
 }
 
 impl Message {
+    /// The first header of that name, whatever its case.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers
             .iter()
@@ -26,6 +29,7 @@
             .map(|(_, value)| value.as_str())
     }
 
+    /// The status code; 0 where the first line has none.
     pub fn status(&self) -> u16 {
         self.first
             .split(' ')
@@ -40,37 +44,15 @@
     }
 }
 
-/// Why there is no whole message.
-#[derive(Debug)]
+/// Why there is no complete message.
+#[derive(Debug, Error)]
 pub enum ReadError {
-    /// The connection ended within the message's body: what came of it.
+    /// The connection ended within the body of the message, which holds what was read of it.
+    #[error("`{}` was truncated after {} bytes of its body", .0.first, .0.body.len())]
     Incomplete(Message),
-    /// The connection failed otherwise, or what came is no message.
-    Io(io::Error),
-}
-
-impl fmt::Display for ReadError {
-    fn fmt(&self, out: &mut fmt::Formatter) -> fmt::Result {
-        match self {
-            ReadError::Incomplete(message) => {
-                write!(
-                    out,
-                    "`{}` broke off after {} bytes of its body",
-                    message.first,
-                    message.body.len()
-                )
-            }
-            ReadError::Io(error) => error.fmt(out),
-        }
-    }
-}
-
-impl Error for ReadError {}
-
-impl From<io::Error> for ReadError {
-    fn from(error: io::Error) -> ReadError {
-        ReadError::Io(error)
-    }
+    /// The connection failed otherwise, or the message is malformed.
+    #[error(transparent)]
+    Io(#[from] io::Error),
 }
 
 impl From<ReadError> for io::Error {
@@ -110,7 +92,7 @@
         }
     }
 
-    /// Reads the body; what came before an error is in `body`.
+    /// Reads the body; what was read before an error is in `body`.
     fn read_body(self, from: &mut impl BufRead, body: &mut Vec<u8>) -> io::Result<()> {
         match self {
             Framing::Length(length) => read_exactly(from, length, body),
@@ -120,12 +102,12 @@
     }
 }
 
-/// One message, none at the connection's end.
+/// The next message; none at the end of the connection.
 pub fn read(from: &mut impl BufRead, connection: usize) -> Result<Option<Message>, ReadError> {
     if from.fill_buf()?.is_empty() {
         return Ok(None);
     }
-    let first = read_whole_line(from)?;
+    let first = read_line(from)?;
     let headers = read_headers(from)?;
     let mut message = Message {
         first,
@@ -146,7 +128,7 @@
 fn read_headers(from: &mut impl BufRead) -> io::Result<Vec<(String, String)>> {
     let mut headers = Vec::new();
     loop {
-        let line = read_whole_line(from)?;
+        let line = read_line(from)?;
         if line.is_empty() {
             return Ok(headers);
         }
@@ -155,7 +137,7 @@
     }
 }
 
-/// An orderly end or a reset; not a wait that was too long.
+/// An orderly end or a reset, but no timeout.
 fn is_end_of_connection(error: &io::Error) -> bool {
     matches!(
         error.kind(),
@@ -164,8 +146,8 @@
 }
 
 fn read_exactly(from: &mut impl BufRead, length: u64, body: &mut Vec<u8>) -> io::Result<()> {
-    let came = from.by_ref().take(length).read_to_end(body)?;
-    if came as u64 == length {
+    let read = from.by_ref().take(length).read_to_end(body)?;
+    if read as u64 == length {
         Ok(())
     } else {
         Err(ErrorKind::UnexpectedEof.into())
@@ -174,7 +156,7 @@
 
 fn read_chunks(from: &mut impl BufRead, body: &mut Vec<u8>) -> io::Result<()> {
     loop {
-        let line = read_whole_line(from)?;
+        let line = read_line(from)?;
         let digits = line.split(';').next().unwrap_or_default();
         let size =
             u64::from_str_radix(digits, HEXADECIMAL).map_err(|_| malformed("a chunk's size"))?;
@@ -182,17 +164,17 @@
             break;
         }
         read_exactly(from, size, body)?;
-        if !read_whole_line(from)?.is_empty() {
+        if !read_line(from)?.is_empty() {
             return Err(malformed("a chunk's end"));
         }
     }
     // Trailers, up to the empty line.
-    while !read_whole_line(from)?.is_empty() {}
+    while !read_line(from)?.is_empty() {}
     Ok(())
 }
 
-/// A line without its CRLF; one that the connection's end cuts is an error.
-fn read_whole_line(from: &mut impl BufRead) -> io::Result<String> {
+/// A line without its CRLF; one that is truncated by the end of the connection is an error.
+fn read_line(from: &mut impl BufRead) -> io::Result<String> {
     let mut line = String::new();
     from.read_line(&mut line)?;
     match line.strip_suffix("\r\n") {
--- a/crates/merlinreel-testkit/src/http/tests.rs
+++ b/crates/merlinreel-testkit/src/http/tests.rs
@@ -3,53 +3,56 @@
 use test_case::test_case;
 
 const CHUNKED: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-const TOLD: &str = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\n";
+const CONTENT_LENGTH: &str = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\n";
 const UNTIL_CLOSE: &str = "HTTP/1.1 200 OK\r\n\r\n";
 
-/// What a connection brings, and the error that ends it.
+/// The bytes of a connection, and the error that ends it.
 struct Connection {
-    brings: &'static [u8],
+    bytes: &'static [u8],
     ends: Option<ErrorKind>,
 }
 
 impl Read for Connection {
     fn read(&mut self, into: &mut [u8]) -> io::Result<usize> {
         match self.ends {
-            Some(kind) if self.brings.is_empty() => Err(kind.into()),
-            _ => self.brings.read(into),
+            Some(kind) if self.bytes.is_empty() => Err(kind.into()),
+            _ => self.bytes.read(into),
         }
     }
 }
 
 fn message(texts: [&str; 2], ends: Option<ErrorKind>) -> Result<Option<Message>, ReadError> {
-    let brings = texts.concat().leak().as_bytes();
-    read(&mut BufReader::new(Connection { brings, ends }), 0)
+    let bytes = texts.concat().leak().as_bytes();
+    read(&mut BufReader::new(Connection { bytes, ends }), 0)
 }
 
-#[test_case(TOLD, "done" => "done" ; "length told")]
-#[test_case(CHUNKED, "0\r\n\r\n" => "" ; "no chunk but the last")]
+#[test_case(CONTENT_LENGTH, "done" => "done" ; "content length")]
+#[test_case(CHUNKED, "0\r\n\r\n" => "" ; "only the last chunk")]
 #[test_case(CHUNKED, "2\r\ndo\r\n2\r\nne\r\n0\r\n\r\n" => "done" ; "chunks")]
 #[test_case(CHUNKED, "0a;kind=x\r\n0123456789\r\n0\r\nX-Kind: blue\r\n\r\n" => "0123456789" ; "extensions and trailers")]
 #[test_case(CHUNKED, "4\r\n\r\n\r\n\r\n0\r\n\r\n" => "\r\n\r\n" ; "line ends in a chunk")]
 #[test_case(UNTIL_CLOSE, "done" => "done" ; "ended by the close")]
 #[test_case("HTTP/1.1 204 No Content\r\n\r\n", "next" => "" ; "no body by its status")]
 #[test_case("GET / HTTP/1.1\r\nHost: svc\r\n\r\n", "next" => "" ; "a request without a body")]
-fn whole_messages(head: &str, body: &str) -> String {
+fn complete_message_has_its_body(head: &str, body: &str) -> String {
     message([head, body], None)
-        .expect("whole")
+        .expect("complete")
         .expect("a message")
         .body
 }
 
-#[test_case(TOLD, "" => "" ; "length told, head only")]
-#[test_case(TOLD, "don" => "don" ; "length told, all but the last byte")]
+#[test_case(CONTENT_LENGTH, "" => "" ; "content length, head only")]
+#[test_case(CONTENT_LENGTH, "don" => "don" ; "content length, all but the last byte")]
 #[test_case(CHUNKED, "" => "" ; "chunked, head only")]
 #[test_case(CHUNKED, "1" => "" ; "within a size")]
 #[test_case(CHUNKED, "4\r\ndo" => "do" ; "within a chunk")]
 #[test_case(CHUNKED, "4\r\ndone" => "done" ; "before a chunk's end")]
 #[test_case(CHUNKED, "4\r\ndone\r\n" => "done" ; "between chunks")]
 #[test_case(CHUNKED, "4\r\ndone\r\n0\r\n" => "done" ; "within the last chunk")]
-fn broken_off_by_either_end(head: &str, body: &str) -> String {
+fn truncated_message_is_incomplete_whichever_way_the_connection_ends(
+    head: &str,
+    body: &str,
+) -> String {
     let [orderly, reset] =
         [None, Some(ErrorKind::ConnectionReset)].map(|ends| match message([head, body], ends) {
             Err(ReadError::Incomplete(message)) => message.body,
@@ -60,7 +63,7 @@
 }
 
 #[test]
-fn a_reset_is_no_end_of_an_answer_ended_by_the_close() {
+fn reset_is_no_end_of_a_response_delimited_by_the_close() {
     match message([UNTIL_CLOSE, "do"], Some(ErrorKind::ConnectionReset)) {
         Err(ReadError::Incomplete(message)) => {
             assert_eq!((message.status(), message.body.as_str()), (200, "do"))
@@ -69,14 +72,18 @@
     }
 }
 
-#[test_case("HTTP/1.1 200 OK\r\n", "" , None => ErrorKind::UnexpectedEof ; "a head that breaks off between lines")]
-#[test_case("HTTP/1.1 200 OK\r\n", "Content-Len", None => ErrorKind::UnexpectedEof ; "a head that breaks off in a line")]
+#[test_case("HTTP/1.1 200 OK\r\n", "" , None => ErrorKind::UnexpectedEof ; "a head truncated between lines")]
+#[test_case("HTTP/1.1 200 OK\r\n", "Content-Len", None => ErrorKind::UnexpectedEof ; "a head truncated in a line")]
 #[test_case("HTTP/1.1 200 OK\r\n", "noise\r\n\r\n", None => ErrorKind::InvalidData ; "a line that is no header")]
 #[test_case(CHUNKED, "x\r\n", None => ErrorKind::InvalidData ; "no size")]
 #[test_case(CHUNKED, "2\r\ndone\r\n", None => ErrorKind::InvalidData ; "a chunk longer than its size")]
-#[test_case(TOLD, "do", Some(ErrorKind::WouldBlock) => ErrorKind::WouldBlock ; "a wait that was too long")]
+#[test_case(CONTENT_LENGTH, "do", Some(ErrorKind::WouldBlock) => ErrorKind::WouldBlock ; "a wait that was too long")]
 #[test_case(UNTIL_CLOSE, "do", Some(ErrorKind::WouldBlock) => ErrorKind::WouldBlock ; "waiting for the close")]
-fn no_message_and_no_end(head: &str, body: &str, ends: Option<ErrorKind>) -> ErrorKind {
+fn malformed_message_or_timeout_is_an_io_error(
+    head: &str,
+    body: &str,
+    ends: Option<ErrorKind>,
+) -> ErrorKind {
     match message([head, body], ends) {
         Err(ReadError::Io(error)) => error.kind(),
         other => panic!("{other:?}"),
@@ -84,7 +91,7 @@
 }
 
 #[test]
-fn headers_without_a_value_or_a_space() {
+fn header_without_a_value_or_a_space_is_read() {
     let message = message(
         [
             "HTTP/1.1 200 OK\r\nX-Empty:\r\nX-Kind:blue\r\nContent-Length: 0\r\n\r\n",
@@ -92,7 +99,7 @@
         ],
         None,
     );
-    let message = message.expect("whole").expect("a message");
+    let message = message.expect("complete").expect("a message");
     assert_eq!(
         (message.header("x-empty"), message.header("x-kind")),
         (Some(""), Some("blue"))
@@ -100,6 +107,6 @@
 }
 
 #[test]
-fn nothing_before_the_connection_s_end() {
+fn ended_connection_has_no_message() {
     assert!(matches!(message(["", ""], None), Ok(None)));
 }
--- a/crates/merlinreel-testkit/src/lib.rs
+++ b/crates/merlinreel-testkit/src/lib.rs
@@ -1,43 +1,46 @@
-//! A test bed of several real processes of the program on loopback, with faults between them. For tests and measured
-//! campaigns only: the program never depends on it.
+//! A test kit that runs several real processes of the program on loopback and injects faults between them. For tests
+//! and measured fault campaigns only: the program never depends on it.
 //!
-//! Stand-ins written from the published protocol ([`Worker`], [`Agent`], [`Client`]) tell a [`Record`] what they saw; each
-//! way between two processes may lie over a [`link`], which loses, delays, jitters, repeats, cuts, throttles or trickles
-//! what passes; processes are killed, stopped, woken and started again ([`Program`]). Faults come from a [`Script`], the
-//! same for the same seed. [`check`] holds the record against the five rules. Verdicts are invariants with bounds: none
-//! turns on how quick the machine is.
+//! Stubs written from the published protocol ([`StubServer`], [`StubDiscovery`], [`Client`]) record what they observe in
+//! an [`EventLog`]. Each path between two processes may lead through a [`link`], which loses, delays, jitters,
+//! duplicates, partitions, throttles or trickles the traffic. Processes are killed, suspended, continued and restarted
+//! ([`Program`]). Faults come from a [`FaultPlan`], which is the same for the same seed. [`find_violations`] checks the
+//! log against the five rules of the protocol. Verdicts are invariants with tolerances: none depends on the speed of the
+//! machine.
 
-mod agent;
-mod asking;
 mod checker;
 mod client;
+mod cluster;
 mod config;
-mod field;
+mod event_log;
+mod fault_plan;
 mod http;
 pub mod link;
+mod load_client;
 mod process;
-mod record;
 pub mod scale;
-mod script;
-mod standin;
-mod worker;
+mod scripted_server;
+mod stub_discovery;
+mod stub_server;
 
-pub use agent::{Agent, Standing};
-pub use asking::{Asking, Manner};
-pub use checker::{Bounds, Broken, check};
+pub use checker::{QuotaBound, Tolerances, Violation, find_violations};
 pub use client::{Client, request};
-pub use config::{config, free_address, listed, server_list};
-pub use field::Field;
+pub use cluster::Cluster;
+pub use config::{config, discovery_message, free_address, instance};
+pub use event_log::{Event, EventLog, LogEntry, RequestId};
+pub use fault_plan::{Fault, FaultPlan, PlannedFault};
 pub use http::{Message, ReadError};
-pub use process::Program;
-pub use record::{Entry, Record, RequestId, What};
-pub use script::{Deed, Script};
-pub use standin::{
-    BreakOff, BreakWhen, ConnectionEnd, React, StandIn, Trickle, answer, discovery, fine, holding,
+pub use load_client::{LoadClient, RequestPattern};
+pub use merlinreel_policy::EndpointState;
+pub use process::{ExitReport, Program};
+pub use scripted_server::{
+    CloseTiming, ConnectionEnd, Reaction, ScriptedServer, Trickle, TruncatedResponse, discovery,
+    holding_server, ok_response, response,
 };
-pub use worker::{Worker, WorkerKind};
+pub use stub_discovery::StubDiscovery;
+pub use stub_server::{StubServer, StubServerConfig};
 
 use std::time::Duration;
 
-/// Long enough for anything; no verdict measures by it.
-pub const PATIENCE: Duration = Duration::from_secs(20);
+/// Upper bound of every wait for something that must happen; no verdict is measured by it.
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
--- a/crates/merlinreel-testkit/src/link.rs
+++ b/crates/merlinreel-testkit/src/link.rs
@@ -1,4 +1,4 @@
-//! The way between two processes: what passes fares as the weather says, which may change at any time.
+//! The path between two processes: traffic passes under network conditions that may change at any time.
 
 mod tcp;
 mod udp;
@@ -11,73 +11,90 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-/// How one direction of a link fares. Fair by default.
+/// How much later than others a reordered datagram arrives.
+const REORDER_DELAY: Duration = Duration::from_millis(20);
+/// How much later than the first copy a duplicate arrives.
+const DUPLICATE_DELAY: Duration = Duration::from_millis(7);
+
+/// The conditions of one direction of a link. By default everything passes at once.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Weather {
-    /// Nothing passes; connections stay open and silent, new ones come up and say nothing.
-    pub cut: bool,
-    /// In a hundred datagrams so many are lost, come twice, or come behind later ones.
-    pub lose: u32,
-    pub repeat: u32,
-    pub reorder: u32,
-    /// What passes is so late, and up to so much more.
+pub struct NetworkConditions {
+    /// Nothing passes: open connections stay open and silent, new ones are accepted and stay silent.
+    pub partitioned: bool,
+    /// Share of datagrams that are lost, in percent.
+    pub loss_percent: u32,
+    /// Share of datagrams that arrive twice, in percent.
+    pub duplicate_percent: u32,
+    /// Share of datagrams that arrive behind later ones, in percent.
+    pub reorder_percent: u32,
+    /// The least delay.
     pub delay: Duration,
+    /// The most that is added to the delay, drawn each time.
     pub jitter: Duration,
-    /// Bytes a second of a connection, where that is bounded; pieces of so many bytes, where it trickles.
-    pub bytes_a_second: Option<u32>,
-    pub piece: Option<usize>,
+    /// The throughput of a connection in bytes per second, where it is limited.
+    pub bytes_per_second: Option<u32>,
+    /// The most bytes of a connection that pass at a time, where it is limited.
+    pub chunk_bytes: Option<usize>,
+}
+
+#[derive(Debug)]
+struct DirectionState {
+    conditions: NetworkConditions,
+    random: ChaCha8Rng,
 }
 
-/// Weather that its holders share, with the direction's own chance.
+/// One direction of a link; clones share its conditions and its random draws.
 #[derive(Clone, Debug)]
-pub struct Sky {
-    held: Arc<Mutex<(Weather, ChaCha8Rng)>>,
+pub struct LinkDirection {
+    state: Arc<Mutex<DirectionState>>,
 }
 
-impl Sky {
-    pub fn new(seed: u64) -> Sky {
-        Sky {
-            held: Arc::new(Mutex::new((
-                Weather::default(),
-                ChaCha8Rng::seed_from_u64(seed),
-            ))),
+impl LinkDirection {
+    /// A direction under default conditions that draws from the seed.
+    pub fn new(seed: u64) -> LinkDirection {
+        LinkDirection {
+            state: Arc::new(Mutex::new(DirectionState {
+                conditions: NetworkConditions::default(),
+                random: ChaCha8Rng::seed_from_u64(seed),
+            })),
         }
     }
 
-    fn lock(&self) -> MutexGuard<'_, (Weather, ChaCha8Rng)> {
-        self.held.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, DirectionState> {
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    pub fn set(&self, weather: Weather) {
-        self.lock().0 = weather;
+    /// Changes the conditions, also for open connections.
+    pub fn set(&self, conditions: NetworkConditions) {
+        self.lock().conditions = conditions;
     }
 
-    pub fn weather(&self) -> Weather {
-        self.lock().0
+    /// The present conditions.
+    pub fn conditions(&self) -> NetworkConditions {
+        self.lock().conditions
     }
 
-    /// How late the next thing that passes is.
-    fn late(&self) -> Duration {
-        let (weather, chance) = &mut *self.lock();
-        weather.delay + weather.jitter.mul_f64(chance.random_range(0.0..1.0))
+    /// Draws the delay of what passes next.
+    fn draw_delay(&self) -> Duration {
+        let DirectionState { conditions, random } = &mut *self.lock();
+        conditions.delay + conditions.jitter.mul_f64(random.random_range(0.0..1.0))
     }
 
-    /// The fates of a datagram: how late each of its copies comes; none if it is lost.
-    fn fates(&self) -> Vec<Duration> {
-        let late = self.late();
-        let (weather, chance) = &mut *self.lock();
-        let mut falls = |percent: u32| chance.random_range(0..100) < percent;
-        if weather.cut || falls(weather.lose) {
+    /// Draws the delay of each copy of a datagram; none where it is lost.
+    fn draw_copies(&self) -> Vec<Duration> {
+        let delay = self.draw_delay();
+        let DirectionState { conditions, random } = &mut *self.lock();
+        let mut draw = |percent: u32| random.random_range(0..100) < percent;
+        if conditions.partitioned || draw(conditions.loss_percent) {
             return Vec::new();
         }
-        // Behind what comes in the next moments.
-        let first = if falls(weather.reorder) {
-            late + Duration::from_millis(20)
+        let first = if draw(conditions.reorder_percent) {
+            delay + REORDER_DELAY
         } else {
-            late
+            delay
         };
-        let again = falls(weather.repeat).then(|| first + Duration::from_millis(7));
-        [first].into_iter().chain(again).collect()
+        let duplicate = draw(conditions.duplicate_percent).then(|| first + DUPLICATE_DELAY);
+        [first].into_iter().chain(duplicate).collect()
     }
 }
 
--- a/crates/merlinreel-testkit/src/link/tests.rs
+++ b/crates/merlinreel-testkit/src/link/tests.rs
@@ -1,29 +1,31 @@
 use super::*;
 use test_case::test_case;
 
-#[test_case(Weather::default(), 1 => 1000 ; "fair")]
-#[test_case(Weather { cut: true, ..Weather::default() }, 1 => 0 ; "cut")]
-#[test_case(Weather { lose: 100, ..Weather::default() }, 1 => 0 ; "all lost")]
-#[test_case(Weather { repeat: 100, ..Weather::default() }, 1 => 2000 ; "all twice")]
-fn datagrams_fare_as_the_weather_says(weather: Weather, seed: u64) -> usize {
-    let sky = Sky::new(seed);
-    sky.set(weather);
-    (0..1000).map(|_| sky.fates().len()).sum()
+#[test_case(NetworkConditions::default(), 1 => 1000 ; "default")]
+#[test_case(NetworkConditions { partitioned: true, ..NetworkConditions::default() }, 1 => 0 ; "partitioned")]
+#[test_case(NetworkConditions { loss_percent: 100, ..NetworkConditions::default() }, 1 => 0 ; "all lost")]
+#[test_case(NetworkConditions { duplicate_percent: 100, ..NetworkConditions::default() }, 1 => 2000 ; "all duplicated")]
+fn datagrams_arrive_as_the_conditions_say(conditions: NetworkConditions, seed: u64) -> usize {
+    let direction = LinkDirection::new(seed);
+    direction.set(conditions);
+    (0..1000).map(|_| direction.draw_copies().len()).sum()
 }
 
-/// The same seed, the same fates: a run can be played again.
+/// A run can be repeated exactly.
 #[test]
-fn chance_is_the_seed_s() {
+fn same_seed_draws_the_same_copies() {
     let play = |seed| {
-        let sky = Sky::new(seed);
-        sky.set(Weather {
-            lose: 30,
-            repeat: 10,
-            reorder: 10,
+        let direction = LinkDirection::new(seed);
+        direction.set(NetworkConditions {
+            loss_percent: 30,
+            duplicate_percent: 10,
+            reorder_percent: 10,
             jitter: Duration::from_millis(9),
-            ..Weather::default()
+            ..NetworkConditions::default()
         });
-        (0..200).map(|_| sky.fates()).collect::<Vec<_>>()
+        (0..200)
+            .map(|_| direction.draw_copies())
+            .collect::<Vec<_>>()
     };
     assert!(play(4) == play(4) && play(4) != play(5));
 }
--- a/crates/merlinreel-testkit/src/link/udp.rs
+++ b/crates/merlinreel-testkit/src/link/udp.rs
@@ -1,54 +1,70 @@
-//! Datagrams between two processes, which know one another by the link's two addresses.
+//! A link for datagrams between two processes.
 
-use super::Sky;
+use super::LinkDirection;
 use std::collections::BTreeMap;
 use std::net::{SocketAddr, UdpSocket};
 use std::sync::Arc;
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Both ways between `one` and `other`. Each sees the other at an address of the link's own, and its datagrams come
-/// from there, so that a process which knows its peers by their addresses knows this one.
+/// Makes the seeds of the two directions differ.
+const REVERSE_SEED_MASK: u64 = 0xb4c4;
+const MAX_DATAGRAM_BYTES: usize = 65536;
+
+/// Relays datagrams between a first and a second process. Each sees the other at an address of the link, and datagrams
+/// arrive from there, so that a process which knows its peers by their addresses recognizes the other.
 #[derive(Debug)]
 pub struct UdpLink {
-    /// Where `one` finds the other, and `other` finds the one.
-    pub for_one: SocketAddr,
-    pub for_other: SocketAddr,
-    /// From one to the other, and back.
-    pub there: Sky,
-    pub back: Sky,
+    /// Where the first process reaches the second.
+    pub address_for_first: SocketAddr,
+    /// Where the second process reaches the first.
+    pub address_for_second: SocketAddr,
+    /// From the first to the second.
+    pub forward: LinkDirection,
+    /// From the second to the first.
+    pub reverse: LinkDirection,
 }
 
 impl UdpLink {
-    pub fn between(one: SocketAddr, other: SocketAddr, seed: u64) -> UdpLink {
-        let socket = || Arc::new(UdpSocket::bind("127.0.0.1:0").expect("a free port"));
-        let (near_one, near_other) = (socket(), socket());
-        let at = |socket: &UdpSocket| socket.local_addr().expect("bound");
-        let (for_one, for_other) = (at(&near_one), at(&near_other));
-        let (there, back) = (Sky::new(seed), Sky::new(seed ^ 0xb4c4));
-        pass(near_one.clone(), near_other.clone(), other, there.clone());
-        pass(near_other, near_one, one, back.clone());
-        UdpLink {
-            for_one,
-            for_other,
-            there,
-            back,
-        }
+    /// Starts a link between two addresses.
+    ///
+    /// # Panics
+    /// There is no free port.
+    pub fn between(first: SocketAddr, second: SocketAddr, seed: u64) -> UdpLink {
+        let bind = || Arc::new(UdpSocket::bind("127.0.0.1:0").expect("a free port"));
+        let address = |socket: &UdpSocket| socket.local_addr().expect("bound");
+        let first_side = bind();
+        let second_side = bind();
+        let link = UdpLink {
+            address_for_first: address(&first_side),
+            address_for_second: address(&second_side),
+            forward: LinkDirection::new(seed),
+            reverse: LinkDirection::new(seed ^ REVERSE_SEED_MASK),
+        };
+        relay(
+            first_side.clone(),
+            second_side.clone(),
+            second,
+            link.forward.clone(),
+        );
+        relay(second_side, first_side, first, link.reverse.clone());
+        link
     }
 }
 
-/// What comes at one socket leaves from the other, in a thread that lives as long as the test's process.
-fn pass(from: Arc<UdpSocket>, to: Arc<UdpSocket>, target: SocketAddr, sky: Sky) {
+/// Relays what arrives at one socket through the other, in a thread that lives as long as the test's process.
+fn relay(from: Arc<UdpSocket>, to: Arc<UdpSocket>, target: SocketAddr, direction: LinkDirection) {
     thread::spawn(move || {
-        let mut buffer = [0; 65536];
-        let mut due: BTreeMap<(Instant, u64), Vec<u8>> = BTreeMap::new();
+        let mut buffer = [0; MAX_DATAGRAM_BYTES];
+        // The number keeps datagrams of one moment in order.
+        let mut pending: BTreeMap<(Instant, u64), Vec<u8>> = BTreeMap::new();
         let mut number = 0;
         loop {
             let now = Instant::now();
-            while let Some(entry) = due.first_entry().filter(|entry| entry.key().0 <= now) {
+            while let Some(entry) = pending.first_entry().filter(|entry| entry.key().0 <= now) {
                 let _ = to.send_to(&entry.remove(), target);
             }
-            let wait = due
+            let wait = pending
                 .keys()
                 .next()
                 .map_or(Duration::from_secs(1), |(at, _)| *at - now);
@@ -56,9 +72,10 @@
             let Ok((length, _)) = from.recv_from(&mut buffer) else {
                 continue;
             };
-            for late in sky.fates() {
+            for delay in direction.draw_copies() {
                 number += 1;
-                due.insert((Instant::now() + late, number), buffer[..length].to_vec());
+                let datagram = buffer[..length].to_vec();
+                pending.insert((Instant::now() + delay, number), datagram);
             }
         }
     });
--- a/crates/merlinreel-testkit/src/scale.rs
+++ b/crates/merlinreel-testkit/src/scale.rs
@@ -1,29 +1,32 @@
-//! Scale measurements: the real control code of many limiters in one process, over an in-memory network on a test's
-//! clock, without client traffic. Each module measures one role; `bin/scale.rs` runs them and writes [`Figure`]s.
+//! Scale measurements: the real control code of many limiters in one process, over an in-memory network on a simulated
+//! clock, without client traffic. Each module measures one role; `bin/scale.rs` runs them and writes [`DataPoint`]s.
 //!
-//! Everything is drawn from a seed, so that counts (bytes, messages, rounds) are the same each run. Times and memory are
-//! of the machine that ran it.
+//! Everything is drawn from a seed, so that counts (bytes, messages, event batches) are the same each run. Times and
+//! memory depend on the machine.
 
 mod catalogue;
 pub mod configuration;
+mod data_point;
 mod error;
-mod figure;
 mod fit;
 pub mod latency;
 pub mod membership;
 mod meter;
 mod network;
+mod proc_file;
 pub mod quotas;
+mod report;
 mod request;
 pub mod server_list;
-mod sheet;
+mod simulated;
 pub mod tenants;
 
-pub use catalogue::{Emit, Measurement, chosen, measurements};
+pub use catalogue::{Emit, Measurement, measurements, select};
+pub use data_point::{DataPoint, Source, Unit};
 pub use error::ScaleError;
-pub use figure::{Figure, Source, Unit};
 pub use fit::{PowerLaw, SlopeError, check_slope};
-pub use meter::{Meter, Used};
-pub use network::{Delivery, Network, Traffic, Ways};
+pub use meter::{Meter, Usage};
+pub use network::{Datagram, LinkConditions, Network, Traffic};
+pub use report::{MeasuredSize, Report};
 pub use request::MeasureRequest;
-pub use sheet::Sheet;
+pub use simulated::InvalidSettings;
--- a/crates/merlinreel-testkit/src/scale/catalogue.rs
+++ b/crates/merlinreel-testkit/src/scale/catalogue.rs
@@ -1,17 +1,20 @@
 //! All measurements by the name of their role and variable, each with the sizes that it is made at by default.
 
-use super::{Figure, MeasureRequest, ScaleError};
+use super::{DataPoint, MeasureRequest, ScaleError};
 use super::{configuration, latency, membership, quotas, server_list, tenants};
 
-/// Where figures go as they are measured.
-pub type Emit<'a> = &'a mut dyn FnMut(Figure) -> Result<(), ScaleError>;
+/// Receives data points as they are measured.
+pub type Emit<'a> = &'a mut dyn FnMut(DataPoint) -> Result<(), ScaleError>;
 
-/// One variable of one role.
+/// The measurement of a role by one variable.
 pub struct Measurement {
+    /// The part of the program that is measured.
     pub role: &'static str,
+    /// What is varied.
     pub variable: &'static str,
-    /// In ascending order.
+    /// The default sizes, in ascending order.
     pub sizes: &'static [u64],
+    /// Measures at the sizes of a request.
     pub run: fn(&MeasureRequest, Emit) -> Result<(), ScaleError>,
 }
 
@@ -29,7 +32,7 @@
     };
 }
 
-/// Every measurement, in the order in which a run of all makes them: the one that wants a quiet machine first.
+/// All measurements, in the order in which a run of all makes them: the one that is sensitive to other load first.
 pub fn measurements() -> Vec<Measurement> {
     vec![
         measurement!(
@@ -47,8 +50,8 @@
         measurement!(
             "request_path",
             "answer",
-            latency::ANSWER_SIZES,
-            latency::measure_answers
+            latency::RESPONSE_SIZES,
+            latency::measure_response_sizes
         ),
         measurement!(
             "server_list",
@@ -59,7 +62,7 @@
         measurement!(
             "server_list",
             "restarts",
-            server_list::LIMITERS_RESTARTING_SIZES,
+            server_list::RESTARTING_LIMITER_SIZES,
             |request, emit| {
                 server_list::measure_limiters_restarting(request, SERVERS_AT_RESTARTS, emit)
             }
@@ -116,8 +119,8 @@
         measurement!(
             "quotas",
             "pressed",
-            quotas::PRESSED_SIZES,
-            quotas::measure_pressed
+            quotas::OVERLOADED_SIZES,
+            quotas::measure_overloaded
         ),
         measurement!(
             "quotas",
@@ -146,13 +149,13 @@
         measurement!(
             "membership",
             "changes",
-            membership::CHANGES_SIZES,
+            membership::CHANGE_SIZES,
             membership::measure_changes
         ),
         measurement!(
             "membership",
             "restarts",
-            membership::RESTARTS_SIZES,
+            membership::RESTART_SIZES,
             membership::measure_restarts
         ),
         measurement!(
@@ -164,15 +167,18 @@
     ]
 }
 
-/// Those of a role, and of a variable where one is named.
-pub fn chosen(role: Option<&str>, variable: Option<&str>) -> Result<Vec<Measurement>, ScaleError> {
-    let wanted = |one: &Measurement| {
+/// The measurements of a role and of a variable, where they are given.
+///
+/// # Errors
+/// There is none.
+pub fn select(role: Option<&str>, variable: Option<&str>) -> Result<Vec<Measurement>, ScaleError> {
+    let matches = |one: &Measurement| {
         role.is_none_or(|role| role == one.role)
             && variable.is_none_or(|variable| variable == one.variable)
     };
-    let chosen: Vec<Measurement> = measurements().into_iter().filter(wanted).collect();
-    if !chosen.is_empty() {
-        return Ok(chosen);
+    let selected: Vec<Measurement> = measurements().into_iter().filter(matches).collect();
+    if !selected.is_empty() {
+        return Ok(selected);
     }
     let given = [role, variable]
         .into_iter()
--- a/crates/merlinreel-testkit/src/scale/catalogue/tests.rs
+++ b/crates/merlinreel-testkit/src/scale/catalogue/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn every_measurement_has_sizes_that_may_be_asked_for_and_a_name_of_its_own() {
+fn every_measurement_has_valid_sizes_and_a_unique_name() {
     let mut names = Vec::new();
     for one in measurements() {
         assert!(one.sizes.len() >= 4, "{} {}", one.role, one.variable);
@@ -15,16 +15,16 @@
 }
 
 #[test]
-fn a_measurement_that_is_not_there_is_refused() {
+fn unknown_measurement_is_rejected() {
     assert_eq!(
-        chosen(Some("quotas"), Some("limiters"))
-            .map(|chosen| chosen.len())
+        select(Some("quotas"), Some("limiters"))
+            .map(|selected| selected.len())
             .ok(),
         Some(1)
     );
-    assert!(chosen(Some("quotas"), None).is_ok_and(|chosen| chosen.len() > 1));
+    assert!(select(Some("quotas"), None).is_ok_and(|selected| selected.len() > 1));
     assert!(matches!(
-        chosen(Some("quota"), None),
+        select(Some("quota"), None),
         Err(ScaleError::Argument { option: "role", .. })
     ));
 }
--- a/crates/merlinreel-testkit/src/scale/figure.rs
+++ b/crates/merlinreel-testkit/src/scale/data_point.rs
@@ -1,4 +1,4 @@
-//! One measured figure, as a line of JSON.
+//! One measured value, written as a line of JSON.
 
 use serde::Serialize;
 
@@ -6,17 +6,23 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Unit {
+    /// Bytes.
     Bytes,
+    /// Bytes per second of the simulated clock.
     BytesPerSecond,
+    /// Messages.
     Messages,
+    /// Messages per second of the simulated clock.
     MessagesPerSecond,
-    /// Processor time.
+    /// Seconds of processor time.
     CpuSeconds,
-    /// Processor time as a share of one core over the time measured on the test's clock.
+    /// Processor time as a share of one core, over the measured time of the simulated clock.
     CpuShare,
-    /// On the test's clock.
+    /// Seconds of the simulated clock.
     Seconds,
+    /// Microseconds.
     Microseconds,
+    /// A number without a unit.
     Count,
 }
 
@@ -26,46 +32,39 @@
 pub enum Source {
     /// Counted: the same each run with the same seed.
     Counted,
-    /// The kernel's figure for this process, on this machine.
+    /// The kernel's accounting of this process, on this machine.
     Kernel,
     /// This process's monotonic clock, on this machine.
     Clock,
 }
 
-/// A value measured for a role while one variable has a size and all others stand as `setting` says.
+/// A value measured for a role while one variable has a size and all others are as `setting` says.
 #[derive(Clone, Debug, Serialize)]
-pub struct Figure {
+pub struct DataPoint {
+    /// The version of the package that measured it.
     pub version: &'static str,
+    /// The seed that everything was drawn from.
     pub seed: u64,
+    /// The part of the program that was measured.
     pub role: &'static str,
     /// What is varied.
     pub variable: &'static str,
+    /// The variable's value.
     pub size: u64,
+    /// All other conditions, as text.
     pub setting: String,
+    /// The name of the value.
     pub metric: &'static str,
+    /// Its unit.
     pub unit: Unit,
+    /// Where it comes from.
     pub source: Source,
     /// The median of the runs, or the only one.
     pub value: f64,
+    /// The least value of the runs.
     pub least: f64,
+    /// The greatest value of the runs.
     pub most: f64,
+    /// The number of runs.
     pub runs: u32,
 }
-
-impl Figure {
-    pub const VERSION: &'static str = env!("CARGO_PKG_VERSION");
-
-    /// The figure of some runs; none where there were no runs.
-    pub fn of_runs(mut runs: Vec<f64>, form: Figure) -> Option<Figure> {
-        runs.sort_by(f64::total_cmp);
-        let (least, most) = (*runs.first()?, *runs.last()?);
-        let value = runs[runs.len() / 2];
-        Some(Figure {
-            value,
-            least,
-            most,
-            runs: runs.len() as u32,
-            ..form
-        })
-    }
-}
--- a/crates/merlinreel-testkit/src/scale/fit.rs
+++ b/crates/merlinreel-testkit/src/scale/fit.rs
@@ -2,26 +2,38 @@
 
 use thiserror::Error;
 
-/// `value = factor * size ^ exponent`.
+/// The law `value = factor * size ^ exponent`.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PowerLaw {
+    /// The value at size 1.
     pub factor: f64,
+    /// The power of the size: 1 for a linear cost.
     pub exponent: f64,
     /// The share of the logarithms' variance that the law explains, 1 at best.
     pub r_squared: f64,
 }
 
-/// A slope that is steeper than allowed, or points that tell none.
+/// A slope that is steeper than allowed, or points that determine none.
 #[derive(Clone, Copy, Debug, Error, PartialEq)]
 pub enum SlopeError {
+    /// The exponent is over the bound.
     #[error("grows with size to the power {exponent:.2}, {most:.2} at most is allowed")]
-    TooSteep { exponent: f64, most: f64 },
+    TooSteep {
+        /// The exponent of the points.
+        exponent: f64,
+        /// The bound.
+        most: f64,
+    },
+    /// There are fewer than two sizes; the number of valid points.
     #[error("{0} points with a positive size and value; at least two sizes are needed")]
     TooFewPoints(usize),
 }
 
 impl PowerLaw {
-    /// Points with a size or value of nothing are left out.
+    /// The law through points of size and value; those that are not positive are left out.
+    ///
+    /// # Errors
+    /// There are fewer than two sizes.
     pub fn through(points: &[(f64, f64)]) -> Result<PowerLaw, SlopeError> {
         let logs: Vec<(f64, f64)> = points
             .iter()
@@ -39,14 +51,14 @@
         let exponent = common / spread;
         let intercept = mean_y - exponent * mean_x;
         let total: f64 = logs.iter().map(|(_, y)| (y - mean_y).powi(2)).sum();
-        let left: f64 = logs
+        let residual: f64 = logs
             .iter()
             .map(|(x, y)| (y - intercept - exponent * x).powi(2))
             .sum();
         let r_squared = if total <= f64::EPSILON {
             1.0
         } else {
-            1.0 - left / total
+            1.0 - residual / total
         };
         Ok(PowerLaw {
             factor: intercept.exp(),
@@ -55,13 +67,16 @@
         })
     }
 
-    /// What it tells of a size.
+    /// The value at a size.
     pub fn at(&self, size: f64) -> f64 {
         self.factor * size.powf(self.exponent)
     }
 }
 
-/// Whether a cost grows with size to that power at most.
+/// The law through points of size and value, whose exponent must be at most `most`.
+///
+/// # Errors
+/// The exponent is greater, or there are fewer than two sizes.
 pub fn check_slope(points: &[(f64, f64)], most: f64) -> Result<PowerLaw, SlopeError> {
     let law = PowerLaw::through(points)?;
     if law.exponent > most {
--- a/crates/merlinreel-testkit/src/scale/fit/tests.rs
+++ b/crates/merlinreel-testkit/src/scale/fit/tests.rs
@@ -10,16 +10,16 @@
 #[test_case(|size| 7.0 * size => 1.0 ; "linear")]
 #[test_case(|size| 0.5 * size * size => 2.0 ; "quadratic")]
 #[test_case(|_| 12.0 => 0.0 ; "constant")]
-fn the_exponent_of_a_law(cost: fn(f64) -> f64) -> f64 {
+fn exponent_of_a_known_law_is_found(cost: fn(f64) -> f64) -> f64 {
     let law = PowerLaw::through(&points(cost)).expect("points");
     assert!(law.r_squared > 0.999_999);
     assert!((law.at(160_000.0) / cost(160_000.0) - 1.0).abs() < 1e-6);
     (law.exponent * 1e6).round() / 1e6
 }
 
-/// A quadratic part that is small at the least size is caught by the largest.
+/// The quadratic part is small at the least size and dominates at the largest.
 #[test]
-fn a_planted_quadratic_cost_is_caught() {
+fn quadratic_part_of_a_cost_is_too_steep() {
     let sound = points(|size| 400.0 * size);
     let planted = points(|size| 400.0 * size + size * size);
     assert!(check_slope(&sound, 1.1).is_ok());
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn one_size_tells_no_slope() {
+fn one_size_has_no_slope() {
     assert_eq!(
         PowerLaw::through(&[(50.0, 1.0)]),
         Err(SlopeError::TooFewPoints(1))
--- a/crates/merlinreel-testkit/src/scale/latency.rs
+++ b/crates/merlinreel-testkit/src/scale/latency.rs
@@ -1,59 +1,65 @@
 //! The time that a limiter adds to a request: a real process of the program before loopback servers, and clients on
-//! kept connections whose send times are planned. The same requests go to the servers directly and through the
+//! kept connections whose send times are planned. The same requests are sent to the servers directly and through the
 //! limiter; "added" is the difference of the two histograms' percentiles, not a percentile of differences.
 //!
 //! The load is open: latency counts from a request's planned time, so that a stall is seen in every request that was
-//! due during it (coordinated omission). A baseline on the same machine holds the clients' and the servers' own share:
-//! late wake-ups, parsing, the loopback.
+//! due during it (no coordinated omission). The direct requests on the same machine show the share of the clients and
+//! the servers: late wake-ups, parsing, the loopback.
 
-mod client;
 mod error;
-mod plan;
-mod report;
-mod server;
+mod load;
+mod loopback_servers;
+mod percentiles;
+mod request_plan;
 
-pub use client::{ClientConnections, LoadResult, Sample};
 pub use error::LatencyError;
-pub use plan::{PlannedRequest, RequestPlan};
-pub use server::{Hold, LoopbackServers};
+pub use load::{ClientConnections, LoadResult, Sample};
+pub use loopback_servers::{Hold, LoopbackServers};
+pub use request_plan::{PlannedRequest, RequestPlan};
 
-use super::{Figure, MeasureRequest, ScaleError};
-use crate::{Agent, Program, Record, config, listed};
-use report::Pair;
+use super::{Emit, MeasureRequest, Report, ScaleError};
+use crate::{EventLog, Program, StubDiscovery, config, instance};
+use percentiles::RunPair;
 use serde_json::{Value, json};
+use std::fmt;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Requests a second.
+/// Requests per second.
 pub const RATE_SIZES: &[u64] = &[50, 200, 1_000, 3_000];
 /// Servers listed.
 pub const SERVERS_SIZES: &[u64] = &[1, 20, 200, 1_000];
-/// Bytes of an answer's body.
-pub const ANSWER_SIZES: &[u64] = &[300, 4_096, 16_384, 65_536];
+/// Bytes of a response's body.
+pub const RESPONSE_SIZES: &[u64] = &[300, 4_096, 16_384, 65_536];
 
-/// The class that all requests are of: read-like, at most four seconds.
-const CATEGORY: &str = "look";
-/// Bounds of the limiter that all sizes here lie within: descriptors, and memory for as many connections.
+const ROLE: &str = "request_path";
+/// The class of all requests: idempotent, with a deadline of four seconds.
+const CLASS: &str = "look";
+/// Bounds of the limiter that all sizes are within: its descriptors, and its memory in megabytes.
 const LIMITER_SOCKETS: u32 = 4_096;
 const LIMITER_MEMORY_MB: u32 = 512;
-/// A plan that never refuses: far more units a second than any size asks for.
+/// Rate and burst of the plan: far more units than any size uses.
 const AMPLE_UNITS: f64 = 1_000_000.0;
-/// Resident memory of servers, clients and the limiter: a base, and that of a server's connections and threads.
+/// Resident memory of servers, clients and the limiter: a base, and the connections and threads of servers.
 const BASE_MB: u64 = 64;
 const SERVERS_PER_MB: u64 = 4;
-/// A list of servers asks for so many requests to each before anything is measured, so that connections are open.
-const WARM_UP_ROUNDS: u64 = 4;
+/// Requests to each server before anything is measured, so that connections are open.
+const WARM_UP_REQUESTS_PER_SERVER: u64 = 4;
+const RESPONSE_SIZE_RATE: u64 = 200;
 
-/// What one size is measured under.
+/// The conditions of one size.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LatencySetting {
+    /// The rate of requests.
     pub requests_per_second: u64,
+    /// Servers listed.
     pub servers: u64,
-    pub answer_bytes: u64,
-    /// Kept by the clients, to the limiter or to the servers; requests go to them in turn.
+    /// Bytes of a response's body.
+    pub response_bytes: u64,
+    /// Connections kept by the clients, to the limiter or to the servers; requests use them in turn.
     pub client_connections: usize,
-    /// For each run, once directly and once through the limiter.
-    pub span: Duration,
+    /// The length of each run, once directly and once through the limiter.
+    pub duration: Duration,
 }
 
 impl Default for LatencySetting {
@@ -61,21 +67,23 @@
         LatencySetting {
             requests_per_second: 1_000,
             servers: 20,
-            answer_bytes: 300,
+            response_bytes: 300,
             client_connections: 32,
-            span: Duration::from_secs(5),
+            duration: Duration::from_secs(5),
         }
     }
 }
 
 impl LatencySetting {
+    /// Requests of a run.
     pub fn requests(&self) -> u64 {
-        (self.requests_per_second as f64 * self.span.as_secs_f64()).ceil() as u64
+        (self.requests_per_second as f64 * self.duration.as_secs_f64()).ceil() as u64
     }
 
     /// At least a second's requests, and some for each server.
     fn warm_up_requests(&self) -> u64 {
-        self.requests_per_second.max(WARM_UP_ROUNDS * self.servers)
+        self.requests_per_second
+            .max(WARM_UP_REQUESTS_PER_SERVER * self.servers)
     }
 
     fn plan(&self, requests: u64, seed: u64) -> RequestPlan {
@@ -88,144 +96,162 @@
     }
 }
 
-impl std::fmt::Display for LatencySetting {
-    fn fmt(&self, out: &mut std::fmt::Formatter) -> std::fmt::Result {
+/// The setting as text of a data point.
+impl fmt::Display for LatencySetting {
+    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         write!(
-            out,
+            f,
             "{} requests/s for {} s a run, {} servers on loopback that answer at once with {} bytes, {} kept client \
              connections, latency from the planned send time",
             self.requests_per_second,
-            self.span.as_secs_f64(),
+            self.duration.as_secs_f64(),
             self.servers,
-            self.answer_bytes,
+            self.response_bytes,
             self.client_connections
         )
     }
 }
 
 /// Varies the request rate.
-pub fn measure_rate(
-    request: &MeasureRequest,
-    emit: &mut dyn FnMut(Figure) -> Result<(), ScaleError>,
-) -> Result<(), ScaleError> {
-    let at = |size| LatencySetting {
+///
+/// # Errors
+/// A size exceeds the memory bound, or a request is not answered as expected.
+pub fn measure_rate(request: &MeasureRequest, emit: Emit) -> Result<(), ScaleError> {
+    let setting = |size| LatencySetting {
         requests_per_second: size,
         ..LatencySetting::default()
     };
-    measure_each("requests_per_second", request, at, emit)
+    measure_sizes("requests_per_second", request, setting, emit)
 }
 
 /// Varies the number of servers listed.
-pub fn measure_servers(
-    request: &MeasureRequest,
-    emit: &mut dyn FnMut(Figure) -> Result<(), ScaleError>,
-) -> Result<(), ScaleError> {
-    let at = |size| LatencySetting {
+///
+/// # Errors
+/// A size exceeds the memory bound, or a request is not answered as expected.
+pub fn measure_servers(request: &MeasureRequest, emit: Emit) -> Result<(), ScaleError> {
+    let setting = |size| LatencySetting {
         servers: size,
         ..LatencySetting::default()
     };
-    measure_each("servers", request, at, emit)
+    measure_sizes("servers", request, setting, emit)
 }
 
-/// Varies the length of answers.
-pub fn measure_answers(
-    request: &MeasureRequest,
-    emit: &mut dyn FnMut(Figure) -> Result<(), ScaleError>,
-) -> Result<(), ScaleError> {
-    let at = |size| LatencySetting {
-        answer_bytes: size,
-        requests_per_second: 200,
+/// Varies the length of responses.
+///
+/// # Errors
+/// A size exceeds the memory bound, or a request is not answered as expected.
+pub fn measure_response_sizes(request: &MeasureRequest, emit: Emit) -> Result<(), ScaleError> {
+    let setting = |size| LatencySetting {
+        response_bytes: size,
+        requests_per_second: RESPONSE_SIZE_RATE,
         ..LatencySetting::default()
     };
-    measure_each("answer_bytes", request, at, emit)
+    measure_sizes("answer_bytes", request, setting, emit)
 }
 
-fn measure_each(
+fn measure_sizes(
     variable: &'static str,
     request: &MeasureRequest,
-    setting_at: impl Fn(u64) -> LatencySetting,
-    emit: &mut dyn FnMut(Figure) -> Result<(), ScaleError>,
+    setting_of: impl Fn(u64) -> LatencySetting,
+    emit: Emit,
 ) -> Result<(), ScaleError> {
     for &size in &request.sizes {
-        let setting = setting_at(size);
+        let setting = setting_of(size);
         request.check_memory(
             "the servers and clients",
             BASE_MB + setting.servers / SERVERS_PER_MB,
         )?;
-        let figures = measure_setting(variable, size, &setting, request.seed, request.runs)
-            .map_err(|error| ScaleError::Unsettled {
-                role: report::ROLE,
-                size,
-                why: error.to_string(),
-            })?;
-        figures.into_iter().try_for_each(&mut *emit)?;
+        measure_setting(variable, size, &setting, request, emit)?;
     }
     Ok(())
 }
 
-/// The figures of one size. Each run asks the servers directly, then through a limiter that stays for all runs.
+/// Measures one size. Each run sends the requests to the servers directly, then through a limiter that is kept for all
+/// runs.
+///
+/// # Errors
+/// A request is not answered as expected, or a data point can't be written.
 pub fn measure_setting(
     variable: &'static str,
     size: u64,
     setting: &LatencySetting,
-    seed: u64,
-    runs: u32,
-) -> Result<Vec<Figure>, LatencyError> {
-    let servers = LoopbackServers::start(setting.servers as usize, setting.answer_bytes as usize)?;
+    request: &MeasureRequest,
+    emit: Emit,
+) -> Result<(), ScaleError> {
+    let mut report = Report {
+        request,
+        role: ROLE,
+        variable,
+        size,
+        setting: setting.to_string(),
+        emit,
+    };
+    let pairs = run_pairs(setting, request).map_err(|error| report.failed(error))?;
+    percentiles::report(&mut report, &pairs)
+}
+
+fn run_pairs(
+    setting: &LatencySetting,
+    request: &MeasureRequest,
+) -> Result<Vec<RunPair>, LatencyError> {
+    let response_bytes = setting.response_bytes as usize;
+    let servers = LoopbackServers::start(setting.servers as usize, response_bytes)?;
     let limiter = Limiter::start(&servers);
     let mut pairs = Vec::new();
-    for _ in 0..runs {
-        let direct = drive_warm(setting, seed, &servers.addresses)?;
-        let through = drive_warm(setting, seed, &[limiter.address()])?;
-        pairs.push(Pair { direct, through });
+    for _ in 0..request.runs {
+        pairs.push(RunPair {
+            direct: run(setting, request.seed, &servers.addresses)?,
+            through: run(setting, request.seed, &[limiter.address()])?,
+        });
     }
-    Ok(report::figures(
-        &pairs,
-        &report::form(variable, size, seed, setting),
-    ))
+    Ok(pairs)
 }
 
-/// On connections of its own, as the limiter closes those that are idle while the servers are asked directly; what is
-/// measured comes after a warm-up on them.
-fn drive_warm(
+/// Sends the planned requests after a warm-up, on new connections: the limiter closes those that are idle while requests
+/// are sent to the servers directly.
+fn run(
     setting: &LatencySetting,
     seed: u64,
     targets: &[SocketAddr],
 ) -> Result<LoadResult, LatencyError> {
     let mut clients = ClientConnections::open(targets, setting.client_connections)?;
-    clients.drive(&setting.plan(setting.warm_up_requests(), seed))?;
-    clients.drive(&setting.plan(setting.requests(), seed))
+    clients.send(&setting.plan(setting.warm_up_requests(), seed))?;
+    clients.send(&setting.plan(setting.requests(), seed))
 }
 
-/// A process of the program, and the discovery agent that lists the servers to it.
+/// A process of the program, and the stub discovery that lists the servers to it.
 #[derive(Debug)]
 pub struct Limiter {
     program: Program,
-    _agent: Agent,
+    _discovery: StubDiscovery,
 }
 
 impl Limiter {
-    /// Waits until it is ready.
+    /// Starts a limiter before the servers and waits until it is ready.
+    ///
+    /// # Panics
+    /// It does not become ready in time.
     pub fn start(servers: &LoopbackServers) -> Limiter {
-        let agent = Agent::start(0, servers.addresses.clone(), &Record::default());
+        let discovery = StubDiscovery::start(0, servers.addresses.clone(), &EventLog::default());
         Limiter {
-            program: Program::start(&limiter_config(&servers.addresses, agent.address)),
-            _agent: agent,
+            program: Program::start(&limiter_config(&servers.addresses, discovery.address)),
+            _discovery: discovery,
         }
     }
 
+    /// Where it serves clients.
     pub fn address(&self) -> SocketAddr {
         self.program.address
     }
 }
 
 fn limiter_config(servers: &[SocketAddr], discovery: SocketAddr) -> Value {
-    let known: Vec<Value> = servers
+    let instances: Vec<Value> = servers
         .iter()
         .enumerate()
-        .map(|(i, at)| listed(&format!("s-{i}"), *at, "up"))
+        .map(|(number, address)| instance(&format!("s-{number}"), *address, "up"))
         .collect();
-    let mut config = config(&known);
+    let mut config = config(&instances);
     config["discovery"] = discovery.to_string().into();
     config["limits"] = json!({"memory_mb": LIMITER_MEMORY_MB, "sockets": LIMITER_SOCKETS});
     let plan = &mut config["settings"]["packages"][0];
--- a/crates/merlinreel-testkit/src/scale/latency/client.rs
+++ b/crates/merlinreel-testkit/src/scale/latency/load.rs
@@ -1,7 +1,7 @@
-//! Clients on kept connections that send at planned times, and what they measured.
+//! Clients on kept connections that send requests at planned times, and the latencies they measure.
 
 use super::{LatencyError, PlannedRequest, RequestPlan};
-use crate::PATIENCE;
+use crate::TEST_TIMEOUT;
 use crate::http::read;
 use hdrhistogram::Histogram;
 use std::io::{self, BufReader, Write};
@@ -11,48 +11,54 @@
 
 /// Decimal digits that the histogram keeps of a latency.
 const SIGNIFICANT_DIGITS: u8 = 3;
-/// Between the call and the first send time, so that each connection's thread is there by then.
-const LEAD: Duration = Duration::from_millis(50);
+/// Between the call and the first send time, so that each connection's thread has started by then.
+const LEAD_TIME: Duration = Duration::from_millis(50);
 
 /// The times of one request, counted from the start of the load.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Sample {
+    /// The planned send time.
     pub planned: Duration,
+    /// The actual send time.
     pub sent: Duration,
+    /// When the response was complete.
     pub answered: Duration,
 }
 
 impl Sample {
-    /// From the planned time on, whenever it was sent: a stall counts for every request that was due during it.
+    /// The time from the planned send time on, so that a stall counts for every request that was due during it.
     pub fn latency(&self) -> Duration {
         self.answered.saturating_sub(self.planned)
     }
 }
 
-/// All requests of a plan, each answered 200 once.
+/// The latencies of all requests of a plan, each of which had one response with status 200.
 #[derive(Clone, Debug)]
 pub struct LoadResult {
+    /// The times of all requests, by planned send time.
     pub samples: Vec<Sample>,
     /// Latencies in microseconds.
     pub histogram: Histogram<u64>,
 }
 
 impl LoadResult {
+    /// The result with these samples.
+    ///
+    /// # Errors
+    /// The histogram does not accept a latency.
     pub fn new(samples: Vec<Sample>) -> Result<LoadResult, LatencyError> {
-        let unrecorded = |error: &dyn std::fmt::Display| LatencyError::Histogram(error.to_string());
-        let mut histogram =
-            Histogram::new(SIGNIFICANT_DIGITS).map_err(|error| unrecorded(&error))?;
+        let mut histogram = Histogram::new(SIGNIFICANT_DIGITS)
+            .map_err(|error| LatencyError::Histogram(error.to_string()))?;
         for sample in &samples {
-            let microseconds = sample.latency().as_micros() as u64;
             histogram
-                .record(microseconds)
-                .map_err(|error| unrecorded(&error))?;
+                .record(sample.latency().as_micros() as u64)
+                .map_err(|error| LatencyError::Histogram(error.to_string()))?;
         }
         Ok(LoadResult { samples, histogram })
     }
 }
 
-/// Connections that stay open over several loads.
+/// Connections that are kept over several loads.
 #[derive(Debug)]
 pub struct ClientConnections {
     connections: Vec<ClientConnection>,
@@ -60,6 +66,9 @@
 
 impl ClientConnections {
     /// Connects to the targets in turn.
+    ///
+    /// # Errors
+    /// A connection is not established.
     pub fn open(
         targets: &[SocketAddr],
         connections: usize,
@@ -71,14 +80,20 @@
         Ok(ClientConnections { connections })
     }
 
-    /// Sends a plan's requests at their times, from a moment on.
-    pub fn drive(&mut self, plan: &RequestPlan) -> Result<LoadResult, LatencyError> {
-        self.drive_from(plan, Instant::now() + LEAD)
+    /// Sends a plan's requests at their times, from shortly after now on.
+    ///
+    /// # Errors
+    /// A request does not have one response with status 200.
+    pub fn send(&mut self, plan: &RequestPlan) -> Result<LoadResult, LatencyError> {
+        self.send_from(plan, Instant::now() + LEAD_TIME)
     }
 
-    /// Sends a plan's requests at their times, counted from `start`; a connection that waits for an answer sends its
+    /// Sends a plan's requests at their times, counted from `start`; a connection that waits for a response sends its
     /// next requests late.
-    pub fn drive_from(
+    ///
+    /// # Errors
+    /// A request does not have one response with status 200.
+    pub fn send_from(
         &mut self,
         plan: &RequestPlan,
         start: Instant,
@@ -109,19 +124,19 @@
 
 #[derive(Debug)]
 struct ClientConnection {
-    to: TcpStream,
-    from: BufReader<TcpStream>,
+    writer: TcpStream,
+    reader: BufReader<TcpStream>,
 }
 
 impl ClientConnection {
     fn open(address: SocketAddr) -> Result<ClientConnection, LatencyError> {
         let open = || -> io::Result<ClientConnection> {
-            let to = TcpStream::connect(address)?;
-            to.set_nodelay(true)?;
-            to.set_read_timeout(Some(PATIENCE))?;
+            let writer = TcpStream::connect(address)?;
+            writer.set_nodelay(true)?;
+            writer.set_read_timeout(Some(TEST_TIMEOUT))?;
             Ok(ClientConnection {
-                from: BufReader::new(to.try_clone()?),
-                to,
+                reader: BufReader::new(writer.try_clone()?),
+                writer,
             })
         };
         open().map_err(|source| LatencyError::Connect { address, source })
@@ -143,40 +158,41 @@
                 sent,
                 answered: start.elapsed(),
             });
-            self.check_nothing_unasked(request)?;
+            self.check_nothing_unsolicited(request)?;
         }
         Ok(samples)
     }
 
     fn exchange(&mut self, request: &PlannedRequest, text: &str) -> Result<(), LatencyError> {
-        let txn = || request.txn.clone();
-        let sent = self.to.write_all(text.as_bytes());
-        sent.map_err(|source| LatencyError::Send { txn: txn(), source })?;
-        let answer = read(&mut self.from, 0)
-            .map_err(|source| LatencyError::Receive { txn: txn(), source })?;
-        let answer = answer.ok_or_else(|| LatencyError::Ended { txn: txn() })?;
-        if answer.status() != 200 {
+        let id = || request.id.clone();
+        self.writer
+            .write_all(text.as_bytes())
+            .map_err(|source| LatencyError::Send { id: id(), source })?;
+        let response = read(&mut self.reader, 0)
+            .map_err(|source| LatencyError::Receive { id: id(), source })?
+            .ok_or_else(|| LatencyError::Ended { id: id() })?;
+        if response.status() != 200 {
             return Err(LatencyError::Status {
-                txn: txn(),
-                status: answer.status(),
+                id: id(),
+                status: response.status(),
             });
         }
-        match answer.header("x-txn") {
-            Some(got) if got == request.txn => Ok(()),
-            got => Err(LatencyError::OtherAnswer {
-                txn: txn(),
-                got: got.unwrap_or("none").to_owned(),
+        match response.header("x-txn") {
+            Some(other) if other == request.id => Ok(()),
+            other => Err(LatencyError::OtherResponse {
+                id: id(),
+                other: other.unwrap_or("none").to_owned(),
             }),
         }
     }
 
-    /// Nothing may have come behind the answer.
-    fn check_nothing_unasked(&self, request: &PlannedRequest) -> Result<(), LatencyError> {
-        if self.from.buffer().is_empty() {
+    /// Checks that nothing has arrived after the response.
+    fn check_nothing_unsolicited(&self, request: &PlannedRequest) -> Result<(), LatencyError> {
+        if self.reader.buffer().is_empty() {
             return Ok(());
         }
-        Err(LatencyError::Unasked {
-            txn: request.txn.clone(),
+        Err(LatencyError::Unsolicited {
+            id: request.id.clone(),
         })
     }
 }
--- a/crates/merlinreel-testkit/src/scale/membership/fleet.rs
+++ b/crates/merlinreel-testkit/src/scale/membership/fleet.rs
@@ -1,8 +1,12 @@
-//! Hollow limiters: each runs the real [`Node`] of the mesh, without a socket and without clients, over one in-memory
-//! network, on one clock.
+//! Simulated limiters: each runs the real [`Node`] of the mesh, without a socket and without clients, over one in-memory
+//! network, on one simulated clock.
 
-use super::watch::{RecordWatch, body_of};
-use crate::scale::{Network, Ways};
+mod knowledge;
+
+pub use knowledge::Knowledge;
+
+use super::record_watch::{RecordWatch, body_with};
+use crate::scale::{LinkConditions, Network};
 use merlinreel_mesh::{Capacity, Event, Keys, Kind, Member, MeshError, Node, Part, PublishError};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -10,31 +14,31 @@
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::time::Duration;
 
-/// What each limiter tells of itself as long as it runs, as the program does.
+/// Each limiter's record of itself, as the program publishes it.
 const LIMITER_KIND: Kind = 1;
-const LIMITER_LIFE: Duration = Duration::from_secs(60);
+const LIMITER_RECORD_TTL: Duration = Duration::from_secs(60);
 /// Records that are published to be watched.
 pub const WATCHED_KIND: Kind = 7;
-const WATCHED_LIFE: Duration = Duration::from_secs(600);
-/// All limiters agree on this time at the start of the fleet's clock.
+const WATCHED_RECORD_TTL: Duration = Duration::from_secs(600);
+/// The Unix time at the start of the fleet's clock.
 const UNIX_START: Duration = Duration::from_secs(1_790_000_000);
 const PORT: u16 = 7946;
-/// Limiters start within this span of one another.
+/// Limiters start within this time, so that their timers are spread.
 const START_SPREAD: Duration = Duration::from_secs(1);
-/// The share of the others that is known in a fleet that is nearly whole.
-const NEARLY: f64 = 0.99;
-/// How often it is looked whether the fleet is whole.
-const WHOLE_CHECK: Duration = Duration::from_secs(1);
+/// How often it is checked whether the fleet has converged.
+const CONVERGENCE_CHECK: Duration = Duration::from_secs(1);
 
-/// What a fleet is started with.
+/// The conditions of a fleet.
 #[derive(Clone, Copy, Debug)]
 pub struct FleetSetting {
+    /// The number of limiters.
     pub limiters: usize,
-    /// The first so many limiters are the seeds of all.
+    /// How many limiters, the first by number, are the seeds of all.
     pub seeds: usize,
-    /// Bytes that a limiter may send a second; four times as many at once.
-    pub bytes_a_second: u32,
-    pub ways: Ways,
+    /// Bytes that a limiter may send each second; its burst is four times as many.
+    pub bytes_per_second: u32,
+    /// The conditions between limiters.
+    pub link_conditions: LinkConditions,
 }
 
 impl FleetSetting {
@@ -43,100 +47,91 @@
         FleetSetting {
             limiters,
             seeds: 3,
-            bytes_a_second: 8000,
-            ways: Ways::default(),
+            bytes_per_second: 8000,
+            link_conditions: LinkConditions::default(),
         }
     }
 }
 
-/// What the nodes counted, all of them together.
+/// The counters of all nodes together.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct FleetCounts {
+    /// Messages sent.
     pub sent: u64,
-    /// Not sent, as a limiter's budget was used up.
+    /// Messages not sent, as a limiter's budget was used up.
     pub held_back: u64,
+    /// Messages received and dropped.
     pub dropped: u64,
 }
 
-/// How much of what each limiter should know is known.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Knowledge {
-    /// Share of the other members, over all limiters.
-    pub members: f64,
-    /// Share of the limiters' own records in their present incarnation, over all limiters.
-    pub records: f64,
-    /// The same shares at the limiter that knows least.
-    pub least_members: f64,
-    pub least_records: f64,
-}
-
-impl Knowledge {
-    /// Whether each limiter knows 99 % of the others and of their records.
-    pub fn is_nearly_whole(&self) -> bool {
-        self.least_members >= NEARLY && self.least_records >= NEARLY
-    }
-}
-
-/// Limiters by number from 0 on. A limiter that is stopped has no node.
+/// Limiters numbered from 0 on. A limiter that is down has no node.
 pub struct Fleet {
     setting: FleetSetting,
     keys: Keys,
-    chance: ChaCha8Rng,
+    random: ChaCha8Rng,
     nodes: Vec<Option<Node>>,
     incarnations: Vec<u64>,
     network: Network,
     now: Duration,
-    /// Who is to be called when, and the same by limiter.
-    wakes: BTreeSet<(Duration, u32)>,
-    wakes_at: Vec<Option<Duration>>,
+    /// Scheduled calls by time.
+    wakeups: BTreeSet<(Duration, u32)>,
+    /// The same by limiter.
+    wakeup_at: Vec<Option<Duration>>,
+    /// Limiters that are down, by the time of their start.
     starts: BTreeSet<(Duration, u32)>,
     watches: Vec<RecordWatch>,
     published: u64,
 }
 
 impl Fleet {
-    /// All limiters start within a second, none knows any other but the seeds' addresses.
+    /// A fleet whose limiters start within a second and know only the seeds' addresses.
+    ///
+    /// # Errors
+    /// The mesh rejects the keys.
     pub fn start(setting: FleetSetting, seed: u64) -> Result<Fleet, MeshError> {
-        let mut chance = ChaCha8Rng::seed_from_u64(seed);
+        let mut random = ChaCha8Rng::seed_from_u64(seed);
         let starts = (0..setting.limiters as u32)
-            .map(|limiter| (START_SPREAD.mul_f64(chance.random::<f64>()), limiter))
+            .map(|limiter| (START_SPREAD.mul_f64(random.random::<f64>()), limiter))
             .collect();
         Ok(Fleet {
             setting,
             keys: Keys::new(vec![(1, vec![7; 32])], None)?,
-            network: Network::new(setting.limiters, chance.random(), setting.ways),
-            chance,
+            network: Network::new(setting.limiters, random.random(), setting.link_conditions),
+            random,
             nodes: std::iter::repeat_with(|| None)
                 .take(setting.limiters)
                 .collect(),
             incarnations: vec![0; setting.limiters],
             now: Duration::ZERO,
-            wakes: BTreeSet::new(),
-            wakes_at: vec![None; setting.limiters],
+            wakeups: BTreeSet::new(),
+            wakeup_at: vec![None; setting.limiters],
             starts,
             watches: Vec::new(),
             published: 0,
         })
     }
 
+    /// The fleet's clock.
     pub fn now(&self) -> Duration {
         self.now
     }
 
+    /// The network between the limiters.
     pub fn network(&self) -> &Network {
         &self.network
     }
 
+    /// The network between the limiters.
     pub fn network_mut(&mut self) -> &mut Network {
         &mut self.network
     }
 
-    /// A limiter drawn by chance.
+    /// Draws a limiter at random.
     pub fn draw_limiter(&mut self) -> u32 {
-        self.chance.random_range(0..self.setting.limiters as u32)
+        self.random.random_range(0..self.setting.limiters as u32)
     }
 
-    /// What the nodes that run now have counted since they started.
+    /// The counters of the nodes that run now, since they started.
     pub fn counts(&self) -> FleetCounts {
         let mut all = FleetCounts::default();
         for node in self.nodes.iter().flatten() {
@@ -148,33 +143,39 @@
         all
     }
 
-    /// Ends these limiters without a word; each starts again, with no memory, after that time.
-    pub fn restart(&mut self, limiters: impl IntoIterator<Item = u32>, after: Duration) {
+    /// Stops these limiters abruptly; each starts again, with no memory, after the downtime.
+    pub fn restart(&mut self, limiters: impl IntoIterator<Item = u32>, downtime: Duration) {
         for limiter in limiters {
             self.nodes[limiter as usize] = None;
-            self.plan_wake(limiter);
-            self.starts.insert((self.now + after, limiter));
+            self.schedule_wakeup(limiter);
+            self.starts.insert((self.now + downtime, limiter));
         }
     }
 
-    /// Publishes a record whose way is watched; returns the watch's number.
+    /// Publishes a record and watches who holds it; the watch's number.
+    ///
+    /// # Errors
+    /// The mesh rejects the record.
     pub fn publish_watched(&mut self, owner: u32, urgent: bool) -> Result<usize, PublishError> {
         let number = self.publish(owner, urgent)?;
         let mut watch = RecordWatch::new(address(owner), number, self.now, self.setting.limiters);
-        watch.note(owner, self.now);
+        watch.add_holder(owner, self.now);
         self.watches.push(watch);
         Ok(self.watches.len() - 1)
     }
 
-    /// Publishes a record that nobody watches; returns the number in its body.
+    /// Publishes a record; the number in its body.
+    ///
+    /// # Errors
+    /// The mesh rejects the record.
     pub fn publish(&mut self, owner: u32, urgent: bool) -> Result<u64, PublishError> {
         self.published += 1;
         let now = self.now;
         if let Some(node) = self.nodes[owner as usize].as_mut() {
             node.publish(
                 WATCHED_KIND,
-                body_of(self.published),
-                WATCHED_LIFE,
+                body_with(self.published),
+                WATCHED_RECORD_TTL,
                 urgent,
                 now,
             )?;
@@ -183,107 +184,54 @@
         Ok(self.published)
     }
 
+    /// The watch of that number.
     pub fn watch(&self, number: usize) -> &RecordWatch {
         &self.watches[number]
     }
 
-    /// Runs for a span of the fleet's clock.
-    pub fn run(&mut self, span: Duration) {
-        let end = self.now + span;
+    /// Runs for a duration of the fleet's clock.
+    pub fn run(&mut self, duration: Duration) {
+        let end = self.now + duration;
         while self.step(end) {}
         self.now = end;
     }
 
-    /// Runs until a condition holds, or the span is over; whether it holds.
+    /// Runs until a condition holds, or the time is over; whether it holds. The condition is checked at each interval.
     pub fn run_until(
         &mut self,
-        most: Duration,
-        every: Duration,
-        mut holds: impl FnMut(&Fleet) -> bool,
+        timeout: Duration,
+        interval: Duration,
+        mut condition: impl FnMut(&Fleet) -> bool,
     ) -> bool {
-        let end = self.now + most;
-        while !holds(self) {
+        let end = self.now + timeout;
+        while !condition(self) {
             if self.now >= end {
                 return false;
             }
-            self.run(every.min(end - self.now));
+            self.run(interval.min(end - self.now));
         }
         true
     }
 
-    /// Runs until each limiter knows all others and holds their records, told to a second; whether it came to that.
-    pub fn run_until_whole(&mut self, most: Duration) -> bool {
-        let mut first_not_whole = 0;
-        self.run_until(most, WHOLE_CHECK, |fleet| {
-            let others = first_not_whole..fleet.nodes.len();
+    /// Runs until each limiter knows all others and holds their records; whether they did in time. Checked each second.
+    pub fn run_until_converged(&mut self, timeout: Duration) -> bool {
+        // The last limiter that was found to miss something is checked first.
+        let mut first_incomplete = 0;
+        self.run_until(timeout, CONVERGENCE_CHECK, |fleet| {
+            let others = first_incomplete..fleet.nodes.len();
             let next = others
-                .chain(0..first_not_whole)
-                .find(|&limiter| !fleet.is_whole(limiter));
-            first_not_whole = next.unwrap_or(0);
+                .chain(0..first_incomplete)
+                .find(|&limiter| !fleet.knows_all(limiter));
+            first_incomplete = next.unwrap_or(0);
             next.is_none()
         })
     }
 
-    fn is_whole(&self, limiter: usize) -> bool {
-        let others = self.setting.limiters - 1;
-        self.members_known(limiter) == others && self.records_held(limiter) == others
-    }
-
-    /// How much is known over all limiters.
-    pub fn knowledge(&self) -> Knowledge {
-        let limiters = self.setting.limiters;
-        let others = (limiters - 1).max(1) as f64;
-        let shares = |known: Vec<usize>| {
-            let mean = known.iter().sum::<usize>() as f64 / limiters as f64 / others;
-            (
-                mean,
-                known.iter().min().copied().unwrap_or(0) as f64 / others,
-            )
-        };
-        let (members, least_members) =
-            shares((0..limiters).map(|one| self.members_known(one)).collect());
-        let (records, least_records) =
-            shares((0..limiters).map(|one| self.records_held(one)).collect());
-        Knowledge {
-            members,
-            records,
-            least_members,
-            least_records,
-        }
-    }
-
-    /// Others that run, in their present incarnation or a later one.
-    fn members_known(&self, limiter: usize) -> usize {
-        let Some(node) = &self.nodes[limiter] else {
-            return 0;
-        };
-        node.members()
-            .filter(|member| self.is_present(member))
-            .count()
-    }
-
-    fn records_held(&self, limiter: usize) -> usize {
-        let Some(node) = &self.nodes[limiter] else {
-            return 0;
-        };
-        let held = node.view(self.now).raw(LIMITER_KIND).map(|held| held.owner);
-        held.filter(|owner| *owner != node.own() && self.is_present(owner))
-            .count()
-    }
-
-    fn is_present(&self, member: &Member) -> bool {
-        let Some(limiter) = limiter_at(member.at) else {
-            return false;
-        };
-        let limiter = limiter as usize;
-        self.nodes[limiter].is_some() && member.incarnation >= self.incarnations[limiter]
-    }
-
-    /// The next datagram, timer or start up to `end`; whether there was one.
+    /// Runs the next datagram, timer or start up to `end`; whether there was one.
     fn step(&mut self, end: Duration) -> bool {
         let start = self.starts.first().map(|(at, _)| *at);
-        let wake = self.wakes.first().map(|(at, _)| *at);
-        let next = [self.network.next_at(), start, wake]
+        let wakeup = self.wakeups.first().map(|(at, _)| *at);
+        let next = [self.network.next_arrival(), start, wakeup]
             .into_iter()
             .flatten()
             .min();
@@ -292,16 +240,16 @@
         };
         self.now = self.now.max(next);
         if start == Some(next) {
-            self.start_next();
-        } else if wake == Some(next) {
-            self.wake_next();
+            self.start_limiter();
+        } else if wakeup == Some(next) {
+            self.run_wakeup();
         } else {
-            self.deliver_next();
+            self.deliver_datagram();
         }
         true
     }
 
-    fn start_next(&mut self) {
+    fn start_limiter(&mut self) {
         let Some((_, limiter)) = self.starts.pop_first() else {
             return;
         };
@@ -315,19 +263,19 @@
             },
             seeds: (0..self.setting.seeds as u32).map(address).collect(),
             keys: self.keys.clone(),
-            seed: self.chance.random(),
-            bytes_a_second: self.setting.bytes_a_second,
-            bytes_at_once: self.setting.bytes_a_second * 4,
+            seed: self.random.random(),
+            bytes_a_second: self.setting.bytes_per_second,
+            bytes_at_once: self.setting.bytes_per_second * 4,
             capacity: Capacity::for_limiters(self.setting.limiters),
         };
         let mut node = Node::new(part, self.now, unix);
         let own =
             format!("{{\"name\":\"limiter-{limiter:05}\",\"program\":\"0.1.0\",\"serves\":true}}");
-        // Short, and the first of its kind: there is nothing in it that is refused.
+        // A short first record of its kind is never rejected.
         let _ = node.publish(
             LIMITER_KIND,
             own.into_bytes(),
-            LIMITER_LIFE,
+            LIMITER_RECORD_TTL,
             false,
             self.now,
         );
@@ -335,11 +283,11 @@
         self.after_call(limiter);
     }
 
-    fn wake_next(&mut self) {
-        let Some((_, limiter)) = self.wakes.pop_first() else {
+    fn run_wakeup(&mut self) {
+        let Some((_, limiter)) = self.wakeups.pop_first() else {
             return;
         };
-        self.wakes_at[limiter as usize] = None;
+        self.wakeup_at[limiter as usize] = None;
         let now = self.now;
         if let Some(node) = self.nodes[limiter as usize].as_mut() {
             node.turn(now, UNIX_START + now);
@@ -347,19 +295,19 @@
         self.after_call(limiter);
     }
 
-    fn deliver_next(&mut self) {
+    fn deliver_datagram(&mut self) {
         let now = self.now;
-        let Some(delivery) = self.network.arrived(now) else {
+        let Some(datagram) = self.network.receive(now) else {
             return;
         };
-        let Some(node) = self.nodes[delivery.to as usize].as_mut() else {
+        let Some(node) = self.nodes[datagram.to as usize].as_mut() else {
             return;
         };
-        node.receive(&delivery.bytes, now, UNIX_START + now);
-        self.after_call(delivery.to);
+        node.receive(&datagram.bytes, now, UNIX_START + now);
+        self.after_call(datagram.to);
     }
 
-    /// Sends what a node wants sent, notes its events, and when it is to be called next.
+    /// Sends a node's datagrams, passes its events to the watches, and schedules its next call.
     fn after_call(&mut self, limiter: u32) {
         let Some(node) = self.nodes[limiter as usize].as_mut() else {
             return;
@@ -372,22 +320,22 @@
         while let Some(event) = node.event() {
             if let Event::Records(of) = event {
                 for watch in &mut self.watches {
-                    watch.look(of, limiter, node, self.now);
+                    watch.check(of, limiter, node, self.now);
                 }
             }
         }
-        self.plan_wake(limiter);
+        self.schedule_wakeup(limiter);
     }
 
-    fn plan_wake(&mut self, limiter: u32) {
-        let planned = &mut self.wakes_at[limiter as usize];
+    fn schedule_wakeup(&mut self, limiter: u32) {
+        let planned = &mut self.wakeup_at[limiter as usize];
         if let Some(before) = planned.take() {
-            self.wakes.remove(&(before, limiter));
+            self.wakeups.remove(&(before, limiter));
         }
         if let Some(node) = &self.nodes[limiter as usize] {
             let at = node.wakes_at().max(self.now);
             *planned = Some(at);
-            self.wakes.insert((at, limiter));
+            self.wakeups.insert((at, limiter));
         }
     }
 }
--- a/crates/merlinreel-testkit/src/scale/membership/watch.rs
+++ b/crates/merlinreel-testkit/src/scale/membership/record_watch.rs
@@ -1,39 +1,40 @@
-//! When a record was first held by whom.
+//! When each limiter first held a record.
 
 use super::fleet::WATCHED_KIND;
 use merlinreel_mesh::Node;
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
-/// A record on its way through the fleet.
+/// The propagation of a record through the fleet.
 #[derive(Clone, Debug)]
 pub struct RecordWatch {
     owner: SocketAddrV4,
     number: u64,
-    published: Duration,
+    published_at: Duration,
     /// By limiter, on the fleet's clock.
     held_at: Vec<Option<Duration>>,
     holders: usize,
 }
 
 impl RecordWatch {
+    /// A watch of a record that no limiter is known to hold.
     pub fn new(
         owner: SocketAddrV4,
         number: u64,
-        published: Duration,
+        published_at: Duration,
         limiters: usize,
     ) -> RecordWatch {
         RecordWatch {
             owner,
             number,
-            published,
+            published_at,
             held_at: vec![None; limiters],
             holders: 0,
         }
     }
 
-    /// Notes a limiter as holder from now on.
-    pub fn note(&mut self, limiter: u32, now: Duration) {
+    /// Adds a limiter as holder from now on.
+    pub fn add_holder(&mut self, limiter: u32, now: Duration) {
         let held_at = &mut self.held_at[limiter as usize];
         if held_at.is_none() {
             *held_at = Some(now);
@@ -41,27 +42,28 @@
         }
     }
 
-    /// Looks whether a limiter holds the record, or a later one in its place, after it was told something of `of`.
-    pub fn look(&mut self, of: SocketAddrV4, limiter: u32, node: &Node, now: Duration) {
-        if of != self.owner || self.held_at[limiter as usize].is_some() {
+    /// Checks whether a limiter holds the record, or a later one in its place, after records of `owner` changed there.
+    pub fn check(&mut self, owner: SocketAddrV4, limiter: u32, node: &Node, now: Duration) {
+        if owner != self.owner || self.held_at[limiter as usize].is_some() {
             return;
         }
         let held = node
             .view(now)
             .raw(WATCHED_KIND)
-            .find(|held| held.owner.at == of);
+            .find(|held| held.owner.at == owner);
         if held.is_some_and(|held| number_in(held.body) >= Some(self.number)) {
-            self.note(limiter, now);
+            self.add_holder(limiter, now);
         }
     }
 
+    /// Whether all limiters hold it.
     pub fn is_held_by_all(&self) -> bool {
         self.holders == self.held_at.len()
     }
 
-    /// Share of the limiters that held it so long after it was published.
-    pub fn share_after(&self, span: Duration) -> f64 {
-        let by = self.published + span;
+    /// Share of the limiters that held it this long after it was published.
+    pub fn share_after(&self, after: Duration) -> f64 {
+        let by = self.published_at + after;
         let holders = self
             .held_at
             .iter()
@@ -80,12 +82,12 @@
             .collect::<Option<Vec<Duration>>>()?
             .into_iter()
             .max()?;
-        Some(last.saturating_sub(self.published))
+        Some(last.saturating_sub(self.published_at))
     }
 }
 
-/// A body that says its number.
-pub fn body_of(number: u64) -> Vec<u8> {
+/// A record's body with a number.
+pub fn body_with(number: u64) -> Vec<u8> {
     number.to_string().into_bytes()
 }
 
--- a/crates/merlinreel-testkit/src/scale/meter.rs
+++ b/crates/merlinreel-testkit/src/scale/meter.rs
@@ -1,13 +1,14 @@
-//! Processor time and memory of this process, as the kernel tells them.
+//! Processor time and memory of this process, by the kernel's accounting.
 
+use super::proc_file::resident_bytes;
 use std::fs;
 
-/// What was used between a meter's start and its reading.
+/// What was used between a meter's start and a reading.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Used {
+pub struct Usage {
     /// Processor time of the thread that measures, in seconds.
     pub cpu_seconds: f64,
-    /// Growth of the process's resident memory, in bytes; nothing where it shrank.
+    /// Growth of the process's resident memory, in bytes; 0 where it shrank.
     pub memory_bytes: u64,
 }
 
@@ -19,6 +20,7 @@
 }
 
 impl Meter {
+    /// Starts to measure.
     pub fn start() -> Meter {
         Meter {
             cpu_nanoseconds: cpu_nanoseconds(),
@@ -26,28 +28,22 @@
         }
     }
 
-    pub fn read(&self) -> Used {
+    /// What was used since the start.
+    pub fn read(&self) -> Usage {
         let cpu = cpu_nanoseconds().saturating_sub(self.cpu_nanoseconds);
-        Used {
+        Usage {
             cpu_seconds: cpu as f64 / 1e9,
             memory_bytes: resident_bytes().saturating_sub(self.memory_bytes),
         }
     }
 }
 
-/// The first field of the kernel's scheduling figures of this thread.
+/// The first value of the kernel's scheduling statistics of this thread.
 fn cpu_nanoseconds() -> u64 {
-    let figures = fs::read_to_string("/proc/thread-self/schedstat").unwrap_or_default();
-    figures
+    let statistics = fs::read_to_string("/proc/thread-self/schedstat").unwrap_or_default();
+    statistics
         .split_whitespace()
         .next()
-        .and_then(|field| field.parse().ok())
+        .and_then(|value| value.parse().ok())
         .unwrap_or(0)
 }
-
-fn resident_bytes() -> u64 {
-    let status = fs::read_to_string("/proc/self/status").unwrap_or_default();
-    let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:"));
-    let kilobytes = line.and_then(|rest| rest.split_whitespace().next()?.parse::<u64>().ok());
-    kilobytes.unwrap_or(0) * 1024
-}
--- a/crates/merlinreel-testkit/src/scale/network/tests.rs
+++ b/crates/merlinreel-testkit/src/scale/network/tests.rs
@@ -2,18 +2,18 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 
-/// Sends a hundred datagrams of eight bytes and returns who got what by a second later.
-fn play(seed: u64, cut: bool) -> (Vec<Delivery>, Vec<Traffic>) {
+/// Sends a hundred datagrams of eight bytes; what was received by a second later, and the traffic.
+fn play(seed: u64, is_partitioned: bool) -> (Vec<Datagram>, Vec<Traffic>) {
     let mut network = Network::new(
         3,
         seed,
-        Ways {
+        LinkConditions {
             loss: 0.2,
-            ..Ways::default()
+            ..LinkConditions::default()
         },
     );
-    if cut {
-        network.cut_off([2]);
+    if is_partitioned {
+        network.partition([2]);
     }
     for i in 0..100u64 {
         network.send(
@@ -23,18 +23,18 @@
             i.to_be_bytes().to_vec(),
         );
     }
-    let arrived = std::iter::from_fn(|| network.arrived(SECOND)).collect();
+    let arrived = std::iter::from_fn(|| network.receive(SECOND)).collect();
     (arrived, network.traffic().to_vec())
 }
 
 #[test]
-fn one_seed_plays_the_same_each_time() {
+fn same_seed_delivers_the_same_datagrams() {
     assert_eq!(play(7, false), play(7, false));
     assert_ne!(play(7, false).0, play(8, false).0);
 }
 
 #[test]
-fn some_are_lost_and_all_are_counted() {
+fn lost_datagrams_are_counted_as_sent_only() {
     let (arrived, traffic) = play(7, false);
     assert!((60..100).contains(&arrived.len()), "{}", arrived.len());
     assert_eq!(
@@ -46,25 +46,25 @@
 }
 
 #[test]
-fn nothing_crosses_a_cut() {
-    assert!(play(7, true).0.iter().all(|delivery| delivery.to == 1));
+fn partitioned_endpoint_receives_nothing() {
+    assert!(play(7, true).0.iter().all(|datagram| datagram.to == 1));
 }
 
 #[test]
-fn nothing_arrives_before_its_time() {
+fn datagram_arrives_no_earlier_than_its_delay() {
     let mut network = Network::new(
         2,
         1,
-        Ways {
+        LinkConditions {
             loss: 0.0,
-            ..Ways::default()
+            ..LinkConditions::default()
         },
     );
     network.send(Duration::ZERO, 0, 1, vec![1]);
-    assert_eq!(network.arrived(Duration::from_micros(999)), None);
+    assert_eq!(network.receive(Duration::from_micros(999)), None);
     assert!(
         network
-            .next_at()
+            .next_arrival()
             .is_some_and(|at| at >= Duration::from_millis(1))
     );
 }
--- a/crates/merlinreel-testkit/src/scale/quotas/fleet.rs
+++ b/crates/merlinreel-testkit/src/scale/quotas/fleet.rs
@@ -1,124 +1,104 @@
-//! Hollow limiters on a test's clock: the real decision module of each, requests put in without sockets, peer messages
-//! over the in-memory network.
+//! Simulated limiters: the real decision module of each, requests passed in without sockets, peer messages over the
+//! in-memory network.
 //!
-//! There are no servers: a request that was let in waits for one, and its client leaves at the limiter's next round,
-//! which charges the quota as an answer does. With servers, their credits (four over the number of limiters at each)
-//! would hold requests back unless the list grew with the fleet, and choosing among them would hide what quotas cost.
+//! There are no servers: an admitted request waits for one, and its client disconnects at the limiter's next event batch,
+//! which charges the quota as a response does. With servers, their concurrency limits (four over the number of limiters
+//! at each) would hold requests back unless the list grew with the fleet, and selecting among them would hide the cost of
+//! quotas.
 
-use super::customer::Customer;
-use super::inbox::Inbox;
-use super::setting::{CALM, FleetSetting, INBOX_PER_S, PRESSED, PROBED};
-use crate::scale::{Delivery, Network, Traffic, Ways};
+mod event_queue;
+
+use super::customer::{Customer, LimiterSet, Usage};
+use super::fleet_setting::{
+    FleetSetting, OVERLOADED_PLAN, PEER_INBOX_PER_SECOND, TRACED_PLAN, UNDERLOADED_PLAN,
+};
+use super::peer_inbox::PeerInbox;
+use crate::scale::simulated::{ActionObserver, InvalidSettings, Observed};
+use crate::scale::{Datagram, LinkConditions, Network, Traffic};
+use event_queue::{Cause, Event, EventQueue};
 use merlinreel_policy::decide::Limiter;
-use merlinreel_policy::{Actions, EventBatch, PeerMessage, Request};
+use merlinreel_policy::{EventBatch, PeerMessage, Request};
 use merlinreel_settings::Settings;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use std::cmp::Reverse;
-use std::collections::{BTreeMap, BinaryHeap};
+use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// When the fleet starts: quota windows and lives of limiters are not at their first.
+/// When the fleet starts, so that quota windows and incarnations are not the first.
 pub const START: Duration = Duration::from_secs(1000);
-/// Limiters start within this time, so that their beats are spread.
-const STARTS_WITHIN: Duration = Duration::from_millis(100);
-/// As the class's deadline.
-const TIME_LEFT: Duration = Duration::from_secs(4);
-/// Requests of one limiter have numbers up to this; a number is free again at the limiter's next round.
-const REQUEST_NUMBERS: u32 = 256;
-/// How often a limiter of a probed customer's set asks.
-const PROBE_INTERVAL: Duration = Duration::from_secs(1);
-
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Cause {
-    /// The limiter asked to be called; the number is its life.
-    Wake(u32),
-    /// One of the limiter's customers asks, and another in its time.
-    Request,
-    /// This customer asks there, and again after a while.
-    Repeat { customer: usize, every: Duration },
-}
+/// Limiters start within this time, so that their ticks are spread.
+const START_SPREAD: Duration = Duration::from_millis(100);
+/// The remaining time of each request: the deadline of its class.
+const REMAINING_TIME: Duration = Duration::from_secs(4);
+/// Request ids of one limiter; an id is free again at the limiter's next event batch.
+const REQUEST_IDS: u32 = 256;
+/// The time between two requests of a traced customer at each limiter but the first of its set.
+const TRACE_INTERVAL: Duration = Duration::from_secs(1);
 
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct Event {
-    at: Duration,
-    /// Keeps events of one moment in order.
-    number: u64,
-    limiter: u32,
-    cause: Cause,
-}
-
-/// The decisions of one round that this fleet heeds.
+/// The actions of one event batch.
 #[derive(Default)]
-struct Decisions {
-    messages: Vec<(u32, Vec<u8>)>,
-    refused: Vec<u32>,
-    wake: Option<Duration>,
+struct BatchActions {
+    peer_messages: Vec<(u32, Vec<u8>)>,
+    rejected: Vec<u32>,
+    wakeup_after: Option<Duration>,
 }
 
-impl Actions for Decisions {
-    fn start_attempt(&mut self, _: u32, _: u32, _: Option<Duration>) {}
-    fn reject(&mut self, job: u32, _: Option<Duration>) {
-        self.refused.push(job);
+impl ActionObserver for BatchActions {
+    fn request_rejected(&mut self, request: u32) {
+        self.rejected.push(request);
     }
-    fn fail(&mut self, _: u32) {}
-    fn cancel_attempt(&mut self, _: u32, _: u32) {}
-    fn start_health_check(&mut self, _: u32) {}
-    fn send_peer_message(&mut self, limiter: u32, peer_message: &[u8]) {
-        self.messages.push((limiter, peer_message.to_vec()));
+    fn peer_message_sent(&mut self, limiter: u32, message: &[u8]) {
+        self.peer_messages.push((limiter, message.to_vec()));
     }
-    fn increment_counter(&mut self, _: u64, _: u64, _: f64, _: Duration) {}
-    fn set_endpoint_subscription(&mut self, _: bool) {}
-    fn poll_endpoints(&mut self) {}
-    fn close_idle_connections(&mut self, _: u32) {}
-    fn release_endpoint(&mut self, _: u32) {}
-    fn schedule_wakeup(&mut self, after: Duration) {
-        self.wake = Some(after);
+    fn wakeup_scheduled(&mut self, after: Duration) {
+        self.wakeup_after = Some(after);
     }
-    fn log(&mut self, _: &str) {}
 }
 
-struct HollowLimiter {
+struct SimulatedLimiter {
     limiter: Limiter,
-    life: u32,
+    incarnation: u32,
     next_request: u32,
-    /// Requests let in whose clients leave at the next round.
-    leaving: Vec<u32>,
-    inbox: Inbox,
+    /// Admitted requests whose clients disconnect at the next event batch.
+    disconnecting: Vec<u32>,
+    inbox: PeerInbox,
 }
 
-/// Hollow limiters, their customers and the network between them.
+/// Simulated limiters, their customers and the network between them.
 pub struct Fleet {
     setting: FleetSetting,
-    terms: Settings,
+    settings: Settings,
     now: Duration,
-    chance: ChaCha8Rng,
-    limiters: Vec<HollowLimiter>,
+    random: ChaCha8Rng,
+    limiters: Vec<SimulatedLimiter>,
+    /// All customers, traced ones included.
     pub customers: Vec<Customer>,
-    /// By limiter, the customers that ask there at the fleet's rate.
+    /// By limiter, the customers that send requests there at the fleet's rate.
     customers_of: Vec<Vec<usize>>,
     network: Network,
-    events: BinaryHeap<Reverse<Event>>,
-    event_number: u64,
-    /// By probed customer, when each limiter of its set refused first since it asked at all of them.
-    refusals: BTreeMap<usize, Vec<Option<Duration>>>,
+    events: EventQueue,
+    /// By traced customer, when each limiter of its set first rejected a request since all received them.
+    rejections: BTreeMap<usize, Vec<Option<Duration>>>,
 }
 
 impl Fleet {
-    /// A fleet that begins at [`START`], each customer's store full.
-    pub fn new(setting: FleetSetting, seed: u64) -> Result<Fleet, String> {
+    /// A fleet that starts at [`START`], with full token buckets.
+    ///
+    /// # Errors
+    /// The program rejects the settings.
+    pub fn new(setting: FleetSetting, seed: u64) -> Result<Fleet, InvalidSettings> {
+        let limiters = setting.limiters as usize;
         let mut fleet = Fleet {
             setting,
-            terms: setting.terms()?,
+            settings: setting.settings()?,
             now: START,
-            chance: ChaCha8Rng::seed_from_u64(seed),
+            random: ChaCha8Rng::seed_from_u64(seed),
             limiters: Vec::new(),
             customers: Vec::new(),
-            customers_of: vec![Vec::new(); setting.limiters as usize],
-            network: Network::new(setting.limiters as usize, seed, Ways::default()),
-            events: BinaryHeap::new(),
-            event_number: 0,
-            refusals: BTreeMap::new(),
+            customers_of: vec![Vec::new(); limiters],
+            network: Network::new(limiters, seed, LinkConditions::default()),
+            events: EventQueue::default(),
+            rejections: BTreeMap::new(),
         };
         fleet.add_customers();
         (0..setting.limiters).for_each(|rank| fleet.start_limiter(rank));
@@ -129,21 +109,30 @@
         let customers = u64::from(self.setting.customers());
         for place in 0..customers {
             let set_first = (place * u64::from(self.setting.limiters) / customers) as u32;
-            let pressed = self.chance.random_range(0..100) < self.setting.pressed_percent;
-            let plan = if pressed { PRESSED } else { CALM };
+            let is_overloaded = self.random.random_range(0..100) < self.setting.overloaded_percent;
+            let plan = if is_overloaded {
+                OVERLOADED_PLAN
+            } else {
+                UNDERLOADED_PLAN
+            };
             let customer = self.add_customer(plan, set_first);
-            for limiter in self.customers[customer].set(self.setting.limiters) {
+            let set = self.customers[customer].set;
+            for limiter in set.limiters(self.setting.limiters) {
                 self.customers_of[limiter as usize].push(customer);
             }
         }
     }
 
-    /// A customer that asks only where it is told to.
+    /// Adds a customer that sends no requests yet.
     fn add_customer(&mut self, plan: usize, set_first: u32) -> usize {
         // As long in a message as a hashed name.
-        let number = self.chance.random::<u64>() >> 2;
-        let set = (set_first, self.setting.set_size());
-        let (rate, burst) = (self.setting.rate(plan), self.setting.burst(plan));
+        let number = self.random.random::<u64>() >> 2;
+        let set = LimiterSet {
+            first: set_first,
+            size: self.setting.set_size(),
+        };
+        let rate = self.setting.rate(plan);
+        let burst = self.setting.burst(plan);
         self.customers
             .push(Customer::new(number, plan, set, rate, burst));
         self.customers.len() - 1
@@ -151,254 +140,231 @@
 
     fn start_limiter(&mut self, rank: u32) {
         let limiter = self.new_limiter(rank);
-        self.limiters.push(HollowLimiter {
+        self.limiters.push(SimulatedLimiter {
             limiter,
-            life: 0,
+            incarnation: 0,
             next_request: 0,
-            leaving: Vec::new(),
-            inbox: Inbox::default(),
+            disconnecting: Vec::new(),
+            inbox: PeerInbox::default(),
         });
-        let start = self.now + STARTS_WITHIN.mul_f64(self.chance.random::<f64>());
-        self.push(start, rank, Cause::Wake(0));
-        let first = start + self.next_request_after();
-        self.push(first, rank, Cause::Request);
+        let start = self.draw_start();
+        self.events.push(start, rank, Cause::Wakeup(0));
+        let first_request = start + self.draw_request_interval();
+        self.events.push(first_request, rank, Cause::Request);
     }
 
     fn new_limiter(&mut self, rank: u32) -> Limiter {
-        let seed = self.chance.random::<u64>();
-        let mut terms = self.terms.clone();
-        terms.fleet.me = rank;
-        terms.limiter(seed)
+        let seed = self.random.random::<u64>();
+        let mut settings = self.settings.clone();
+        settings.fleet.me = rank;
+        settings.limiter(seed)
     }
 
-    /// These start again at once, with nothing kept.
-    pub fn restart(&mut self, ranks: impl IntoIterator<Item = u32>) {
-        for rank in ranks {
-            let limiter = self.new_limiter(rank);
-            let hollow = &mut self.limiters[rank as usize];
-            (hollow.limiter, hollow.life) = (limiter, hollow.life + 1);
-            hollow.leaving.clear();
-            let life = hollow.life;
-            let start = self.now + STARTS_WITHIN.mul_f64(self.chance.random::<f64>());
-            self.push(start, rank, Cause::Wake(life));
-        }
+    fn draw_start(&mut self) -> Duration {
+        self.now + START_SPREAD.mul_f64(self.random.random::<f64>())
     }
 
-    fn next_request_after(&mut self) -> Duration {
+    fn draw_request_interval(&mut self) -> Duration {
         let mean = 1.0 / f64::from(self.setting.requests_per_second);
-        Duration::from_secs_f64(mean * (0.5 + self.chance.random::<f64>()))
+        Duration::from_secs_f64(mean * (0.5 + self.random.random::<f64>()))
     }
 
-    fn push(&mut self, at: Duration, limiter: u32, cause: Cause) {
-        self.event_number += 1;
-        self.events.push(Reverse(Event {
-            at,
-            number: self.event_number,
-            limiter,
-            cause,
-        }));
+    /// Restarts these limiters at once, with no memory.
+    pub fn restart(&mut self, ranks: impl IntoIterator<Item = u32>) {
+        for rank in ranks {
+            let limiter = self.new_limiter(rank);
+            let simulated = &mut self.limiters[rank as usize];
+            simulated.limiter = limiter;
+            simulated.incarnation += 1;
+            simulated.disconnecting.clear();
+            let incarnation = simulated.incarnation;
+            let start = self.draw_start();
+            self.events.push(start, rank, Cause::Wakeup(incarnation));
+        }
     }
 
-    /// Runs for so long on the test's clock.
-    pub fn run(&mut self, time: Duration) {
-        let end = self.now + time;
+    /// Runs for a duration of the simulated clock.
+    pub fn run(&mut self, duration: Duration) {
+        let end = self.now + duration;
         while let Some(at) = self.next_at().filter(|at| *at <= end) {
             self.now = at;
-            while let Some(delivery) = self.network.arrived(at) {
-                self.deliver(delivery);
+            while let Some(datagram) = self.network.receive(at) {
+                self.deliver(datagram);
             }
-            while self.events.peek().is_some_and(|event| event.0.at <= at) {
-                self.events
-                    .pop()
-                    .into_iter()
-                    .for_each(|event| self.handle(event.0));
+            while let Some(event) = self.events.pop_due(at) {
+                self.handle(event);
             }
         }
         self.now = end;
     }
 
     fn next_at(&self) -> Option<Duration> {
-        let event = self.events.peek().map(|event| event.0.at);
-        [event, self.network.next_at()].into_iter().flatten().min()
+        [self.events.next_at(), self.network.next_arrival()]
+            .into_iter()
+            .flatten()
+            .min()
     }
 
-    fn deliver(&mut self, delivery: Delivery) {
-        let Delivery { from, to, bytes } = delivery;
-        if self.limiters[to as usize]
-            .inbox
-            .takes(self.now, INBOX_PER_S)
-        {
-            self.round(
-                to,
-                EventBatch {
-                    peer_messages: vec![PeerMessage { from, bytes }],
-                    ..EventBatch::default()
-                },
-            );
+    fn deliver(&mut self, datagram: Datagram) {
+        let Datagram { from, to, bytes } = datagram;
+        let inbox = &mut self.limiters[to as usize].inbox;
+        if inbox.accept(self.now, PEER_INBOX_PER_SECOND) {
+            let batch = EventBatch {
+                peer_messages: vec![PeerMessage { from, bytes }],
+                ..EventBatch::default()
+            };
+            self.run_batch(to, batch);
         }
     }
 
     fn handle(&mut self, event: Event) {
         let limiter = event.limiter;
         match event.cause {
-            Cause::Wake(life) if life == self.limiters[limiter as usize].life => {
-                self.round(limiter, EventBatch::default());
+            Cause::Wakeup(incarnation) => {
+                if incarnation == self.limiters[limiter as usize].incarnation {
+                    self.run_batch(limiter, EventBatch::default());
+                }
             }
-            Cause::Wake(_) => {}
             Cause::Request => {
                 let customers = &self.customers_of[limiter as usize];
                 if !customers.is_empty() {
-                    let customer = customers[self.chance.random_range(0..customers.len())];
+                    let customer = customers[self.random.random_range(0..customers.len())];
                     self.request(limiter, customer);
                 }
-                let next = self.now + self.next_request_after();
-                self.push(next, limiter, Cause::Request);
+                let next = self.now + self.draw_request_interval();
+                self.events.push(next, limiter, Cause::Request);
             }
-            Cause::Repeat { customer, every } => {
+            Cause::Repeat { customer, interval } => {
                 self.request(limiter, customer);
-                self.push(self.now + every, limiter, event.cause);
+                self.events.push(self.now + interval, limiter, event.cause);
             }
         }
     }
 
+    /// Passes a request of a customer to a limiter.
     fn request(&mut self, limiter: u32, customer: usize) {
-        let hollow = &mut self.limiters[limiter as usize];
-        let number = hollow.next_request;
-        hollow.next_request = (number + 1) % REQUEST_NUMBERS;
-        let Customer {
-            number: name,
-            plan,
-            set_first,
-            set_size,
-            ..
-        } = self.customers[customer];
-        let job = Request {
-            id: number,
-            customer: name,
-            plan,
+        let simulated = &mut self.limiters[limiter as usize];
+        let id = simulated.next_request;
+        simulated.next_request = (id + 1) % REQUEST_IDS;
+        let sender = &self.customers[customer];
+        let request = Request {
+            id,
+            customer: sender.number,
+            plan: sender.plan,
             class: 0,
             units: 1.0,
-            remaining_time: TIME_LEFT,
-            set_size,
-            set_first,
+            remaining_time: REMAINING_TIME,
+            set_size: sender.set.size,
+            set_first: sender.set.first,
             is_retry: false,
         };
-        let refused = self.round(
-            limiter,
-            EventBatch {
-                requests: vec![job],
-                ..EventBatch::default()
-            },
-        );
-        let admitted = !refused.contains(&number);
-        if admitted {
-            self.limiters[limiter as usize].leaving.push(number);
-        }
-        self.customers[customer].count(self.now, admitted);
-        if !admitted {
-            self.note_refusal(limiter, customer);
+        let batch = EventBatch {
+            requests: vec![request],
+            ..EventBatch::default()
+        };
+        let is_admitted = !self.run_batch(limiter, batch).contains(&id);
+        self.customers[customer].count(self.now, is_admitted);
+        if is_admitted {
+            self.limiters[limiter as usize].disconnecting.push(id);
+        } else {
+            self.add_rejection(limiter, customer);
         }
     }
 
-    fn note_refusal(&mut self, limiter: u32, customer: usize) {
-        let Some(refusals) = self.refusals.get_mut(&customer) else {
+    fn add_rejection(&mut self, limiter: u32, customer: usize) {
+        let Some(rejections) = self.rejections.get_mut(&customer) else {
             return;
         };
-        let (limiters, first) = (self.setting.limiters, self.customers[customer].set_first);
+        let limiters = self.setting.limiters;
+        let first = self.customers[customer].set.first;
         let place = (limiter + limiters - first) % limiters;
-        refusals[place as usize].get_or_insert(self.now);
+        rejections[place as usize].get_or_insert(self.now);
     }
 
-    /// One round of a limiter; returns the requests that it refused.
-    fn round(&mut self, rank: u32, round: EventBatch) -> Vec<u32> {
-        let hollow = &mut self.limiters[rank as usize];
-        let left = std::mem::take(&mut hollow.leaving);
-        let mut decisions = Decisions::default();
-        hollow.limiter.round(
-            self.now,
-            &EventBatch {
-                disconnects: left,
-                ..round
-            },
-            &mut decisions,
-        );
-        for (to, bytes) in decisions.messages {
+    /// Runs one event batch of a limiter; the requests that it rejected.
+    fn run_batch(&mut self, rank: u32, batch: EventBatch) -> Vec<u32> {
+        let simulated = &mut self.limiters[rank as usize];
+        let batch = EventBatch {
+            disconnects: std::mem::take(&mut simulated.disconnecting),
+            ..batch
+        };
+        let mut observer = Observed::<BatchActions>::default();
+        simulated.limiter.round(self.now, &batch, &mut observer);
+        let incarnation = simulated.incarnation;
+        let actions = observer.0;
+        for (to, bytes) in actions.peer_messages {
             self.send(rank, to, bytes);
         }
-        let life = self.limiters[rank as usize].life;
-        if let Some(after) = decisions.wake {
-            self.push(self.now + after, rank, Cause::Wake(life));
+        if let Some(after) = actions.wakeup_after {
+            self.events
+                .push(self.now + after, rank, Cause::Wakeup(incarnation));
         }
-        decisions.refused
+        actions.rejected
     }
 
     fn send(&mut self, from: u32, to: u32, bytes: Vec<u8>) {
-        if !self.setting.tells_everybody {
+        if !self.setting.broadcasts_messages {
             return self.network.send(self.now, from, to, bytes);
         }
         let others = (0..self.setting.limiters).filter(|&other| other != from);
         others.for_each(|other| self.network.send(self.now, from, other, bytes.clone()));
     }
 
-    /// A new customer that asks `per_second` times at the first limiter of its set alone.
-    pub fn probe_at_first(&mut self, set_first: u32, per_second: u32) -> usize {
-        let customer = self.add_customer(PROBED, set_first);
-        let every = Duration::from_secs(1) / per_second;
-        self.push(
-            self.now + every,
-            set_first,
-            Cause::Repeat { customer, every },
-        );
+    /// Adds a traced customer that sends requests to the first limiter of its set alone; its index.
+    pub fn trace_at_first(&mut self, set_first: u32, per_second: u32) -> usize {
+        let customer = self.add_customer(TRACED_PLAN, set_first);
+        let interval = Duration::from_secs(1) / per_second;
+        let cause = Cause::Repeat { customer, interval };
+        self.events.push(self.now + interval, set_first, cause);
         customer
     }
 
-    /// From now on it asks once a second at each other limiter of its set too.
-    pub fn probe_at_others(&mut self, customer: usize) {
-        let set_size = self.customers[customer].set_size as usize;
-        self.refusals.insert(customer, vec![None; set_size]);
-        for limiter in self.customers[customer].set(self.setting.limiters).skip(1) {
-            let at = self.now + PROBE_INTERVAL.mul_f64(self.chance.random::<f64>());
-            self.push(
-                at,
-                limiter,
-                Cause::Repeat {
-                    customer,
-                    every: PROBE_INTERVAL,
-                },
-            );
+    /// Has a traced customer send a request each second to each other limiter of its set, too.
+    pub fn trace_at_others(&mut self, customer: usize) {
+        let set = self.customers[customer].set;
+        self.rejections
+            .insert(customer, vec![None; set.size as usize]);
+        for limiter in set.limiters(self.setting.limiters).skip(1) {
+            let at = self.now + TRACE_INTERVAL.mul_f64(self.random.random::<f64>());
+            let cause = Cause::Repeat {
+                customer,
+                interval: TRACE_INTERVAL,
+            };
+            self.events.push(at, limiter, cause);
         }
     }
 
-    /// By place in a probed customer's set, when that limiter refused it first since all were asked.
-    pub fn first_refusals(&self, customer: usize) -> Vec<Option<Duration>> {
-        self.refusals.get(&customer).cloned().unwrap_or_default()
+    /// By place in a traced customer's set, when that limiter first rejected a request since all received them.
+    pub fn first_rejections(&self, customer: usize) -> Vec<Option<Duration>> {
+        self.rejections.get(&customer).cloned().unwrap_or_default()
     }
 
-    /// Forgets what was counted; stores and limiters stay as they are.
+    /// Sets all counts to 0; token buckets and limiters stay as they are.
     pub fn reset_counts(&mut self) {
         self.network.reset_traffic();
-        self.limiters
-            .iter_mut()
-            .for_each(|hollow| hollow.inbox.dropped = 0);
-        self.customers
-            .iter_mut()
-            .for_each(|customer| customer.used = Default::default());
+        for simulated in &mut self.limiters {
+            simulated.inbox.dropped = 0;
+        }
+        for customer in &mut self.customers {
+            customer.usage = Usage::default();
+        }
     }
 
+    /// The simulated time.
     pub fn now(&self) -> Duration {
         self.now
     }
 
-    /// By limiter.
+    /// By limiter, the traffic since the last reset.
     pub fn traffic(&self) -> &[Traffic] {
         self.network.traffic()
     }
 
-    /// Messages that arrived and found the inbox full.
+    /// Messages that arrived at full inboxes since the last reset.
     pub fn dropped(&self) -> u64 {
         self.limiters
             .iter()
-            .map(|hollow| hollow.inbox.dropped)
+            .map(|simulated| simulated.inbox.dropped)
             .sum()
     }
 }
--- /dev/null
+++ b/crates/merlinreel-testkit/src/scale/quotas/tenant_tables.rs
@@ -0,0 +1,252 @@
+//! What one limiter's tables take for each tenant: an account for each that sent a request there, a count of each peer
+//! for each whose peers reported; and the cost of a peer's restart, which looks at every account.
+
+use super::fleet_setting::UNDERLOADED_PLAN;
+use super::{FleetSetting, START, report};
+use crate::scale::simulated::{ActionObserver, InvalidSettings, Observed};
+use crate::scale::{Emit, MeasureRequest, Meter, ScaleError, Unit};
+use merlinreel_policy::decide::Limiter;
+use merlinreel_policy::peer_message::{CounterRow, Head, write};
+use merlinreel_policy::{EventBatch, PeerMessage, Request};
+use std::time::Duration;
+
+/// Tenants that sent a request to one limiter; the last is all.
+pub const TENANT_SIZES: &[u64] = &[1_000, 6_100, 30_000, 100_000, 380_000];
+/// Tenants whose counts one limiter aggregates; the first is an even share of all.
+pub const REPORTED_TENANT_SIZES: &[u64] = &[165, 1_000, 4_000, 16_000];
+/// Limiters of the full fleet: each limiter keeps some numbers of each other one.
+const LIMITERS: u32 = 2_300;
+/// Peers whose first message after a restart is measured; enough for the resolution of the kernel's accounting.
+const RESTARTED_PEERS: u32 = 200;
+/// An upper estimate of an account and its place in the tables.
+const ACCOUNT_BYTES: u64 = 1_024;
+/// A peer's report of one window.
+const REPORT_BYTES: u64 = 8;
+const IDLE: Duration = Duration::from_secs(5);
+const TICK: Duration = Duration::from_millis(100);
+/// Tenants in one message, few enough to fit.
+const TENANTS_PER_MESSAGE: usize = 8;
+
+/// Ignores all actions.
+#[derive(Default)]
+struct IgnoreActions;
+
+impl ActionObserver for IgnoreActions {}
+
+/// One limiter of the full fleet and its tenants.
+pub struct TenantTables {
+    limiter: Limiter,
+    now: Duration,
+    setting: FleetSetting,
+}
+
+/// Processor times, a value for each run.
+struct ProcessorTimes {
+    /// Microseconds for a peer's restart.
+    peer_restart: Vec<f64>,
+    /// The share of a core for ticks without requests.
+    idle: Vec<f64>,
+}
+
+impl TenantTables {
+    /// A limiter without tenants.
+    ///
+    /// # Errors
+    /// The program rejects the settings.
+    pub fn new(seed: u64) -> Result<TenantTables, InvalidSettings> {
+        let setting = FleetSetting {
+            limiters: LIMITERS,
+            ..FleetSetting::default()
+        };
+        let mut tables = TenantTables {
+            limiter: setting.settings()?.limiter(seed),
+            now: START,
+            setting,
+        };
+        tables.run_batch(EventBatch::default());
+        Ok(tables)
+    }
+
+    fn run_batch(&mut self, batch: EventBatch) {
+        let mut observer = Observed(IgnoreActions);
+        self.limiter.round(self.now, &batch, &mut observer);
+    }
+
+    /// Each of the tenants sends a request and disconnects.
+    pub fn request_once(&mut self, tenants: u64) {
+        for tenant in 0..tenants {
+            // Two request ids alternate: each batch has a request and the disconnect of the one before.
+            let request = Request {
+                id: (tenant % 2) as u32,
+                customer: tenant_number(tenant),
+                plan: UNDERLOADED_PLAN,
+                class: 0,
+                units: 1.0,
+                remaining_time: Duration::from_secs(4),
+                set_size: self.setting.set_size(),
+                set_first: 0,
+                is_retry: false,
+            };
+            self.run_batch(EventBatch {
+                requests: vec![request],
+                disconnects: vec![((tenant + 1) % 2) as u32],
+                ..EventBatch::default()
+            });
+        }
+        self.run_batch(EventBatch {
+            disconnects: vec![0, 1],
+            ..EventBatch::default()
+        });
+    }
+
+    /// The last limiter reports a unit of each of the tenants.
+    pub fn receive_reports(&mut self, tenants: u64) {
+        let tenants: Vec<u64> = (0..tenants).collect();
+        for (number, tenants) in tenants.chunks(TENANTS_PER_MESSAGE).enumerate() {
+            let rows: Vec<CounterRow> = tenants
+                .iter()
+                .map(|&tenant| self.report_of(tenant))
+                .collect();
+            let head = Head {
+                life: 1,
+                number: number as u64 + 1,
+            };
+            let peer_messages = write(head, &rows)
+                .into_iter()
+                .map(|bytes| PeerMessage {
+                    from: LIMITERS - 1,
+                    bytes,
+                })
+                .collect();
+            self.run_batch(EventBatch {
+                peer_messages,
+                ..EventBatch::default()
+            });
+        }
+    }
+
+    fn report_of(&self, tenant: u64) -> CounterRow {
+        let plan = UNDERLOADED_PLAN;
+        let window_seconds = self.setting.burst(plan) / self.setting.rate(plan);
+        CounterRow {
+            customer: tenant_number(tenant),
+            plan,
+            window: (self.now.as_secs_f64() / window_seconds) as u64,
+            total: 1.0,
+            asked: Some(1.0),
+            left: None,
+            age: None,
+        }
+    }
+
+    /// The first message of that incarnation of each of the peers.
+    pub fn receive_restarts(&mut self, incarnation: u64, peers: u32) {
+        for from in 1..=peers {
+            let head = Head {
+                life: incarnation,
+                number: 1,
+            };
+            let bytes = write(head, &[]).concat();
+            self.run_batch(EventBatch {
+                peer_messages: vec![PeerMessage { from, bytes }],
+                ..EventBatch::default()
+            });
+        }
+    }
+
+    fn processor_times(&mut self, runs: u32) -> ProcessorTimes {
+        let mut times = ProcessorTimes {
+            peer_restart: Vec::new(),
+            idle: Vec::new(),
+        };
+        for run in 0..runs {
+            let meter = Meter::start();
+            self.receive_restarts(2 + u64::from(run), RESTARTED_PEERS);
+            let microseconds = meter.read().cpu_seconds * 1e6;
+            times
+                .peer_restart
+                .push(microseconds / f64::from(RESTARTED_PEERS));
+            let meter = Meter::start();
+            self.idle(IDLE);
+            times
+                .idle
+                .push(meter.read().cpu_seconds / IDLE.as_secs_f64());
+        }
+        times
+    }
+
+    /// Runs ticks without requests.
+    pub fn idle(&mut self, duration: Duration) {
+        let end = self.now + duration;
+        while self.now < end {
+            self.now += TICK;
+            self.run_batch(EventBatch::default());
+        }
+    }
+}
+
+/// As long in a message as a hashed name.
+fn tenant_number(tenant: u64) -> u64 {
+    tenant.wrapping_add(1).wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 2
+}
+
+/// Varies the tenants that sent a request to one limiter. The tables of all sizes are kept to the end: memory that is
+/// freed and reused would not be measured as growth.
+///
+/// # Errors
+/// A size exceeds the memory bound, or a measurement fails.
+pub fn measure_tenants(request: &MeasureRequest, emit: Emit) -> Result<(), ScaleError> {
+    let mut kept = Vec::new();
+    let mut tenants = 0;
+    for &size in &request.sizes {
+        tenants += size;
+        let needed_mb = 64 + tenants * ACCOUNT_BYTES / (1 << 20);
+        request.check_memory(&format!("one limiter with {size} tenants"), needed_mb)?;
+        let setting = format!(
+            "one of {LIMITERS} limiters, each tenant asked once, {RESTARTED_PEERS} peers of a new life"
+        );
+        let mut report = report(request, "tenants_asked", size, setting, emit);
+        let mut tables = TenantTables::new(request.seed).map_err(|error| report.failed(error))?;
+        let meter = Meter::start();
+        tables.request_once(size);
+        let memory = meter.read().memory_bytes as f64;
+        let times = tables.processor_times(request.runs);
+        kept.push(tables);
+        report.measured("memory", Unit::Bytes, vec![memory])?;
+        report.measured(
+            "cpu_of_a_peer_s_new_life",
+            Unit::Microseconds,
+            times.peer_restart,
+        )?;
+        report.measured("cpu_share_without_requests", Unit::CpuShare, times.idle)?;
+    }
+    Ok(())
+}
+
+/// Varies the tenants that the last peer reported to one limiter; the tables are kept as in [`measure_tenants`].
+///
+/// # Errors
+/// A size exceeds the memory bound, or a measurement fails.
+pub fn measure_reported_tenants(request: &MeasureRequest, emit: Emit) -> Result<(), ScaleError> {
+    let mut kept = Vec::new();
+    let mut tenants = 0;
+    for &size in &request.sizes {
+        tenants += size;
+        let tenant_bytes = u64::from(LIMITERS) * REPORT_BYTES + ACCOUNT_BYTES;
+        let needed_mb = 64 + tenants * tenant_bytes / (1 << 20);
+        request.check_memory(
+            &format!("one limiter with reports of {size} tenants"),
+            needed_mb,
+        )?;
+        let setting =
+            format!("one of {LIMITERS} limiters, one window, the last limiter reports each tenant");
+        let mut report = report(request, "tenants_reported", size, setting, emit);
+        let mut tables = TenantTables::new(request.seed).map_err(|error| report.failed(error))?;
+        let meter = Meter::start();
+        tables.receive_reports(size);
+        let memory = meter.read().memory_bytes as f64;
+        kept.push(tables);
+        report.measured("memory", Unit::Bytes, vec![memory])?;
+    }
+    Ok(())
+}
--- a/crates/merlinreel-testkit/src/scale/request.rs
+++ b/crates/merlinreel-testkit/src/scale/request.rs
@@ -1,21 +1,29 @@
-//! What a scale run was asked for, checked before any of it begins.
+//! The request of a scale run, validated before any of it begins.
 
 use super::ScaleError;
-use std::fs;
+use super::proc_file;
+
+/// Assumed where the machine's memory is unknown, in kilobytes.
+const DEFAULT_MEMORY_KB: u64 = 2 << 20;
 
 /// The sizes to measure at, and the bounds of the run.
 #[derive(Clone, Debug)]
 pub struct MeasureRequest {
     /// In ascending order.
     pub sizes: Vec<u64>,
+    /// What everything is drawn from.
     pub seed: u64,
-    /// How often times and memory are measured at each size.
+    /// How often times are measured at each size.
     pub runs: u32,
+    /// The most memory that one size may take, in megabytes.
     pub memory_mb: u64,
 }
 
 impl MeasureRequest {
-    /// Sizes are given in ascending order, each once; with no memory bound, half of the machine's is taken.
+    /// A valid request. Without a memory bound, it is half of the machine's memory.
+    ///
+    /// # Errors
+    /// Sizes are not in ascending order, one is 0 or given twice, or there are no sizes, runs or memory.
     pub fn new(
         sizes: Vec<u64>,
         seed: u64,
@@ -60,7 +68,7 @@
             return argument(
                 "memory-mb",
                 "0".to_owned(),
-                "nothing fits",
+                "no size fits",
                 "a number of megabytes, 64 or more",
             );
         }
@@ -72,7 +80,10 @@
         })
     }
 
-    /// Refuses a size whose estimated need is over the bound.
+    /// Checks the estimated need of a size.
+    ///
+    /// # Errors
+    /// The need is over the bound.
     pub fn check_memory(&self, what: &str, needed_mb: u64) -> Result<(), ScaleError> {
         if needed_mb <= self.memory_mb {
             return Ok(());
@@ -86,12 +97,8 @@
 }
 
 fn half_of_the_machine_mb() -> u64 {
-    let figures = fs::read_to_string("/proc/meminfo").unwrap_or_default();
-    let line = figures
-        .lines()
-        .find_map(|line| line.strip_prefix("MemTotal:"));
-    let kilobytes = line.and_then(|rest| rest.split_whitespace().next()?.parse::<u64>().ok());
-    kilobytes.unwrap_or(2 << 20) / 1024 / 2
+    let kilobytes = proc_file::kilobytes("/proc/meminfo", "MemTotal:");
+    kilobytes.unwrap_or(DEFAULT_MEMORY_KB) / 1024 / 2
 }
 
 #[cfg(test)]
--- a/crates/merlinreel-testkit/src/scale/request/tests.rs
+++ b/crates/merlinreel-testkit/src/scale/request/tests.rs
@@ -7,7 +7,7 @@
 #[test_case(&[5, 3], 1, Some(64) => "sizes" ; "not in order")]
 #[test_case(&[5], 0, Some(64) => "runs" ; "no run")]
 #[test_case(&[5], 1, Some(0) => "memory-mb" ; "no memory")]
-fn what_cannot_be_measured_is_refused(
+fn invalid_request_is_rejected_by_option(
     sizes: &[u64],
     runs: u32,
     memory_mb: Option<u64>,
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn a_size_over_the_memory_bound_is_refused_by_name() {
+fn size_over_the_memory_bound_is_rejected_by_name() {
     let request = MeasureRequest::new(vec![1, 2], 1, 1, Some(100)).expect("sound");
     assert!(request.check_memory("2,300 limiters", 100).is_ok());
     let refused = request
--- a/crates/merlinreel-testkit/src/scale/server_list.rs
+++ b/crates/merlinreel-testkit/src/scale/server_list.rs
@@ -1,28 +1,28 @@
-//! Scale of the list of servers: its bytes, reading it, what is held of it, changes of it, and the decision state over
-//! its servers.
+//! Scale of the list of servers: its size in bytes, reading it, the memory it takes, changes of it, and the decisions
+//! over its servers.
 //!
 //! The real code runs: `merlinreel_discovery` from a message's bytes to the table of servers, and the decision module.
-//! Not measured: the sockets to the list's source, and what the program keeps of each server's connections.
+//! Not measured: the connections to discovery, and what the program keeps of each server's connections.
 
-mod deciding;
-mod holder;
-mod hollow;
-mod reading;
-mod report;
+mod decision_costs;
+mod list_consumer;
+mod list_source;
 mod restart;
-mod source;
+mod simulated_limiter;
+mod update_costs;
 
-use crate::scale::{Figure, MeasureRequest, ScaleError};
-pub use holder::{ListHolder, RealHolder, measure_steps};
-pub use hollow::{HollowLimiter, LIMITERS, Written};
-use report::Report;
-pub use restart::{LIMITERS_RESTARTING_SIZES, measure_limiters_restarting};
-pub use source::{Form, ListSource};
+pub use list_consumer::{EndpointTableConsumer, ListConsumer, measure_steps};
+pub use list_source::{Format, ListSource};
+pub use restart::{RESTARTING_LIMITER_SIZES, measure_limiters_restarting};
+pub use simulated_limiter::{ActionCounts, LIMITERS, SimulatedLimiter};
+
+use super::{Emit, MeasureRequest, Report, ScaleError};
 
 /// Servers on the list.
 pub const DEFAULT_SIZES: &[u64] = &[1_000, 5_000, 20_000, 60_000, 160_000];
 
-/// What a server takes while it is measured, with its text in both forms, over all that is held at once.
+const ROLE: &str = "server_list";
+/// Memory of a server while it is measured, with its text in both formats.
 const BYTES_PER_SERVER: u64 = 4_096;
 const PROGRAM_MB: u64 = 64;
 
@@ -31,41 +31,42 @@
 }
 
 /// Varies the servers on the list of one limiter.
-pub fn measure(
-    request: &MeasureRequest,
-    emit: &mut dyn FnMut(Figure) -> Result<(), ScaleError>,
-) -> Result<(), ScaleError> {
+///
+/// # Errors
+/// A size exceeds the memory bound, or a measurement fails.
+pub fn measure(request: &MeasureRequest, emit: Emit) -> Result<(), ScaleError> {
     for &size in &request.sizes {
         request.check_memory(&format!("a list of {size} servers"), needed_mb(size))?;
     }
     // Memory first, as the allocator keeps what the other measurements free.
     for &size in &request.sizes {
-        reading::memory(&mut report(request, emit, size))?;
+        update_costs::measure_memory(&mut report(request, emit, size))?;
     }
     for &size in &request.sizes {
         let mut report = report(request, emit, size);
-        reading::bytes(&mut report)?;
-        reading::processor_time(&mut report)?;
-        reading::changes(&mut report)?;
-        reading::replacement(&mut report)?;
-        deciding::idle(&mut report)?;
-        deciding::requests(&mut report)?;
+        update_costs::count_bytes(&mut report)?;
+        update_costs::measure_processor_time(&mut report)?;
+        update_costs::measure_changes(&mut report)?;
+        update_costs::measure_replacement(&mut report)?;
+        decision_costs::measure_idle(&mut report)?;
+        decision_costs::measure_requests(&mut report)?;
     }
-    measure_steps(request, &mut || Box::<RealHolder>::default(), emit)
+    measure_steps(
+        request,
+        &mut || Box::<EndpointTableConsumer>::default(),
+        emit,
+    )
 }
 
-fn report<'a, 'b>(
-    request: &'a MeasureRequest,
-    emit: &'a mut report::Emit<'b>,
-    size: u64,
-) -> Report<'a, 'b> {
+fn report<'a>(request: &'a MeasureRequest, emit: Emit<'a>, size: u64) -> Report<'a> {
     let setting =
         format!("1 limiter of {LIMITERS}, 16 servers a service, 11 zones, no client traffic");
     Report {
         request,
-        emit,
+        role: ROLE,
         variable: "servers",
         size,
         setting,
+        emit,
     }
 }
--- /dev/null
+++ b/crates/merlinreel-testkit/src/scale/server_list/list_consumer.rs
@@ -0,0 +1,58 @@
+//! The steps of applying a full list, entry by entry, by the program's table or another one that counts its own.
+
+use super::ROLE;
+use super::list_source::{Format, ListSource};
+use crate::scale::{Emit, MeasureRequest, Report, ScaleError, Unit};
+use merlinreel_discovery::{DiscoveryUpdate, EndpointTable, decode};
+
+/// Applies lists, and counts its steps.
+pub trait ListConsumer {
+    /// Applies an update; the number of steps: entries passed on, and comparisons or look-ups where they can be counted.
+    fn apply(&mut self, update: DiscoveryUpdate) -> u64;
+}
+
+/// The program's table. Look-ups inside its maps can't be counted from outside: the steps are the entries that it passes
+/// to the decision module and the indices that it assigned.
+#[derive(Default)]
+pub struct EndpointTableConsumer(EndpointTable);
+
+impl ListConsumer for EndpointTableConsumer {
+    fn apply(&mut self, update: DiscoveryUpdate) -> u64 {
+        let list = self.0.apply(update, false);
+        list.endpoints.len() as u64 + self.0.indices() as u64
+    }
+}
+
+/// Counts the steps per server as a consumer applies the same full list twice: with all servers new, and all known.
+///
+/// # Errors
+/// A message can't be written or read, or a data point can't be written.
+pub fn measure_steps(
+    request: &MeasureRequest,
+    new_consumer: &mut dyn FnMut() -> Box<dyn ListConsumer>,
+    emit: Emit,
+) -> Result<(), ScaleError> {
+    for &size in &request.sizes {
+        let mut report = Report {
+            request,
+            role: ROLE,
+            variable: "servers",
+            size,
+            setting: "1 list holder, a full list taken in twice".to_owned(),
+            emit: &mut *emit,
+        };
+        let mut source = ListSource::new(size, request.seed, Format::Compact);
+        let bytes = source.full_list().map_err(|error| report.failed(error))?;
+        let mut consumer = new_consumer();
+        let mut steps = 0;
+        for _ in 0..2 {
+            steps += consumer.apply(decode(&bytes).map_err(|error| report.failed(error))?);
+        }
+        report.counted(
+            "list_steps_per_server",
+            Unit::Count,
+            steps as f64 / size as f64,
+        )?;
+    }
+    Ok(())
+}
--- a/crates/merlinreel-testkit/src/scale/server_list/source.rs
+++ b/crates/merlinreel-testkit/src/scale/server_list/list_source.rs
@@ -1,4 +1,4 @@
-//! The list's source: a drawn fleet, its full list and its change messages as bytes, and what was asked of it.
+//! The source of lists: servers drawn from a seed, their full list and change messages as bytes.
 
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -6,22 +6,23 @@
 use std::collections::HashSet;
 use std::net::{Ipv4Addr, SocketAddr};
 
-/// Servers of one service, as in 160,000 servers of 10,000 services.
+/// Servers of each service: 160,000 servers of 10,000 services.
 const SERVERS_PER_SERVICE: u32 = 16;
 const ZONES: u32 = 11;
 const PORT: u16 = 8443;
-/// Servers draw from 10.0.0.0/8 in the order in which they are added.
+/// Servers are assigned addresses of 10.0.0.0/8 in the order in which they are added.
 const FIRST_ADDRESS: u32 = 10 << 24;
 
-/// How the source writes its messages.
+/// The format of messages.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Form {
+pub enum Format {
+    /// JSON without whitespace.
     Compact,
-    /// As the discovery agent may write it.
+    /// Indented JSON, which a discovery agent may write, too.
     Indented,
 }
 
-/// A server as it stands on the wire, with the members of [`crate::listed`].
+/// A server as it is written, with the members of [`crate::instance`].
 #[derive(Serialize)]
 #[serde(rename_all = "camelCase")]
 struct WireServer {
@@ -35,7 +36,7 @@
     started_at_ms: u64,
 }
 
-/// A message whose servers are written one by one: none but the bytes is ever held of all.
+/// A message whose servers are written one by one, so that only the bytes of all are held at once.
 #[derive(Serialize)]
 struct WireMessage<Servers: Serialize> {
     generation: u64,
@@ -43,51 +44,52 @@
     instances: Servers,
 }
 
-struct Each<'a, Item: Fn(usize) -> WireServer> {
+struct EachServer<'a, ToWire: Fn(usize) -> WireServer> {
     places: &'a [usize],
-    item: Item,
+    to_wire: ToWire,
 }
 
-impl<Item: Fn(usize) -> WireServer> Serialize for Each<'_, Item> {
+impl<ToWire: Fn(usize) -> WireServer> Serialize for EachServer<'_, ToWire> {
     fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
-        serializer.collect_seq(self.places.iter().map(|place| (self.item)(*place)))
+        serializer.collect_seq(self.places.iter().map(|place| (self.to_wire)(*place)))
     }
 }
 
 #[derive(Clone, Copy)]
-struct Drawn {
-    /// By this and the service a server is named; another after each replacement.
+struct DrawnServer {
+    /// Part of the server's name, with its service; a replacement has another.
     suffix: u32,
     address: u32,
 }
 
 /// The servers by their place in the list.
-struct Fleet {
-    servers: Vec<Drawn>,
+struct ServerPool {
+    servers: Vec<DrawnServer>,
     next_address: u32,
 }
 
-/// Holds the fleet and counts the bytes that it gives out.
+/// Writes messages about its servers and counts their bytes.
 pub struct ListSource {
-    chance: ChaCha8Rng,
-    fleet: Fleet,
+    random: ChaCha8Rng,
+    pool: ServerPool,
     generation: u64,
-    form: Form,
-    /// Bytes of full lists and change messages, all together.
+    format: Format,
+    /// Bytes of all messages so far.
     pub bytes_sent: u64,
 }
 
-impl Fleet {
-    fn draw(&mut self, chance: &mut ChaCha8Rng) -> Drawn {
+impl ServerPool {
+    fn draw(&mut self, random: &mut ChaCha8Rng) -> DrawnServer {
         self.next_address += 1;
-        Drawn {
-            suffix: chance.random(),
+        DrawnServer {
+            suffix: random.random(),
             address: self.next_address,
         }
     }
 
     fn server(&self, place: usize, lifecycle: &'static str, started_at_ms: u64) -> WireServer {
-        let (number, drawn) = (place as u32, self.servers[place]);
+        let number = place as u32;
+        let drawn = self.servers[place];
         let service = number / SERVERS_PER_SERVICE;
         let address = SocketAddr::from((Ipv4Addr::from_bits(drawn.address), PORT));
         WireServer {
@@ -104,39 +106,43 @@
 }
 
 impl ListSource {
-    pub fn new(servers: u64, seed: u64, form: Form) -> ListSource {
+    /// A source with this many servers.
+    pub fn new(servers: u64, seed: u64, format: Format) -> ListSource {
         let mut source = ListSource {
-            chance: ChaCha8Rng::seed_from_u64(seed),
-            fleet: Fleet {
+            random: ChaCha8Rng::seed_from_u64(seed),
+            pool: ServerPool {
                 servers: Vec::new(),
                 next_address: FIRST_ADDRESS,
             },
             generation: 0,
-            form,
+            format,
             bytes_sent: 0,
         };
         for _ in 0..servers {
-            let drawn = source.fleet.draw(&mut source.chance);
-            source.fleet.servers.push(drawn);
+            let drawn = source.pool.draw(&mut source.random);
+            source.pool.servers.push(drawn);
         }
         source
     }
 
-    /// The full list, each server up and started long ago.
+    /// The full list, with all servers up and started long ago.
+    ///
+    /// # Errors
+    /// The message can't be written.
     pub fn full_list(&mut self) -> Result<Vec<u8>, serde_json::Error> {
-        let places: Vec<usize> = (0..self.fleet.servers.len()).collect();
-        let servers = Each {
+        let places: Vec<usize> = (0..self.pool.servers.len()).collect();
+        let servers = EachServer {
             places: &places,
-            item: |place| self.fleet.server(place, "up", 0),
+            to_wire: |place| self.pool.server(place, "up", 0),
         };
         let bytes = self.write(true, servers)?;
         self.bytes_sent += bytes.len() as u64;
         Ok(bytes)
     }
 
-    /// The full list, already written, goes to so many more limiters.
-    pub fn answer_again(&mut self, limiters: u64, list_bytes: usize) {
-        self.bytes_sent += limiters * list_bytes as u64;
+    /// Counts responses with a list that is already written.
+    pub fn count_more_responses(&mut self, responses: u64, list_bytes: usize) {
+        self.bytes_sent += responses * list_bytes as u64;
     }
 
     fn write(&self, reset: bool, instances: impl Serialize) -> Result<Vec<u8>, serde_json::Error> {
@@ -145,9 +151,9 @@
             reset,
             instances,
         };
-        match self.form {
-            Form::Compact => serde_json::to_vec(&message),
-            Form::Indented => serde_json::to_vec_pretty(&message),
+        match self.format {
+            Format::Compact => serde_json::to_vec(&message),
+            Format::Indented => serde_json::to_vec_pretty(&message),
         }
     }
 
@@ -158,12 +164,13 @@
         Ok(bytes)
     }
 
-    /// So many drawn servers, each once.
-    fn some(&mut self, count: usize) -> Vec<usize> {
-        let servers = self.fleet.servers.len();
-        let (mut places, mut drawn) = (Vec::with_capacity(count), HashSet::new());
+    /// Draws distinct servers.
+    fn draw_places(&mut self, count: usize) -> Vec<usize> {
+        let servers = self.pool.servers.len();
+        let mut places = Vec::with_capacity(count);
+        let mut drawn = HashSet::new();
         while places.len() < count.min(servers) {
-            let place = self.chance.random_range(0..servers);
+            let place = self.random.random_range(0..servers);
             if drawn.insert(place) {
                 places.push(place);
             }
@@ -171,31 +178,37 @@
         places
     }
 
-    /// A change message: so many servers have just restarted.
+    /// A change message about this many servers that have just restarted.
+    ///
+    /// # Errors
+    /// The message can't be written.
     pub fn restarts(
         &mut self,
         count: usize,
         started_at_ms: u64,
     ) -> Result<Vec<u8>, serde_json::Error> {
-        let places = self.some(count);
+        let places = self.draw_places(count);
         let restarted = places
             .iter()
-            .map(|place| self.fleet.server(*place, "up", started_at_ms));
+            .map(|place| self.pool.server(*place, "up", started_at_ms));
         let restarted: Vec<WireServer> = restarted.collect();
         self.change(&restarted)
     }
 
-    /// A change message: so many servers are removed, and as many others, at other addresses, take their parts.
+    /// A change message about this many servers that are removed, and as many others at other addresses.
+    ///
+    /// # Errors
+    /// The message can't be written.
     pub fn replacement(
         &mut self,
         count: usize,
         started_at_ms: u64,
     ) -> Result<Vec<u8>, serde_json::Error> {
         let mut changes = Vec::with_capacity(2 * count);
-        for place in self.some(count) {
-            changes.push(self.fleet.server(place, "removed", 0));
-            self.fleet.servers[place] = self.fleet.draw(&mut self.chance);
-            changes.push(self.fleet.server(place, "up", started_at_ms));
+        for place in self.draw_places(count) {
+            changes.push(self.pool.server(place, "removed", 0));
+            self.pool.servers[place] = self.pool.draw(&mut self.random);
+            changes.push(self.pool.server(place, "up", started_at_ms));
         }
         self.change(&changes)
     }
--- a/crates/merlinreel-testkit/src/scale/server_list/restart.rs
+++ b/crates/merlinreel-testkit/src/scale/server_list/restart.rs
@@ -1,39 +1,42 @@
-//! Limiters that start without a list, and all ask its source for the whole.
+//! Limiters that start without a list, and all poll discovery for the full list.
 
-use super::hollow::HollowLimiter;
-use super::report::Report;
-use super::source::{Form, ListSource};
-use crate::scale::{Figure, MeasureRequest, Meter, ScaleError, Source, Unit};
+use super::ROLE;
+use super::list_source::{Format, ListSource};
+use super::simulated_limiter::SimulatedLimiter;
+use crate::scale::{Emit, MeasureRequest, Meter, Report, ScaleError, Unit};
 
 /// One limiter, a rack, a zone, all.
-pub const LIMITERS_RESTARTING_SIZES: &[u64] = &[1, 20, 209, 2_300];
+pub const RESTARTING_LIMITER_SIZES: &[u64] = &[1, 20, 209, 2_300];
 
-/// Varies the limiters that restart at once before so many servers. Each is given a list of its own; the first, as many as
-/// the runs asked for, also read it. All others do the same on their own machines.
+/// Varies the limiters that restart at once, with this many servers. Each is sent a list of its own; the first, one for
+/// each run, also read it, as all others do on their own machines.
+///
+/// # Errors
+/// The list exceeds the memory bound, or a measurement fails.
 pub fn measure_limiters_restarting(
     request: &MeasureRequest,
     servers: u64,
-    emit: &mut dyn FnMut(Figure) -> Result<(), ScaleError>,
+    emit: Emit,
 ) -> Result<(), ScaleError> {
     request.check_memory(
         &format!("a list of {servers} servers"),
         super::needed_mb(servers),
     )?;
     for &size in &request.sizes {
-        let setting = format!("{servers} servers, indented lists, no list held from before");
         let mut report = Report {
             request,
-            emit: &mut *emit,
+            role: ROLE,
             variable: "limiters_restarting",
             size,
-            setting,
+            setting: format!("{servers} servers, indented lists, no list held from before"),
+            emit: &mut *emit,
         };
-        let mut source = ListSource::new(servers, request.seed, Form::Indented);
+        let mut source = ListSource::new(servers, request.seed, Format::Indented);
         let bytes = source.full_list().map_err(|error| report.failed(error))?;
         let mut times = Vec::new();
         for _ in 0..size.min(u64::from(request.runs)) {
             let mut limiter =
-                HollowLimiter::new(request.seed).map_err(|error| report.failed(error))?;
+                SimulatedLimiter::new(request.seed).map_err(|error| report.failed(error))?;
             let received = bytes.clone();
             let meter = Meter::start();
             limiter
@@ -41,14 +44,9 @@
                 .map_err(|error| report.failed(error))?;
             times.push(meter.read().cpu_seconds);
         }
-        source.answer_again(size - 1, bytes.len());
-        report.counted("source_bytes", Unit::Bytes, source.bytes_sent)?;
-        report.runs(
-            "reading_cpu_per_limiter",
-            Unit::CpuSeconds,
-            Source::Kernel,
-            times,
-        )?;
+        source.count_more_responses(size - 1, bytes.len());
+        report.counted("source_bytes", Unit::Bytes, source.bytes_sent as f64)?;
+        report.measured("reading_cpu_per_limiter", Unit::CpuSeconds, times)?;
     }
     Ok(())
 }
--- /dev/null
+++ b/crates/merlinreel-testkit/src/scale/simulated.rs
@@ -0,0 +1,107 @@
+//! What the simulated limiters of several measurements share. Each runs the real decision module, without sockets and on
+//! a simulated clock.
+
+use merlinreel_policy::{Actions, AttemptOutcome, AttemptResult, LoadReport};
+use merlinreel_settings::{Paths, Settings};
+use serde_json::Value;
+use std::time::Duration;
+use thiserror::Error;
+
+/// Settings that the program rejects: the reason names the key at fault.
+#[derive(Clone, Debug, Error, PartialEq, Eq)]
+#[error("{reason}")]
+pub struct InvalidSettings {
+    reason: String,
+}
+
+impl InvalidSettings {
+    /// Settings that were rejected for this reason.
+    pub fn new(reason: impl ToString) -> InvalidSettings {
+        InvalidSettings {
+            reason: reason.to_string(),
+        }
+    }
+}
+
+/// The settings of a JSON value, as the program reads them.
+pub fn read_settings(value: &Value) -> Result<Settings, InvalidSettings> {
+    let paths = Paths::from_json(value).map_err(InvalidSettings::new)?;
+    Settings::read(&paths).map_err(InvalidSettings::new)
+}
+
+/// The result of an attempt that succeeded, of request 0.
+pub fn successful_attempt(server: u32, latency: Duration) -> AttemptResult {
+    AttemptResult {
+        request: 0,
+        attempt: 0,
+        server,
+        outcome: AttemptOutcome::Success,
+        latency,
+        request_completed: true,
+        units: None,
+        metered_usage: None,
+        load: LoadReport::default(),
+    }
+}
+
+/// Observes the decision module's actions; those that a measurement does not need are ignored.
+pub trait ActionObserver {
+    /// An attempt is to be sent to a server.
+    fn attempt_started(&mut self, _server: u32) {}
+    /// A request is rejected.
+    fn request_rejected(&mut self, _request: u32) {}
+    /// A message is to be sent to another limiter.
+    fn peer_message_sent(&mut self, _limiter: u32, _message: &[u8]) {}
+    /// A server's index may be used again.
+    fn endpoint_released(&mut self, _server: u32) {}
+    /// The decision module is to be called again after this time.
+    fn wakeup_scheduled(&mut self, _after: Duration) {}
+    /// Any other action.
+    fn other_action(&mut self) {}
+}
+
+/// Passes the decision module's actions on to an observer.
+#[derive(Default)]
+pub struct Observed<Observer>(pub Observer);
+
+impl<Observer: ActionObserver> Actions for Observed<Observer> {
+    fn start_attempt(&mut self, _: u32, server: u32, _: Option<Duration>) {
+        self.0.attempt_started(server);
+    }
+    fn reject(&mut self, request: u32, _: Option<Duration>) {
+        self.0.request_rejected(request);
+    }
+    fn fail(&mut self, _: u32) {
+        self.0.other_action();
+    }
+    fn cancel_attempt(&mut self, _: u32, _: u32) {
+        self.0.other_action();
+    }
+    fn start_health_check(&mut self, _: u32) {
+        self.0.other_action();
+    }
+    fn send_peer_message(&mut self, limiter: u32, message: &[u8]) {
+        self.0.peer_message_sent(limiter, message);
+    }
+    fn increment_counter(&mut self, _: u64, _: u64, _: f64, _: Duration) {
+        self.0.other_action();
+    }
+    fn set_endpoint_subscription(&mut self, _: bool) {
+        self.0.other_action();
+    }
+    fn poll_endpoints(&mut self) {
+        self.0.other_action();
+    }
+    fn close_idle_connections(&mut self, _: u32) {
+        self.0.other_action();
+    }
+    fn release_endpoint(&mut self, server: u32) {
+        self.0.endpoint_released(server);
+    }
+    fn schedule_wakeup(&mut self, after: Duration) {
+        self.0.wakeup_scheduled(after);
+    }
+    fn log(&mut self, _: &str) {
+        self.0.other_action();
+    }
+}
--- /dev/null
+++ b/crates/merlinreel-testkit/src/scale/tenants/simulated_limiter.rs
@@ -0,0 +1,342 @@
+//! One limiter's decision module with many tenants, without sockets, on a clock that the caller advances.
+
+use crate::scale::simulated::{
+    ActionObserver, InvalidSettings, Observed, read_settings, successful_attempt,
+};
+use merlinreel_policy::decide::Limiter;
+use merlinreel_policy::peer_message::{self, CounterRow, Head};
+use merlinreel_policy::{
+    Endpoint, EndpointState, EndpointUpdate, EventBatch, PeerMessage, Request, ring_hash,
+};
+use rand::{RngExt, SeedableRng};
+use rand_chacha::ChaCha8Rng;
+use serde_json::json;
+use std::time::Duration;
+
+/// The decision module's tick, where it has nothing to send to its peers sooner.
+const TICK: Duration = Duration::from_millis(100);
+/// Ticks between two sweeps, which remove idle accounts.
+pub const TICKS_PER_SWEEP: u64 = 10;
+/// Seconds of one counting window: the plan's burst over its rate.
+pub const WINDOW_SECONDS: u64 = 4;
+/// Units of an ordinary request.
+const UNITS: f64 = 1.0;
+/// More than the ceiling's slack: admitted only where an account has been kept for some seconds.
+const KEPT_ACCOUNT_UNITS: f64 = 2.0;
+const SERVERS: u32 = 8;
+/// The remaining time of each request, far more than it takes.
+const REMAINING_TIME: Duration = Duration::from_secs(2);
+const RESPONSE_TIME: Duration = Duration::from_millis(100);
+
+/// A fleet and the part of it that each tenant's requests reach.
+#[derive(Clone, Copy, Debug)]
+pub struct Fleet {
+    /// The number of limiters.
+    pub limiters: u32,
+    /// Limiters of each tenant's set.
+    pub set_size: u32,
+}
+
+/// The decisions of a limiter, counted.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct DecisionCounts {
+    /// Requests admitted.
+    pub admitted: u64,
+    /// Requests rejected.
+    pub rejected: u64,
+    /// Messages sent to peers.
+    pub peer_messages: u64,
+    /// Bytes sent to peers.
+    pub peer_bytes: u64,
+}
+
+/// Counts messages to peers, and keeps the actions that the simulation responds to.
+#[derive(Default)]
+struct DecisionObserver {
+    counts: DecisionCounts,
+    /// The server of the last attempt.
+    attempt_server: Option<u32>,
+    /// Whether the last request was rejected.
+    is_rejected: bool,
+    /// Peers that messages were sent to.
+    messaged_peers: Vec<u32>,
+}
+
+impl ActionObserver for DecisionObserver {
+    fn attempt_started(&mut self, server: u32) {
+        self.attempt_server = Some(server);
+    }
+    fn request_rejected(&mut self, _: u32) {
+        self.is_rejected = true;
+    }
+    fn peer_message_sent(&mut self, limiter: u32, message: &[u8]) {
+        self.counts.peer_messages += 1;
+        self.counts.peer_bytes += message.len() as u64;
+        self.messaged_peers.push(limiter);
+    }
+}
+
+#[derive(Clone, Copy)]
+struct Tenant {
+    customer: u64,
+    set_first: u32,
+}
+
+/// A limiter, its tenants, and peers that acknowledge messages and send nothing more.
+pub struct SimulatedLimiter {
+    limiter: Limiter,
+    fleet: Fleet,
+    rank: u32,
+    now: Duration,
+    tenants: Vec<Tenant>,
+    random: ChaCha8Rng,
+    first_customer: u64,
+    observer: Observed<DecisionObserver>,
+    /// By peer, its incarnation and the number of its last message.
+    peer_heads: Vec<Head>,
+}
+
+impl SimulatedLimiter {
+    /// The last limiter of its fleet, which has received a message of each other one and knows no tenant.
+    ///
+    /// # Errors
+    /// The program rejects the settings.
+    pub fn new(fleet: Fleet, seed: u64) -> Result<SimulatedLimiter, InvalidSettings> {
+        let rank = fleet.limiters - 1;
+        let settings = read_settings(&settings(fleet, rank))?;
+        let mut random = ChaCha8Rng::seed_from_u64(seed);
+        let first_customer = u64::from(random.random::<u32>());
+        let mut simulated = SimulatedLimiter {
+            limiter: settings.limiter(seed),
+            fleet,
+            rank,
+            now: Duration::from_millis(1),
+            tenants: Vec::new(),
+            random,
+            first_customer,
+            observer: Observed::default(),
+            peer_heads: vec![Head { life: 1, number: 0 }; fleet.limiters as usize],
+        };
+        simulated.run_batch(&EventBatch {
+            endpoint_updates: vec![server_list()],
+            ..EventBatch::default()
+        });
+        simulated.receive_acknowledgements(0..rank);
+        Ok(simulated)
+    }
+
+    /// The decisions so far.
+    pub fn counts(&self) -> DecisionCounts {
+        self.observer.0.counts
+    }
+
+    /// The number of tenants that were added.
+    pub fn tenants(&self) -> u64 {
+        self.tenants.len() as u64
+    }
+
+    fn run_batch(&mut self, batch: &EventBatch) {
+        self.limiter.round(self.now, batch, &mut self.observer);
+    }
+
+    /// A message without rows from each of these peers.
+    fn receive_acknowledgements(&mut self, peers: impl IntoIterator<Item = u32>) {
+        let peer_messages = peers
+            .into_iter()
+            .flat_map(|peer| self.messages_from(peer, &[]))
+            .collect();
+        self.run_batch(&EventBatch {
+            peer_messages,
+            ..EventBatch::default()
+        });
+    }
+
+    fn messages_from(&mut self, peer: u32, rows: &[CounterRow]) -> Vec<PeerMessage> {
+        let head = &mut self.peer_heads[peer as usize];
+        head.number += 1;
+        let messages = peer_message::write(*head, rows);
+        head.number += messages.len() as u64 - 1;
+        messages
+            .into_iter()
+            .map(|bytes| PeerMessage { from: peer, bytes })
+            .collect()
+    }
+
+    /// Adds a tenant, whose set of limiters includes this one, with its first request.
+    pub fn add_tenant(&mut self) {
+        let customer = self.first_customer + self.tenants();
+        let limiters_before = self.random.random_range(0..self.fleet.set_size);
+        let set_first = (self.rank + self.fleet.limiters - limiters_before) % self.fleet.limiters;
+        self.tenants.push(Tenant {
+            customer,
+            set_first,
+        });
+        self.request(self.tenants.len() - 1);
+    }
+
+    /// Adds tenants evenly over some ticks.
+    pub fn add_tenants(&mut self, count: u64, ticks: u64) {
+        for tick in 1..=ticks {
+            while self.tenants() < count * tick / ticks {
+                self.add_tenant();
+            }
+            self.run_tick();
+        }
+    }
+
+    /// Passes a request of a tenant; an admitted one is completed, or its client disconnects, at once. Whether it was
+    /// admitted.
+    pub fn request(&mut self, tenant: usize) -> bool {
+        self.request_units(tenant, UNITS)
+    }
+
+    fn request_units(&mut self, tenant: usize, units: f64) -> bool {
+        let Tenant {
+            customer,
+            set_first,
+        } = self.tenants[tenant];
+        let request = Request {
+            id: 0,
+            customer,
+            plan: 0,
+            class: 0,
+            units,
+            remaining_time: REMAINING_TIME,
+            set_size: self.fleet.set_size,
+            set_first,
+            is_retry: false,
+        };
+        self.observer.0.attempt_server = None;
+        self.observer.0.is_rejected = false;
+        self.run_batch(&EventBatch {
+            requests: vec![request],
+            ..EventBatch::default()
+        });
+        if self.observer.0.is_rejected {
+            self.observer.0.counts.rejected += 1;
+            return false;
+        }
+        self.observer.0.counts.admitted += 1;
+        let completion = match self.observer.0.attempt_server {
+            Some(server) => EventBatch {
+                attempt_results: vec![successful_attempt(server, RESPONSE_TIME)],
+                ..EventBatch::default()
+            },
+            None => EventBatch {
+                disconnects: vec![0],
+                ..EventBatch::default()
+            },
+        };
+        self.run_batch(&completion);
+        true
+    }
+
+    /// Passes a request of each tenant, at one moment.
+    pub fn request_from_all(&mut self) {
+        (0..self.tenants.len()).for_each(|tenant| {
+            self.request(tenant);
+        });
+    }
+
+    /// Advances the clock to the next tick and runs it; then the peers acknowledge the messages that were sent.
+    pub fn run_tick(&mut self) {
+        self.advance(TICK);
+    }
+
+    /// Advances the clock and runs a tick, as after a pause without any.
+    pub fn advance(&mut self, time: Duration) {
+        self.now += time;
+        self.run_batch(&EventBatch::default());
+        let messaged_peers = std::mem::take(&mut self.observer.0.messaged_peers);
+        if !messaged_peers.is_empty() {
+            self.receive_acknowledgements(messaged_peers);
+        }
+    }
+
+    /// Runs ticks.
+    pub fn run_ticks(&mut self, count: u64) {
+        (0..count).for_each(|_| self.run_tick());
+    }
+
+    /// Receives a message of a peer that has restarted.
+    pub fn restart_peer(&mut self, peer: u32) {
+        let head = &mut self.peer_heads[peer as usize];
+        head.life += 1;
+        head.number = 0;
+        self.receive_acknowledgements([peer]);
+    }
+
+    /// Receives reports of one unit in the present window from all others of each tenant's set; the number of rows.
+    pub fn receive_reports(&mut self) -> u64 {
+        let window = self.now.as_secs() / WINDOW_SECONDS;
+        let mut rows: Vec<Vec<CounterRow>> = vec![Vec::new(); self.fleet.limiters as usize];
+        for tenant in &self.tenants {
+            for place in 0..self.fleet.set_size {
+                let peer = (tenant.set_first + place) % self.fleet.limiters;
+                if peer != self.rank {
+                    rows[peer as usize].push(report(tenant.customer, window));
+                }
+            }
+        }
+        let mut received = 0;
+        for (peer, rows) in rows.iter().enumerate().filter(|(_, rows)| !rows.is_empty()) {
+            received += rows.len() as u64;
+            let peer_messages = self.messages_from(peer as u32, rows);
+            self.run_batch(&EventBatch {
+                peer_messages,
+                ..EventBatch::default()
+            });
+        }
+        received
+    }
+
+    /// How many accounts have been kept for some seconds: a new account's ceiling admits less than theirs. The requests
+    /// that show it create accounts in place of removed ones, so nothing can be measured afterwards.
+    pub fn accounts_kept(&mut self) -> u64 {
+        (0..self.tenants.len())
+            .map(|tenant| u64::from(self.request_units(tenant, KEPT_ACCOUNT_UNITS)))
+            .sum()
+    }
+}
+
+fn report(customer: u64, window: u64) -> CounterRow {
+    CounterRow {
+        customer,
+        plan: 0,
+        window: window & 3,
+        total: UNITS,
+        asked: Some(UNITS),
+        left: None,
+        age: None,
+    }
+}
+
+fn server_list() -> EndpointUpdate {
+    let endpoint = |server: u32| Endpoint {
+        server,
+        ring_hash: ring_hash(&server.to_string()),
+        state: EndpointState::Ready,
+        weight: 1.0,
+        ..Endpoint::default()
+    };
+    EndpointUpdate {
+        complete: true,
+        cached: false,
+        unavailable: false,
+        endpoints: (0..SERVERS).map(endpoint).collect(),
+    }
+}
+
+/// One plan of two units per second. Its ceiling refills by one unit per second at each limiter, and its slack admits an
+/// ordinary request of a new account, but none of [`KEPT_ACCOUNT_UNITS`].
+fn settings(fleet: Fleet, rank: u32) -> serde_json::Value {
+    let set = f64::from(fleet.set_size);
+    json!({
+        "balancers": fleet.limiters, "rank": rank,
+        "classes": [{"name": "read", "idempotency": "read_like", "promiseS": 0.5, "hardLimitS": 2, "worth": 1}],
+        "packages": [{"name": "basic", "unitsPerS": 2, "mostAtOnce": 2 * WINDOW_SECONDS, "price": 1,
+            "ceilingRate": set, "capDepth": 8.0 * set, "capSlack": 2.0 * set}],
+        "policyLimits": {"peers": true, "sendCap": 2, "mayCancel": true, "mostHeld": 1000},
+        "familyInfo": {"inboxPerS": 40, "maxUnits": 8},
+    })
+}
