--- a/crates/merlinreel-testkit/src/bin/scale.rs
+++ b/crates/merlinreel-testkit/src/bin/scale.rs
@@ -2,7 +2,7 @@
 
 use clap::{Parser, Subcommand};
 use merlinreel_testkit::scale::{
-    DataPoint, MeasureRequest, Measurement, PowerLaw, ScaleError, measurements, select,
+    DataPoint, MeasureRequest, Measurement, Point, PowerLaw, ScaleError, measurements, select,
 };
 use std::collections::BTreeMap;
 use std::fs::File;
@@ -157,13 +157,13 @@
 
 fn fit(file: &Path, at: Option<u64>) -> Result<(), ScaleError> {
     let lines = BufReader::new(File::open(file).map_err(|why| failed(file, why))?).lines();
-    let mut curves: BTreeMap<Curve, Vec<(f64, f64)>> = BTreeMap::new();
+    let mut curves: BTreeMap<Curve, Vec<Point>> = BTreeMap::new();
     for line in lines {
         let line = line.map_err(|why| failed(file, why))?;
         let data_point: serde_json::Value =
             serde_json::from_str(&line).map_err(|why| failed(file, why.into()))?;
         let text = |name: &str| data_point[name].as_str().unwrap_or_default().to_owned();
-        let point = (
+        let point = Point::new(
             data_point["size"].as_f64().unwrap_or(0.0),
             data_point["value"].as_f64().unwrap_or(0.0),
         );
@@ -183,7 +183,7 @@
             variable,
             metric,
         } = curve;
-        let greatest = points.iter().map(|(size, _)| *size).fold(0.0, f64::max);
+        let greatest = points.iter().map(|point| point.size).fold(0.0, f64::max);
         let size = at.map_or(greatest, |at| at as f64);
         match PowerLaw::through(&points) {
             Ok(law) => println!(
--- a/crates/merlinreel-testkit/src/checker.rs
+++ b/crates/merlinreel-testkit/src/checker.rs
@@ -142,15 +142,15 @@
         }
         // Whether the server may not yet have observed the end of an earlier attempt.
         let is_unobserved = |earlier: &Attempt, at: Duration| {
-            let is_ending = earlier
+            let has_ended = earlier
                 .ended_at
                 .is_some_and(|ended| ended <= at + self.tolerances.observation_delay);
             let interval = Interval {
                 start: earlier.received_at,
                 end: at,
             };
-            let link = (request.limiter, earlier.server);
-            is_ending || self.timeline.was_partitioned(link, interval)
+            let link = request.link_to(earlier.server);
+            has_ended || self.timeline.was_partitioned(link, interval)
         };
         if request.has_concurrent_attempts(is_unobserved) {
             self.violations
@@ -160,7 +160,7 @@
 
     /// An attempt begins only for a client that waits, with its remaining time, at a server that accepts requests.
     fn check_attempt(&mut self, id: &RequestId, request: &RequestHistory, attempt: &Attempt) {
-        let link = (request.limiter, attempt.server);
+        let link = request.link_to(attempt.server);
         let until_attempt = Interval {
             start: request.sent_at,
             end: attempt.received_at,
--- a/crates/merlinreel-testkit/src/checker/fault_timeline.rs
+++ b/crates/merlinreel-testkit/src/checker/fault_timeline.rs
@@ -1,6 +1,6 @@
 //! Which faults a log holds, by limiter and by link.
 
-use crate::event_log::{Event, LogEntry};
+use crate::event_log::{Event, LinkId, LogEntry};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -9,9 +9,6 @@
 /// SIGKILL follows SIGTERM within this time; a later kill is of a process that was started again.
 const KILL_FOLLOWS_WITHIN: Duration = Duration::from_millis(2450);
 
-/// A limiter and a server.
-pub type Link = (usize, usize);
-
 /// A closed interval of the log's time.
 #[derive(Clone, Copy, Debug)]
 pub struct Interval {
@@ -54,8 +51,8 @@
     terminations: BTreeMap<usize, Vec<Duration>>,
     bursts: BTreeMap<usize, Vec<Interval>>,
     suspensions: BTreeMap<usize, Vec<Interval>>,
-    partitions: BTreeMap<Link, Vec<Interval>>,
-    drains: BTreeMap<Link, Duration>,
+    partitions: BTreeMap<LinkId, Vec<Interval>>,
+    drains: BTreeMap<LinkId, Duration>,
 }
 
 impl FaultTimeline {
@@ -83,21 +80,18 @@
                 self.suspensions.entry(limiter).or_default().push(opened);
             }
             Event::LimiterContinued { limiter } => {
-                // Only the last one: an earlier one that was never continued ended with its process.
+                // One signal ends one suspension: the last that is open.
                 let suspensions = self.suspensions.get_mut(&limiter).into_iter().flatten();
                 if let Some(last) = suspensions.rev().find(|interval| interval.is_open()) {
                     last.end = at;
                 }
             }
-            Event::LinkPartitioned { limiter, server } => {
-                let link = (limiter, server);
+            Event::LinkPartitioned(link) => {
                 self.partitions.entry(link).or_default().push(opened);
             }
-            Event::LinkHealed { limiter, server } => {
-                close_open(self.partitions.get_mut(&(limiter, server)), at);
-            }
-            Event::DrainAnnounced { limiter, server } => {
-                self.drains.entry((limiter, server)).or_insert(at);
+            Event::LinkHealed(link) => close_open(self.partitions.get_mut(&link), at),
+            Event::DrainAnnounced(link) => {
+                self.drains.entry(link).or_insert(at);
             }
             _ => {}
         }
@@ -137,13 +131,13 @@
     }
 
     /// Whether the link was partitioned at any time of the interval.
-    pub fn was_partitioned(&self, link: Link, interval: Interval) -> bool {
+    pub fn was_partitioned(&self, link: LinkId, interval: Interval) -> bool {
         let mut partitions = self.partitions.get(&link).into_iter().flatten();
         partitions.any(|partition| partition.overlaps(interval))
     }
 
     /// When discovery first announced to the link's limiter that the link's server drains.
-    pub fn drain_announced_at(&self, link: Link) -> Option<Duration> {
+    pub fn drain_announced_at(&self, link: LinkId) -> Option<Duration> {
         self.drains.get(&link).copied()
     }
 }
--- a/crates/merlinreel-testkit/src/checker/request_history.rs
+++ b/crates/merlinreel-testkit/src/checker/request_history.rs
@@ -1,6 +1,6 @@
 //! The history of each request, put together from what clients and servers observed.
 
-use crate::event_log::{Event, LogEntry, RequestId};
+use crate::event_log::{Event, LinkId, LogEntry, RequestId};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -52,11 +52,19 @@
     pub is_first_on_connection: bool,
     /// When its client closed the connection.
     pub disconnected_at: Option<Duration>,
-    /// Its attempts in the order of their arrival.
+    /// Its attempts in the order in which they were received.
     pub attempts: Vec<Attempt>,
 }
 
 impl RequestHistory {
+    /// The link from its limiter to a server.
+    pub fn link_to(&self, server: usize) -> LinkId {
+        LinkId {
+            limiter: self.limiter,
+            server,
+        }
+    }
+
     /// Whether a non-idempotent request was retried, or rejected, after an attempt that may have run.
     pub fn may_have_duplicate_effect(&self) -> bool {
         if self.class != NON_IDEMPOTENT_CLASS {
--- a/crates/merlinreel-testkit/src/checker/tests.rs
+++ b/crates/merlinreel-testkit/src/checker/tests.rs
@@ -1,11 +1,15 @@
 use super::*;
-use crate::event_log::Event;
+use crate::event_log::{Event, LinkId};
 use test_case::test_case;
 
 fn ms(n: u64) -> Duration {
     Duration::from_millis(n)
 }
 
+fn link(limiter: usize, server: usize) -> LinkId {
+    LinkId { limiter, server }
+}
+
 fn sent(class: &'static str) -> Event {
     Event::RequestSent {
         id: "a".into(),
@@ -95,10 +99,10 @@
 #[test_case(&[(0, sent("pay")), (1, received(0, 1)), (2, Event::AttemptRejected { attempt: 1 }), (3, received(1, 2)), (4, Event::AttemptCompleted { attempt: 2 }), (5, answered(200))] => Vec::<String>::new() ; "rejected by one server, run by another")]
 #[test_case(&[(0, sent("look")), (1, received(0, 1)), (2, Event::AttemptAborted { attempt: 1 }), (3, received(1, 2)), (4, Event::AttemptCompleted { attempt: 2 }), (5, answered(200))] => Vec::<String>::new() ; "idempotent request retried")]
 #[test_case(&[(0, sent("look")), (1, received(0, 1)), (2, received(1, 2)), (4, Event::AttemptCompleted { attempt: 2 }), (5, answered(200)), (400, Event::AttemptAborted { attempt: 1 })] => vec!["one attempt at a time"] ; "two attempts at once")]
-#[test_case(&[(0, Event::LinkPartitioned { limiter: 0, server: 0 }), (1, sent("look")), (2, received(0, 1)), (3, received(1, 2)), (4, Event::AttemptCompleted { attempt: 2 }), (5, answered(200)), (6, Event::LinkHealed { limiter: 0, server: 0 }), (7, Event::AttemptAborted { attempt: 1 })] => Vec::<String>::new() ; "partition hides the end of an attempt")]
-#[test_case(&[(0, Event::LinkPartitioned { limiter: 0, server: 1 }), (1, sent("look")), (2, received(0, 1)), (3, received(1, 2)), (4, Event::AttemptCompleted { attempt: 2 }), (5, answered(200)), (6, Event::LinkHealed { limiter: 0, server: 1 }), (400, Event::AttemptAborted { attempt: 1 })] => vec!["one attempt at a time"] ; "another link partitioned")]
-#[test_case(&[(0, Event::DrainAnnounced { limiter: 0, server: 3 }), (3500, sent("look")), (3600, received(3, 1)), (3601, Event::AttemptCompleted { attempt: 1 }), (3602, answered(200))] => vec!["no attempt after a drain"] ; "after the grace")]
-#[test_case(&[(0, Event::DrainAnnounced { limiter: 1, server: 3 }), (3500, sent("look")), (3600, received(3, 1)), (3601, Event::AttemptCompleted { attempt: 1 }), (3602, answered(200))] => Vec::<String>::new() ; "announced to another limiter")]
+#[test_case(&[(0, Event::LinkPartitioned(link(0, 0))), (1, sent("look")), (2, received(0, 1)), (3, received(1, 2)), (4, Event::AttemptCompleted { attempt: 2 }), (5, answered(200)), (6, Event::LinkHealed(link(0, 0))), (7, Event::AttemptAborted { attempt: 1 })] => Vec::<String>::new() ; "partition hides the end of an attempt")]
+#[test_case(&[(0, Event::LinkPartitioned(link(0, 1))), (1, sent("look")), (2, received(0, 1)), (3, received(1, 2)), (4, Event::AttemptCompleted { attempt: 2 }), (5, answered(200)), (6, Event::LinkHealed(link(0, 1))), (400, Event::AttemptAborted { attempt: 1 })] => vec!["one attempt at a time"] ; "another link partitioned")]
+#[test_case(&[(0, Event::DrainAnnounced(link(0, 3))), (3500, sent("look")), (3600, received(3, 1)), (3601, Event::AttemptCompleted { attempt: 1 }), (3602, answered(200))] => vec!["no attempt after a drain"] ; "after the grace")]
+#[test_case(&[(0, Event::DrainAnnounced(link(1, 3))), (3500, sent("look")), (3600, received(3, 1)), (3601, Event::AttemptCompleted { attempt: 1 }), (3602, answered(200))] => Vec::<String>::new() ; "announced to another limiter")]
 fn event_sequence_breaks_expected_rules(events: &[(u64, Event)]) -> Vec<String> {
     violated_rules(events)
 }
--- a/crates/merlinreel-testkit/src/checker/violation.rs
+++ b/crates/merlinreel-testkit/src/checker/violation.rs
@@ -21,7 +21,7 @@
     LateResponse(RequestId),
     /// An attempt began after its client had disconnected.
     AttemptAfterDisconnect(RequestId),
-    /// A server was told more time than the client had left.
+    /// More time than the client had left was advertised to a server.
     ExcessiveAdvertisedTime(RequestId),
     /// A non-idempotent request was retried, or rejected, after an attempt that may have run.
     DuplicateEffect(RequestId),
--- a/crates/merlinreel-testkit/src/cluster.rs
+++ b/crates/merlinreel-testkit/src/cluster.rs
@@ -3,8 +3,9 @@
 mod setup;
 
 use crate::link::{NetworkConditions, TcpLink, UdpLink};
-use crate::{Client, Event, EventLog, Fault, FaultPlan, LoadClient, LogEntry, Program};
-use crate::{EndpointState, RequestPattern, StubDiscovery, StubServer};
+use crate::{Client, EndpointState, Event, EventLog, LinkId, LogEntry, Program};
+use crate::{Fault, FaultPlan, LimiterFault, LinkFault, ServerFault};
+use crate::{LoadClient, RequestPattern, StubDiscovery, StubServer};
 use serde_json::Value;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -99,12 +100,11 @@
     /// Sets the conditions from a limiter to a server, and back.
     pub fn set_network_conditions(
         &self,
-        limiter: usize,
-        server: usize,
+        link: LinkId,
         forward: NetworkConditions,
         reverse: NetworkConditions,
     ) {
-        let link = &self.limiters[limiter].links[server];
+        let link = &self.limiters[link.limiter].links[link.server];
         link.forward.set(forward);
         link.reverse.set(reverse);
     }
@@ -179,53 +179,74 @@
     }
 
     fn inject_fault(&mut self, fault: Fault) {
-        let partitioned = NetworkConditions {
-            partitioned: true,
-            ..NetworkConditions::default()
-        };
         match fault {
-            Fault::KillLimiter { limiter } => self.kill(limiter),
-            Fault::StartLimiter { limiter } => self.start_limiter(limiter),
-            Fault::SuspendLimiter { limiter } => {
+            Fault::Limiter { limiter, fault } => self.inject_limiter_fault(limiter, fault),
+            Fault::Server { server, fault } => self.inject_server_fault(server, fault),
+            Fault::Link { link, fault } => self.inject_link_fault(link, fault),
+        }
+    }
+
+    fn inject_limiter_fault(&mut self, limiter: usize, fault: LimiterFault) {
+        match fault {
+            LimiterFault::Kill => self.kill(limiter),
+            LimiterFault::Start => self.start_limiter(limiter),
+            LimiterFault::Suspend => {
                 self.log.record(Event::LimiterSuspended { limiter });
                 self.limiters[limiter].signal("-STOP");
             }
-            Fault::ContinueLimiter { limiter } => {
+            LimiterFault::Continue => {
                 self.limiters[limiter].signal("-CONT");
                 self.log.record(Event::LimiterContinued { limiter });
             }
-            Fault::TerminateLimiter { limiter, signals } => self.terminate(limiter, signals),
-            Fault::ReloadConfiguration { limiter } => self.limiters[limiter].reload(),
-            Fault::StartConnectionBurst { limiter } => {
+            LimiterFault::Terminate { signals } => self.terminate(limiter, signals),
+            LimiterFault::Reload => self.limiters[limiter].reload(),
+            LimiterFault::StartConnectionBurst => {
                 self.log.record(Event::BurstStarted { limiter });
                 self.limiters[limiter].start_burst();
             }
-            Fault::EndConnectionBurst { limiter } => {
+            LimiterFault::EndConnectionBurst => {
                 self.limiters[limiter].burst.clear();
                 self.log.record(Event::BurstEnded { limiter });
             }
-            Fault::SilenceDiscovery { limiter } => {
-                self.limiters[limiter].discovery.set_silent(true);
-            }
-            Fault::RestoreDiscovery { limiter } => {
-                self.limiters[limiter].discovery.set_silent(false);
+            LimiterFault::SilenceDiscovery => self.limiters[limiter].discovery.set_silent(true),
+            LimiterFault::RestoreDiscovery => self.limiters[limiter].discovery.set_silent(false),
+        }
+    }
+
+    fn inject_server_fault(&self, server: usize, fault: ServerFault) {
+        match fault {
+            ServerFault::Drain => {
+                self.servers[server].drain();
+                for limiter in &self.limiters {
+                    limiter.discovery.set_state(server, EndpointState::Draining);
+                }
             }
-            Fault::DrainServer { server } => self.drain(server),
-            Fault::PauseServer { server } => self.servers[server].set_paused(true),
-            Fault::ResumeServer { server } => self.servers[server].set_paused(false),
-            Fault::PartitionLink { limiter, server } => {
-                self.partition(limiter, server, partitioned);
+            ServerFault::Pause => self.servers[server].set_paused(true),
+            ServerFault::Resume => self.servers[server].set_paused(false),
+        }
+    }
+
+    fn inject_link_fault(&self, link: LinkId, fault: LinkFault) {
+        let open = NetworkConditions::default();
+        let partitioned = NetworkConditions {
+            partitioned: true,
+            ..open
+        };
+        match fault {
+            LinkFault::Partition => {
+                self.log.record(Event::LinkPartitioned(link));
+                self.set_network_conditions(link, partitioned, partitioned);
             }
-            Fault::PartitionResponses { limiter, server } => {
-                self.partition(limiter, server, NetworkConditions::default());
+            LinkFault::PartitionResponses => {
+                self.log.record(Event::LinkPartitioned(link));
+                self.set_network_conditions(link, open, partitioned);
             }
-            Fault::HealLink { limiter, server } => {
-                let healed = NetworkConditions::default();
-                self.set_network_conditions(limiter, server, healed, healed);
-                self.log.record(Event::LinkHealed { limiter, server });
+            LinkFault::Heal => {
+                self.set_network_conditions(link, open, open);
+                self.log.record(Event::LinkHealed(link));
             }
-            Fault::CloseConnections { limiter, server } => {
-                self.limiters[limiter].links[server].close_all();
+            LinkFault::CloseConnections => {
+                self.limiters[link.limiter].links[link.server].close_all();
             }
         }
     }
@@ -264,21 +285,4 @@
             terminated.signal("-TERM");
         }
     }
-
-    fn drain(&self, server: usize) {
-        self.servers[server].drain();
-        for limiter in &self.limiters {
-            limiter.discovery.set_state(server, EndpointState::Draining);
-        }
-    }
-
-    /// Partitions the responses of a server to a limiter, and sets the conditions of the requests.
-    fn partition(&self, limiter: usize, server: usize, forward: NetworkConditions) {
-        self.log.record(Event::LinkPartitioned { limiter, server });
-        let reverse = NetworkConditions {
-            partitioned: true,
-            ..NetworkConditions::default()
-        };
-        self.set_network_conditions(limiter, server, forward, reverse);
-    }
 }
--- a/crates/merlinreel-testkit/src/config.rs
+++ b/crates/merlinreel-testkit/src/config.rs
@@ -33,9 +33,14 @@
         "lifecycle": state, "weight": 1.0, "startedAtMs": 0})
 }
 
-/// A discovery message; `complete` says that it lists all servers.
-pub fn discovery_message(generation: u64, complete: bool, instances: &[Value]) -> Value {
-    json!({"generation": generation, "reset": complete, "instances": instances})
+/// A discovery message that lists all servers.
+pub fn full_list(generation: u64, instances: &[Value]) -> Value {
+    json!({"generation": generation, "reset": true, "instances": instances})
+}
+
+/// A discovery message that lists only changed servers.
+pub fn list_changes(generation: u64, instances: &[Value]) -> Value {
+    json!({"generation": generation, "reset": false, "instances": instances})
 }
 
 /// A configuration: three classes, a plan with a burst of ten units and hardly any refill, one limiter.
@@ -43,7 +48,7 @@
     let listen = free_address();
     // A free port might become the next test's server, which would then be polled: this port is never used.
     json!({"listen": listen.to_string(), "discovery": "127.0.0.1:9", "seed": "8c1f30d27a5be964",
-        "limits": {"memory_mb": 192, "sockets": 256}, "known": discovery_message(1, true, instances),
+        "limits": {"memory_mb": 192, "sockets": 256}, "known": full_list(1, instances),
         "settings": {"balancers": 1, "rank": 0, "zone": 0, "dcs": ["a"], "packages": [
                 {"name": "team", "unitsPerS": 0.1, "mostAtOnce": 10.0, "price": 1.0}],
             "classes": [
--- a/crates/merlinreel-testkit/src/event_log.rs
+++ b/crates/merlinreel-testkit/src/event_log.rs
@@ -6,6 +6,15 @@
 /// The value of `X-Txn`, as the client wrote it.
 pub type RequestId = String;
 
+/// The link between a limiter and a server, by their numbers in the cluster.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct LinkId {
+    /// The limiter.
+    pub limiter: usize,
+    /// The server.
+    pub server: usize,
+}
+
 /// One observation. Limiters and servers are identified by their numbers in the cluster.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
@@ -69,27 +78,12 @@
         /// The attempt.
         attempt: u64,
     },
-    /// Discovery told a limiter that a server is draining or removed.
-    DrainAnnounced {
-        /// The limiter.
-        limiter: usize,
-        /// The server.
-        server: usize,
-    },
+    /// Discovery announced to a limiter that a server is draining or removed.
+    DrainAnnounced(LinkId),
     /// The link carries nothing from now on, so that neither side sees what the other does.
-    LinkPartitioned {
-        /// The limiter.
-        limiter: usize,
-        /// The server.
-        server: usize,
-    },
+    LinkPartitioned(LinkId),
     /// The link carries everything again.
-    LinkHealed {
-        /// The limiter.
-        limiter: usize,
-        /// The server.
-        server: usize,
-    },
+    LinkHealed(LinkId),
     /// The limiter's process was killed.
     LimiterKilled {
         /// The limiter.
--- a/crates/merlinreel-testkit/src/fault_plan.rs
+++ b/crates/merlinreel-testkit/src/fault_plan.rs
@@ -1,5 +1,6 @@
 //! Which faults are injected when: drawn from a seed, the same each time.
 
+use crate::event_log::LinkId;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::time::Duration;
@@ -9,42 +10,80 @@
 
 /// One fault, or the end of one. Limiters and servers are identified by their numbers in the cluster.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-#[allow(missing_docs)]
 pub enum Fault {
-    /// Kills the limiter's process.
-    KillLimiter { limiter: usize },
-    /// Starts the limiter's process again.
-    StartLimiter { limiter: usize },
-    /// Suspends the limiter's process with SIGSTOP.
-    SuspendLimiter { limiter: usize },
-    /// Continues the limiter's process with SIGCONT.
-    ContinueLimiter { limiter: usize },
-    /// Sends SIGTERM `signals` times, 20 ms apart, with SIGHUP between; SIGKILL follows as early as the protocol allows.
-    TerminateLimiter { limiter: usize, signals: u32 },
-    /// Has the limiter reload a configuration that can't be read, and then the same one as before.
-    ReloadConfiguration { limiter: usize },
-    /// Occupies all of the limiter's connection slots with connections that never send a request.
-    StartConnectionBurst { limiter: usize },
+    /// A fault of a limiter's process or its surroundings.
+    Limiter {
+        /// The limiter.
+        limiter: usize,
+        /// What is done to it.
+        fault: LimiterFault,
+    },
+    /// A fault of a server.
+    Server {
+        /// The server.
+        server: usize,
+        /// What is done to it.
+        fault: ServerFault,
+    },
+    /// A fault of a link.
+    Link {
+        /// The link.
+        link: LinkId,
+        /// What is done to it.
+        fault: LinkFault,
+    },
+}
+
+/// What is done to a limiter.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum LimiterFault {
+    /// Kills its process.
+    Kill,
+    /// Starts its process again.
+    Start,
+    /// Suspends its process with SIGSTOP.
+    Suspend,
+    /// Continues its process with SIGCONT.
+    Continue,
+    /// Sends SIGTERM, with SIGHUP between repeated signals; SIGKILL follows as early as the protocol allows.
+    Terminate {
+        /// How often SIGTERM is sent, 20 ms apart.
+        signals: u32,
+    },
+    /// Has it reload a configuration that can't be read, and then the same one as before.
+    Reload,
+    /// Occupies all of its connection slots with connections that never send a request.
+    StartConnectionBurst,
     /// Closes the connections of the burst.
-    EndConnectionBurst { limiter: usize },
-    /// Discovery stops responding to the limiter.
-    SilenceDiscovery { limiter: usize },
-    /// Discovery responds to the limiter again.
-    RestoreDiscovery { limiter: usize },
-    /// The server drains, and discovery announces it.
-    DrainServer { server: usize },
-    /// The server accepts requests and makes no progress.
-    PauseServer { server: usize },
-    /// The server makes progress again.
-    ResumeServer { server: usize },
-    /// Nothing passes between the limiter and the server.
-    PartitionLink { limiter: usize, server: usize },
+    EndConnectionBurst,
+    /// Its discovery stops responding.
+    SilenceDiscovery,
+    /// Its discovery responds again.
+    RestoreDiscovery,
+}
+
+/// What is done to a server.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ServerFault {
+    /// It drains, and discovery announces it.
+    Drain,
+    /// It accepts requests and makes no progress.
+    Pause,
+    /// It makes progress again.
+    Resume,
+}
+
+/// What is done to a link.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum LinkFault {
+    /// Nothing passes in either direction.
+    Partition,
     /// Nothing passes from the server to the limiter.
-    PartitionResponses { limiter: usize, server: usize },
-    /// Everything passes between the limiter and the server again.
-    HealLink { limiter: usize, server: usize },
-    /// Closes all connections between the limiter and the server.
-    CloseConnections { limiter: usize, server: usize },
+    PartitionResponses,
+    /// Everything passes again.
+    Heal,
+    /// Closes all open connections.
+    CloseConnections,
 }
 
 /// A fault and its time.
@@ -108,76 +147,70 @@
             0
         };
         let is_available = start >= self.unavailable_until[limiter];
+        let of_limiter = |fault| Fault::Limiter { limiter, fault };
+        let of_server = |fault| Fault::Server { server, fault };
+        let link = LinkId { limiter, server };
+        let of_link = |fault| Fault::Link { link, fault };
         let (fault, recovery) = match self.random.random_range(0..12) {
             0 | 1 if is_available => {
                 self.unavailable_until[limiter] = end;
-                self.draw_process_fault(limiter)
+                if self.random.random_range(0..2) == 0 {
+                    (
+                        of_limiter(LimiterFault::Kill),
+                        of_limiter(LimiterFault::Start),
+                    )
+                } else {
+                    (
+                        of_limiter(LimiterFault::Suspend),
+                        of_limiter(LimiterFault::Continue),
+                    )
+                }
             }
             2 => (
-                Fault::PauseServer { server },
-                Fault::ResumeServer { server },
-            ),
-            3 => (
-                Fault::PartitionLink { limiter, server },
-                Fault::HealLink { limiter, server },
+                of_server(ServerFault::Pause),
+                of_server(ServerFault::Resume),
             ),
+            3 => (of_link(LinkFault::Partition), of_link(LinkFault::Heal)),
             4 => (
-                Fault::PartitionResponses { limiter, server },
-                Fault::HealLink { limiter, server },
+                of_link(LinkFault::PartitionResponses),
+                of_link(LinkFault::Heal),
             ),
             5 => (
-                Fault::SilenceDiscovery { limiter },
-                Fault::RestoreDiscovery { limiter },
+                of_limiter(LimiterFault::SilenceDiscovery),
+                of_limiter(LimiterFault::RestoreDiscovery),
             ),
             6 if self.servers > 3 => (
-                Fault::DrainServer {
+                Fault::Server {
                     server: self.servers - 1,
+                    fault: ServerFault::Drain,
                 },
-                Fault::CloseConnections { limiter, server },
+                of_link(LinkFault::CloseConnections),
             ),
             8 | 9 if is_available => {
-                self.draw_termination(limiter, start);
+                let restart = start + RESTART_AFTER_TERMINATION;
+                self.unavailable_until[limiter] = restart;
+                let signals = self.random.random_range(1..4);
+                self.push(start, of_limiter(LimiterFault::Terminate { signals }));
+                self.push(restart, of_limiter(LimiterFault::Start));
                 return;
             }
             10 => (
-                Fault::ReloadConfiguration { limiter },
-                Fault::ReloadConfiguration { limiter },
+                of_limiter(LimiterFault::Reload),
+                of_limiter(LimiterFault::Reload),
             ),
             11 => (
-                Fault::StartConnectionBurst { limiter },
-                Fault::EndConnectionBurst { limiter },
+                of_limiter(LimiterFault::StartConnectionBurst),
+                of_limiter(LimiterFault::EndConnectionBurst),
             ),
             _ => (
-                Fault::CloseConnections { limiter, server },
-                Fault::CloseConnections { limiter, server },
+                of_link(LinkFault::CloseConnections),
+                of_link(LinkFault::CloseConnections),
             ),
         };
         self.push(start, fault);
         self.push(end, recovery);
     }
 
-    fn draw_process_fault(&mut self, limiter: usize) -> (Fault, Fault) {
-        if self.random.random_range(0..2) == 0 {
-            (
-                Fault::KillLimiter { limiter },
-                Fault::StartLimiter { limiter },
-            )
-        } else {
-            (
-                Fault::SuspendLimiter { limiter },
-                Fault::ContinueLimiter { limiter },
-            )
-        }
-    }
-
-    fn draw_termination(&mut self, limiter: usize, start: Duration) {
-        let restart = start + RESTART_AFTER_TERMINATION;
-        self.unavailable_until[limiter] = restart;
-        let signals = self.random.random_range(1..4);
-        self.push(start, Fault::TerminateLimiter { limiter, signals });
-        self.push(restart, Fault::StartLimiter { limiter });
-    }
-
     fn push(&mut self, at: Duration, fault: Fault) {
         self.faults.push(PlannedFault { at, fault });
     }
--- a/crates/merlinreel-testkit/src/lib.rs
+++ b/crates/merlinreel-testkit/src/lib.rs
@@ -8,6 +8,8 @@
 //! log against the five rules of the protocol. Verdicts are invariants with tolerances: none depends on the speed of the
 //! machine.
 
+#![warn(missing_docs)]
+
 mod checker;
 mod client;
 mod cluster;
@@ -26,9 +28,9 @@
 pub use checker::{QuotaBound, Tolerances, Violation, find_violations};
 pub use client::{Client, request};
 pub use cluster::Cluster;
-pub use config::{config, discovery_message, free_address, instance};
-pub use event_log::{Event, EventLog, LogEntry, RequestId};
-pub use fault_plan::{Fault, FaultPlan, PlannedFault};
+pub use config::{config, free_address, full_list, instance, list_changes};
+pub use event_log::{Event, EventLog, LinkId, LogEntry, RequestId};
+pub use fault_plan::{Fault, FaultPlan, LimiterFault, LinkFault, PlannedFault, ServerFault};
 pub use http::{Message, ReadError};
 pub use load_client::{LoadClient, RequestPattern};
 pub use merlinreel_policy::EndpointState;
--- a/crates/merlinreel-testkit/src/link/udp.rs
+++ b/crates/merlinreel-testkit/src/link/udp.rs
@@ -52,7 +52,7 @@
     }
 }
 
-/// Relays what arrives at one socket through the other, in a thread that lives as long as the test's process.
+/// Relays what arrives at one socket through the other, in a thread that runs until the test's process ends.
 fn relay(from: Arc<UdpSocket>, to: Arc<UdpSocket>, target: SocketAddr, direction: LinkDirection) {
     thread::spawn(move || {
         let mut buffer = [0; MAX_DATAGRAM_BYTES];
--- a/crates/merlinreel-testkit/src/scale/configuration.rs
+++ b/crates/merlinreel-testkit/src/scale/configuration.rs
@@ -8,7 +8,7 @@
 pub use decision_module::measure_reloads;
 pub use entries::{Entries, read};
 
-use super::{Emit, MeasureRequest, Report, ScaleError};
+use super::{Emit, MeasureRequest, Report, ScaleError, Variable};
 use std::time::Duration;
 
 /// Routes, each a class of the settings; two beside the most that the settings allow, and the full size.
@@ -18,7 +18,18 @@
 /// Reloads, each with one changed class.
 pub const RELOAD_SIZES: &[u64] = &[100, 300, 1_000, 3_000];
 
-const ROLE: &str = "configuration";
+const ROUTES: Variable = Variable {
+    role: "configuration",
+    name: "routes",
+};
+const PLANS: Variable = Variable {
+    role: "configuration",
+    name: "plans",
+};
+const RELOADS: Variable = Variable {
+    role: "configuration",
+    name: "reloads",
+};
 /// 24,000 changes per day.
 const CHANGE_INTERVAL: Duration = Duration::from_millis(3_600);
 /// Classes or plans while the other is varied.
@@ -35,14 +46,14 @@
     let mut limiters = Vec::new();
     for &size in &request.sizes {
         let setting = "decision module alone, all classes differ".to_owned();
-        let mut report = report(request, "routes", size, setting, emit);
+        let mut report = Report::new(request, ROUTES, size, setting, emit);
         limiters.push(decision_module::measure(&mut report)?);
     }
     let mut files = Vec::new();
     for &size in &request.sizes {
         let entries = Entries::new(size, FEW, request.seed);
         let setting = format!("{FEW} plans, all classes differ, a change each 3.6 s");
-        let mut report = report(request, "routes", size, setting, emit);
+        let mut report = Report::new(request, ROUTES, size, setting, emit);
         files.push(file::measure(&mut report, &entries)?);
     }
     Ok(())
@@ -57,29 +68,12 @@
     for &size in &request.sizes {
         let entries = Entries::new(FEW, size, request.seed);
         let setting = format!("{FEW} classes, a change each 3.6 s");
-        let mut report = report(request, "plans", size, setting, emit);
+        let mut report = Report::new(request, PLANS, size, setting, emit);
         files.push(file::measure(&mut report, &entries)?);
     }
     Ok(())
 }
 
-fn report<'a>(
-    request: &'a MeasureRequest,
-    variable: &'static str,
-    size: u64,
-    setting: String,
-    emit: Emit<'a>,
-) -> Report<'a> {
-    Report {
-        request,
-        role: ROLE,
-        variable,
-        size,
-        setting,
-        emit,
-    }
-}
-
 fn check_memory(request: &MeasureRequest, what: &str, entries: u64) -> Result<(), ScaleError> {
     request.check_memory(what, entries * ENTRY_KB / 1024 + 64)
 }
--- a/crates/merlinreel-testkit/src/scale/configuration/decision_module.rs
+++ b/crates/merlinreel-testkit/src/scale/configuration/decision_module.rs
@@ -2,7 +2,7 @@
 //! reconfiguring.
 
 use super::file::repeat;
-use super::{Entries, FEW, check_memory, read, report, share_of_change_interval};
+use super::{Entries, FEW, RELOADS, check_memory, read, share_of_change_interval};
 use crate::scale::{Emit, MeasureRequest, Meter, Report, ScaleError, Unit};
 use merlinreel_policy::decide::Limiter;
 use merlinreel_policy::{Idempotency, RequestClass, RequestLimits};
@@ -12,7 +12,7 @@
 const RELOADED_CLASSES: u64 = 1_000;
 /// The processor time of a reload is the mean of this many last ones.
 const LAST_RELOADS: u64 = 100;
-/// Beyond this many entries, times that grow with their square are measured once.
+/// Above this many entries, times that grow with their square are measured once.
 const MAX_REPEATED_ENTRIES: u64 = 20_000;
 /// Classes compared in one measurement, over as many repetitions as the size needs: the kernel counts processor time in
 /// steps of some milliseconds.
@@ -27,7 +27,7 @@
     let mut kept = Vec::new();
     for &size in &request.sizes {
         let setting = format!("{RELOADED_CLASSES} classes, one changed each reload");
-        let mut report = report(request, "reloads", size, setting, emit);
+        let mut report = Report::new(request, RELOADS, size, setting, emit);
         check_memory(request, &format!("{size} reloads"), RELOADED_CLASSES + size)?;
         let mut classes = distinct_classes(RELOADED_CLASSES);
         let mut limiter = limiter_with(&report, &classes)?;
--- a/crates/merlinreel-testkit/src/scale/fit.rs
+++ b/crates/merlinreel-testkit/src/scale/fit.rs
@@ -2,6 +2,22 @@
 
 use thiserror::Error;
 
+/// A size and the value that was measured there.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct Point {
+    /// The size.
+    pub size: f64,
+    /// The value.
+    pub value: f64,
+}
+
+impl Point {
+    /// The point of a size and its value.
+    pub fn new(size: f64, value: f64) -> Point {
+        Point { size, value }
+    }
+}
+
 /// The law `value = factor * size ^ exponent`.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PowerLaw {
@@ -30,15 +46,15 @@
 }
 
 impl PowerLaw {
-    /// The law through points of size and value; those that are not positive are left out.
+    /// The law through points; those that are not positive are left out.
     ///
     /// # Errors
     /// There are fewer than two sizes.
-    pub fn through(points: &[(f64, f64)]) -> Result<PowerLaw, SlopeError> {
+    pub fn through(points: &[Point]) -> Result<PowerLaw, SlopeError> {
         let logs: Vec<(f64, f64)> = points
             .iter()
-            .filter(|(size, value)| *size > 0.0 && *value > 0.0)
-            .map(|(size, value)| (size.ln(), value.ln()))
+            .filter(|point| point.size > 0.0 && point.value > 0.0)
+            .map(|point| (point.size.ln(), point.value.ln()))
             .collect();
         let count = logs.len() as f64;
         let mean_x = logs.iter().map(|(x, _)| x).sum::<f64>() / count;
@@ -73,11 +89,11 @@
     }
 }
 
-/// The law through points of size and value, whose exponent must be at most `most`.
+/// The law through points, whose exponent must be at most `most`.
 ///
 /// # Errors
 /// The exponent is greater, or there are fewer than two sizes.
-pub fn check_slope(points: &[(f64, f64)], most: f64) -> Result<PowerLaw, SlopeError> {
+pub fn check_slope(points: &[Point], most: f64) -> Result<PowerLaw, SlopeError> {
     let law = PowerLaw::through(points)?;
     if law.exponent > most {
         return Err(SlopeError::TooSteep {
--- a/crates/merlinreel-testkit/src/scale/fit/tests.rs
+++ b/crates/merlinreel-testkit/src/scale/fit/tests.rs
@@ -3,8 +3,11 @@
 
 const SIZES: [f64; 5] = [50.0, 150.0, 500.0, 1500.0, 2300.0];
 
-fn points(cost: impl Fn(f64) -> f64) -> Vec<(f64, f64)> {
-    SIZES.iter().map(|&size| (size, cost(size))).collect()
+fn points(cost: impl Fn(f64) -> f64) -> Vec<Point> {
+    SIZES
+        .iter()
+        .map(|&size| Point::new(size, cost(size)))
+        .collect()
 }
 
 #[test_case(|size| 7.0 * size => 1.0 ; "linear")]
@@ -32,15 +35,15 @@
 #[test]
 fn one_size_has_no_slope() {
     assert_eq!(
-        PowerLaw::through(&[(50.0, 1.0)]),
+        PowerLaw::through(&[Point::new(50.0, 1.0)]),
         Err(SlopeError::TooFewPoints(1))
     );
     assert_eq!(
-        PowerLaw::through(&[(50.0, 1.0), (50.0, 2.0)]),
+        PowerLaw::through(&[Point::new(50.0, 1.0), Point::new(50.0, 2.0)]),
         Err(SlopeError::TooFewPoints(2))
     );
     assert_eq!(
-        PowerLaw::through(&[(50.0, 0.0), (60.0, 2.0)]),
+        PowerLaw::through(&[Point::new(50.0, 0.0), Point::new(60.0, 2.0)]),
         Err(SlopeError::TooFewPoints(1))
     );
 }
--- a/crates/merlinreel-testkit/src/scale/latency.rs
+++ b/crates/merlinreel-testkit/src/scale/latency.rs
@@ -17,7 +17,7 @@
 pub use loopback_servers::{Hold, LoopbackServers};
 pub use request_plan::{PlannedRequest, RequestPlan};
 
-use super::{Emit, MeasureRequest, Report, ScaleError};
+use super::{Emit, MeasureRequest, Report, ScaleError, Variable};
 use crate::{EventLog, Program, StubDiscovery, config, instance};
 use percentiles::RunPair;
 use serde_json::{Value, json};
@@ -178,14 +178,11 @@
     request: &MeasureRequest,
     emit: Emit,
 ) -> Result<(), ScaleError> {
-    let mut report = Report {
-        request,
+    let variable = Variable {
         role: ROLE,
-        variable,
-        size,
-        setting: setting.to_string(),
-        emit,
+        name: variable,
     };
+    let mut report = Report::new(request, variable, size, setting.to_string(), emit);
     let pairs = run_pairs(setting, request).map_err(|error| report.failed(error))?;
     percentiles::report(&mut report, &pairs)
 }
--- a/crates/merlinreel-testkit/src/scale/latency/request_plan.rs
+++ b/crates/merlinreel-testkit/src/scale/latency/request_plan.rs
@@ -33,7 +33,7 @@
     }
 }
 
-/// Requests at a fixed arrival rate, on the connections in turn.
+/// Requests at a fixed rate, on the connections in turn.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RequestPlan {
     /// The requests by send time.
--- a/crates/merlinreel-testkit/src/scale/membership.rs
+++ b/crates/merlinreel-testkit/src/scale/membership.rs
@@ -6,10 +6,10 @@
 mod propagation;
 mod record_watch;
 
-pub use fleet::{Fleet, FleetCounts, FleetSetting, Knowledge};
+pub use fleet::{Fleet, FleetCounts, FleetSetting, Knowledge, Urgency};
 pub use record_watch::RecordWatch;
 
-use super::{Emit, MeasureRequest, Meter, Report, ScaleError, Unit};
+use super::{Emit, MeasureRequest, Meter, Report, ScaleError, Unit, Variable};
 use convergence::{report_convergence, report_idle};
 use propagation::{report_changes, report_records};
 use std::time::Duration;
@@ -26,7 +26,22 @@
 pub const FIXED_LIMITERS: usize = 506;
 
 const ROLE: &str = "membership";
-const RESTART_OF_ONE_ROLE: &str = "membership_restart_of_one";
+const LIMITERS: Variable = Variable {
+    role: ROLE,
+    name: "limiters",
+};
+const CHANGES_PER_DAY: Variable = Variable {
+    role: ROLE,
+    name: "changes_a_day",
+};
+const RESTARTED_AT_ONCE: Variable = Variable {
+    role: ROLE,
+    name: "restarted_at_once",
+};
+const LIMITERS_OF_RESTART_OF_ONE: Variable = Variable {
+    role: "membership_restart_of_one",
+    name: "limiters",
+};
 /// After convergence, while what the limiters learnt of each other is still being passed on.
 const SETTLE: Duration = Duration::from_secs(10);
 /// The time that one restarted limiter is given to converge.
@@ -93,17 +108,11 @@
     for &size in &request.sizes {
         check_memory(request, size)?;
         let phases = Phases::of(size);
-        let mut report = Report {
-            request,
-            role: ROLE,
-            variable: "limiters",
-            size,
-            setting: format!(
-                "{CONDITIONS}; 3 seeds; 8,000 bytes/s each; {}",
-                phases.text()
-            ),
-            emit: &mut *emit,
-        };
+        let setting = format!(
+            "{CONDITIONS}; 3 seeds; 8,000 bytes/s each; {}",
+            phases.text()
+        );
+        let mut report = Report::new(request, LIMITERS, size, setting, emit);
         let meter = Meter::start();
         let mut fleet = start_fleet(size as usize, request.seed)?;
         report_convergence(&mut fleet, &mut report, phases.convergence)?;
@@ -123,14 +132,8 @@
     check_memory(request, FIXED_LIMITERS as u64)?;
     let mut fleet = start_settled_fleet(FIXED_LIMITERS, request.seed)?;
     for &size in &request.sizes {
-        let mut report = Report {
-            request,
-            role: ROLE,
-            variable: "changes_a_day",
-            size,
-            setting: format!("{FIXED_LIMITERS} limiters; urgent records; {CONDITIONS}"),
-            emit: &mut *emit,
-        };
+        let setting = format!("{FIXED_LIMITERS} limiters; urgent records; {CONDITIONS}");
+        let mut report = Report::new(request, CHANGES_PER_DAY, size, setting, emit);
         report_changes(&mut fleet, &mut report)?;
         fleet.run(SETTLE);
     }
@@ -144,14 +147,8 @@
 pub fn measure_restarts(request: &MeasureRequest, emit: Emit) -> Result<(), ScaleError> {
     check_memory(request, FIXED_LIMITERS as u64)?;
     for &size in &request.sizes {
-        let mut report = Report {
-            request,
-            role: ROLE,
-            variable: "restarted_at_once",
-            size,
-            setting: format!("{FIXED_LIMITERS} limiters, away for {DOWNTIME:?}; {CONDITIONS}"),
-            emit: &mut *emit,
-        };
+        let setting = format!("{FIXED_LIMITERS} limiters, away for {DOWNTIME:?}; {CONDITIONS}");
+        let mut report = Report::new(request, RESTARTED_AT_ONCE, size, setting, emit);
         let mut fleet = start_settled_fleet(FIXED_LIMITERS, request.seed)?;
         // The last ones by number: the seeds restart only where all do.
         let limiters = FIXED_LIMITERS as u32;
@@ -170,14 +167,8 @@
 pub fn measure_restart_of_one(request: &MeasureRequest, emit: Emit) -> Result<(), ScaleError> {
     for &size in &request.sizes {
         check_memory(request, size)?;
-        let mut report = Report {
-            request,
-            role: RESTART_OF_ONE_ROLE,
-            variable: "limiters",
-            size,
-            setting: format!("one limiter is away for {DOWNTIME:?}; {CONDITIONS}"),
-            emit: &mut *emit,
-        };
+        let setting = format!("one limiter is away for {DOWNTIME:?}; {CONDITIONS}");
+        let mut report = Report::new(request, LIMITERS_OF_RESTART_OF_ONE, size, setting, emit);
         let mut fleet = start_settled_fleet(size as usize, request.seed)?;
         fleet.restart([size as u32 - 1], DOWNTIME);
         report_convergence(&mut fleet, &mut report, RESTART_OF_ONE_CONVERGENCE)?;
--- a/crates/merlinreel-testkit/src/scale/membership/fleet.rs
+++ b/crates/merlinreel-testkit/src/scale/membership/fleet.rs
@@ -28,6 +28,15 @@
 /// How often it is checked whether the fleet has converged.
 const CONVERGENCE_CHECK: Duration = Duration::from_secs(1);
 
+/// How fast a record must reach all limiters.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Urgency {
+    /// Sent at once.
+    Urgent,
+    /// Sent with the next regular exchange.
+    Routine,
+}
+
 /// The conditions of a fleet.
 #[derive(Clone, Copy, Debug)]
 pub struct FleetSetting {
@@ -156,8 +165,8 @@
     ///
     /// # Errors
     /// The mesh rejects the record.
-    pub fn publish_watched(&mut self, owner: u32, urgent: bool) -> Result<usize, PublishError> {
-        let number = self.publish(owner, urgent)?;
+    pub fn publish_watched(&mut self, owner: u32, urgency: Urgency) -> Result<usize, PublishError> {
+        let number = self.publish(owner, urgency)?;
         let mut watch = RecordWatch::new(address(owner), number, self.now, self.setting.limiters);
         watch.add_holder(owner, self.now);
         self.watches.push(watch);
@@ -168,7 +177,7 @@
     ///
     /// # Errors
     /// The mesh rejects the record.
-    pub fn publish(&mut self, owner: u32, urgent: bool) -> Result<u64, PublishError> {
+    pub fn publish(&mut self, owner: u32, urgency: Urgency) -> Result<u64, PublishError> {
         self.published += 1;
         let now = self.now;
         if let Some(node) = self.nodes[owner as usize].as_mut() {
@@ -176,7 +185,7 @@
                 WATCHED_KIND,
                 body_with(self.published),
                 WATCHED_RECORD_TTL,
-                urgent,
+                urgency == Urgency::Urgent,
                 now,
             )?;
         }
@@ -231,7 +240,7 @@
     fn step(&mut self, end: Duration) -> bool {
         let start = self.starts.first().map(|(at, _)| *at);
         let wakeup = self.wakeups.first().map(|(at, _)| *at);
-        let next = [self.network.next_arrival(), start, wakeup]
+        let next = [self.network.next_due(), start, wakeup]
             .into_iter()
             .flatten()
             .min();
--- a/crates/merlinreel-testkit/src/scale/membership/propagation.rs
+++ b/crates/merlinreel-testkit/src/scale/membership/propagation.rs
@@ -1,7 +1,7 @@
 //! Data points of how records reach all limiters.
 
 use super::convergence::{cpu_share, report_held_back, report_traffic};
-use super::{FIXED_LIMITERS, Fleet};
+use super::{FIXED_LIMITERS, Fleet, Urgency};
 use crate::scale::{Report, ScaleError, Source, Unit};
 use merlinreel_mesh::PublishError;
 use std::time::Duration;
@@ -24,7 +24,7 @@
 /// Between a routine record and an urgent one of the same limiter.
 const ROUTINE_BEFORE_URGENT: Duration = Duration::from_secs(1);
 
-/// The names of the values that tell when records were held by all limiters.
+/// The names of the values for when records were held by all limiters.
 struct CompletionMetrics {
     records_held_by_all: &'static str,
     seconds_until_last: &'static str,
@@ -45,8 +45,8 @@
     report: &mut Report,
     watch_time: Duration,
 ) -> Result<(), ScaleError> {
-    let urgent = publish_several(fleet, report, URGENT_RECORDS, true)?;
-    let routine = publish_several(fleet, report, ROUTINE_RECORDS, false)?;
+    let urgent = publish_several(fleet, report, URGENT_RECORDS, Urgency::Urgent)?;
+    let routine = publish_several(fleet, report, ROUTINE_RECORDS, Urgency::Routine)?;
     fleet.run_until(watch_time, WATCH_CHECK, |fleet| {
         urgent
             .iter()
@@ -69,9 +69,9 @@
     let mut shares = Vec::new();
     for _ in 0..URGENT_RECORDS {
         let owner = fleet.draw_limiter();
-        publish_watched(fleet, report, owner, false)?;
+        publish_watched(fleet, report, owner, Urgency::Routine)?;
         fleet.run(ROUTINE_BEFORE_URGENT);
-        let watch = publish_watched(fleet, report, owner, true)?;
+        let watch = publish_watched(fleet, report, owner, Urgency::Urgent)?;
         fleet.run(IN_FORCE);
         shares.push(fleet.watch(watch).share_after(IN_FORCE));
     }
@@ -123,12 +123,12 @@
     fleet: &mut Fleet,
     report: &Report,
     records: usize,
-    urgent: bool,
+    urgency: Urgency,
 ) -> Result<Vec<usize>, ScaleError> {
     let mut watches = Vec::new();
     for _ in 0..records {
         let owner = fleet.draw_limiter();
-        watches.push(publish_watched(fleet, report, owner, urgent)?);
+        watches.push(publish_watched(fleet, report, owner, urgency)?);
     }
     Ok(watches)
 }
@@ -137,10 +137,10 @@
     fleet: &mut Fleet,
     report: &Report,
     owner: u32,
-    urgent: bool,
+    urgency: Urgency,
 ) -> Result<usize, ScaleError> {
     fleet
-        .publish_watched(owner, urgent)
+        .publish_watched(owner, urgency)
         .map_err(|error| report.failed(error))
 }
 
@@ -153,7 +153,7 @@
     let mut outcome = Ok(());
     let share = cpu_share(fleet, limiters, CHANGES, |fleet| {
         outcome = run_with_changes(fleet, interval, |fleet, owner| {
-            fleet.publish(owner, true).map(|_| ())
+            fleet.publish(owner, Urgency::Urgent).map(|_| ())
         });
     });
     outcome.map_err(|error| report.failed(error))?;
@@ -162,7 +162,7 @@
     report.measured("cpu_share_per_limiter", Unit::CpuShare, vec![share])?;
     let mut watches = Vec::new();
     run_with_changes(fleet, interval, |fleet, owner| {
-        watches.push(fleet.publish_watched(owner, true)?);
+        watches.push(fleet.publish_watched(owner, Urgency::Urgent)?);
         Ok(())
     })
     .map_err(|error| report.failed(error))?;
--- a/crates/merlinreel-testkit/src/scale/network.rs
+++ b/crates/merlinreel-testkit/src/scale/network.rs
@@ -54,7 +54,7 @@
 pub struct Network {
     conditions: LinkConditions,
     random: ChaCha8Rng,
-    /// By time of arrival; the number keeps those of one moment in order.
+    /// By the time at which it is received; the number keeps those of one moment in order.
     in_flight: BTreeMap<(Duration, u64), Datagram>,
     number: u64,
     traffic: Vec<Traffic>,
@@ -120,8 +120,8 @@
             .any(|partition| partition.contains(&from) != partition.contains(&to))
     }
 
-    /// When the next datagram arrives.
-    pub fn next_arrival(&self) -> Option<Duration> {
+    /// When the next datagram can be received.
+    pub fn next_due(&self) -> Option<Duration> {
         self.in_flight.first_key_value().map(|((at, _), _)| *at)
     }
 
--- a/crates/merlinreel-testkit/src/scale/network/tests.rs
+++ b/crates/merlinreel-testkit/src/scale/network/tests.rs
@@ -64,7 +64,7 @@
     assert_eq!(network.receive(Duration::from_micros(999)), None);
     assert!(
         network
-            .next_arrival()
+            .next_due()
             .is_some_and(|at| at >= Duration::from_millis(1))
     );
 }
--- a/crates/merlinreel-testkit/src/scale/proc_file.rs
+++ b/crates/merlinreel-testkit/src/scale/proc_file.rs
@@ -23,6 +23,6 @@
 
 /// Resets the kernel's record of this process's greatest resident memory.
 pub fn reset_peak() {
-    // Where it fails, the peak is that of the whole process, which is never less.
+    // Where it fails, the peak is that of the process since its start, which is never less.
     let _ = fs::write("/proc/self/clear_refs", "5");
 }
--- a/crates/merlinreel-testkit/src/scale/quotas.rs
+++ b/crates/merlinreel-testkit/src/scale/quotas.rs
@@ -22,11 +22,30 @@
     REPORTED_TENANT_SIZES, TENANT_SIZES, TenantTables, measure_reported_tenants, measure_tenants,
 };
 
-use super::{Emit, MeasureRequest, Meter, Report, ScaleError, Source, Unit};
+use super::{Emit, MeasureRequest, Meter, Report, ScaleError, Source, Unit, Variable};
 use counts::{OBSERVED_AFTER_RESTART, TRACED_AT_ALL, WARM_UP, count_in};
 use std::time::Duration;
 
-const ROLE: &str = "quotas";
+const LIMITERS: Variable = Variable {
+    role: "quotas",
+    name: "limiters",
+};
+const SET_SIZE: Variable = Variable {
+    role: "quotas",
+    name: "set_size",
+};
+const CUSTOMERS_PER_LIMITER: Variable = Variable {
+    role: "quotas",
+    name: "customers_per_limiter",
+};
+const OVERLOADED_PERCENT: Variable = Variable {
+    role: "quotas",
+    name: "pressed_percent",
+};
+const LIMITERS_RESTARTED: Variable = Variable {
+    role: "quotas",
+    name: "limiters_restarted",
+};
 const MEASURED: Duration = Duration::from_secs(20);
 const TRACED_CUSTOMERS: u32 = 5;
 const RESTART_LIMITERS: u32 = 500;
@@ -51,7 +70,7 @@
         limiters: size as u32,
         ..FleetSetting::default()
     };
-    measure_fleets(request, "limiters", setting, emit)
+    measure_fleets(request, LIMITERS, setting, emit)
 }
 
 /// Varies the size of customers' limiter sets. Each limiter's customers and traffic stay, so a customer's traffic and
@@ -64,7 +83,7 @@
         set_size: size as u32,
         ..FleetSetting::default()
     };
-    measure_fleets(request, "set_size", setting, emit)
+    measure_fleets(request, SET_SIZE, setting, emit)
 }
 
 /// Varies the customers of each limiter. Its traffic stays, so a customer's traffic and quota shrink.
@@ -76,7 +95,7 @@
         customers_per_limiter: size as u32,
         ..FleetSetting::default()
     };
-    measure_fleets(request, "customers_per_limiter", setting, emit)
+    measure_fleets(request, CUSTOMERS_PER_LIMITER, setting, emit)
 }
 
 /// Varies the percentage of customers whose demand exceeds their quota.
@@ -88,7 +107,7 @@
         overloaded_percent: size as u32,
         ..FleetSetting::default()
     };
-    measure_fleets(request, "pressed_percent", setting, emit)
+    measure_fleets(request, OVERLOADED_PERCENT, setting, emit)
 }
 
 /// Varies the number of limiters that restart at once.
@@ -102,7 +121,7 @@
     };
     for &size in &request.sizes {
         check_memory(request, &setting)?;
-        let mut report = report(request, "limiters_restarted", size, setting.text(), emit);
+        let mut report = Report::new(request, LIMITERS_RESTARTED, size, setting.text(), emit);
         let restarted = (size as u32).min(setting.limiters);
         let recovery = count_recovery(setting, request.seed, restarted)
             .map_err(|error| report.failed(error))?;
@@ -122,33 +141,16 @@
     Ok(())
 }
 
-fn report<'a>(
-    request: &'a MeasureRequest,
-    variable: &'static str,
-    size: u64,
-    setting: String,
-    emit: Emit<'a>,
-) -> Report<'a> {
-    Report {
-        request,
-        role: ROLE,
-        variable,
-        size,
-        setting,
-        emit,
-    }
-}
-
 fn measure_fleets(
     request: &MeasureRequest,
-    variable: &'static str,
+    variable: Variable,
     setting: impl Fn(u64) -> FleetSetting,
     emit: Emit,
 ) -> Result<(), ScaleError> {
     for &size in &request.sizes {
         let setting = setting(size);
         check_memory(request, &setting)?;
-        let mut report = report(request, variable, size, setting.text(), emit);
+        let mut report = Report::new(request, variable, size, setting.text(), emit);
         report_counts(&mut report, setting)?;
         report_propagation(&mut report, setting)?;
     }
@@ -250,7 +252,7 @@
 
 fn measure_run(report: &Report, setting: FleetSetting) -> Result<MeasuredRun, ScaleError> {
     let limiters = f64::from(setting.limiters);
-    let whole_run = Meter::start();
+    let entire_run = Meter::start();
     let mut fleet =
         Fleet::new(setting, report.request.seed).map_err(|error| report.failed(error))?;
     fleet.run(WARM_UP);
@@ -258,7 +260,7 @@
     let measured = Meter::start();
     fleet.run(MEASURED);
     let cpu_seconds = measured.read().cpu_seconds;
-    let memory_bytes = whole_run.read().memory_bytes as f64;
+    let memory_bytes = entire_run.read().memory_bytes as f64;
     Ok(MeasuredRun {
         counts: count_in(&fleet, &setting, MEASURED),
         cpu_share: cpu_seconds / MEASURED.as_secs_f64() / limiters,
--- a/crates/merlinreel-testkit/src/scale/quotas/counts.rs
+++ b/crates/merlinreel-testkit/src/scale/quotas/counts.rs
@@ -17,7 +17,7 @@
 /// Quotas are enforced again once this many seconds in a row have no more overage than any second without restarts.
 const ENFORCED_SECONDS: usize = 3;
 
-/// What a fleet did in the measured time, for each limiter and second where nothing else is said.
+/// What a fleet did in the measured time, for each limiter and second where nothing else is stated.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Counts {
     /// Messages sent, the mean over the limiters.
--- a/crates/merlinreel-testkit/src/scale/quotas/fleet.rs
+++ b/crates/merlinreel-testkit/src/scale/quotas/fleet.rs
@@ -199,7 +199,7 @@
     }
 
     fn next_at(&self) -> Option<Duration> {
-        [self.events.next_at(), self.network.next_arrival()]
+        [self.events.next_at(), self.network.next_due()]
             .into_iter()
             .flatten()
             .min()
--- a/crates/merlinreel-testkit/src/scale/quotas/fleet_setting.rs
+++ b/crates/merlinreel-testkit/src/scale/quotas/fleet_setting.rs
@@ -21,7 +21,7 @@
 /// The quota of a traced customer, in units per second.
 pub const TRACED_RATE: f64 = 1.0;
 
-/// The setting of a fleet; each variable that is measured is a field of it.
+/// The setting of a fleet; each variable that is measured is a member of it.
 #[derive(Clone, Copy, Debug)]
 pub struct FleetSetting {
     /// The number of limiters.
--- a/crates/merlinreel-testkit/src/scale/quotas/tenant_tables.rs
+++ b/crates/merlinreel-testkit/src/scale/quotas/tenant_tables.rs
@@ -2,9 +2,9 @@
 //! for each whose peers reported; and the cost of a peer's restart, which looks at every account.
 
 use super::fleet_setting::UNDERLOADED_PLAN;
-use super::{FleetSetting, START, report};
+use super::{FleetSetting, START};
 use crate::scale::simulated::{ActionObserver, InvalidSettings, Observed};
-use crate::scale::{Emit, MeasureRequest, Meter, ScaleError, Unit};
+use crate::scale::{Emit, MeasureRequest, Meter, Report, ScaleError, Unit, Variable};
 use merlinreel_policy::decide::Limiter;
 use merlinreel_policy::peer_message::{CounterRow, Head, write};
 use merlinreel_policy::{EventBatch, PeerMessage, Request};
@@ -16,6 +16,14 @@
 pub const REPORTED_TENANT_SIZES: &[u64] = &[165, 1_000, 4_000, 16_000];
 /// Limiters of the full fleet: each limiter keeps some numbers of each other one.
 const LIMITERS: u32 = 2_300;
+const TENANTS_ASKED: Variable = Variable {
+    role: "quotas",
+    name: "tenants_asked",
+};
+const TENANTS_REPORTED: Variable = Variable {
+    role: "quotas",
+    name: "tenants_reported",
+};
 /// Peers whose first message after a restart is measured; enough for the resolution of the kernel's accounting.
 const RESTARTED_PEERS: u32 = 200;
 /// An upper estimate of an account and its place in the tables.
@@ -205,7 +213,7 @@
         let setting = format!(
             "one of {LIMITERS} limiters, each tenant asked once, {RESTARTED_PEERS} peers of a new life"
         );
-        let mut report = report(request, "tenants_asked", size, setting, emit);
+        let mut report = Report::new(request, TENANTS_ASKED, size, setting, emit);
         let mut tables = TenantTables::new(request.seed).map_err(|error| report.failed(error))?;
         let meter = Meter::start();
         tables.request_once(size);
@@ -240,7 +248,7 @@
         )?;
         let setting =
             format!("one of {LIMITERS} limiters, one window, the last limiter reports each tenant");
-        let mut report = report(request, "tenants_reported", size, setting, emit);
+        let mut report = Report::new(request, TENANTS_REPORTED, size, setting, emit);
         let mut tables = TenantTables::new(request.seed).map_err(|error| report.failed(error))?;
         let meter = Meter::start();
         tables.receive_reports(size);
--- a/crates/merlinreel-testkit/src/scale/report.rs
+++ b/crates/merlinreel-testkit/src/scale/report.rs
@@ -2,6 +2,15 @@
 
 use super::{DataPoint, Emit, MeasureRequest, Meter, ScaleError, Source, Unit};
 
+/// What is varied of a role, by the names in its data points.
+#[derive(Clone, Copy, Debug)]
+pub struct Variable {
+    /// The part of the program that is measured.
+    pub role: &'static str,
+    /// The variable's name.
+    pub name: &'static str,
+}
+
 /// A role and a size of its variable, to name in errors.
 #[derive(Clone, Copy, Debug)]
 pub struct MeasuredSize {
@@ -26,23 +35,39 @@
 pub struct Report<'a> {
     /// What was requested.
     pub request: &'a MeasureRequest,
-    /// The role that is measured.
-    pub role: &'static str,
-    /// The variable.
-    pub variable: &'static str,
+    /// What is varied.
+    pub variable: Variable,
     /// The variable's size.
     pub size: u64,
     /// All other conditions, as text.
-    pub setting: String,
-    /// Where data points are emitted to.
-    pub emit: Emit<'a>,
+    setting: String,
+    emit: Emit<'a>,
+}
+
+impl<'a> Report<'a> {
+    /// A report of a size; `setting` says all other conditions.
+    pub fn new(
+        request: &'a MeasureRequest,
+        variable: Variable,
+        size: u64,
+        setting: String,
+        emit: Emit<'a>,
+    ) -> Report<'a> {
+        Report {
+            request,
+            variable,
+            size,
+            setting,
+            emit,
+        }
+    }
 }
 
 impl Report<'_> {
     /// The role and size, to name in errors.
     pub fn measured_size(&self) -> MeasuredSize {
         MeasuredSize {
-            role: self.role,
+            role: self.variable.role,
             size: self.size,
         }
     }
@@ -96,8 +121,8 @@
         (self.emit)(DataPoint {
             version: env!("CARGO_PKG_VERSION"),
             seed: self.request.seed,
-            role: self.role,
-            variable: self.variable,
+            role: self.variable.role,
+            variable: self.variable.name,
             size: self.size,
             setting: self.setting.clone(),
             metric,
--- a/crates/merlinreel-testkit/src/scale/server_list.rs
+++ b/crates/merlinreel-testkit/src/scale/server_list.rs
@@ -16,12 +16,19 @@
 pub use restart::{RESTARTING_LIMITER_SIZES, measure_limiters_restarting};
 pub use simulated_limiter::{ActionCounts, LIMITERS, SimulatedLimiter};
 
-use super::{Emit, MeasureRequest, Report, ScaleError};
+use super::{Emit, MeasureRequest, Report, ScaleError, Variable};
 
 /// Servers on the list.
 pub const DEFAULT_SIZES: &[u64] = &[1_000, 5_000, 20_000, 60_000, 160_000];
 
-const ROLE: &str = "server_list";
+const SERVERS: Variable = Variable {
+    role: "server_list",
+    name: "servers",
+};
+const RESTARTING_LIMITERS: Variable = Variable {
+    role: "server_list",
+    name: "limiters_restarting",
+};
 /// Memory of a server while it is measured, with its text in both formats.
 const BYTES_PER_SERVER: u64 = 4_096;
 const PROGRAM_MB: u64 = 64;
@@ -61,12 +68,5 @@
 fn report<'a>(request: &'a MeasureRequest, emit: Emit<'a>, size: u64) -> Report<'a> {
     let setting =
         format!("1 limiter of {LIMITERS}, 16 servers a service, 11 zones, no client traffic");
-    Report {
-        request,
-        role: ROLE,
-        variable: "servers",
-        size,
-        setting,
-        emit,
-    }
+    Report::new(request, SERVERS, size, setting, emit)
 }
--- a/crates/merlinreel-testkit/src/scale/server_list/list_consumer.rs
+++ b/crates/merlinreel-testkit/src/scale/server_list/list_consumer.rs
@@ -1,6 +1,6 @@
 //! The steps of applying a full list, entry by entry, by the program's table or another one that counts its own.
 
-use super::ROLE;
+use super::SERVERS;
 use super::list_source::{Format, ListSource};
 use crate::scale::{Emit, MeasureRequest, Report, ScaleError, Unit};
 use merlinreel_discovery::{DiscoveryUpdate, EndpointTable, decode};
@@ -33,14 +33,8 @@
     emit: Emit,
 ) -> Result<(), ScaleError> {
     for &size in &request.sizes {
-        let mut report = Report {
-            request,
-            role: ROLE,
-            variable: "servers",
-            size,
-            setting: "1 list holder, a full list taken in twice".to_owned(),
-            emit: &mut *emit,
-        };
+        let setting = "1 list holder, a full list taken in twice".to_owned();
+        let mut report = Report::new(request, SERVERS, size, setting, emit);
         let mut source = ListSource::new(size, request.seed, Format::Compact);
         let bytes = source.full_list().map_err(|error| report.failed(error))?;
         let mut consumer = new_consumer();
--- a/crates/merlinreel-testkit/src/scale/server_list/restart.rs
+++ b/crates/merlinreel-testkit/src/scale/server_list/restart.rs
@@ -1,6 +1,6 @@
 //! Limiters that start without a list, and all poll discovery for the full list.
 
-use super::ROLE;
+use super::RESTARTING_LIMITERS;
 use super::list_source::{Format, ListSource};
 use super::simulated_limiter::SimulatedLimiter;
 use crate::scale::{Emit, MeasureRequest, Meter, Report, ScaleError, Unit};
@@ -23,14 +23,8 @@
         super::needed_mb(servers),
     )?;
     for &size in &request.sizes {
-        let mut report = Report {
-            request,
-            role: ROLE,
-            variable: "limiters_restarting",
-            size,
-            setting: format!("{servers} servers, indented lists, no list held from before"),
-            emit: &mut *emit,
-        };
+        let setting = format!("{servers} servers, indented lists, no list held from before");
+        let mut report = Report::new(request, RESTARTING_LIMITERS, size, setting, emit);
         let mut source = ListSource::new(servers, request.seed, Format::Indented);
         let bytes = source.full_list().map_err(|error| report.failed(error))?;
         let mut times = Vec::new();
--- a/crates/merlinreel-testkit/src/scale/tenants.rs
+++ b/crates/merlinreel-testkit/src/scale/tenants.rs
@@ -4,9 +4,9 @@
 mod processor_times;
 mod simulated_limiter;
 
-pub use simulated_limiter::{DecisionCounts, Fleet, SimulatedLimiter, TICKS_PER_SWEEP};
+pub use simulated_limiter::{DecisionCounts, FleetSetting, SimulatedLimiter, TICKS_PER_SWEEP};
 
-use super::{Emit, MeasureRequest, Meter, Report, ScaleError, Unit};
+use super::{Emit, MeasureRequest, Meter, Report, ScaleError, Unit, Variable};
 use processor_times::{ProcessorTimes, request_at_once_cpu};
 use simulated_limiter::WINDOW_SECONDS;
 
@@ -17,7 +17,18 @@
 /// Limiters of the fleet.
 pub const FLEET_SIZES: &[u64] = &[100, 300, 1_000, 2_300];
 
-const ROLE: &str = "tenants";
+const TENANTS_KNOWN: Variable = Variable {
+    role: "tenants",
+    name: "tenants",
+};
+const SET: Variable = Variable {
+    role: "tenants",
+    name: "set_size",
+};
+const LIMITERS_OF_FLEET: Variable = Variable {
+    role: "tenants",
+    name: "limiters",
+};
 /// The fleet while something else is varied.
 const LIMITERS: u32 = 2_300;
 const SET_SIZE: u32 = 37;
@@ -37,7 +48,7 @@
     ("accounts_after_30_s", 30),
     ("accounts_after_60_s", 60),
 ];
-/// An upper estimate of an account and its place in the index, with room for lists that double.
+/// An upper estimate of an account and its place in the index, with spare capacity of lists.
 const ACCOUNT_KB: u64 = 3;
 
 /// Varies the tenants that a limiter knows, each of whose requests reach this limiter alone.
@@ -53,7 +64,8 @@
         let mut times = ProcessorTimes::default();
         for run in 0..request.runs {
             let meter = Meter::start();
-            let mut limiter = limiter_with_tenants(&report, Fleet::of_single_limiter_sets(), size)?;
+            let mut limiter =
+                limiter_with_tenants(&report, FleetSetting::of_single_limiter_sets(), size)?;
             let growth = meter.read().memory_bytes as f64 / size as f64;
             if run == 0 {
                 report.measured("memory_per_account", Unit::Bytes, vec![growth])?;
@@ -73,7 +85,7 @@
 pub fn count(request: &MeasureRequest, emit: Emit) -> Result<(), ScaleError> {
     request.sizes.iter().try_for_each(|&size| {
         let mut report = tenants_report(request, size, emit);
-        report_accounts_kept(&mut report, Fleet::of_single_limiter_sets(), size)
+        report_accounts_kept(&mut report, FleetSetting::of_single_limiter_sets(), size)
     })
 }
 
@@ -85,11 +97,11 @@
 pub fn measure_sets(request: &MeasureRequest, emit: Emit) -> Result<(), ScaleError> {
     for &size in &request.sizes {
         check_memory(request, TENANTS)?;
-        let fleet = Fleet {
+        let fleet = FleetSetting {
             limiters: LIMITERS,
             set_size: size as u32,
         };
-        let mut report = report(request, "set_size", size, fleet, "10,000 tenants", emit);
+        let mut report = report(request, SET, size, fleet, "10,000 tenants", emit);
         let mut limiter = limiter_with_tenants(&report, fleet, TENANTS)?;
         limiter.run_ticks(SETTLE_SECONDS * TICKS_PER_SWEEP);
         let before = limiter.counts();
@@ -120,7 +132,7 @@
 pub fn measure_fleet(request: &MeasureRequest, emit: Emit) -> Result<(), ScaleError> {
     let mut kept = Vec::new();
     for &size in &request.sizes {
-        let fleet = Fleet {
+        let fleet = FleetSetting {
             limiters: size as u32,
             set_size: SET_SIZE,
         };
@@ -129,7 +141,7 @@
             AGGREGATED_TENANTS * 32 * size / (1 << 20) + 64,
         )?;
         let conditions = "500 gathered tenants";
-        let mut report = report(request, "limiters", size, fleet, conditions, emit);
+        let mut report = report(request, LIMITERS_OF_FLEET, size, fleet, conditions, emit);
         let mut limiter = limiter_with_tenants(&report, fleet, AGGREGATED_TENANTS)?;
         let meter = Meter::start();
         let mut rows = limiter.receive_reports();
@@ -147,10 +159,10 @@
     Ok(())
 }
 
-impl Fleet {
+impl FleetSetting {
     /// The fleet in which each tenant's requests reach one limiter alone.
-    fn of_single_limiter_sets() -> Fleet {
-        Fleet {
+    fn of_single_limiter_sets() -> FleetSetting {
+        FleetSetting {
             limiters: LIMITERS,
             set_size: 1,
         }
@@ -165,34 +177,27 @@
 }
 
 fn tenants_report<'a>(request: &'a MeasureRequest, size: u64, emit: Emit<'a>) -> Report<'a> {
-    let fleet = Fleet::of_single_limiter_sets();
-    report(request, "tenants", size, fleet, "8 servers", emit)
+    let fleet = FleetSetting::of_single_limiter_sets();
+    report(request, TENANTS_KNOWN, size, fleet, "8 servers", emit)
 }
 
 fn report<'a>(
     request: &'a MeasureRequest,
-    variable: &'static str,
+    variable: Variable,
     size: u64,
-    fleet: Fleet,
+    fleet: FleetSetting,
     conditions: &'static str,
     emit: Emit<'a>,
 ) -> Report<'a> {
-    let Fleet { limiters, set_size } = fleet;
+    let FleetSetting { limiters, set_size } = fleet;
     let setting =
         format!("fleet {limiters}, sets of {set_size}, the last limiter, {conditions}, inbox 40/s");
-    Report {
-        request,
-        role: ROLE,
-        variable,
-        size,
-        setting,
-        emit,
-    }
+    Report::new(request, variable, size, setting, emit)
 }
 
 fn limiter_with_tenants(
     report: &Report,
-    fleet: Fleet,
+    fleet: FleetSetting,
     tenants: u64,
 ) -> Result<SimulatedLimiter, ScaleError> {
     let mut limiter =
@@ -219,7 +224,11 @@
 }
 
 /// Reports how many accounts are kept after some seconds without requests.
-fn report_accounts_kept(report: &mut Report, fleet: Fleet, tenants: u64) -> Result<(), ScaleError> {
+fn report_accounts_kept(
+    report: &mut Report,
+    fleet: FleetSetting,
+    tenants: u64,
+) -> Result<(), ScaleError> {
     for (metric, seconds) in IDLE_SECONDS {
         let mut limiter = limiter_with_tenants(report, fleet, tenants)?;
         limiter.run_ticks(seconds * TICKS_PER_SWEEP);
--- a/crates/merlinreel-testkit/src/scale/tenants/simulated_limiter.rs
+++ b/crates/merlinreel-testkit/src/scale/tenants/simulated_limiter.rs
@@ -30,7 +30,7 @@
 
 /// A fleet and the part of it that each tenant's requests reach.
 #[derive(Clone, Copy, Debug)]
-pub struct Fleet {
+pub struct FleetSetting {
     /// The number of limiters.
     pub limiters: u32,
     /// Limiters of each tenant's set.
@@ -85,7 +85,7 @@
 /// A limiter, its tenants, and peers that acknowledge messages and send nothing more.
 pub struct SimulatedLimiter {
     limiter: Limiter,
-    fleet: Fleet,
+    fleet: FleetSetting,
     rank: u32,
     now: Duration,
     tenants: Vec<Tenant>,
@@ -101,7 +101,7 @@
     ///
     /// # Errors
     /// The program rejects the settings.
-    pub fn new(fleet: Fleet, seed: u64) -> Result<SimulatedLimiter, InvalidSettings> {
+    pub fn new(fleet: FleetSetting, seed: u64) -> Result<SimulatedLimiter, InvalidSettings> {
         let rank = fleet.limiters - 1;
         let settings = read_settings(&settings(fleet, rank))?;
         let mut random = ChaCha8Rng::seed_from_u64(seed);
@@ -329,7 +329,7 @@
 
 /// One plan of two units per second. Its ceiling refills by one unit per second at each limiter, and its slack admits an
 /// ordinary request of a new account, but none of [`KEPT_ACCOUNT_UNITS`].
-fn settings(fleet: Fleet, rank: u32) -> serde_json::Value {
+fn settings(fleet: FleetSetting, rank: u32) -> serde_json::Value {
     let set = f64::from(fleet.set_size);
     json!({
         "balancers": fleet.limiters, "rank": rank,
--- a/crates/merlinreel-testkit/src/scripted_server.rs
+++ b/crates/merlinreel-testkit/src/scripted_server.rs
@@ -145,7 +145,7 @@
     let mut reader = BufReader::new(stream.try_clone()?);
     while let Ok(Some(message)) = read(&mut reader, connection) {
         let received = Instant::now();
-        // The receiver is gone where the test has ended.
+        // Nobody receives it once the test has ended.
         let _ = request_sender.send(message.clone());
         match react(&message) {
             Reaction::Respond(text) => stream.write_all(text.as_bytes())?,
--- a/crates/merlinreel-testkit/src/stub_discovery.rs
+++ b/crates/merlinreel-testkit/src/stub_discovery.rs
@@ -1,7 +1,7 @@
 //! A stub of one limiter's discovery agent: lists, watches, silence and changes of state.
 
 use crate::EndpointState;
-use crate::event_log::{Event, EventLog};
+use crate::event_log::{Event, EventLog, LinkId};
 use crate::http::{Message, read};
 use serde_json::Value;
 use std::io::{self, BufReader, Write};
@@ -44,7 +44,7 @@
                 crate::instance(&format!("s-{number}"), server.address, lifecycle)
             })
             .collect();
-        crate::discovery_message(self.generation, true, &instances)
+        crate::full_list(self.generation, &instances)
     }
 
     fn text(&self) -> String {
@@ -160,7 +160,7 @@
             // Recorded before the response is written, so that no attempt after it precedes it in the log.
             for (server, listed) in state.servers.iter().enumerate() {
                 if listed.state != EndpointState::Ready {
-                    log.record(Event::DrainAnnounced { limiter, server });
+                    log.record(Event::DrainAnnounced(LinkId { limiter, server }));
                 }
             }
             return state.text();
--- a/crates/merlinreel-testkit/src/stub_server.rs
+++ b/crates/merlinreel-testkit/src/stub_server.rs
@@ -14,7 +14,7 @@
 pub struct StubServerConfig {
     /// Requests that run at full speed at once.
     pub cores: usize,
-    /// Requests accepted beyond the cores; more are rejected.
+    /// Requests accepted in addition to those on the cores; more are rejected.
     pub queue: usize,
     /// The time of one request after the slow start.
     pub service_time: Duration,
--- a/crates/merlinreel-testkit/tests/scale_configuration.rs
+++ b/crates/merlinreel-testkit/tests/scale_configuration.rs
@@ -2,7 +2,7 @@
 
 use merlinreel_testkit::scale::configuration::{self, Entries};
 use merlinreel_testkit::scale::{
-    DataPoint, Emit, MeasureRequest, ScaleError, SlopeError, Source, check_slope,
+    DataPoint, Emit, MeasureRequest, Point, ScaleError, SlopeError, Source, check_slope,
 };
 
 const SIZES: [u64; 4] = [100, 200, 400, 800];
@@ -44,8 +44,8 @@
 #[test]
 fn bytes_of_a_route_or_plan_do_not_grow_with_their_number() {
     let file = |classes, plans| Entries::new(classes, plans, SEED).text().len() as f64;
-    let routes = SIZES.map(|size| (size as f64, file(size, 4) / size as f64));
-    let plans = SIZES.map(|size| (size as f64, file(4, size) / size as f64));
+    let routes = SIZES.map(|size| Point::new(size as f64, file(size, 4) / size as f64));
+    let plans = SIZES.map(|size| Point::new(size as f64, file(4, size) / size as f64));
     for each in [routes, plans] {
         check_slope(&each, MAX_EXPONENT_PER_ENTRY)
             .unwrap_or_else(|error| panic!("bytes {error}: {each:?}"));
@@ -56,14 +56,12 @@
 fn change_of_one_class_leaves_one_superseded_class_whatever_the_number_of_routes() {
     let superseded: Vec<_> = SIZES
         .iter()
-        .map(|&size| (size as f64, superseded_classes(size, Entries::change_one)))
+        .map(|&size| Point::new(size as f64, superseded_classes(size, Entries::change_one)))
         .collect();
     check_slope(&superseded, MAX_EXPONENT_PER_ENTRY)
         .unwrap_or_else(|error| panic!("classes {error}: {superseded:?}"));
     assert!(
-        superseded
-            .iter()
-            .all(|(_, classes)| *classes == CHANGES as f64),
+        superseded.iter().all(|point| point.value == CHANGES as f64),
         "{superseded:?}"
     );
 }
@@ -75,7 +73,7 @@
         |entries: &mut Entries| (0..entries.classes()).for_each(|number| entries.change(number));
     let superseded: Vec<_> = SIZES
         .iter()
-        .map(|&size| (size as f64, superseded_classes(size, change_all)))
+        .map(|&size| Point::new(size as f64, superseded_classes(size, change_all)))
         .collect();
     let slope = check_slope(&superseded, MAX_EXPONENT_PER_ENTRY);
     assert!(
--- a/crates/merlinreel-testkit/tests/scale_latency.rs
+++ b/crates/merlinreel-testkit/tests/scale_latency.rs
@@ -5,7 +5,7 @@
     ClientConnections, LatencyError, LatencySetting, Limiter, LoadResult, LoopbackServers,
     RequestPlan, Sample, measure_setting,
 };
-use merlinreel_testkit::scale::{DataPoint, MeasureRequest, check_slope};
+use merlinreel_testkit::scale::{DataPoint, MeasureRequest, Point, check_slope};
 use std::thread;
 use std::time::{Duration, Instant};
 use test_case::test_case;
@@ -94,7 +94,7 @@
 fn requests_at_servers_grow_in_proportion_to_those_of_clients() {
     let sizes = [50, 100, 200, 400];
     let points = sizes.map(|size| {
-        (
+        Point::new(
             size as f64,
             send_through_limiter(&plan(size), RESPONSE_BYTES).1 as f64,
         )
@@ -113,7 +113,7 @@
         let before = servers.requests();
         let plan = RequestPlan::new(PER_SECOND, size, CONNECTIONS, SEED);
         (0..size / 50).for_each(|_| drop(clients.send(&plan).expect("answers")));
-        (size as f64, (servers.requests() - before) as f64)
+        Point::new(size as f64, (servers.requests() - before) as f64)
     });
     check_slope(&points, MAX_EXPONENT).expect_err("quadratic");
 }
--- a/crates/merlinreel-testkit/tests/scale_membership.rs
+++ b/crates/merlinreel-testkit/tests/scale_membership.rs
@@ -1,7 +1,9 @@
 //! The cost of membership by the number of limiters, in a short form: counts only, which are the same each run.
 
-use merlinreel_testkit::scale::membership::{Fleet, FleetSetting, measure};
-use merlinreel_testkit::scale::{DataPoint, MeasureRequest, SlopeError, Source, check_slope};
+use merlinreel_testkit::scale::membership::{Fleet, FleetSetting, Urgency, measure};
+use merlinreel_testkit::scale::{
+    DataPoint, MeasureRequest, Point, SlopeError, Source, check_slope,
+};
 use std::sync::LazyLock;
 use std::time::Duration;
 
@@ -16,9 +18,9 @@
 
 /// Bytes that a limiter sent, by the number of limiters.
 struct Sent {
-    idle: Vec<(f64, f64)>,
+    idle: Vec<Point>,
     /// With a deliberate cost.
-    broadcast: Vec<(f64, f64)>,
+    broadcast: Vec<Point>,
 }
 
 static SENT: LazyLock<Sent> = LazyLock::new(|| {
@@ -29,10 +31,14 @@
     for size in SIZES {
         let mut fleet = Fleet::start(FleetSetting::of(size as usize), SEED).expect("a key");
         fleet.run(CONVERGENCE);
-        sent.idle
-            .push((size as f64, bytes_sent(&mut fleet, size as u32, |_, _| {})));
-        sent.broadcast
-            .push((size as f64, bytes_sent(&mut fleet, size as u32, broadcast)));
+        sent.idle.push(Point::new(
+            size as f64,
+            bytes_sent(&mut fleet, size as u32, |_, _| {}),
+        ));
+        sent.broadcast.push(Point::new(
+            size as f64,
+            bytes_sent(&mut fleet, size as u32, broadcast),
+        ));
     }
     sent
 });
@@ -115,7 +121,7 @@
         "{:?}",
         fleet.knowledge()
     );
-    let watch = fleet.publish_watched(7, true).expect("short");
+    let watch = fleet.publish_watched(7, Urgency::Urgent).expect("short");
     let held = |fleet: &Fleet| fleet.watch(watch).is_held_by_all();
     assert!(fleet.run_until(Duration::from_secs(30), Duration::from_millis(100), held));
     assert!(fleet.watch(watch).time_to_all().is_some());
--- a/crates/merlinreel-testkit/tests/scale_quotas.rs
+++ b/crates/merlinreel-testkit/tests/scale_quotas.rs
@@ -4,7 +4,9 @@
     Counts, FleetSetting, count, count_propagation, count_recovery, measure, measure_overloaded,
     measure_reported_tenants, measure_restarts, measure_tenants,
 };
-use merlinreel_testkit::scale::{DataPoint, MeasureRequest, ScaleError, SlopeError, check_slope};
+use merlinreel_testkit::scale::{
+    DataPoint, MeasureRequest, Point, ScaleError, SlopeError, check_slope,
+};
 use std::time::Duration;
 
 const SEED: u64 = 7;
@@ -42,10 +44,10 @@
     sizes.iter().map(point).collect()
 }
 
-fn points(counts: &[(f64, Counts)], value: fn(&Counts) -> f64) -> Vec<(f64, f64)> {
+fn points(counts: &[(f64, Counts)], value: fn(&Counts) -> f64) -> Vec<Point> {
     counts
         .iter()
-        .map(|(limiters, counts)| (*limiters, value(counts)))
+        .map(|(limiters, counts)| Point::new(*limiters, value(counts)))
         .collect()
 }
 
@@ -60,7 +62,7 @@
     for value in checked {
         let points = points(&counts, value);
         assert!(
-            points.iter().all(|(_, value)| *value > 0.0),
+            points.iter().all(|point| point.value > 0.0),
             "nothing was sent: {points:?}"
         );
         check_slope(&points, MAX_EXPONENT_BY_LIMITERS)
--- a/crates/merlinreel-testkit/tests/scale_server_list.rs
+++ b/crates/merlinreel-testkit/tests/scale_server_list.rs
@@ -6,7 +6,7 @@
     measure_limiters_restarting, measure_steps,
 };
 use merlinreel_testkit::scale::{
-    DataPoint, Emit, MeasureRequest, ScaleError, SlopeError, Source, check_slope,
+    DataPoint, Emit, MeasureRequest, Point, ScaleError, SlopeError, Source, check_slope,
 };
 use std::time::Duration;
 use test_case::test_case;
@@ -50,10 +50,10 @@
     counts(|emit| measure(&request, emit))
 }
 
-fn points(counts: &[Count], metric: &str) -> Vec<(f64, f64)> {
+fn points(counts: &[Count], metric: &str) -> Vec<Point> {
     let of_metric = counts.iter().filter(|count| count.metric == metric);
     of_metric
-        .map(|count| (count.size as f64, count.value))
+        .map(|count| Point::new(count.size as f64, count.value))
         .collect()
 }
 
@@ -96,9 +96,9 @@
 #[test]
 fn indices_of_removed_servers_are_reused() {
     let counted = counts_by_servers(7);
-    let expected: Vec<(f64, f64)> = SIZES
+    let expected: Vec<Point> = SIZES
         .iter()
-        .map(|&size| (size as f64, (size + size * 6 / 10) as f64))
+        .map(|&size| Point::new(size as f64, (size + size * 6 / 10) as f64))
         .collect();
     assert_eq!(points(&counted, "indices_after_replacement"), expected);
     assert_eq!(points(&counted, "indices_after_next_replacement"), expected);
@@ -114,9 +114,9 @@
         .full_list()
         .expect("written")
         .len() as f64;
-    let expected: Vec<(f64, f64)> = LIMITERS
+    let expected: Vec<Point> = LIMITERS
         .iter()
-        .map(|&limiters| (limiters as f64, limiters as f64 * list))
+        .map(|&limiters| Point::new(limiters as f64, limiters as f64 * list))
         .collect();
     assert_eq!(points(&sent, "source_bytes"), expected);
 }
--- a/crates/merlinreel-testkit/tests/scale_tenants.rs
+++ b/crates/merlinreel-testkit/tests/scale_tenants.rs
@@ -1,13 +1,15 @@
 //! What a limiter reports of its tenants grows with their number, and no faster; accounts of idle ones are removed.
 
 use merlinreel_testkit::scale::tenants::{
-    self, DecisionCounts, Fleet, SimulatedLimiter, TICKS_PER_SWEEP,
+    self, DecisionCounts, FleetSetting, SimulatedLimiter, TICKS_PER_SWEEP,
+};
+use merlinreel_testkit::scale::{
+    DataPoint, MeasureRequest, Point, SlopeError, Source, check_slope,
 };
-use merlinreel_testkit::scale::{DataPoint, MeasureRequest, SlopeError, Source, check_slope};
 
 /// Few enough that all that must be reported fits into the messages of a minute.
 const SIZES: [u64; 4] = [50, 100, 200, 400];
-const FLEET: Fleet = Fleet {
+const FLEET: FleetSetting = FleetSetting {
     limiters: 300,
     set_size: 37,
 };
@@ -28,10 +30,10 @@
     limiter.counts()
 }
 
-fn per_tenant(of: impl Fn(u64) -> u64) -> Vec<(f64, f64)> {
+fn per_tenant(of: impl Fn(u64) -> u64) -> Vec<Point> {
     SIZES
         .iter()
-        .map(|&size| (size as f64, of(size) as f64 / size as f64))
+        .map(|&size| Point::new(size as f64, of(size) as f64 / size as f64))
         .collect()
 }
 
@@ -43,7 +45,7 @@
     let admitted = per_tenant(|size| counts(size, SEED).admitted);
     check_slope(&admitted, MAX_EXPONENT_PER_TENANT)
         .unwrap_or_else(|error| panic!("requests {error}: {admitted:?}"));
-    assert!(bytes.iter().all(|(_, bytes)| *bytes > 0.0), "{bytes:?}");
+    assert!(bytes.iter().all(|point| point.value > 0.0), "{bytes:?}");
 }
 
 #[test]
--- a/crates/merlinreel/src/endpoints/tests.rs
+++ b/crates/merlinreel/src/endpoints/tests.rs
@@ -145,8 +145,7 @@
     let address = |i: u32| SocketAddr::from(([10, (i >> 16) as u8, (i >> 8) as u8, i as u8], 9000));
     let listed = |i| merlinreel_testkit::instance(&format!("server-{i:06}"), address(i), "up");
     let servers: Vec<_> = (0..servers).map(listed).collect();
-    serde_json::to_string_pretty(&merlinreel_testkit::discovery_message(7, true, &servers))
-        .expect("a list")
+    serde_json::to_string_pretty(&merlinreel_testkit::full_list(7, &servers)).expect("a list")
 }
 
 /// A discovery on a socket of its own; each connection's calls are answered by `answer`, with the connection's number.
--- a/crates/merlinreel/tests/sockets/drains.rs
+++ b/crates/merlinreel/tests/sockets/drains.rs
@@ -24,7 +24,7 @@
         instance("s-1", late, "draining"),
         instance("s-2", other.address, "up"),
     ];
-    tell.send(discovery_message(2, false, &changes).to_string())
+    tell.send(list_changes(2, &changes).to_string())
         .expect("told");
     assert_eq!(client.receive().map(|answer| answer.status()), Some(200));
     assert_eq!(other.requests.try_iter().count(), 1);
--- a/crates/merlinreel/tests/sockets/faults.rs
+++ b/crates/merlinreel/tests/sockets/faults.rs
@@ -38,16 +38,15 @@
 #[test]
 fn trickled_responses_violate_no_rule() {
     let mut cluster = Cluster::start(9, LIMITERS, SERVERS);
-    for i in 0..LIMITERS {
-        for j in 0..SERVERS {
+    for limiter in 0..LIMITERS {
+        for server in 0..SERVERS {
             let forward = NetworkConditions {
                 delay: Duration::from_millis(5),
                 jitter: Duration::from_millis(10),
                 ..NetworkConditions::default()
             };
             cluster.set_network_conditions(
-                i,
-                j,
+                LinkId { limiter, server },
                 forward,
                 NetworkConditions {
                     chunk_bytes: Some(7),
--- a/crates/merlinreel/tests/sockets/main.rs
+++ b/crates/merlinreel/tests/sockets/main.rs
@@ -288,7 +288,7 @@
         instance("s-1", old.address, "draining"),
         instance("s-2", new.address, "up"),
     ];
-    tell.send(discovery_message(2, false, &changes).to_string())
+    tell.send(list_changes(2, &changes).to_string())
         .expect("told");
     // What makes no sense changes nothing, nor a call that breaks: asked for again from the last version.
     tell.send("{}".to_owned()).expect("told");
@@ -314,7 +314,7 @@
 #[test]
 fn a_watch_that_falls_silent_is_asked_again_elsewhere() {
     let server = ScriptedServer::start(|_| ok_response());
-    let text = discovery_message(2, false, &[instance("s-1", server.address, "up")]).to_string();
+    let text = list_changes(2, &[instance("s-1", server.address, "up")]).to_string();
     let discovery = ScriptedServer::start(move |call| {
         if call.connection == 0 {
             Reaction::Hang
@@ -350,7 +350,7 @@
     let (tell, told) = channel();
     let discovery = discovery(told);
     // An older number than the one it had: another discovery counts for itself.
-    tell.send(discovery_message(0, true, &[instance("s-2", new.address, "up")]).to_string())
+    tell.send(full_list(0, &[instance("s-2", new.address, "up")]).to_string())
         .expect("told");
     config["discovery"] = discovery.address.to_string().into();
     program.reload(&config.to_string());
--- a/crates/merlinreel/tests/sockets/starts.rs
+++ b/crates/merlinreel/tests/sockets/starts.rs
@@ -145,9 +145,8 @@
             .count(),
         10
     );
-    discovery.speak(&discovery_message(
+    discovery.speak(&full_list(
         2,
-        true,
         &[
             instance("s-1", old.address, "draining"),
             instance("s-2", new.address, "up"),
@@ -287,9 +286,8 @@
         ScriptedServer::start(|_| ok_response()),
         ScriptedServer::start(|_| ok_response()),
     );
-    let list = discovery_message(
+    let list = full_list(
         2,
-        true,
         &[
             instance("s-1", old.address, "draining"),
             instance("s-2", new.address, "up"),
--- a/crates/merlinreel/tests/sockets/stop.rs
+++ b/crates/merlinreel/tests/sockets/stop.rs
@@ -240,7 +240,7 @@
         instance("s-2", new.address, "up"),
     ];
     // Lists may come indented.
-    tell.send(serde_json::to_string_pretty(&discovery_message(2, false, &changes)).expect("text"))
+    tell.send(serde_json::to_string_pretty(&list_changes(2, &changes)).expect("text"))
         .expect("told");
     assert_eq!(answered.recv_timeout(TEST_TIMEOUT), Ok(200));
     assert_eq!(
@@ -270,7 +270,7 @@
         ScriptedServer::start(|_| ok_response()),
         ScriptedServer::start(|_| ok_response()),
     );
-    let text = discovery_message(2, true, &[instance("s-2", new.address, "up")]).to_string();
+    let text = full_list(2, &[instance("s-2", new.address, "up")]).to_string();
     let calls = AtomicUsize::new(0);
     let discovery = ScriptedServer::start(move |_| match calls.fetch_add(1, Ordering::Relaxed) {
         0 => Reaction::Hang,
--- a/examples/toy_server.rs
+++ b/examples/toy_server.rs
@@ -1,5 +1,5 @@
-//! A toy to try the limiter with: a server that answers every job after a moment, and beside it a discovery
-//! that lists this one server. Plain HTTP/1.1 by threads; not for service.
+//! A stub server to try the program with: it responds to every request after a short time, beside a stub discovery that
+//! lists this one server. Plain HTTP/1.1 with a thread for each connection; not for production.
 //!
 //!     cargo run --example toy_server -- [SERVER DISCOVERY]     (127.0.0.1:9101 127.0.0.1:9102)
 
@@ -8,15 +8,25 @@
 use std::thread;
 use std::time::Duration;
 
-/// One request: its first line and its body. None at the end of the connection.
-fn read(from: &mut impl BufRead) -> io::Result<Option<(String, Vec<u8>)>> {
-    let (mut first, mut length) = (String::new(), 0);
-    if from.read_line(&mut first)? == 0 {
+const SERVICE_TIME: Duration = Duration::from_millis(30);
+/// How long a watch for changes waits that never happen.
+const WATCH_TIME: Duration = Duration::from_secs(20);
+
+struct Request {
+    request_line: String,
+    body: Vec<u8>,
+}
+
+/// The next request; none at the end of the connection.
+fn read(reader: &mut impl BufRead) -> io::Result<Option<Request>> {
+    let mut request_line = String::new();
+    if reader.read_line(&mut request_line)? == 0 {
         return Ok(None);
     }
+    let mut length = 0;
     loop {
         let mut line = String::new();
-        from.read_line(&mut line)?;
+        reader.read_line(&mut line)?;
         let Some((name, value)) = line.trim().split_once(':') else {
             break;
         };
@@ -25,17 +35,16 @@
         }
     }
     let mut body = vec![0; length];
-    from.read_exact(&mut body)?;
-    Ok(Some((first, body)))
+    reader.read_exact(&mut body)?;
+    Ok(Some(Request { request_line, body }))
 }
 
-fn serve(stream: TcpStream, answer: impl Fn(&str, &[u8]) -> String) -> io::Result<()> {
-    let mut from = BufReader::new(stream.try_clone()?);
-    let mut to = stream;
-    while let Some((first, body)) = read(&mut from)? {
-        let text = answer(&first, &body);
+fn serve(mut stream: TcpStream, respond: impl Fn(&Request) -> String) -> io::Result<()> {
+    let mut reader = BufReader::new(stream.try_clone()?);
+    while let Some(request) = read(&mut reader)? {
+        let text = respond(&request);
         write!(
-            to,
+            stream,
             "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{text}",
             text.len()
         )?;
@@ -44,36 +53,41 @@
 }
 
 fn listen(
-    at: &str,
-    answer: impl Fn(&str, &[u8]) -> String + Clone + Send + 'static,
+    address: &str,
+    respond: impl Fn(&Request) -> String + Clone + Send + 'static,
 ) -> io::Result<()> {
-    for stream in TcpListener::bind(at)?.incoming() {
-        let (stream, answer) = (stream?, answer.clone());
-        thread::spawn(move || serve(stream, answer));
+    for stream in TcpListener::bind(address)?.incoming() {
+        let stream = stream?;
+        let respond = respond.clone();
+        thread::spawn(move || serve(stream, respond));
     }
     Ok(())
 }
 
 fn main() -> io::Result<()> {
-    let mut words = std::env::args().skip(1);
-    let server = words.next().unwrap_or_else(|| "127.0.0.1:9101".to_owned());
-    let discovery = words.next().unwrap_or_else(|| "127.0.0.1:9102".to_owned());
+    let mut arguments = std::env::args().skip(1);
+    let server = arguments
+        .next()
+        .unwrap_or_else(|| "127.0.0.1:9101".to_owned());
+    let discovery = arguments
+        .next()
+        .unwrap_or_else(|| "127.0.0.1:9102".to_owned());
     println!("a server at {server}, listed by a discovery at {discovery}");
     let list = format!(
         r#"{{"generation":1,"reset":true,"instances":[{{"instanceId":"toy","hostPort":"{server}","zone":"here",
         "cell":0,"lifecycle":"up","weight":1.0,"startedAtMs":0}}]}}"#
     );
     thread::spawn(move || {
-        listen(&discovery, move |first, _| {
-            // Nothing newer will ever come: a watch waits its time.
-            if first.contains("after=1") {
-                thread::sleep(Duration::from_secs(20));
+        listen(&discovery, move |request| {
+            if request.request_line.contains("after=1") {
+                thread::sleep(WATCH_TIME);
             }
             list.clone()
         })
     });
-    listen(&server, |first, body| {
-        thread::sleep(Duration::from_millis(30));
-        format!("done: {} ({} bytes)\n", first.trim(), body.len())
+    listen(&server, |request| {
+        thread::sleep(SERVICE_TIME);
+        let line = request.request_line.trim();
+        format!("done: {line} ({} bytes)\n", request.body.len())
     })
 }
