--- a/crates/merlinreel-testkit/src/fault_plan.rs
+++ b/crates/merlinreel-testkit/src/fault_plan.rs
@@ -147,28 +147,55 @@
             0
         };
         let is_available = start >= self.unavailable_until[limiter];
+        match self.random.random_range(0..12) {
+            0 | 1 if is_available => self.draw_outage(limiter, start, end),
+            8 | 9 if is_available => self.draw_termination(limiter, start),
+            kind => {
+                let (fault, recovery) = self.fault_of_kind(kind, LinkId { limiter, server });
+                self.push(start, fault);
+                self.push(end, recovery);
+            }
+        }
+    }
+
+    /// Kills or suspends a limiter's process.
+    fn draw_outage(&mut self, limiter: usize, start: Duration, end: Duration) {
+        self.unavailable_until[limiter] = end;
+        let (fault, recovery) = if self.random.random_range(0..2) == 0 {
+            (LimiterFault::Kill, LimiterFault::Start)
+        } else {
+            (LimiterFault::Suspend, LimiterFault::Continue)
+        };
+        self.push(start, Fault::Limiter { limiter, fault });
+        let fault = recovery;
+        self.push(end, Fault::Limiter { limiter, fault });
+    }
+
+    fn draw_termination(&mut self, limiter: usize, start: Duration) {
+        let restart = start + RESTART_AFTER_TERMINATION;
+        self.unavailable_until[limiter] = restart;
+        let signals = self.random.random_range(1..4);
+        let fault = LimiterFault::Terminate { signals };
+        self.push(start, Fault::Limiter { limiter, fault });
+        let fault = LimiterFault::Start;
+        self.push(restart, Fault::Limiter { limiter, fault });
+    }
+
+    /// A fault beside those of processes, and its end.
+    fn fault_of_kind(&self, kind: u32, link: LinkId) -> (Fault, Fault) {
+        let LinkId { limiter, server } = link;
         let of_limiter = |fault| Fault::Limiter { limiter, fault };
-        let of_server = |fault| Fault::Server { server, fault };
-        let link = LinkId { limiter, server };
         let of_link = |fault| Fault::Link { link, fault };
-        let (fault, recovery) = match self.random.random_range(0..12) {
-            0 | 1 if is_available => {
-                self.unavailable_until[limiter] = end;
-                if self.random.random_range(0..2) == 0 {
-                    (
-                        of_limiter(LimiterFault::Kill),
-                        of_limiter(LimiterFault::Start),
-                    )
-                } else {
-                    (
-                        of_limiter(LimiterFault::Suspend),
-                        of_limiter(LimiterFault::Continue),
-                    )
-                }
-            }
+        match kind {
             2 => (
-                of_server(ServerFault::Pause),
-                of_server(ServerFault::Resume),
+                Fault::Server {
+                    server,
+                    fault: ServerFault::Pause,
+                },
+                Fault::Server {
+                    server,
+                    fault: ServerFault::Resume,
+                },
             ),
             3 => (of_link(LinkFault::Partition), of_link(LinkFault::Heal)),
             4 => (
@@ -186,14 +213,6 @@
                 },
                 of_link(LinkFault::CloseConnections),
             ),
-            8 | 9 if is_available => {
-                let restart = start + RESTART_AFTER_TERMINATION;
-                self.unavailable_until[limiter] = restart;
-                let signals = self.random.random_range(1..4);
-                self.push(start, of_limiter(LimiterFault::Terminate { signals }));
-                self.push(restart, of_limiter(LimiterFault::Start));
-                return;
-            }
             10 => (
                 of_limiter(LimiterFault::Reload),
                 of_limiter(LimiterFault::Reload),
@@ -206,9 +225,7 @@
                 of_link(LinkFault::CloseConnections),
                 of_link(LinkFault::CloseConnections),
             ),
-        };
-        self.push(start, fault);
-        self.push(end, recovery);
+        }
     }
 
     fn push(&mut self, at: Duration, fault: Fault) {
--- a/crates/merlinreel-testkit/src/scale.rs
+++ b/crates/merlinreel-testkit/src/scale.rs
@@ -21,12 +21,12 @@
 mod simulated;
 pub mod tenants;
 
-pub use catalogue::{Emit, Measurement, measurements, select};
+pub use catalogue::{Measurement, Run, measurements, select};
 pub use data_point::{DataPoint, Source, Unit};
 pub use error::ScaleError;
 pub use fit::{Point, PowerLaw, SlopeError, check_slope};
 pub use meter::{Meter, Usage};
 pub use network::{Datagram, LinkConditions, Network, Traffic};
-pub use report::{MeasuredSize, Report, Variable};
+pub use report::{Emit, MeasuredSize, Report, Variable};
 pub use request::MeasureRequest;
 pub use simulated::InvalidSettings;
--- a/crates/merlinreel-testkit/src/scale/catalogue.rs
+++ b/crates/merlinreel-testkit/src/scale/catalogue.rs
@@ -1,10 +1,10 @@
 //! All measurements by the name of their role and variable, each with the sizes that it is made at by default.
 
-use super::{DataPoint, MeasureRequest, ScaleError};
+use super::{Emit, MeasureRequest, ScaleError};
 use super::{configuration, latency, membership, quotas, server_list, tenants};
 
-/// Receives data points as they are measured.
-pub type Emit<'a> = &'a mut dyn FnMut(DataPoint) -> Result<(), ScaleError>;
+/// Measures at the sizes of a request.
+pub type Run = fn(&MeasureRequest, Emit) -> Result<(), ScaleError>;
 
 /// The measurement of a role by one variable.
 pub struct Measurement {
@@ -15,154 +15,137 @@
     /// The default sizes, in ascending order.
     pub sizes: &'static [u64],
     /// Measures at the sizes of a request.
-    pub run: fn(&MeasureRequest, Emit) -> Result<(), ScaleError>,
+    pub run: Run,
 }
 
 /// Servers in the list where the limiters that restart are varied.
 const SERVERS_AT_RESTARTS: u64 = 160_000;
 
-macro_rules! measurement {
-    ($role:literal, $variable:literal, $sizes:expr, $run:expr) => {
+/// A role by its name on the command line.
+struct Role(&'static str);
+
+impl Role {
+    fn by(&self, variable: &'static str, sizes: &'static [u64], run: Run) -> Measurement {
         Measurement {
-            role: $role,
-            variable: $variable,
-            sizes: $sizes,
-            run: |request, emit| $run(request, emit),
+            role: self.0,
+            variable,
+            sizes,
+            run,
         }
-    };
+    }
 }
 
 /// All measurements, in the order in which a run of all makes them: the one that is sensitive to other load first.
 pub fn measurements() -> Vec<Measurement> {
+    let mut all = request_path_measurements();
+    all.extend(server_list_measurements());
+    all.extend(tenants_measurements());
+    all.extend(configuration_measurements());
+    all.extend(quotas_measurements());
+    all.extend(membership_measurements());
+    all
+}
+
+fn request_path_measurements() -> Vec<Measurement> {
+    let role = Role("request_path");
     vec![
-        measurement!(
-            "request_path",
-            "rate",
-            latency::RATE_SIZES,
-            latency::measure_rate
-        ),
-        measurement!(
-            "request_path",
-            "servers",
-            latency::SERVERS_SIZES,
-            latency::measure_servers
-        ),
-        measurement!(
-            "request_path",
+        role.by("rate", latency::RATE_SIZES, latency::measure_rate),
+        role.by("servers", latency::SERVERS_SIZES, latency::measure_servers),
+        role.by(
             "answer",
             latency::RESPONSE_SIZES,
-            latency::measure_response_sizes
+            latency::measure_response_sizes,
         ),
-        measurement!(
-            "server_list",
-            "servers",
-            server_list::DEFAULT_SIZES,
-            server_list::measure
-        ),
-        measurement!(
-            "server_list",
+    ]
+}
+
+fn server_list_measurements() -> Vec<Measurement> {
+    let role = Role("server_list");
+    vec![
+        role.by("servers", server_list::DEFAULT_SIZES, server_list::measure),
+        role.by(
             "restarts",
             server_list::RESTARTING_LIMITER_SIZES,
             |request, emit| {
                 server_list::measure_limiters_restarting(request, SERVERS_AT_RESTARTS, emit)
-            }
-        ),
-        measurement!(
-            "tenants",
-            "tenants",
-            tenants::DEFAULT_SIZES,
-            tenants::measure
-        ),
-        measurement!(
-            "tenants",
-            "set_size",
-            tenants::SET_SIZES,
-            tenants::measure_sets
+            },
         ),
-        measurement!(
-            "tenants",
-            "fleet",
-            tenants::FLEET_SIZES,
-            tenants::measure_fleet
-        ),
-        measurement!(
-            "configuration",
+    ]
+}
+
+fn tenants_measurements() -> Vec<Measurement> {
+    let role = Role("tenants");
+    vec![
+        role.by("tenants", tenants::DEFAULT_SIZES, tenants::measure),
+        role.by("set_size", tenants::SET_SIZES, tenants::measure_sets),
+        role.by("fleet", tenants::FLEET_SIZES, tenants::measure_fleet),
+    ]
+}
+
+fn configuration_measurements() -> Vec<Measurement> {
+    let role = Role("configuration");
+    vec![
+        role.by(
             "routes",
             configuration::DEFAULT_SIZES,
-            configuration::measure
+            configuration::measure,
         ),
-        measurement!(
-            "configuration",
+        role.by(
             "plans",
             configuration::PLAN_SIZES,
-            configuration::measure_plans
+            configuration::measure_plans,
         ),
-        measurement!(
-            "configuration",
+        role.by(
             "reloads",
             configuration::RELOAD_SIZES,
-            configuration::measure_reloads
+            configuration::measure_reloads,
         ),
-        measurement!("quotas", "limiters", quotas::DEFAULT_SIZES, quotas::measure),
-        measurement!(
-            "quotas",
-            "set_size",
-            quotas::SET_SIZES,
-            quotas::measure_set_sizes
-        ),
-        measurement!(
-            "quotas",
+    ]
+}
+
+fn quotas_measurements() -> Vec<Measurement> {
+    let role = Role("quotas");
+    vec![
+        role.by("limiters", quotas::DEFAULT_SIZES, quotas::measure),
+        role.by("set_size", quotas::SET_SIZES, quotas::measure_set_sizes),
+        role.by(
             "customers",
             quotas::CUSTOMER_SIZES,
-            quotas::measure_customers
+            quotas::measure_customers,
         ),
-        measurement!(
-            "quotas",
+        role.by(
             "pressed",
             quotas::OVERLOADED_SIZES,
-            quotas::measure_overloaded
-        ),
-        measurement!(
-            "quotas",
-            "restarts",
-            quotas::RESTART_SIZES,
-            quotas::measure_restarts
+            quotas::measure_overloaded,
         ),
-        measurement!(
-            "quotas",
-            "tenants",
-            quotas::TENANT_SIZES,
-            quotas::measure_tenants
-        ),
-        measurement!(
-            "quotas",
+        role.by("restarts", quotas::RESTART_SIZES, quotas::measure_restarts),
+        role.by("tenants", quotas::TENANT_SIZES, quotas::measure_tenants),
+        role.by(
             "reported_tenants",
             quotas::REPORTED_TENANT_SIZES,
-            quotas::measure_reported_tenants
-        ),
-        measurement!(
-            "membership",
-            "limiters",
-            membership::DEFAULT_SIZES,
-            membership::measure
+            quotas::measure_reported_tenants,
         ),
-        measurement!(
-            "membership",
+    ]
+}
+
+fn membership_measurements() -> Vec<Measurement> {
+    let role = Role("membership");
+    vec![
+        role.by("limiters", membership::DEFAULT_SIZES, membership::measure),
+        role.by(
             "changes",
             membership::CHANGE_SIZES,
-            membership::measure_changes
+            membership::measure_changes,
         ),
-        measurement!(
-            "membership",
+        role.by(
             "restarts",
             membership::RESTART_SIZES,
-            membership::measure_restarts
+            membership::measure_restarts,
         ),
-        measurement!(
-            "membership",
+        role.by(
             "restart_of_one",
             membership::RESTART_OF_ONE_SIZES,
-            membership::measure_restart_of_one
+            membership::measure_restart_of_one,
         ),
     ]
 }
--- a/crates/merlinreel-testkit/src/scale/fit/tests.rs
+++ b/crates/merlinreel-testkit/src/scale/fit/tests.rs
@@ -24,10 +24,10 @@
 #[test]
 fn quadratic_part_of_a_cost_is_too_steep() {
     let sound = points(|size| 400.0 * size);
-    let planted = points(|size| 400.0 * size + size * size);
+    let quadratic = points(|size| 400.0 * size + size * size);
     assert!(check_slope(&sound, 1.1).is_ok());
     assert!(matches!(
-        check_slope(&planted, 1.1),
+        check_slope(&quadratic, 1.1),
         Err(SlopeError::TooSteep { .. })
     ));
 }
--- a/crates/merlinreel-testkit/src/scale/membership/fleet.rs
+++ b/crates/merlinreel-testkit/src/scale/membership/fleet.rs
@@ -33,7 +33,7 @@
 pub enum Urgency {
     /// Sent at once.
     Urgent,
-    /// Sent with the next regular exchange.
+    /// Sent with the next periodic exchange.
     Routine,
 }
 
--- a/crates/merlinreel-testkit/src/scale/report.rs
+++ b/crates/merlinreel-testkit/src/scale/report.rs
@@ -1,6 +1,9 @@
 //! Data points of one measured size.
 
-use super::{DataPoint, Emit, MeasureRequest, Meter, ScaleError, Source, Unit};
+use super::{DataPoint, MeasureRequest, Meter, ScaleError, Source, Unit};
+
+/// Receives data points as they are measured.
+pub type Emit<'a> = &'a mut dyn FnMut(DataPoint) -> Result<(), ScaleError>;
 
 /// What is varied of a role, by the names in its data points.
 #[derive(Clone, Copy, Debug)]
