--- a/crates/merlinreel-testkit/src/scale/membership/fleet.rs
+++ b/crates/merlinreel-testkit/src/scale/membership/fleet.rs
@@ -327,9 +327,9 @@
             }
         }
         while let Some(event) = node.event() {
-            if let Event::Records(of) = event {
+            if let Event::Records(owner) = event {
                 for watch in &mut self.watches {
-                    watch.check(of, limiter, node, self.now);
+                    watch.check(owner, limiter, node, self.now);
                 }
             }
         }
--- a/crates/merlinreel-testkit/src/scale/quotas/fleet_setting.rs
+++ b/crates/merlinreel-testkit/src/scale/quotas/fleet_setting.rs
@@ -91,9 +91,15 @@
     /// # Errors
     /// The program rejects them.
     pub fn settings(&self) -> Result<Settings, InvalidSettings> {
-        let plan = |name: &str, plan: usize| json!({"name": name, "unitsPerS": self.rate(plan), "mostAtOnce": self.burst(plan), "price": 1.0});
+        let plan = |name: &str, index: usize| {
+            let (rate, burst) = (self.rate(index), self.burst(index));
+            json!({"name": name, "unitsPerS": rate, "mostAtOnce": burst, "price": 1.0})
+        };
         let settings = json!({"balancers": self.limiters, "rank": 0, "zone": 0, "dcs": ["a"],
-            "packages": [plan("pressed", OVERLOADED_PLAN), plan("calm", UNDERLOADED_PLAN), plan("probed", TRACED_PLAN)],
+            "packages": [
+                plan("pressed", OVERLOADED_PLAN),
+                plan("calm", UNDERLOADED_PLAN),
+                plan("probed", TRACED_PLAN)],
             "classes": [{"name": "look", "idempotency": "read_like", "promiseS": 2.0, "hardLimitS": 4.0,
                 "worth": 1.0}],
             "familyInfo": {"inboxPerS": PEER_INBOX_PER_SECOND, "settles": true, "maxUnits": 8},
