--- a/crates/merlinreel-mesh/src/records.rs
+++ b/crates/merlinreel-mesh/src/records.rs
@@ -12,6 +12,8 @@
 mod tests;
 mod view;
 
+#[cfg(test)]
+pub use rows::Row;
 pub use rows::{Kind, MOST_KINDS, MOST_RECORD, Stamp, Telling};
 pub use view::{Held, View};
 
--- a/crates/merlinreel-mesh/src/seal/tests.rs
+++ b/crates/merlinreel-mesh/src/seal/tests.rs
@@ -47,6 +47,33 @@
     );
 }
 
+/// The bytes of a datagram, as every limiter of a fleet reads and writes them.
+#[test]
+fn datagram_has_the_literal_byte_form() {
+    let mut seal = Seal::new(keys(&[1, 200], 200), SENDERS);
+    seal.number = 299;
+    let bytes = seal.close(member(1), at(2), UNIX, b"content");
+    let head = [
+        1,   // form
+        200, // key
+        127, 0, 0, 1, // sender's address
+        1, // and port
+        0x80, 0xd8, 0xc1, 0xa2, 0x8c, 0x34, // incarnation
+        0xac, 0x02, // number
+        0xe4, 0xf7, 0xc4, 0xd5, 0x06, // Unix time in seconds
+    ];
+    let tag = [
+        0x9a, 0x32, 0xf2, 0x7f, 0xb5, 0xb4, 0xf1, 0x7c, 0xac, 0x27, 0x17, 0xe7, 0x14, 0x7a, 0x23,
+        0xfd,
+    ];
+    assert_eq!(bytes, [&head[..], b"content", &tag].concat());
+    let mut other = Seal::new(keys(&[1, 200], 1), SENDERS);
+    assert_eq!(
+        other.open(member(2), NOW, UNIX, &bytes),
+        Ok((member(1), &b"content"[..]))
+    );
+}
+
 /// Rotation: the new key is known everywhere before it signs, and the old one for as long as somebody signs so.
 #[test_case(&[1], &[1, 2], 1 => true ; "given out")]
 #[test_case(&[1, 2], &[1, 2], 2 => true ; "signs")]
--- a/crates/merlinreel/src/mesh.rs
+++ b/crates/merlinreel/src/mesh.rs
@@ -166,3 +166,6 @@
         "received": counts.received, "held_back": counts.held_back, "no_room": counts.no_room,
         "dropped": counts.dropped})
 }
+
+#[cfg(test)]
+mod tests;
