--- /dev/null
+++ b/crates/merlinreel-mesh/src/authenticator/tests.rs
@@ -0,0 +1,157 @@
+use super::*;
+use crate::keys::Key;
+use proptest::prelude::*;
+use test_case::test_case;
+
+fn address(port: u16) -> SocketAddrV4 {
+    SocketAddrV4::new([127, 0, 0, 1].into(), port)
+}
+
+fn member(port: u16) -> Member {
+    Member {
+        address: address(port),
+        incarnation: 1_790_000_000_000,
+    }
+}
+
+fn keys(ids: &[u8], signing_id: u8) -> Keys {
+    Keys::new(
+        ids.iter().map(|&id| Key::new(id, vec![id; 32])).collect(),
+        Some(signing_id),
+    )
+    .expect("valid keys")
+}
+
+const UNIX: Duration = Duration::from_secs(1_790_000_100);
+const SENDERS: usize = 8;
+const NOW: Duration = Duration::from_secs(50);
+
+fn signed() -> Vec<u8> {
+    Authenticator::new(keys(&[1], 1), SENDERS).sign(member(1), address(2), UNIX, b"content")
+}
+
+#[test]
+fn signed_datagram_is_accepted_once() {
+    let (bytes, mut authenticator) = (signed(), Authenticator::new(keys(&[1, 2], 2), SENDERS));
+    assert!(
+        bytes.len() <= MAX_OVERHEAD_BYTES + b"content".len(),
+        "{}",
+        bytes.len()
+    );
+    assert_eq!(
+        authenticator.verify(member(2), NOW, UNIX, &bytes),
+        Ok(VerifiedDatagram {
+            sender: member(1),
+            content: b"content"
+        })
+    );
+    assert_eq!(
+        authenticator.verify(member(2), NOW, UNIX, &bytes),
+        Err(DropReason::Replayed)
+    );
+}
+
+/// The bytes of a datagram, as all members of a fleet encode and decode them.
+#[test]
+fn datagram_has_the_literal_byte_form() {
+    let mut sender = Authenticator::new(keys(&[1, 200], 200), SENDERS);
+    sender.last_sequence = 299;
+    let bytes = sender.sign(member(1), address(2), UNIX, b"content");
+    let head = [
+        1,   // format version
+        200, // key id
+        127, 0, 0, 1, // sender's address
+        1, // and port
+        0x80, 0xd8, 0xc1, 0xa2, 0x8c, 0x34, // incarnation
+        0xac, 0x02, // sequence number
+        0xe4, 0xf7, 0xc4, 0xd5, 0x06, // Unix time in seconds
+    ];
+    let signature = [
+        0x9a, 0x32, 0xf2, 0x7f, 0xb5, 0xb4, 0xf1, 0x7c, 0xac, 0x27, 0x17, 0xe7, 0x14, 0x7a, 0x23,
+        0xfd,
+    ];
+    assert_eq!(bytes, [&head[..], b"content", &signature].concat());
+    let mut receiver = Authenticator::new(keys(&[1, 200], 1), SENDERS);
+    assert_eq!(
+        receiver.verify(member(2), NOW, UNIX, &bytes),
+        Ok(VerifiedDatagram {
+            sender: member(1),
+            content: b"content"
+        })
+    );
+}
+
+/// Rotation: the new key is accepted everywhere before it signs, the old one for as long as a member signs with it.
+#[test_case(&[1], &[1, 2], 1 => true ; "new key distributed")]
+#[test_case(&[1, 2], &[1, 2], 2 => true ; "new key signs")]
+#[test_case(&[2, 1], &[2], 2 => true ; "old key removed")]
+#[test_case(&[1], &[2], 2 => false ; "receiver without the new key")]
+fn datagram_is_accepted_while_receiver_has_its_key(
+    receiver: &[u8],
+    sender: &[u8],
+    signing_id: u8,
+) -> bool {
+    let bytes = Authenticator::new(keys(sender, signing_id), SENDERS).sign(
+        member(1),
+        address(2),
+        UNIX,
+        b"x",
+    );
+    Authenticator::new(keys(receiver, receiver[0]), SENDERS)
+        .verify(member(2), NOW, UNIX, &bytes)
+        .is_ok()
+}
+
+#[test_case(|b| b.truncate(10) => DropReason::Malformed ; "truncated")]
+#[test_case(|b| b.truncate(b.len() - 1) => DropReason::InvalidSignature ; "last byte missing")]
+#[test_case(|b| b.resize(MAX_DATAGRAM_BYTES + 1, 0) => DropReason::Oversized ; "oversized")]
+#[test_case(|b| b.clear() => DropReason::Malformed ; "empty")]
+#[test_case(|b| b[0] = 9 => DropReason::UnsupportedVersion ; "another format version")]
+#[test_case(|b| b[1] = 9 => DropReason::UnknownKey ; "unknown key")]
+#[test_case(|b| *b.last_mut().expect("bytes") ^= 1 => DropReason::InvalidSignature ; "forged")]
+#[test_case(|b| b[4] ^= 1 => DropReason::InvalidSignature ; "sender changed")]
+fn invalid_datagram_is_dropped_and_does_not_count_as_received(
+    corrupt: fn(&mut Vec<u8>),
+) -> DropReason {
+    let (valid, mut authenticator) = (signed(), Authenticator::new(keys(&[1], 1), SENDERS));
+    let mut bytes = valid.clone();
+    corrupt(&mut bytes);
+    let dropped = authenticator
+        .verify(member(2), NOW, UNIX, &bytes)
+        .expect_err("invalid");
+    assert!(
+        authenticator.verify(member(2), NOW, UNIX, &valid).is_ok(),
+        "the valid datagram counts as received"
+    );
+    dropped
+}
+
+#[test_case(member(3), 0 => DropReason::InvalidSignature ; "meant for another receiver")]
+#[test_case(member(2), 61 => DropReason::ClockSkew ; "replayed a minute later")]
+#[test_case(member(1), 0 => DropReason::InvalidSignature ; "returned to its sender")]
+fn datagram_is_refused_at_another_receiver_or_time(own: Member, delay_s: u64) -> DropReason {
+    let unix = UNIX + Duration::from_secs(delay_s);
+    Authenticator::new(keys(&[1], 1), SENDERS)
+        .verify(own, NOW, unix, &signed())
+        .expect_err("not acceptable")
+}
+
+proptest! {
+    /// Bytes that were not signed with a key are dropped.
+    #[test]
+    fn random_bytes_are_dropped(mut noise: Vec<u8>, with_valid_start: bool) {
+        if with_valid_start && noise.len() > 2 {
+            noise[..2].copy_from_slice(&[FORMAT_VERSION, 1]);
+        }
+        prop_assert!(Authenticator::new(keys(&[1], 1), SENDERS).verify(member(2), NOW, UNIX, &noise).is_err());
+    }
+
+    /// A valid datagram with any one byte changed is dropped.
+    #[test]
+    fn datagram_with_one_changed_byte_is_dropped(place: proptest::sample::Index, by in 1u8..) {
+        let mut bytes = signed();
+        let place = place.index(bytes.len());
+        bytes[place] = bytes[place].wrapping_add(by);
+        prop_assert!(Authenticator::new(keys(&[1], 1), SENDERS).verify(member(2), NOW, UNIX, &bytes).is_err());
+    }
+}
--- a/crates/merlinreel-mesh/src/error.rs
+++ b/crates/merlinreel-mesh/src/error.rs
@@ -1,113 +1,132 @@
-//! What can go wrong, each with what an operator can do about it.
+//! Errors of the mesh, each with what an operator can do about it, and the reasons for which datagrams are dropped.
 
+use std::io;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use thiserror::Error;
 
-/// The mesh can't be started, or its keys not be read again.
+/// The mesh can't be started, or its keys can't be loaded.
 #[derive(Debug, Error)]
 pub enum MeshError {
+    /// The list of keys is empty.
     #[error("mesh.keys: there is none; name at least one key file, the same on all limiters")]
     NoKey,
-    #[error("mesh.keys: id {0} stands there twice; give each key an id of its own, from 0 to 255")]
-    KeyTwice(u8),
+    /// Two keys have the same id.
+    #[error("mesh.keys: id {0} is used twice; give each key an id of its own, from 0 to 255")]
+    DuplicateKeyId(u8),
+    /// The key that is to sign is not in the list.
     #[error("mesh.sign_with: no key has the id {0}; name the id of a key in mesh.keys")]
-    NoSuchKey(u8),
+    UnknownSigningKey(u8),
+    /// A key file can't be read.
     #[error(
-        "mesh.keys: {path}: {error}; the file must be there and readable by the limiter's user"
+        "mesh.keys: {path}: {source}; the file must be there and readable by the limiter's user"
     )]
-    KeyUnread {
+    UnreadableKey {
+        /// The key file.
         path: PathBuf,
-        error: std::io::Error,
+        /// The error of the system.
+        source: io::Error,
     },
+    /// A key file holds too few bytes.
     #[error(
-        "mesh.keys: {path} holds {bytes} bytes; a key needs at least {least}, from a source of chance"
+        "mesh.keys: {path} holds {bytes} bytes; a key needs at least {min}, from a random source"
     )]
-    KeyShort {
+    ShortKey {
+        /// The key file.
         path: PathBuf,
+        /// Bytes in the file, white space at its end not counted.
         bytes: usize,
-        least: usize,
+        /// Bytes that a key needs at least.
+        min: usize,
     },
-    #[error("mesh.listen: {at}: {error}; the address must be this machine's, its port free")]
+    /// The socket can't be bound.
+    #[error(
+        "mesh.listen: {address}: {source}; the address must be this machine's and its port free"
+    )]
     Listen {
-        at: SocketAddr,
-        error: std::io::Error,
+        /// The address to bind.
+        address: SocketAddr,
+        /// The error of the system.
+        source: io::Error,
     },
 }
 
 /// A record that was not published; nothing has changed.
 #[derive(Debug, Error, PartialEq, Eq)]
 pub enum PublishError {
-    #[error("a record of {bytes} bytes is longer than {most}; tell less in it")]
-    TooLong { bytes: usize, most: usize },
-    #[error("this process has {0} kinds of records already, which is the most")]
-    TooMany(usize),
+    /// The record's body is too long.
+    #[error("a record of {bytes} bytes is longer than {max}; shorten it")]
+    TooLong {
+        /// Bytes of the record's body.
+        bytes: usize,
+        /// Bytes that a body may have at most.
+        max: usize,
+    },
+    /// This process already publishes as many kinds of records as one process may.
+    #[error("this process has {0} kinds of records already, which is the maximum")]
+    TooManyKinds(usize),
+    /// The value can't be serialized.
     #[error("the record can't be written as JSON: {0}")]
-    Unwritable(String),
-    #[error("the mesh has ended")]
-    Ended,
+    Serialization(String),
 }
 
-/// Why a datagram was dropped. Each is counted for itself.
+/// Why a datagram was dropped. Each reason is counted separately.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Dropped {
-    #[error("longer than any may be")]
+pub enum DropReason {
+    /// Longer than any datagram of the mesh.
+    #[error("longer than the maximum size")]
     Oversized,
-    #[error("cut short, or no datagram of the mesh")]
+    /// Too short, or its header can't be decoded.
+    #[error("truncated, or not a datagram of the mesh")]
     Malformed,
-    #[error("of another version of the mesh's form")]
-    OtherForm,
+    /// Written in another version of the datagram format.
+    #[error("of another version of the mesh's format")]
+    UnsupportedVersion,
+    /// The key id in the header is not configured here.
     #[error("signed with a key that is not known here")]
     UnknownKey,
-    #[error("its signature is another's, or it was meant for another process")]
-    Forged,
-    #[error("seen before, or too old to tell")]
-    Repeated,
+    /// The signature does not match the content and the receiver.
+    #[error("its signature is invalid, or it was meant for another process")]
+    InvalidSignature,
+    /// Its sequence number was already received, or is too old to be checked.
+    #[error("received before, or too old to be checked")]
+    Replayed,
+    /// The sender's clock and this machine's differ too much.
     #[error("sent at a time far from this machine's clock")]
-    Clock,
+    ClockSkew,
+    /// The sender's address is this process's own.
     #[error("from this process itself")]
-    Own,
-    #[error("its content makes no sense")]
-    Content,
+    FromSelf,
+    /// Correctly signed, but its content can't be decoded or is inconsistent.
+    #[error("its content can't be decoded or is inconsistent")]
+    InvalidContent,
+    /// No further sender's sequence numbers can be remembered.
     #[error(
-        "as many senders are remembered as there is room for; see the settings' number of limiters"
+        "the maximum number of senders is already remembered; see the settings' number of limiters"
     )]
-    SendersFull,
+    SendersAtCapacity,
+    /// No further member's records can be held.
     #[error(
-        "records are held of as many processes as there is room for; see the settings' number of limiters"
+        "records of the maximum number of processes are already held; see the settings' number of limiters"
     )]
-    OwnersFull,
+    OwnersAtCapacity,
 }
 
-impl Dropped {
-    pub const ALL: [Dropped; 11] = [
-        Dropped::Oversized,
-        Dropped::Malformed,
-        Dropped::OtherForm,
-        Dropped::UnknownKey,
-        Dropped::Forged,
-        Dropped::Repeated,
-        Dropped::Clock,
-        Dropped::Own,
-        Dropped::Content,
-        Dropped::SendersFull,
-        Dropped::OwnersFull,
-    ];
-
-    /// Its name in figures.
-    pub const fn name(self) -> &'static str {
+impl DropReason {
+    /// The reason's name in [`Counters::dropped`](crate::Counters::dropped) and under `/mesh`.
+    pub const fn counter_name(self) -> &'static str {
         match self {
-            Dropped::Oversized => "oversized",
-            Dropped::Malformed => "malformed",
-            Dropped::OtherForm => "other_form",
-            Dropped::UnknownKey => "unknown_key",
-            Dropped::Forged => "forged",
-            Dropped::Repeated => "repeated",
-            Dropped::Clock => "clock",
-            Dropped::Own => "own",
-            Dropped::Content => "content",
-            Dropped::SendersFull => "senders_full",
-            Dropped::OwnersFull => "owners_full",
+            DropReason::Oversized => "oversized",
+            DropReason::Malformed => "malformed",
+            DropReason::UnsupportedVersion => "other_form",
+            DropReason::UnknownKey => "unknown_key",
+            DropReason::InvalidSignature => "forged",
+            DropReason::Replayed => "repeated",
+            DropReason::ClockSkew => "clock",
+            DropReason::FromSelf => "own",
+            DropReason::InvalidContent => "content",
+            DropReason::SendersAtCapacity => "senders_full",
+            DropReason::OwnersAtCapacity => "owners_full",
         }
     }
 }
--- a/crates/merlinreel-mesh/src/lib.rs
+++ b/crates/merlinreel-mesh/src/lib.rs
@@ -1,21 +1,27 @@
-//! The ground that the limiters' processes share: who takes part, and what each tells of itself.
+//! Membership and shared records of all limiter processes of a fleet.
 //!
-//! [`Node`] decides, without I/O; [`shell`] owns the socket. Membership is SWIM by the `foca` crate; records, signatures
-//! and budgets are in modules of their own. `docs/mesh.md` says why.
+//! Every process learns which other processes are alive, and holds a copy of the records that each of them publishes
+//! about itself. [`Node`] is the protocol without I/O and without a clock; [`runtime`] drives a node with a UDP socket.
+//! Membership is SWIM as implemented by the `foca` crate. Records are exchanged by anti-entropy: digests are compared
+//! with one other member a second, and urgent records are pushed to a few members at once. `docs/mesh.md` holds the
+//! reasons.
 
-mod budget;
+#![warn(missing_docs)]
+
+mod authenticator;
 mod capacity;
 mod error;
+mod keys;
 mod member;
 mod node;
 mod records;
-mod seal;
-pub mod shell;
+pub mod runtime;
+mod send_budget;
 mod wire;
 
 pub use capacity::Capacity;
-pub use error::{Dropped, MeshError, PublishError};
+pub use error::{MeshError, PublishError};
+pub use keys::{Key, Keys};
 pub use member::Member;
-pub use node::{Counts, Event, Node, Outgoing, Part};
-pub use records::{FLOOR_MEMORY, Held, Kind, MOST_KINDS, MOST_RECORD, View};
-pub use seal::{Keys, LEAST_KEY, MOST_BYTES};
+pub use node::{Counters, Datagram, Event, Node, NodeConfig};
+pub use records::{Kind, KindRecords, StoredRecord, Urgency, View};
--- a/crates/merlinreel-mesh/src/member.rs
+++ b/crates/merlinreel-mesh/src/member.rs
@@ -1,44 +1,48 @@
-//! Who takes part in the mesh.
+//! Identity of a member of the mesh.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use std::net::SocketAddrV4;
 
-/// A process by the address at which others find it, and which of its lives this is: a process that starts again at
-/// the same address is another incarnation, and the greater one is the later.
+/// A process: the address at which others reach it, and its incarnation. A process that starts again at the same
+/// address has a greater incarnation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Member {
-    pub at: SocketAddrV4,
-    /// Unix time of its start in milliseconds, or more where somebody had already seen a greater one.
+    /// Address at which the other members reach it.
+    pub address: SocketAddrV4,
+    /// Unix time of its start in milliseconds, or more if another member has already seen a greater one.
     pub incarnation: u64,
 }
 
 impl Member {
-    /// A process of which nothing but the address is known, as a seed's.
-    pub const fn unknown(at: SocketAddrV4) -> Member {
-        Member { at, incarnation: 0 }
+    /// A member of which only the address is known, such as a seed.
+    pub const fn unknown(address: SocketAddrV4) -> Member {
+        Member {
+            address,
+            incarnation: 0,
+        }
     }
 }
 
 impl fmt::Display for Member {
-    fn fmt(&self, out: &mut fmt::Formatter) -> fmt::Result {
-        write!(out, "{}/{}", self.at, self.incarnation)
+    fn fmt(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
+        write!(formatter, "{}/{}", self.address, self.incarnation)
     }
 }
 
 impl foca::Identity for Member {
     type Addr = SocketAddrV4;
 
-    /// A process that was taken for dead comes back as its next incarnation.
+    /// A member that was declared dead rejoins under its next incarnation.
     fn renew(&self) -> Option<Member> {
         Some(Member {
-            at: self.at,
+            address: self.address,
             incarnation: self.incarnation + 1,
         })
     }
 
     fn addr(&self) -> SocketAddrV4 {
-        self.at
+        self.address
     }
 
     fn win_addr_conflict(&self, other: &Member) -> bool {
--- a/crates/merlinreel-mesh/src/node.rs
+++ b/crates/merlinreel-mesh/src/node.rs
@@ -1,441 +1,291 @@
-//! One process's part in the mesh, without I/O: datagrams and the time go in, datagrams and the next time it wants to be
-//! called come out. Membership is SWIM by the `foca` crate; records go round by comparing stamps with one process a
-//! second, and urgent ones at once to a few, who pass them on.
+//! One process's part in the mesh, without I/O and without a clock: received datagrams and the time go in; datagrams,
+//! events and the next time at which the node wants to be called come out.
 
-mod part;
+mod config;
+mod contacts;
+mod events;
+mod exchange;
+mod membership;
+mod schedule;
+mod transport;
 
-pub use part::{Counts, Event, Outgoing, Part};
+pub use config::NodeConfig;
+pub use events::Event;
+pub use transport::{Counters, Datagram};
 
-use crate::budget::{Budget, Weight};
-use crate::capacity::Capacity;
-use crate::error::{Dropped, PublishError};
+use crate::authenticator::Authenticator;
+use crate::error::{DropReason, PublishError};
+use crate::keys::Keys;
 use crate::member::Member;
-use crate::records::{Kind, Lead, Records, Telling, View};
-use crate::seal::{Keys, MOST_BYTES, OVERHEAD, Seal};
-use crate::wire::{MOST_ASKED, Message, decode, encode};
-use foca::{AccumulatingRuntime, Foca, NoCustomBroadcast, OwnedNotification, PostcardCodec, Timer};
-use part::swim_form;
+use crate::records::{Kind, RecordStore, Urgency, View};
+use crate::send_budget::{Priority, SendBudget};
+use crate::wire::Message;
+use contacts::Contacts;
+use events::EventQueue;
+use exchange::Exchange;
+use membership::{Membership, MembershipChange};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use std::collections::{BTreeMap, VecDeque};
-use std::net::SocketAddrV4;
+use schedule::Schedule;
+use std::fmt;
 use std::time::Duration;
+use transport::{ReceivedMessage, Transport};
 
-/// Content of one datagram at most.
-pub const MOST_CONTENT: usize = MOST_BYTES - OVERHEAD;
-/// How often one process is asked to compare; a stamp of fifty others takes 0.9 KB.
-const COMPARE: Duration = Duration::from_secs(1);
-/// How often an own beat is made: ages are told to this.
-const BEAT: Duration = Duration::from_secs(1);
-/// Urgent records go to so many, and from those on: three hops reach fifty, and with a fifth of the datagrams lost
-/// all but one in some ten thousand after a comparison or two.
-const FAN: usize = 4;
-/// How often seeds are asked while nobody else is known, and one process taken for dead while somebody is.
-const REJOIN: Duration = Duration::from_secs(1);
-const CALL_DEAD: Duration = Duration::from_secs(3);
-/// How often it is told, at most, that there is no room for another process.
-const TELL_NO_ROOM: Duration = Duration::from_secs(60);
-
+/// The mesh protocol of one process.
+///
+/// `now` is always this process's monotonic time, from any origin, and `unix` the Unix time. After each call the caller
+/// sends all of [`next_datagram`](Node::next_datagram), takes all of [`next_event`](Node::next_event), and calls
+/// [`tick`](Node::tick) at [`next_tick`](Node::next_tick) at the latest.
 pub struct Node {
-    foca: Foca<Member, PostcardCodec, ChaCha8Rng, NoCustomBroadcast>,
-    swim: AccumulatingRuntime<Member>,
-    /// By due time; the number keeps those of one moment in order.
-    timers: BTreeMap<(Duration, u64), Timer<Member>>,
-    timer: u64,
-    records: Records,
-    seal: Seal,
-    budget: Budget,
-    chance: ChaCha8Rng,
-    seeds: Vec<SocketAddrV4>,
-    /// Taken for dead, the one that was so first in front.
-    gone: VecDeque<SocketAddrV4>,
-    capacity: Capacity,
-    no_room_told: Option<Duration>,
-    compare_at: Duration,
-    beat_at: Duration,
-    rejoin_at: Duration,
-    call_dead_at: Duration,
-    out: VecDeque<Outgoing>,
-    events: VecDeque<Event>,
-    counts: Counts,
-    unix: Duration,
+    membership: Membership,
+    contacts: Contacts,
+    records: RecordStore,
+    transport: Transport,
+    schedule: Schedule,
+    events: EventQueue,
+    random: ChaCha8Rng,
     left: bool,
 }
 
-impl std::fmt::Debug for Node {
-    fn fmt(&self, out: &mut std::fmt::Formatter) -> std::fmt::Result {
-        out.debug_struct("Node")
+impl fmt::Debug for Node {
+    fn fmt(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
+        formatter
+            .debug_struct("Node")
             .field("own", &self.own())
-            .field("counts", &self.counts)
+            .field("counters", self.counters())
             .finish_non_exhaustive()
     }
 }
 
 impl Node {
-    /// Begins at `now`, by this process's monotonic clock; `unix` is the time that all agree on.
-    pub fn new(part: Part, now: Duration, unix: Duration) -> Node {
-        let mut chance = ChaCha8Rng::seed_from_u64(part.seed);
-        let swim_chance = ChaCha8Rng::seed_from_u64(chance.random());
-        let jitter = Duration::from_millis(chance.random_range(0..1000));
-        let foca = Foca::new(part.own, swim_form(), swim_chance, PostcardCodec);
-        let own = part.own.at;
+    /// A node that knows no other member yet.
+    pub fn new(config: NodeConfig, now: Duration, unix: Duration) -> Node {
+        let own = config.own;
+        let capacity = config.capacity;
+        let mut random = ChaCha8Rng::seed_from_u64(config.random_seed);
+        let membership_random = ChaCha8Rng::seed_from_u64(random.random());
+        let comparison_delay = Duration::from_millis(random.random_range(0..1000));
+        let mut seeds = config.seeds;
+        seeds.retain(|seed| *seed != own.address);
+        let authenticator = Authenticator::new(config.keys, capacity.senders);
+        let budget = SendBudget::new(config.bytes_per_second, config.burst_bytes, now);
         Node {
-            foca,
-            swim: AccumulatingRuntime::new(),
-            timers: BTreeMap::new(),
-            timer: 0,
-            records: Records::new(part.own, part.capacity.owners),
-            seal: Seal::new(part.keys, part.capacity.senders),
-            budget: Budget::new(part.bytes_a_second, part.bytes_at_once, now),
-            chance,
-            seeds: part.seeds.into_iter().filter(|at| *at != own).collect(),
-            gone: VecDeque::new(),
-            capacity: part.capacity,
-            no_room_told: None,
-            compare_at: now + jitter,
-            beat_at: now,
-            rejoin_at: now,
-            call_dead_at: now + CALL_DEAD,
-            out: VecDeque::new(),
-            events: VecDeque::new(),
-            counts: Counts::default(),
-            unix,
+            membership: Membership::new(own, membership_random),
+            contacts: Contacts::new(seeds, capacity.departed),
+            records: RecordStore::new(own, capacity.owners),
+            transport: Transport::new(authenticator, budget, unix),
+            schedule: Schedule::new(now, comparison_delay),
+            events: EventQueue::default(),
+            random,
             left: false,
         }
     }
 
+    /// This process, in its present incarnation.
     pub fn own(&self) -> Member {
         self.records.own()
     }
 
-    pub fn counts(&self) -> &Counts {
-        &self.counts
+    /// Counts since the start.
+    pub fn counters(&self) -> &Counters {
+        self.transport.counters()
     }
 
-    /// The others that live as far as is known, suspects included.
+    /// The other members that are alive or suspected.
     pub fn members(&self) -> impl Iterator<Item = Member> + '_ {
-        self.foca.iter_members().map(|member| *member.id())
+        self.membership.members()
     }
 
+    /// The records that are valid now.
     pub fn view(&self, now: Duration) -> View<'_> {
         self.records.view(now)
     }
 
-    pub fn rekey(&mut self, keys: Keys) {
-        self.seal.rekey(keys);
+    /// Signs and verifies with other keys from now on.
+    pub fn replace_keys(&mut self, keys: Keys) {
+        self.transport.replace_keys(keys);
     }
 
-    /// Writes an own record; an `urgent` one goes out at once.
+    /// Publishes a record of this process. It stays valid for `ttl` without a sign of this process; an empty body
+    /// withdraws it. Publishing the present record again has no effect.
+    ///
+    /// # Errors
+    ///
+    /// If the body has more than 900 bytes, or the process has 16 kinds of records already.
     pub fn publish(
         &mut self,
         kind: Kind,
         body: Vec<u8>,
-        life: Duration,
-        urgent: bool,
+        ttl: Duration,
+        urgency: Urgency,
         now: Duration,
     ) -> Result<(), PublishError> {
-        let Some(number) = self.records.publish(kind, body, life, now)? else {
+        let Some(version) = self.records.publish(kind, body, ttl, now)? else {
             return Ok(());
         };
-        self.records.beat(now);
-        if urgent && let Some(telling) = self.urgent_telling(number, now) {
-            self.spread(&telling, None, now);
+        self.records.increment_heartbeat(now);
+        if urgency == Urgency::Urgent {
+            self.exchange(now).push_own(version);
         }
         Ok(())
     }
 
-    /// All own records where one datagram holds them, so that the newest is taken also by who has not heard of an
-    /// earlier one; else the newest alone.
-    fn urgent_telling(&self, number: u64, now: Duration) -> Option<Telling> {
-        let own = self.own().at;
-        let all = self.records.tell(own, 0, now, MOST_CONTENT - 8);
-        all.filter(|telling| telling.stamp.top == number)
-            .or_else(|| self.records.tell(own, number - 1, now, MOST_CONTENT - 8))
-    }
-
-    /// Tells the others that this process ends.
+    /// Announces to the other members that this process leaves. The node does nothing after it.
     pub fn leave(&mut self, now: Duration) {
         self.left = true;
-        let _ = self.foca.leave_cluster(&mut self.swim);
-        self.drain(now);
+        self.membership.leave();
+        self.apply_membership_output(now);
     }
 
-    /// What is to be sent, in order.
-    pub fn outgoing(&mut self) -> Option<Outgoing> {
-        self.out.pop_front()
+    /// Takes the next datagram that is to be sent.
+    pub fn next_datagram(&mut self) -> Option<Datagram> {
+        self.transport.next_datagram()
     }
 
-    pub fn event(&mut self) -> Option<Event> {
-        self.events.pop_front()
+    /// Takes the next event.
+    pub fn next_event(&mut self) -> Option<Event> {
+        self.events.pop()
     }
 
-    /// When it wants to be called next, at the latest.
-    pub fn wakes_at(&self) -> Duration {
-        let timer = self.timers.keys().next().map(|&(at, _)| at);
-        let own = self
-            .compare_at
-            .min(self.beat_at)
-            .min(self.rejoin_at)
-            .min(self.call_dead_at);
-        timer.map_or(own, |at| at.min(own))
+    /// The latest time at which [`tick`](Node::tick) is to be called next.
+    pub fn next_tick(&self) -> Duration {
+        let own = self.schedule.next();
+        self.membership
+            .next_timer()
+            .map_or(own, |timer| timer.min(own))
     }
 
-    /// Does what is due. After a stall of this process much is due at once; it is done once, in order.
-    pub fn turn(&mut self, now: Duration, unix: Duration) {
-        self.unix = unix;
+    /// Does all that is due. What became due several times while the process was stalled is done once.
+    pub fn tick(&mut self, now: Duration, unix: Duration) {
+        self.transport.set_unix_time(unix);
         if self.left {
             return;
         }
-        while let Some(entry) = self
-            .timers
-            .first_entry()
-            .filter(|entry| entry.key().0 <= now)
-        {
-            let timer = entry.remove();
-            // A timer of a member that is gone meanwhile is no fault.
-            let _ = self.foca.handle_timer(timer, &mut self.swim);
-            self.drain(now);
+        while self.membership.run_due_timer(now) {
+            self.apply_membership_output(now);
         }
-        if self.beat_at <= now {
-            self.beat_at = now + BEAT;
-            self.records.beat(now);
-            self.records
-                .note_alive(self.foca.iter_members().map(|member| *member.id()));
-            self.records.tidy(now);
+        if self.schedule.take_heartbeat(now) {
+            self.records.increment_heartbeat(now);
+            self.records.set_alive(self.membership.members());
+            self.records.remove_expired(now);
         }
-        if self.rejoin_at <= now {
-            self.rejoin_at = now + REJOIN;
-            if self.foca.num_members() == 0 {
-                self.call_seeds();
-                self.drain(now);
-            }
+        if self.schedule.take_rejoin(now) && self.membership.is_alone() {
+            self.contact_seeds();
+            self.apply_membership_output(now);
         }
-        if self.call_dead_at <= now {
-            self.call_dead_at = now + CALL_DEAD;
-            self.call_dead();
-            self.drain(now);
+        if self.schedule.take_departed_probe(now) {
+            self.probe_departed();
+            self.apply_membership_output(now);
         }
-        if self.compare_at <= now {
-            // A little less or more each time: guards against all processes in step.
-            self.compare_at = now + COMPARE.mul_f64(self.chance.random_range(0.8..1.2));
-            self.compare(now);
+        if self.schedule.take_comparison(now, &mut self.random) {
+            self.exchange(now).compare_with_one();
         }
     }
 
-    /// Takes a datagram in.
+    /// Handles a received datagram.
     pub fn receive(&mut self, bytes: &[u8], now: Duration, unix: Duration) {
-        self.unix = unix;
+        self.transport.set_unix_time(unix);
         if self.left {
             return;
         }
-        let own = self.own();
-        let opened = self.seal.open(own, now, unix, bytes);
-        let taken = opened.and_then(|(from, content)| Ok((from, decode(content)?)));
-        match taken {
-            Ok((from, message)) => {
-                self.counts.received += 1;
-                if let Err(why) = self.take(from, message, now) {
-                    self.drop_one(why, now);
-                }
-            }
-            Err(why) => self.drop_one(why, now),
-        }
-        self.drain(now);
-    }
-
-    fn drop_one(&mut self, why: Dropped, now: Duration) {
-        *self.counts.dropped.entry(why.name()).or_default() += 1;
-        if matches!(why, Dropped::OwnersFull | Dropped::SendersFull) {
-            self.note_no_room(now);
-        }
-    }
-
-    fn note_no_room(&mut self, now: Duration) {
-        self.counts.no_room += 1;
-        if self
-            .no_room_told
-            .is_none_or(|told| now >= told + TELL_NO_ROOM)
-        {
-            self.no_room_told = Some(now);
-            self.events.push_back(Event::NoRoom(self.counts.no_room));
-        }
-    }
-
-    /// Notes a process taken for dead, to be called again; beyond the bound the one noted first is let go of.
-    fn note_gone(&mut self, at: SocketAddrV4) {
-        if self.gone.contains(&at) {
-            return;
-        }
-        if self.gone.len() >= self.capacity.dead {
-            self.gone.pop_front();
+        let received = self.transport.receive(self.records.own(), bytes, now);
+        let handled = received.and_then(|received| self.handle_message(received, now));
+        if let Err(reason) = handled {
+            self.count_drop(reason, now);
         }
-        self.gone.push_back(at);
+        self.apply_membership_output(now);
     }
 
-    fn take(&mut self, from: Member, message: Message, now: Duration) -> Result<(), Dropped> {
-        match message {
-            Message::Swim(packet) => {
-                self.foca
-                    .handle_data(&packet, &mut self.swim)
-                    .map_err(|error| match error {
-                        foca::Error::DataFromOurselves => Dropped::Own,
-                        _ => Dropped::Content,
-                    })
-            }
-            Message::Stamps(stamps) => {
-                let (mut asked, mut told) = (Vec::new(), Vec::new());
-                for stamp in &stamps {
-                    match self.records.hear(stamp, now) {
-                        Lead::Theirs { incarnation, above } if asked.len() < MOST_ASKED => {
-                            asked.push((stamp.at, incarnation, above));
-                        }
-                        Lead::Ours { above, .. } => told.push((stamp.at, above)),
-                        Lead::NoRoom => self.note_no_room(now),
-                        Lead::Theirs { .. } | Lead::Level => {}
-                    }
-                }
-                if !asked.is_empty() {
-                    self.send(from.at, &Message::Ask(asked), Weight::Routine, now);
-                }
-                self.tell_all(from.at, told, now);
-                Ok(())
-            }
-            Message::Ask(asked) => {
-                let told = asked
-                    .into_iter()
-                    .map(|(at, _, above)| (at, above))
-                    .collect();
-                self.tell_all(from.at, told, now);
+    fn handle_message(
+        &mut self,
+        received: ReceivedMessage,
+        now: Duration,
+    ) -> Result<(), DropReason> {
+        let sender = received.sender;
+        match received.message {
+            Message::Swim(packet) => self.membership.handle_packet(&packet),
+            Message::Digests(digests) => {
+                self.exchange(now).handle_digests(sender, &digests);
                 Ok(())
             }
-            Message::Tell { urgent, telling } => {
-                let at = telling.stamp.at;
-                let copy = urgent.then(|| telling.clone());
-                if self.records.take(telling, now)? {
-                    self.events.push_back(Event::Records(at));
-                    if let Some(copy) = copy {
-                        self.spread(&copy, Some(from.at), now);
-                    }
-                }
+            Message::Requests(requests) => {
+                self.exchange(now).handle_requests(sender, &requests);
                 Ok(())
             }
-        }
-    }
-
-    fn tell_all(&mut self, to: SocketAddrV4, of: Vec<(SocketAddrV4, u64)>, now: Duration) {
-        for (at, above) in of {
-            if let Some(telling) = self.records.tell(at, above, now, MOST_CONTENT - 8) {
-                self.send(
-                    to,
-                    &Message::Tell {
-                        urgent: false,
-                        telling,
-                    },
-                    Weight::Routine,
-                    now,
-                );
+            Message::Update { urgent, update } => {
+                self.exchange(now).handle_update(sender, urgent, update)
             }
         }
     }
 
-    /// To a few others, chosen by chance.
-    fn spread(&mut self, telling: &Telling, but: Option<SocketAddrV4>, now: Duration) {
-        let mut others: Vec<_> = self
-            .members()
-            .map(|other| other.at)
-            .filter(|at| Some(*at) != but)
-            .collect();
-        for _ in 0..FAN.min(others.len()) {
-            let to = others.swap_remove(self.chance.random_range(0..others.len()));
-            self.send(
-                to,
-                &Message::Tell {
-                    urgent: true,
-                    telling: telling.clone(),
-                },
-                Weight::Urgent,
-                now,
-            );
+    fn count_drop(&mut self, reason: DropReason, now: Duration) {
+        self.transport.count_drop(reason);
+        if matches!(
+            reason,
+            DropReason::OwnersAtCapacity | DropReason::SendersAtCapacity
+        ) {
+            self.exchange(now).report_at_capacity();
         }
     }
 
-    fn compare(&mut self, now: Duration) {
-        let others: Vec<_> = self.members().map(|other| other.at).collect();
-        if others.is_empty() {
-            return;
+    fn exchange(&mut self, now: Duration) -> Exchange<'_> {
+        Exchange {
+            membership: &self.membership,
+            records: &mut self.records,
+            transport: &mut self.transport,
+            events: &mut self.events,
+            random: &mut self.random,
+            now,
         }
-        let to = others[self.chance.random_range(0..others.len())];
-        let stamps = self.records.stamps(now, MOST_CONTENT - 8);
-        self.send(to, &Message::Stamps(stamps), Weight::Routine, now);
     }
 
-    fn call_seeds(&mut self) {
-        for at in self.seeds.clone() {
-            let _ = self.foca.announce(Member::unknown(at), &mut self.swim);
+    fn contact_seeds(&mut self) {
+        for seed in self.contacts.seeds() {
+            self.membership.announce(*seed);
         }
     }
 
-    /// One seed or process taken for dead, by turns of chance: two sides of a cut that took one another for dead find
-    /// each other again.
-    fn call_dead(&mut self) {
-        let mut call: Vec<SocketAddrV4> = self.gone.iter().chain(&self.seeds).copied().collect();
-        call.sort_unstable();
-        call.dedup();
-        let alive: Vec<SocketAddrV4> = self.members().map(|member| member.at).collect();
-        call.retain(|at| !alive.contains(at));
-        if !call.is_empty() {
-            let at = call[self.chance.random_range(0..call.len())];
-            let _ = self.foca.announce(Member::unknown(at), &mut self.swim);
+    /// Announces this process to one departed member or seed, so that two sides of a network partition, each of which
+    /// declared the other dead, find each other again once it heals.
+    fn probe_departed(&mut self) {
+        let alive: Vec<_> = self.membership.addresses().collect();
+        if let Some(address) = self.contacts.choose(&alive, &mut self.random) {
+            self.membership.announce(address);
         }
     }
 
-    /// Carries out what the membership wants.
-    fn drain(&mut self, now: Duration) {
-        while let Some((to, packet)) = self.swim.to_send() {
-            self.send(
-                to.at,
-                &Message::Swim(packet.to_vec()),
-                Weight::Membership,
-                now,
-            );
+    /// Carries out what the membership protocol wants done.
+    fn apply_membership_output(&mut self, now: Duration) {
+        while let Some(packet) = self.membership.next_packet() {
+            let sender = self.membership.identity();
+            let message = Message::Swim(packet.bytes);
+            self.transport
+                .send(sender, packet.to, &message, Priority::Membership, now);
         }
-        while let Some((after, timer)) = self.swim.to_schedule() {
-            self.timer += 1;
-            self.timers.insert((now + after, self.timer), timer);
-        }
-        while let Some(what) = self.swim.to_notify() {
-            match what {
-                OwnedNotification::MemberUp(member) | OwnedNotification::Rename(_, member) => {
-                    self.gone.retain(|at| *at != member.at);
-                    self.events.push_back(Event::Up(member));
-                }
-                OwnedNotification::MemberDown(member) => {
-                    self.note_gone(member.at);
-                    self.events.push_back(Event::Down(member));
-                }
-                // Taken for dead, and back as the next incarnation.
-                OwnedNotification::Rejoin(own) => self.records.renew(own.incarnation, now),
-                OwnedNotification::Defunct
-                | OwnedNotification::Active
-                | OwnedNotification::Idle => {}
-            }
+        self.membership.schedule_timers(now);
+        while let Some(change) = self.membership.next_change() {
+            self.apply_membership_change(change, now);
         }
-        // Records learnt of a later life of this process: the membership goes on under that, too.
+        // The digests of other members may show a later incarnation of this process than the one it started with.
         let own = self.own();
-        if !self.left && own.incarnation > self.foca.identity().incarnation {
-            let _ = self.foca.change_identity(own, &mut self.swim);
+        if !self.left && own.incarnation > self.membership.identity().incarnation {
+            self.membership.change_identity(own);
         }
     }
 
-    fn send(&mut self, to: SocketAddrV4, message: &Message, weight: Weight, now: Duration) {
-        let own = *self.foca.identity();
-        let bytes = self.seal.close(own, to, self.unix, &encode(message));
-        if bytes.len() > MOST_BYTES || !self.budget.takes(bytes.len(), weight, now) {
-            self.counts.held_back += 1;
-            return;
+    fn apply_membership_change(&mut self, change: MembershipChange, now: Duration) {
+        match change {
+            MembershipChange::Up(member) => {
+                self.contacts.remove_departed(member.address);
+                self.events.push(Event::MemberUp(member));
+            }
+            MembershipChange::Down(member) => {
+                self.contacts.add_departed(member.address);
+                self.events.push(Event::MemberDown(member));
+            }
+            MembershipChange::Rejoined(incarnation) => {
+                self.records.renew_incarnation(incarnation, now);
+            }
         }
-        self.counts.sent += 1;
-        self.counts.sent_bytes += bytes.len() as u64;
-        self.out.push_back((to, bytes));
     }
 }
--- a/crates/merlinreel-mesh/src/records.rs
+++ b/crates/merlinreel-mesh/src/records.rs
@@ -1,272 +1,302 @@
-//! Shared records: what each process tells of itself, as every other process has it. No I/O, no clock: times are the
-//! holder's own monotonic ones, handed in.
+//! The records of all owners, without I/O and without a clock: times are this process's monotonic ones, passed in.
 //!
-//! A process writes only its own records, one of each kind, numbered in the order of writing. Others take them over
-//! from whoever has them, in that order, so that one number for each process says all that is held of it. A record's
-//! age is measured at the holder: from when it last heard, over any way, of a beat that its owner made while this
-//! record was its latest; what was heard carries how old it was. So no two clocks are compared, a copy grows no younger
-//! by being passed on, and what nobody confirms any more is let go of after its time.
+//! A process writes only its own records, one of each kind, with ascending versions. Other processes take them over
+//! from any holder in that order, so that one version for each owner says all that is held of it. A record's age is
+//! measured at the holder: since the last heartbeat that its owner made while the record was its latest, heard of
+//! from any member, together with how old the heartbeat was then. So no two clocks are compared, a copy grows no younger
+//! by being passed on, and a record that nobody confirms any more expires after its TTL.
 
-mod rows;
+mod owner;
+mod record;
 #[cfg(test)]
 mod tests;
 mod view;
 
 #[cfg(test)]
-pub use rows::Row;
-pub use rows::{Kind, MOST_KINDS, MOST_RECORD, Stamp, Telling};
-pub use view::{Held, View};
+pub use record::Record;
+pub use record::{Digest, Kind, RecordsUpdate};
+pub use view::{KindRecords, StoredRecord, View};
 
-use crate::error::{Dropped, PublishError};
+use crate::error::{DropReason, PublishError};
 use crate::member::Member;
-use rows::Owner;
+use owner::OwnerRecords;
+use record::MAX_BODY_BYTES;
+use std::cmp::Ordering;
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
+use std::ops::Bound;
 use std::time::Duration;
 
-/// How long is remembered, beyond the last record, which incarnation and number of a process was seen. Guards against
-/// a copy that comes back from a process that was away that long.
-pub const FLOOR_MEMORY: Duration = Duration::from_secs(3600);
-/// A beat heard of late is taken for no older than this.
-const OLDEST: Duration = Duration::from_secs(6553);
+/// How fast a record is to reach the other members.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Urgency {
+    /// Members fetch it when they compare digests.
+    Routine,
+    /// It is pushed to a few members at once, which pass it on.
+    Urgent,
+}
 
-/// All that one process holds.
+/// The records that this process holds.
 #[derive(Debug)]
-pub struct Records {
+pub struct RecordStore {
     own: Member,
-    owners: BTreeMap<SocketAddrV4, Owner>,
-    /// Processes of which anything is held at once.
-    most_owners: usize,
-    /// Where the next list of stamps begins, as one datagram may not hold all.
-    turn: Option<SocketAddrV4>,
+    owners: BTreeMap<SocketAddrV4, OwnerRecords>,
+    max_owners: usize,
+    /// The owner at which the next list of digests begins, as one datagram may not hold all.
+    next_digest: Option<SocketAddrV4>,
 }
 
-/// What a stamp that was heard asks for.
+/// What a digest of another member shows, compared with what is held here.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Lead {
+pub enum Comparison {
     /// Both hold the same.
-    Level,
-    /// The other has more: it is to be asked from this number on, in this incarnation.
-    Theirs { incarnation: u64, above: u64 },
-    /// There is more here than the other has, which holds up to this number.
-    Ours { incarnation: u64, above: u64 },
-    /// Nothing is held of that process, and there is no room for another: it is not asked for.
-    NoRoom,
+    InSync,
+    /// The other member holds more: records of this incarnation since this version are to be requested.
+    Behind {
+        /// The owner's incarnation.
+        incarnation: u64,
+        /// The version held here.
+        since_version: u64,
+    },
+    /// This process holds more: records of this incarnation since this version are to be sent.
+    Ahead {
+        /// The owner's incarnation.
+        incarnation: u64,
+        /// The version that the other member holds.
+        since_version: u64,
+    },
+    /// Nothing is held of that owner, and the maximum number of owners is held.
+    AtCapacity,
 }
 
-impl Records {
-    /// Holds this process's own records, and those of others up to `most_owners` processes in all.
-    pub fn new(own: Member, most_owners: usize) -> Records {
-        let mut records = Records {
+impl RecordStore {
+    /// Holds this process's own records, and those of others up to `max_owners` owners in all.
+    pub fn new(own: Member, max_owners: usize) -> RecordStore {
+        let own_records = OwnerRecords::new(own.incarnation, Duration::ZERO);
+        RecordStore {
             own,
-            owners: BTreeMap::new(),
-            most_owners,
-            turn: None,
-        };
-        records
-            .owners
-            .insert(own.at, Owner::new(own.incarnation, Duration::ZERO));
-        records
+            owners: BTreeMap::from([(own.address, own_records)]),
+            max_owners,
+            next_digest: None,
+        }
     }
 
+    /// This process.
     pub fn own(&self) -> Member {
         self.own
     }
 
-    /// Another incarnation of this process, greater than what others hold of it; its records go on under it.
-    pub fn renew(&mut self, incarnation: u64, now: Duration) {
+    /// Continues as another incarnation, greater than what others hold of this process, with the same records.
+    pub fn renew_incarnation(&mut self, incarnation: u64, now: Duration) {
         self.own.incarnation = incarnation;
-        let mut owner = Owner::new(incarnation, now);
-        if let Some(before) = self.owners.remove(&self.own.at) {
-            owner.carry_over(before);
+        let mut records = OwnerRecords::new(incarnation, now);
+        if let Some(previous) = self.owners.remove(&self.own.address) {
+            records.carry_over(previous);
         }
-        self.owners.insert(self.own.at, owner);
+        self.owners.insert(self.own.address, records);
     }
 
-    /// Writes one of this process's own records; an empty body takes it back. Returns its number, or none where it
-    /// says what it said before.
+    /// Writes one of this process's own records; an empty body withdraws it. Returns its version, or none if it equals
+    /// the present record.
+    ///
+    /// # Errors
+    ///
+    /// If the body is too long, or the maximum number of kinds is reached.
     pub fn publish(
         &mut self,
         kind: Kind,
         body: Vec<u8>,
-        life: Duration,
+        ttl: Duration,
         now: Duration,
     ) -> Result<Option<u64>, PublishError> {
-        if body.len() > MOST_RECORD {
+        if body.len() > MAX_BODY_BYTES {
             return Err(PublishError::TooLong {
                 bytes: body.len(),
-                most: MOST_RECORD,
+                max: MAX_BODY_BYTES,
             });
         }
         let own = self.own;
-        let owner = self
+        let records = self
             .owners
-            .entry(own.at)
-            .or_insert_with(|| Owner::new(own.incarnation, now));
-        owner.write(kind, body, life)
+            .entry(own.address)
+            .or_insert_with(|| OwnerRecords::new(own.incarnation, now));
+        records.write(kind, body, ttl)
     }
 
-    /// A sign of life of this process, which others hear of.
-    pub fn beat(&mut self, now: Duration) {
-        if let Some(owner) = self.owners.get_mut(&self.own.at) {
-            owner.beat(now);
+    /// Makes a heartbeat of this process, which others hear of in digests.
+    pub fn increment_heartbeat(&mut self, now: Duration) {
+        if let Some(records) = self.owners.get_mut(&self.own.address) {
+            records.increment_heartbeat(now);
         }
     }
 
-    /// These and no others live, as the membership holds. Records of those that do outlast their time.
-    pub fn note_alive(&mut self, members: impl Iterator<Item = Member>) {
-        self.owners
-            .values_mut()
-            .for_each(|owner| owner.alive = false);
+    /// Sets which members the membership protocol considers alive. Their records do not expire.
+    pub fn set_alive(&mut self, members: impl Iterator<Item = Member>) {
+        for held in self.owners.values_mut() {
+            held.alive = false;
+        }
         for member in members {
-            let owner = self.owners.get_mut(&member.at);
-            if let Some(owner) = owner.filter(|owner| owner.incarnation == member.incarnation) {
-                owner.alive = true;
+            if let Some(held) = self.owners.get_mut(&member.address)
+                && held.incarnation == member.incarnation
+            {
+                held.alive = true;
             }
         }
     }
 
-    /// Lets go of what is over.
-    pub fn tidy(&mut self, now: Duration) {
-        let own = self.own.at;
+    /// Removes expired records, and owners that need not be remembered any longer.
+    pub fn remove_expired(&mut self, now: Duration) {
+        let own = self.own.address;
         self.owners
-            .retain(|at, owner| *at == own || owner.tidy(now));
+            .retain(|address, held| *address == own || held.remove_expired(now));
     }
 
-    /// Stamps of as many processes as fit into `most` bytes, own first, the others in turn.
-    pub fn stamps(&mut self, now: Duration, most: usize) -> Vec<Stamp> {
-        let own = self.own.at;
-        let mut stamps = Vec::new();
-        let mut left = most;
-        let from = self.turn.take();
-        let after = from.map_or(
-            (std::ops::Bound::Unbounded, std::ops::Bound::Unbounded),
-            |at| (std::ops::Bound::Included(at), std::ops::Bound::Unbounded),
-        );
-        let later = self.owners.range::<SocketAddrV4, _>(after);
-        let earlier = from.into_iter().flat_map(|at| self.owners.range(..at));
-        let others = later.chain(earlier).filter(|(at, _)| **at != own);
+    /// Digests of as many owners as fit into `max_bytes`: this process first, then the others, beginning where the last
+    /// list ended.
+    pub fn digests(&mut self, now: Duration, max_bytes: usize) -> Vec<Digest> {
+        let own = self.own.address;
+        let start = self.next_digest.take();
+        let from_start = start.map_or(Bound::Unbounded, Bound::Included);
+        let later = self
+            .owners
+            .range::<SocketAddrV4, _>((from_start, Bound::Unbounded));
+        let earlier = start
+            .into_iter()
+            .flat_map(|start| self.owners.range(..start));
+        let others = later.chain(earlier).filter(|(owner, _)| **owner != own);
         let first = self.owners.get_key_value(&own);
-        for (&at, owner) in first.into_iter().chain(others) {
-            let stamp = owner.stamp(at, now);
-            let Some(rest) = left.checked_sub(stamp.wire_bytes()) else {
-                self.turn = Some(at);
+        let mut digests = Vec::new();
+        let mut left = max_bytes;
+        for (&owner, held) in first.into_iter().chain(others) {
+            let digest = held.digest(owner, now);
+            let Some(rest) = left.checked_sub(digest.max_encoded_bytes()) else {
+                self.next_digest = Some(owner);
                 break;
             };
             left = rest;
-            stamps.push(stamp);
+            digests.push(digest);
         }
-        stamps
+        digests
     }
 
-    /// Takes a stamp in and says who is ahead.
-    pub fn hear(&mut self, stamp: &Stamp, now: Duration) -> Lead {
-        if stamp.at == self.own.at {
-            // Of this process nobody knows better, but for a life of it that is later than this one.
-            let own = self.owners.get(&stamp.at).map_or(0, |owner| owner.top);
-            return match stamp.incarnation.cmp(&self.own.incarnation) {
-                std::cmp::Ordering::Greater => {
-                    self.renew(stamp.incarnation + 1, now);
-                    Lead::Ours {
-                        incarnation: self.own.incarnation,
-                        above: 0,
-                    }
-                }
-                std::cmp::Ordering::Equal if stamp.top >= own => Lead::Level,
-                std::cmp::Ordering::Equal => Lead::Ours {
-                    incarnation: self.own.incarnation,
-                    above: stamp.top,
-                },
-                std::cmp::Ordering::Less => Lead::Ours {
-                    incarnation: self.own.incarnation,
-                    above: 0,
-                },
-            };
+    /// Applies the heartbeat in a digest, and compares what its sender holds with what is held here.
+    pub fn apply_digest(&mut self, digest: &Digest, now: Duration) -> Comparison {
+        if digest.owner == self.own.address {
+            return self.compare_own(digest, now);
         }
-        if !self.has_room_for(stamp.at) {
-            return Lead::NoRoom;
+        if !self.has_capacity_for(digest.owner) {
+            return Comparison::AtCapacity;
         }
-        let Some(owner) = self.owners.get_mut(&stamp.at) else {
-            return Lead::Theirs {
-                incarnation: stamp.incarnation,
-                above: 0,
+        let Some(held) = self.owners.get_mut(&digest.owner) else {
+            return Comparison::Behind {
+                incarnation: digest.incarnation,
+                since_version: 0,
             };
         };
-        if stamp.incarnation != owner.incarnation {
-            return if stamp.incarnation > owner.incarnation {
-                Lead::Theirs {
-                    incarnation: stamp.incarnation,
-                    above: 0,
-                }
-            } else {
-                Lead::Ours {
-                    incarnation: owner.incarnation,
-                    above: 0,
-                }
-            };
+        match digest.incarnation.cmp(&held.incarnation) {
+            Ordering::Greater => {
+                return Comparison::Behind {
+                    incarnation: digest.incarnation,
+                    since_version: 0,
+                };
+            }
+            Ordering::Less => {
+                return Comparison::Ahead {
+                    incarnation: held.incarnation,
+                    since_version: 0,
+                };
+            }
+            Ordering::Equal => {}
         }
-        owner.hear(stamp, now);
-        match stamp.top.cmp(&owner.top) {
-            std::cmp::Ordering::Greater => Lead::Theirs {
-                incarnation: owner.incarnation,
-                above: owner.top,
+        held.apply_heartbeat(digest, now);
+        match digest.max_version.cmp(&held.max_version) {
+            Ordering::Greater => Comparison::Behind {
+                incarnation: held.incarnation,
+                since_version: held.max_version,
             },
-            std::cmp::Ordering::Equal => Lead::Level,
-            std::cmp::Ordering::Less => Lead::Ours {
-                incarnation: owner.incarnation,
-                above: stamp.top,
+            Ordering::Equal => Comparison::InSync,
+            Ordering::Less => Comparison::Ahead {
+                incarnation: held.incarnation,
+                since_version: digest.max_version,
             },
         }
     }
 
-    /// What is held of a process above a number, as much as fits into `most` bytes, in the order of writing.
-    pub fn tell(
+    /// Compares a digest of this process. Nobody holds more of it than itself, except of a later incarnation that it
+    /// does not remember: then it continues as the one after that.
+    fn compare_own(&mut self, digest: &Digest, now: Duration) -> Comparison {
+        let held = self.owners.get(&self.own.address);
+        let own_version = held.map_or(0, |held| held.max_version);
+        let since_version = match digest.incarnation.cmp(&self.own.incarnation) {
+            Ordering::Greater => {
+                self.renew_incarnation(digest.incarnation + 1, now);
+                0
+            }
+            Ordering::Equal if digest.max_version >= own_version => return Comparison::InSync,
+            Ordering::Equal => digest.max_version,
+            Ordering::Less => 0,
+        };
+        Comparison::Ahead {
+            incarnation: self.own.incarnation,
+            since_version,
+        }
+    }
+
+    /// What is held of an owner since a version, by ascending version, as much as fits into `max_bytes`.
+    pub fn updates_since(
         &self,
-        at: SocketAddrV4,
-        above: u64,
+        owner: SocketAddrV4,
+        since_version: u64,
         now: Duration,
-        most: usize,
-    ) -> Option<Telling> {
-        self.owners.get(&at)?.tell(at, above, now, most)
+        max_bytes: usize,
+    ) -> Option<RecordsUpdate> {
+        self.owners
+            .get(&owner)?
+            .updates_since(owner, since_version, now, max_bytes)
     }
 
-    /// Whether records of that process are held, or may be.
-    fn has_room_for(&self, at: SocketAddrV4) -> bool {
-        self.owners.len() < self.most_owners || self.owners.contains_key(&at)
+    /// Whether records of that owner are held, or may be.
+    fn has_capacity_for(&self, owner: SocketAddrV4) -> bool {
+        self.owners.len() < self.max_owners || self.owners.contains_key(&owner)
     }
 
-    /// Takes over what another told; whether anything was new. Where there is no room for another process, what is held
-    /// stays as it is.
-    pub fn take(&mut self, telling: Telling, now: Duration) -> Result<bool, Dropped> {
-        let stamp = telling.stamp;
-        if stamp.at == self.own.at {
-            self.hear(&stamp, now);
+    /// Applies an update from another member; returns whether it contained anything new.
+    ///
+    /// # Errors
+    ///
+    /// [`DropReason::OwnersAtCapacity`] if the owner is new and the maximum number of owners is held.
+    pub fn apply_update(
+        &mut self,
+        update: RecordsUpdate,
+        now: Duration,
+    ) -> Result<bool, DropReason> {
+        let digest = update.digest;
+        if digest.owner == self.own.address {
+            self.apply_digest(&digest, now);
             return Ok(false);
         }
-        let floor = self
-            .owners
-            .get(&stamp.at)
-            .map_or(0, |owner| owner.incarnation);
-        if stamp.incarnation < floor || !telling.is_sound() {
+        let held = self.owners.get(&digest.owner);
+        let held_incarnation = held.map_or(0, |held| held.incarnation);
+        if digest.incarnation < held_incarnation || !update.is_valid() {
             return Ok(false);
         }
-        if !self.has_room_for(stamp.at) {
-            return Err(Dropped::OwnersFull);
+        if !self.has_capacity_for(digest.owner) {
+            return Err(DropReason::OwnersAtCapacity);
         }
-        // As old as the teller's last word of it: guards against copies that grow younger by being passed on.
-        let as_of = now.saturating_sub(stamp.age());
-        let owner = self
+        // As old as the sender's heartbeat: a copy must not grow younger by being passed on.
+        let alive_at = now.saturating_sub(digest.heartbeat_age());
+        let held = self
             .owners
-            .entry(stamp.at)
-            .or_insert_with(|| Owner::new(stamp.incarnation, as_of));
-        if stamp.incarnation > owner.incarnation {
-            // Another life of that process: what it told before is over.
-            *owner = Owner::new(stamp.incarnation, as_of);
+            .entry(digest.owner)
+            .or_insert_with(|| OwnerRecords::new(digest.incarnation, alive_at));
+        if digest.incarnation > held.incarnation {
+            // Records of the owner's previous incarnation are void.
+            *held = OwnerRecords::new(digest.incarnation, alive_at);
         }
-        Ok(owner.take(telling, now))
+        Ok(held.apply_update(update, now))
     }
 
-    /// What is held, with its age.
+    /// The records that are valid at `now`.
     pub fn view(&self, now: Duration) -> View<'_> {
         View::new(&self.owners, now)
     }
--- a/crates/merlinreel-mesh/src/records/view.rs
+++ b/crates/merlinreel-mesh/src/records/view.rs
@@ -1,73 +1,85 @@
-//! What is held, as those read it who need it: by kind, with each record's owner and age.
+//! Read access to the records held, by kind.
 
-use super::rows::{Kind, Owner};
+use super::owner::OwnerRecords;
+use super::record::Kind;
 use crate::member::Member;
 use serde::de::DeserializeOwned;
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
-/// All that is held at one moment. What is older than its time is not in it.
+/// The records that are valid at one moment.
 #[derive(Clone, Copy, Debug)]
 pub struct View<'a> {
-    owners: &'a BTreeMap<SocketAddrV4, Owner>,
+    owners: &'a BTreeMap<SocketAddrV4, OwnerRecords>,
     now: Duration,
 }
 
-/// One record.
+/// A record with its owner and age.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Held<T> {
+pub struct StoredRecord<T> {
+    /// The process that published it.
     pub owner: Member,
-    /// Since its owner was last known to hold by it, by this process's clock.
+    /// Time since the record was last known to be its owner's latest, by this process's clock.
     pub age: Duration,
-    pub number: u64,
+    /// Its place in the order in which its owner wrote its records.
+    pub version: u64,
+    /// Its content.
     pub body: T,
 }
 
+/// The records of one kind.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct KindRecords<T> {
+    /// Those that could be decoded, by their owners' addresses.
+    pub records: Vec<StoredRecord<T>>,
+    /// How many could not be decoded.
+    pub unreadable: usize,
+}
+
 impl<'a> View<'a> {
-    pub(super) fn new(owners: &'a BTreeMap<SocketAddrV4, Owner>, now: Duration) -> View<'a> {
+    pub(super) fn new(owners: &'a BTreeMap<SocketAddrV4, OwnerRecords>, now: Duration) -> View<'a> {
         View { owners, now }
     }
 
-    /// All records of a kind as bytes, by their owners' addresses.
-    pub fn raw(&self, kind: Kind) -> impl Iterator<Item = Held<&'a [u8]>> + use<'a> {
+    /// The records of a kind as bytes, by their owners' addresses. Withdrawn records are left out.
+    pub fn raw(&self, kind: Kind) -> impl Iterator<Item = StoredRecord<&'a [u8]>> + use<'a> {
         let now = self.now;
-        self.owners.iter().filter_map(move |(&at, owner)| {
-            let row = owner.rows.get(&kind).filter(|row| !row.body.is_empty())?;
-            let age = now.saturating_sub(owner.confirmed);
-            owner.is_good(row, now).then_some(Held {
+        self.owners.iter().filter_map(move |(&address, held)| {
+            let record = held.records.get(&kind)?;
+            if record.body.is_empty() || !held.is_valid(record, now) {
+                return None;
+            }
+            Some(StoredRecord {
                 owner: Member {
-                    at,
-                    incarnation: owner.incarnation,
+                    address,
+                    incarnation: held.incarnation,
                 },
-                age,
-                number: row.number,
-                body: row.body.as_slice(),
+                age: held.age(now),
+                version: record.version,
+                body: record.body.as_slice(),
             })
         })
     }
 
-    /// All records of a kind that can be read as `T`, JSON in which unknown fields have no meaning, and how many
-    /// can't: those of a process that is far newer, far older or wrong do no harm.
-    pub fn read<T: DeserializeOwned>(&self, kind: Kind) -> (Vec<Held<T>>, usize) {
-        let (mut read, mut unread) = (Vec::new(), 0);
-        for Held {
-            owner,
-            age,
-            number,
-            body,
-        } in self.raw(kind)
-        {
-            match serde_json::from_slice(body) {
-                Ok(body) => read.push(Held {
-                    owner,
-                    age,
-                    number,
+    /// The records of a kind decoded as JSON. Records of a much newer, much older or faulty process that can't be decoded
+    /// are only counted; fields that `T` does not have are ignored.
+    pub fn decode<T: DeserializeOwned>(&self, kind: Kind) -> KindRecords<T> {
+        let mut decoded = KindRecords {
+            records: Vec::new(),
+            unreadable: 0,
+        };
+        for record in self.raw(kind) {
+            match serde_json::from_slice(record.body) {
+                Ok(body) => decoded.records.push(StoredRecord {
+                    owner: record.owner,
+                    age: record.age,
+                    version: record.version,
                     body,
                 }),
-                Err(_) => unread += 1,
+                Err(_) => decoded.unreadable += 1,
             }
         }
-        (read, unread)
+        decoded
     }
 }
--- a/crates/merlinreel-testkit/src/scale/membership/fleet.rs
+++ b/crates/merlinreel-testkit/src/scale/membership/fleet.rs
@@ -3,7 +3,10 @@
 
 use super::watch::{RecordWatch, body_of};
 use crate::scale::{Network, Ways};
-use merlinreel_mesh::{Capacity, Event, Keys, Kind, Member, MeshError, Node, Part, PublishError};
+use merlinreel_mesh::{
+    Capacity, Datagram, Event, Key, Keys, Kind, Member, MeshError, Node, NodeConfig, PublishError,
+    Urgency,
+};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::collections::BTreeSet;
@@ -103,7 +106,7 @@
             .collect();
         Ok(Fleet {
             setting,
-            keys: Keys::new(vec![(1, vec![7; 32])], None)?,
+            keys: Keys::new(vec![Key::new(1, vec![7; 32])], None)?,
             network: Network::new(setting.limiters, chance.random(), setting.ways),
             chance,
             nodes: std::iter::repeat_with(|| None)
@@ -140,10 +143,10 @@
     pub fn counts(&self) -> FleetCounts {
         let mut all = FleetCounts::default();
         for node in self.nodes.iter().flatten() {
-            let counts = node.counts();
-            all.sent += counts.sent;
-            all.held_back += counts.held_back;
-            all.dropped += counts.dropped.values().sum::<u64>();
+            let counters = node.counters();
+            all.sent += counters.sent;
+            all.held_back += counters.held_back;
+            all.dropped += counters.dropped.values().sum::<u64>();
         }
         all
     }
@@ -170,12 +173,17 @@
     pub fn publish(&mut self, owner: u32, urgent: bool) -> Result<u64, PublishError> {
         self.published += 1;
         let now = self.now;
+        let urgency = if urgent {
+            Urgency::Urgent
+        } else {
+            Urgency::Routine
+        };
         if let Some(node) = self.nodes[owner as usize].as_mut() {
             node.publish(
                 WATCHED_KIND,
                 body_of(self.published),
                 WATCHED_LIFE,
-                urgent,
+                urgency,
                 now,
             )?;
         }
@@ -272,7 +280,7 @@
     }
 
     fn is_present(&self, member: &Member) -> bool {
-        let Some(limiter) = limiter_at(member.at) else {
+        let Some(limiter) = limiter_at(member.address) else {
             return false;
         };
         let limiter = limiter as usize;
@@ -308,19 +316,19 @@
         let unix = UNIX_START + self.now;
         let incarnation = u64::try_from(unix.as_millis()).unwrap_or(u64::MAX);
         self.incarnations[limiter as usize] = incarnation;
-        let part = Part {
+        let config = NodeConfig {
             own: Member {
-                at: address(limiter),
+                address: address(limiter),
                 incarnation,
             },
             seeds: (0..self.setting.seeds as u32).map(address).collect(),
             keys: self.keys.clone(),
-            seed: self.chance.random(),
-            bytes_a_second: self.setting.bytes_a_second,
-            bytes_at_once: self.setting.bytes_a_second * 4,
+            random_seed: self.chance.random(),
+            bytes_per_second: self.setting.bytes_a_second,
+            burst_bytes: self.setting.bytes_a_second * 4,
             capacity: Capacity::for_limiters(self.setting.limiters),
         };
-        let mut node = Node::new(part, self.now, unix);
+        let mut node = Node::new(config, self.now, unix);
         let own =
             format!("{{\"name\":\"limiter-{limiter:05}\",\"program\":\"0.1.0\",\"serves\":true}}");
         // Short, and the first of its kind: there is nothing in it that is refused.
@@ -328,7 +336,7 @@
             LIMITER_KIND,
             own.into_bytes(),
             LIMITER_LIFE,
-            false,
+            Urgency::Routine,
             self.now,
         );
         self.nodes[limiter as usize] = Some(node);
@@ -342,7 +350,7 @@
         self.wakes_at[limiter as usize] = None;
         let now = self.now;
         if let Some(node) = self.nodes[limiter as usize].as_mut() {
-            node.turn(now, UNIX_START + now);
+            node.tick(now, UNIX_START + now);
         }
         self.after_call(limiter);
     }
@@ -364,13 +372,13 @@
         let Some(node) = self.nodes[limiter as usize].as_mut() else {
             return;
         };
-        while let Some((to, bytes)) = node.outgoing() {
+        while let Some(Datagram { to, bytes }) = node.next_datagram() {
             if let Some(to) = limiter_at(to) {
                 self.network.send(self.now, limiter, to, bytes);
             }
         }
-        while let Some(event) = node.event() {
-            if let Event::Records(of) = event {
+        while let Some(event) = node.next_event() {
+            if let Event::RecordsUpdated(of) = event {
                 for watch in &mut self.watches {
                     watch.look(of, limiter, node, self.now);
                 }
@@ -385,7 +393,7 @@
             self.wakes.remove(&(before, limiter));
         }
         if let Some(node) = &self.nodes[limiter as usize] {
-            let at = node.wakes_at().max(self.now);
+            let at = node.next_tick().max(self.now);
             *planned = Some(at);
             self.wakes.insert((at, limiter));
         }
--- a/crates/merlinreel-testkit/src/scale/membership/watch.rs
+++ b/crates/merlinreel-testkit/src/scale/membership/watch.rs
@@ -49,7 +49,7 @@
         let held = node
             .view(now)
             .raw(WATCHED_KIND)
-            .find(|held| held.owner.at == of);
+            .find(|held| held.owner.address == of);
         if held.is_some_and(|held| number_in(held.body) >= Some(self.number)) {
             self.note(limiter, now);
         }
--- a/crates/merlinreel/src/config.rs
+++ b/crates/merlinreel/src/config.rs
@@ -5,7 +5,7 @@
 
 use crate::config::limits::{Limits, RoomError};
 use crate::log;
-use crate::mesh::Ground;
+use crate::mesh::MeshConfig;
 use merlinreel_discovery::{DiscoveryNews, Message, MessageError};
 use merlinreel_settings::{Paths, Terms};
 use serde::Deserialize;
@@ -83,7 +83,7 @@
     /// The server list as this limiter last had it.
     pub known: Option<DiscoveryNews>,
     /// The mesh of limiters, where this one takes part.
-    pub mesh: Option<Ground>,
+    pub mesh: Option<MeshConfig>,
     /// Keys of the file that mean nothing here: misspelt, or meant for another version.
     pub unknown: Vec<String>,
 }
@@ -102,7 +102,7 @@
     peers: Vec<SocketAddr>,
     known: Option<Message>,
     settings: Option<serde_json::Value>,
-    mesh: Option<Ground>,
+    mesh: Option<MeshConfig>,
     /// Peer messages go to one limiter at a time.
     #[serde(rename = "peers_all")]
     _peers_all: Option<serde_json::Value>,
@@ -161,7 +161,7 @@
         ("peer_listen", new.peer_listen != present.peer_listen),
         ("peers", new.peers != present.peers),
         ("limits", new.limits != present.limits),
-        ("mesh", but_keys(&new.mesh) != but_keys(&present.mesh)),
+        ("mesh", mesh_needs_restart(&present.mesh, &new.mesh)),
     ];
     for (key, _) in kept.iter().filter(|(_, changed)| *changed) {
         log!("configuration, read again: {key} is another, which holds from the next start on");
@@ -174,18 +174,17 @@
     present.discovery = new.discovery;
     present.terms = new.terms;
     if let (Some(present), Some(new)) = (&mut present.mesh, new.mesh) {
-        (present.keys, present.sign_with) = (new.keys, new.sign_with);
+        present.reload_from(new);
     }
     true
 }
 
-/// The section without what is taken over while the limiter runs.
-fn but_keys(ground: &Option<Ground>) -> Option<Ground> {
-    ground.clone().map(|ground| Ground {
-        keys: Vec::new(),
-        sign_with: None,
-        ..ground
-    })
+/// Whether the section `mesh` differs in anything that a running limiter can't change.
+fn mesh_needs_restart(present: &Option<MeshConfig>, new: &Option<MeshConfig>) -> bool {
+    match (present, new) {
+        (Some(present), Some(new)) => present.needs_restart(new),
+        (present, new) => present.is_some() != new.is_some(),
+    }
 }
 
 /// Checks a configuration; a complaint begins with the key at fault.
@@ -256,9 +255,9 @@
             (None, None) => None,
             (given, _) => Some(address("ops", given, "PROXY_OPS")?),
         },
-        mesh: file.mesh.map(|ground| Ground {
+        mesh: file.mesh.map(|mesh| MeshConfig {
             limiters: terms.peers.limiters as usize,
-            ..ground
+            ..mesh
         }),
         peer_listen: file.peer_listen,
         peers: file.peers,
--- a/crates/merlinreel/src/config/tests.rs
+++ b/crates/merlinreel/src/config/tests.rs
@@ -47,7 +47,7 @@
     let station = parse(&file.to_string(), |_| None).expect("sound");
     assert_eq!(station.peers.len(), usize::from(limiters));
     assert_eq!(
-        station.mesh.map(|ground| ground.limiters),
+        station.mesh.map(|mesh| mesh.limiters),
         Some(usize::from(limiters))
     );
 }
--- a/crates/merlinreel/src/lib.rs
+++ b/crates/merlinreel/src/lib.rs
@@ -62,7 +62,7 @@
 /// What the operators' door tells.
 struct Told {
     door: Arc<client::Door>,
-    mesh: Option<merlinreel_mesh::shell::Mesh>,
+    mesh: Option<merlinreel_mesh::runtime::Mesh>,
     figures: Arc<telemetry::metrics::Figures>,
 }
 
@@ -74,7 +74,7 @@
         self.figures.text(self.door.in_hand())
     }
     fn mesh(&self) -> Option<String> {
-        self.mesh.as_ref().map(|mesh| mesh::told(mesh).to_string())
+        self.mesh.as_ref().map(mesh::status_json)
     }
 }
 
@@ -84,8 +84,8 @@
     pub settings: watch::Receiver<merlinreel_settings::Terms>,
     /// Where the server list is watched.
     pub discovery: watch::Receiver<SocketAddr>,
-    /// The mesh's keys are read again at each word of it.
-    pub ground: watch::Receiver<Option<mesh::Ground>>,
+    /// The mesh's key files are read again at each change.
+    pub mesh: watch::Receiver<Option<mesh::MeshConfig>>,
 }
 
 /// Runs one limiter until `stop` ends and what it then holds is answered; `turns` tell what
@@ -102,7 +102,7 @@
     let Turns {
         settings: mut tunes,
         discovery,
-        ground: mut grounds,
+        mesh: mesh_configs,
     } = turns;
     let config::Station {
         name,
@@ -115,7 +115,7 @@
         terms,
         known,
         unknown,
-        mesh: ground,
+        mesh: mesh_config,
         ..
     } = station;
     unknown
@@ -185,28 +185,19 @@
     );
     let door = client::Door::new(limits.clone(), tuned, queue, figures.clone());
     let first = timeout(limits.first_list, first);
-    let taking = match &ground {
-        Some(ground) => {
+    let mesh_tasks = match &mesh_config {
+        Some(config) => {
             let serving = door.clone();
-            let taking = mesh::Taking::begin(ground, name, seed, move || serving.serves()).await;
-            Some(taking.map_err(io::Error::other)?)
+            let started =
+                mesh::MeshTasks::start(config, name, seed, move || serving.serves()).await;
+            Some(started.map_err(io::Error::other)?)
         }
         None => None,
     };
-    if let Some(mesh) = taking.as_ref().map(|taking| taking.mesh.clone()) {
-        others.push(tokio::spawn(async move {
-            while grounds.changed().await.is_ok() {
-                let Some(ground) = grounds.borrow_and_update().clone() else {
-                    continue;
-                };
-                match ground.keys() {
-                    Ok(keys) => mesh.rekey(keys),
-                    Err(error) => log!("{error}; the keys before stand"),
-                }
-            }
-        }));
+    let mesh = mesh_tasks.as_ref().map(|tasks| tasks.handle().clone());
+    if let Some(mesh) = mesh.clone() {
+        others.push(tokio::spawn(mesh::reload_keys(mesh, mesh_configs)));
     }
-    let told = taking.as_ref().map(|taking| taking.mesh.clone());
     if let Some(at) = ops {
         let listener = bound(limits.bind, async || TcpListener::bind(at).await)
             .await
@@ -216,7 +207,7 @@
             limits,
             Arc::new(Told {
                 door: door.clone(),
-                mesh: told,
+                mesh,
                 figures,
             }),
         )));
@@ -230,8 +221,8 @@
         door.attend(listener, inherited, stop).await
     };
     let ended = attended(door, &mut driving).await;
-    if let Some(taking) = taking {
-        taking.end().await;
+    if let Some(tasks) = mesh_tasks {
+        tasks.stop().await;
     }
     others
         .iter()
--- a/crates/merlinreel/src/main.rs
+++ b/crates/merlinreel/src/main.rs
@@ -89,7 +89,7 @@
     let figures = merlinreel::telemetry::metrics::Figures::new(&station.terms.wire.classes);
     let counted = figures.clone();
     let (tune, settings) = watch::channel(station.terms.clone());
-    let (reground, ground) = watch::channel(station.mesh.clone());
+    let (mesh_changed, mesh) = watch::channel(station.mesh.clone());
     tokio::spawn(async move {
         while again.recv().await.is_some() {
             let taken = config::reread(&mut present, |name| std::env::var(name).ok());
@@ -98,7 +98,7 @@
             tune.send_if_modified(|terms| replaced(terms, &present.terms));
             if taken {
                 // The files may hold other keys under the same names.
-                reground.send_replace(present.mesh.clone());
+                mesh_changed.send_replace(present.mesh.clone());
             }
         }
     });
@@ -108,7 +108,7 @@
     let turns = merlinreel::Turns {
         settings,
         discovery,
-        ground,
+        mesh,
     };
     Ok(merlinreel::run(station, handed, figures, turns, stop).await?)
 }
--- a/crates/merlinreel/src/mesh/tests.rs
+++ b/crates/merlinreel/src/mesh/tests.rs
@@ -1,35 +1,42 @@
+use super::status::LIMITER_KIND;
+use super::tasks::LIMITER_TTL;
 use super::*;
-use std::collections::BTreeMap;
+use merlinreel_mesh::{Capacity, Key, Keys, Member, NodeConfig, Urgency, runtime};
+use std::collections::{BTreeMap, HashMap};
+use std::net::{SocketAddr, SocketAddrV4};
+use std::path::PathBuf;
 
 /// The text under `/mesh`, byte by byte: scripts and on-call pages read its names.
 #[tokio::test]
 async fn mesh_status_has_the_literal_text() {
     let own = SocketAddrV4::new([127, 0, 0, 1].into(), 7946);
-    let part = Part {
+    let config = NodeConfig {
         own: Member {
-            at: own,
+            address: own,
             incarnation: 1_790_000_000_000,
         },
         seeds: Vec::new(),
-        keys: Keys::new(vec![(1, vec![7; 32])], None).expect("sound"),
-        seed: 1,
-        bytes_a_second: 8000,
-        bytes_at_once: 32_000,
+        keys: Keys::new(vec![Key::new(1, vec![7; 32])], None).expect("a valid key"),
+        random_seed: 1,
+        bytes_per_second: 8000,
+        burst_bytes: 32_000,
         capacity: Capacity::for_limiters(3),
     };
-    let anywhere = SocketAddr::from(([127, 0, 0, 1], 0));
-    let (mesh, _socket) = shell::open(part, anywhere, HashMap::new())
+    let any_port = SocketAddr::from(([127, 0, 0, 1], 0));
+    let bound = runtime::bind(config, any_port, HashMap::new())
         .await
         .expect("a free port");
-    let limiter = Limiter {
+    let record = LimiterRecord {
         name: "n0".to_owned(),
-        program: "0.1.0".to_owned(),
-        serves: true,
+        version: "0.1.0".to_owned(),
+        is_serving: true,
     };
-    mesh.publish(LIMITER, &limiter, LIMITER_LIFE, false)
+    bound
+        .mesh
+        .publish(LIMITER_KIND, &record, LIMITER_TTL, Urgency::Routine)
         .expect("short");
     assert_eq!(
-        told(&mesh).to_string(),
+        status_json(&bound.mesh),
         concat!(
             r#"{"dropped":{},"held_back":0,"limiters":[{"age_s":0.0,"alive":true,"at":"127.0.0.1:7946","#,
             r#""incarnation":1790000000000,"name":"n0","program":"0.1.0","serves":true}],"no_room":0,"#,
@@ -38,6 +45,22 @@
     );
 }
 
+/// The record that other limiters decode.
+#[test]
+fn limiter_record_has_the_literal_text() {
+    let record = LimiterRecord {
+        name: "n0".to_owned(),
+        version: "0.1.0".to_owned(),
+        is_serving: true,
+    };
+    let text = r#"{"name":"n0","program":"0.1.0","serves":true}"#;
+    assert_eq!(serde_json::to_string(&record).expect("text"), text);
+    assert_eq!(
+        serde_json::from_str::<LimiterRecord>(text).expect("a record"),
+        record
+    );
+}
+
 /// The section `mesh` of a configuration, with all its keys.
 #[test]
 fn mesh_section_is_read_by_its_literal_keys() {
@@ -45,21 +68,21 @@
         "keys": [{"id": 7, "file": "/k"}], "sign_with": 7, "routes": {"10.0.0.2:1": "127.0.0.1:9"},
         "bytes_a_second": 500}"#;
     let address = |text: &str| text.parse::<SocketAddrV4>().expect("an address");
-    let ground: Ground = serde_json::from_str(text).expect("a section");
-    let routes = BTreeMap::from_iter(ground.routes.clone());
-    assert_eq!(ground.listen, address("127.0.0.1:1"));
-    assert_eq!(ground.called, Some(address("10.0.0.1:1")));
-    assert_eq!(ground.seeds, [address("10.0.0.2:1")]);
-    assert_eq!(ground.keys[0].id, 7);
-    assert_eq!(ground.keys[0].file, PathBuf::from("/k"));
-    assert_eq!(ground.sign_with, Some(7));
+    let config: MeshConfig = serde_json::from_str(text).expect("a section");
+    let routes = BTreeMap::from_iter(config.routes.clone());
+    assert_eq!(config.listen, address("127.0.0.1:1"));
+    assert_eq!(config.advertised, Some(address("10.0.0.1:1")));
+    assert_eq!(config.seeds, [address("10.0.0.2:1")]);
+    assert_eq!(config.keys[0].id, 7);
+    assert_eq!(config.keys[0].path, PathBuf::from("/k"));
+    assert_eq!(config.signing_key_id, Some(7));
     assert_eq!(
         routes.into_iter().collect::<Vec<_>>(),
         [(address("10.0.0.2:1"), address("127.0.0.1:9").into())]
     );
-    assert_eq!(ground.bytes_a_second, 500);
-    let least = r#"{"listen": "127.0.0.1:1", "keys": []}"#;
-    let least: Ground = serde_json::from_str(least).expect("a section");
-    assert_eq!(least.called, None);
-    assert_eq!(least.bytes_a_second, 8000);
+    assert_eq!(config.bytes_per_second, 500);
+    let minimal = r#"{"listen": "127.0.0.1:1", "keys": []}"#;
+    let minimal: MeshConfig = serde_json::from_str(minimal).expect("a section");
+    assert_eq!(minimal.advertised, None);
+    assert_eq!(minimal.bytes_per_second, 8000);
 }
--- a/crates/merlinreel/tests/sockets/mesh.rs
+++ b/crates/merlinreel/tests/sockets/mesh.rs
@@ -1,4 +1,4 @@
-//! Limiters that know one another: several processes of the program, their datagrams over relays of the test's own.
+//! Clusters of several processes of the program, with datagrams over relays that the test controls.
 
 use merlinreel_testkit::link::{UdpLink, Weather};
 use merlinreel_testkit::*;
@@ -8,15 +8,15 @@
 use std::thread;
 use std::time::Duration;
 
-/// So many limiters, each on its own way to each other.
-struct Village {
+/// Several limiters, with a relay between each two.
+struct Cluster {
     configs: Vec<Value>,
     programs: Vec<Option<Program>>,
     links: HashMap<(usize, usize), UdpLink>,
     _keys: KeyFolder,
 }
 
-/// A folder of key files, gone with the test.
+/// A folder of key files that is removed with the test.
 struct KeyFolder(std::path::PathBuf);
 
 impl KeyFolder {
@@ -42,8 +42,8 @@
 const FIRST: &str = "0123456789abcdef0123456789abcdef";
 const SECOND: &str = "fedcba9876543210fedcba9876543210";
 
-impl Village {
-    fn start(size: usize, lose: u32) -> Village {
+impl Cluster {
+    fn start(size: usize, loss_percent: u32) -> Cluster {
         let keys = KeyFolder::new();
         let file = keys.write("first", FIRST);
         let places: Vec<SocketAddr> = (0..size).map(|_| free_address()).collect();
@@ -51,14 +51,14 @@
         for (i, one) in places.iter().enumerate() {
             for (j, other) in places.iter().enumerate().skip(i + 1) {
                 let link = UdpLink::between(*one, *other, (i * size + j) as u64);
-                let weather = Weather {
-                    lose,
+                let conditions = Weather {
+                    lose: loss_percent,
                     repeat: 10,
                     reorder: 5,
                     ..Weather::default()
                 };
-                link.there.set(weather);
-                link.back.set(weather);
+                link.there.set(conditions);
+                link.back.set(conditions);
                 links.insert((i, j), link);
             }
         }
@@ -83,7 +83,7 @@
             .iter()
             .map(|config| Some(Program::start(config)))
             .collect();
-        Village {
+        Cluster {
             configs,
             programs,
             links,
@@ -91,7 +91,7 @@
         }
     }
 
-    fn told(&self, i: usize) -> Value {
+    fn status(&self, i: usize) -> Value {
         let ops: SocketAddr = self.configs[i]["ops"]
             .as_str()
             .expect("text")
@@ -99,16 +99,16 @@
             .expect("an address");
         let answer = Client::connect(ops)
             .ok()
-            .and_then(|mut door| door.call("GET /mesh HTTP/1.1\r\nHost: ops\r\n\r\n"));
+            .and_then(|mut client| client.call("GET /mesh HTTP/1.1\r\nHost: ops\r\n\r\n"));
         answer
             .and_then(|answer| serde_json::from_str(&answer.body).ok())
             .unwrap_or_default()
     }
 
-    /// The names of the limiters that `i` counts among the living.
+    /// The names of the limiters that limiter `i` considers alive.
     fn alive(&self, i: usize) -> Vec<String> {
-        let told = self.told(i);
-        let limiters = told["limiters"].as_array().cloned().unwrap_or_default();
+        let status = self.status(i);
+        let limiters = status["limiters"].as_array().cloned().unwrap_or_default();
         let alive = limiters.iter().filter(|one| one["alive"] == true);
         let mut names: Vec<String> = alive
             .filter_map(|one| Some(one["name"].as_str()?.to_owned()))
@@ -117,46 +117,49 @@
         names
     }
 
-    /// Waits until each of `who` counts just these among the living.
-    fn until(&self, who: &[usize], alive: &[usize]) {
+    /// Waits until each of `observers` considers exactly these alive.
+    fn wait_until_alive(&self, observers: &[usize], alive: &[usize]) {
         let names: Vec<String> = alive.iter().map(|i| format!("n{i}")).collect();
         let reached = (0..600).any(|_| {
             thread::sleep(Duration::from_millis(50));
-            who.iter().all(|&i| self.alive(i) == names)
+            observers.iter().all(|&i| self.alive(i) == names)
         });
         assert!(
             reached,
-            "{names:?} wanted of {who:?}, {:?}",
-            who.iter().map(|&i| self.alive(i)).collect::<Vec<_>>()
+            "{names:?} expected by {observers:?}, {:?}",
+            observers.iter().map(|&i| self.alive(i)).collect::<Vec<_>>()
         );
     }
 
     fn signal(&self, i: usize, name: &str) {
-        self.programs[i].as_ref().expect("it runs").signal(name);
+        self.programs[i]
+            .as_ref()
+            .expect("a running limiter")
+            .signal(name);
     }
 
-    fn cut(&self, sides: impl Fn(usize) -> usize, cut: bool) {
+    fn partition(&self, sides: impl Fn(usize) -> usize, cut: bool) {
         for ((i, j), link) in &self.links {
             if sides(*i) != sides(*j) {
-                let weather = Weather {
+                let conditions = Weather {
                     cut,
                     ..Weather::default()
                 };
-                link.there.set(weather);
-                link.back.set(weather);
+                link.there.set(conditions);
+                link.back.set(conditions);
             }
         }
     }
 }
 
-/// Five processes, one datagram in five lost and others repeated: they find one another; one that is killed is noticed
-/// and comes back as a new life, one that is asked to stop is gone at once, one that stands still is taken in again.
+/// Five processes, one datagram in five lost and others repeated: they find one another; one that is killed is detected
+/// and comes back as a new incarnation, one that is stopped leaves at once, one that is stalled rejoins.
 #[test]
-fn processes_find_one_another_and_notice_who_is_gone() {
-    let mut village = Village::start(5, 20);
-    village.until(&[0, 1, 2, 3, 4], &[0, 1, 2, 3, 4]);
-    let life = |village: &Village| {
-        let limiters = village.told(0)["limiters"]
+fn cluster_detects_killed_stalled_and_stopped_processes() {
+    let mut cluster = Cluster::start(5, 20);
+    cluster.wait_until_alive(&[0, 1, 2, 3, 4], &[0, 1, 2, 3, 4]);
+    let incarnation = |cluster: &Cluster| {
+        let limiters = cluster.status(0)["limiters"]
             .as_array()
             .cloned()
             .unwrap_or_default();
@@ -165,60 +168,61 @@
             .find(|one| one["name"] == "n2")
             .and_then(|one| one["incarnation"].as_u64())
     };
-    let before = life(&village).expect("it is known");
-    village.signal(2, "-KILL");
-    village.programs[2] = None;
-    village.signal(4, "-STOP");
-    village.until(&[0, 1, 3], &[0, 1, 3]);
-    village.programs[2] = Some(Program::start(&village.configs[2]));
-    village.signal(4, "-CONT");
-    village.until(&[0, 1, 2, 3, 4], &[0, 1, 2, 3, 4]);
+    let before = incarnation(&cluster).expect("a known limiter");
+    cluster.signal(2, "-KILL");
+    cluster.programs[2] = None;
+    cluster.signal(4, "-STOP");
+    cluster.wait_until_alive(&[0, 1, 3], &[0, 1, 3]);
+    cluster.programs[2] = Some(Program::start(&cluster.configs[2]));
+    cluster.signal(4, "-CONT");
+    cluster.wait_until_alive(&[0, 1, 2, 3, 4], &[0, 1, 2, 3, 4]);
     assert!(
-        life(&village).is_some_and(|now| now > before),
-        "the same life"
+        incarnation(&cluster).is_some_and(|now| now > before),
+        "the same incarnation"
     );
-    village.signal(3, "-TERM");
-    village.until(&[0, 1, 2, 4], &[0, 1, 2, 4]);
-    let dropped = &village.told(0)["dropped"];
+    cluster.signal(3, "-TERM");
+    cluster.wait_until_alive(&[0, 1, 2, 4], &[0, 1, 2, 4]);
+    let dropped = &cluster.status(0)["dropped"];
     assert!(
         dropped["repeated"].as_u64().is_some_and(|count| count > 0),
         "{dropped}"
     );
 }
 
-/// A cut that lasts: each side goes on with those it has, and both are one again once it heals.
+/// In a lasting network partition each side continues with its members; both sides merge once it heals.
 #[test]
-fn a_cut_makes_two_sides_and_its_healing_one() {
-    let village = Village::start(4, 0);
-    village.until(&[0, 1, 2, 3], &[0, 1, 2, 3]);
-    village.cut(|i| i / 2, true);
-    village.until(&[0, 1], &[0, 1]);
-    village.until(&[2, 3], &[2, 3]);
-    village.cut(|i| i / 2, false);
-    village.until(&[0, 1, 2, 3], &[0, 1, 2, 3]);
+fn partitioned_cluster_continues_and_merges_after_healing() {
+    let cluster = Cluster::start(4, 0);
+    cluster.wait_until_alive(&[0, 1, 2, 3], &[0, 1, 2, 3]);
+    cluster.partition(|i| i / 2, true);
+    cluster.wait_until_alive(&[0, 1], &[0, 1]);
+    cluster.wait_until_alive(&[2, 3], &[2, 3]);
+    cluster.partition(|i| i / 2, false);
+    cluster.wait_until_alive(&[0, 1, 2, 3], &[0, 1, 2, 3]);
 }
 
-/// A stranger's key, noise and oversized datagrams change nothing and are counted by cause; a key is given out, then
-/// signs, then the old one goes, and nobody is lost on the way. A file that can't be read leaves the keys as they are.
+/// Datagrams with another key, random bytes and oversized datagrams change nothing and are counted by reason; a new key
+/// is distributed, then signs, then the old one is removed, and no member is lost meanwhile. A file that can't be read
+/// leaves the keys as they are.
 #[test]
-fn strangers_change_nothing_and_keys_rotate() {
-    let mut village = Village::start(3, 0);
-    village.until(&[0, 1, 2], &[0, 1, 2]);
-    let first = village.configs[0]["mesh"]["keys"][0]["file"].clone();
-    let second = village._keys.write("second", SECOND);
-    let mut stranger = village.configs[2].clone();
-    (stranger["listen"], stranger["ops"]) = (
+fn datagrams_without_the_key_change_nothing_and_keys_rotate() {
+    let mut cluster = Cluster::start(3, 0);
+    cluster.wait_until_alive(&[0, 1, 2], &[0, 1, 2]);
+    let first = cluster.configs[0]["mesh"]["keys"][0]["file"].clone();
+    let second = cluster._keys.write("second", SECOND);
+    let mut outsider = cluster.configs[2].clone();
+    (outsider["listen"], outsider["ops"]) = (
         free_address().to_string().into(),
         free_address().to_string().into(),
     );
-    stranger["name"] = "stranger".into();
-    stranger["mesh"]["listen"] = free_address().to_string().into();
-    stranger["mesh"]["routes"] = json!({});
-    stranger["mesh"]["keys"] = json!([{"id": 1, "file": second}]);
-    let stranger = Program::start(&stranger);
+    outsider["name"] = "outsider".into();
+    outsider["mesh"]["listen"] = free_address().to_string().into();
+    outsider["mesh"]["routes"] = json!({});
+    outsider["mesh"]["keys"] = json!([{"id": 1, "file": second}]);
+    let outsider = Program::start(&outsider);
     let socket = UdpSocket::bind("127.0.0.1:0").expect("a free port");
-    let target = village.configs[0]["mesh"]["listen"].as_str().expect("text");
-    for noise in [
+    let target = cluster.configs[0]["mesh"]["listen"].as_str().expect("text");
+    for datagram in [
         &[1, 1, 2, 3][..],
         &[9; 60],
         &[1; 1201],
@@ -226,63 +230,63 @@
             1, 9, 9, 9, 9, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1,
         ],
     ] {
-        socket.send_to(noise, target).expect("sent");
+        socket.send_to(datagram, target).expect("sent");
     }
     let counted = (0..400).any(|_| {
         thread::sleep(Duration::from_millis(50));
-        let dropped = &village.told(0)["dropped"];
+        let dropped = &cluster.status(0)["dropped"];
         ["forged", "malformed", "oversized", "other_form"]
             .iter()
             .all(|why| dropped[*why].as_u64() > Some(0))
     });
-    assert!(counted, "{}", village.told(0)["dropped"]);
-    drop(stranger);
-    assert_eq!(village.alive(0), ["n0", "n1", "n2"]);
+    assert!(counted, "{}", cluster.status(0)["dropped"]);
+    drop(outsider);
+    assert_eq!(cluster.alive(0), ["n0", "n1", "n2"]);
     let both = json!([{"id": 1, "file": first}, {"id": 2, "file": second}]);
     let missing = json!([{"id": 3, "file": "/nowhere/key"}]);
-    for (keys, signs) in [
+    for (keys, signing_id) in [
         (&missing, 3),
         (&both, 1),
         (&both, 2),
         (&json!([{"id": 2, "file": second}]), 2),
     ] {
         for i in 0..3 {
-            village.configs[i]["mesh"]["keys"] = keys.clone();
-            village.configs[i]["mesh"]["sign_with"] = signs.into();
-            village.programs[i]
+            cluster.configs[i]["mesh"]["keys"] = keys.clone();
+            cluster.configs[i]["mesh"]["sign_with"] = signing_id.into();
+            cluster.programs[i]
                 .as_ref()
-                .expect("it runs")
-                .turn(&village.configs[i].to_string());
+                .expect("a running limiter")
+                .turn(&cluster.configs[i].to_string());
         }
         thread::sleep(Duration::from_millis(700));
     }
-    village.until(&[0, 1, 2], &[0, 1, 2]);
-    let dropped = |village: &Village| village.told(0)["dropped"]["unknown_key"].as_u64();
-    // All sign with the second by now: who starts with the first alone is a stranger.
-    let before = dropped(&village);
-    village.programs[2] = None;
-    village.configs[2]["mesh"]["keys"] = json!([{"id": 1, "file": first}]);
-    village.configs[2]["mesh"]["sign_with"] = 1.into();
-    village.programs[2] = Some(Program::start(&village.configs[2]));
-    village.until(&[0, 1], &[0, 1]);
-    assert!(dropped(&village) > before);
+    cluster.wait_until_alive(&[0, 1, 2], &[0, 1, 2]);
+    let dropped = |cluster: &Cluster| cluster.status(0)["dropped"]["unknown_key"].as_u64();
+    // All sign with the second key by now: a limiter with the first key alone is an outsider.
+    let before = dropped(&cluster);
+    cluster.programs[2] = None;
+    cluster.configs[2]["mesh"]["keys"] = json!([{"id": 1, "file": first}]);
+    cluster.configs[2]["mesh"]["sign_with"] = 1.into();
+    cluster.programs[2] = Some(Program::start(&cluster.configs[2]));
+    cluster.wait_until_alive(&[0, 1], &[0, 1]);
+    assert!(dropped(&cluster) > before);
 }
 
-/// Without the section there is nothing of it: the door says so.
+/// Without the section the admin endpoint answers that there is no mesh.
 #[test]
-fn without_its_section_there_is_no_mesh() {
+fn mesh_status_without_section_is_not_found() {
     let mut config = config(&[]);
     let ops = free_address();
     config["ops"] = ops.to_string().into();
     let _program = Program::start(&config);
     let answer = Client::connect(ops)
-        .expect("the door")
+        .expect("the admin endpoint")
         .call("GET /mesh HTTP/1.1\r\nHost: ops\r\n\r\n");
     assert_eq!(answer.map(|answer| answer.status()), Some(404));
 }
 
 #[test]
-fn a_key_that_can_not_be_read_ends_the_start_by_its_name() {
+fn unreadable_key_file_ends_the_start_with_its_name() {
     let mut config = config(&[]);
     config["mesh"] =
         json!({"listen": free_address().to_string(), "keys": [{"id": 1, "file": "/nowhere/key"}]});
--- a/crates/merlinreel/tests/sockets/stop.rs
+++ b/crates/merlinreel/tests/sockets/stop.rs
@@ -171,11 +171,11 @@
         let figures = merlinreel::telemetry::metrics::Figures::new(&station.terms.wire.classes);
         let (_tune, settings) = tokio::sync::watch::channel(station.terms.clone());
         let (_turn, discovery) = tokio::sync::watch::channel(station.discovery);
-        let (_reground, ground) = tokio::sync::watch::channel(None);
+        let (_mesh_changed, mesh) = tokio::sync::watch::channel(None);
         let turns = merlinreel::Turns {
             settings,
             discovery,
-            ground,
+            mesh,
         };
         let runtime = tokio::runtime::Builder::new_current_thread()
             .enable_all()
