--- a/crates/merlinreel-mesh/src/node/contacts.rs
+++ b/crates/merlinreel-mesh/src/node/contacts.rs
@@ -29,7 +29,7 @@
         &self.seeds
     }
 
-    /// Remembers a departed member; beyond the maximum the one that departed first is forgotten.
+    /// Remembers a departed member; above the maximum the one that departed first is forgotten.
     pub fn add_departed(&mut self, address: SocketAddrV4) {
         if self.departed.contains(&address) {
             return;
--- a/crates/merlinreel-mesh/src/node/transport.rs
+++ b/crates/merlinreel-mesh/src/node/transport.rs
@@ -1,4 +1,4 @@
-//! Turns messages into signed datagrams within the send budget, and back.
+//! Encodes messages as signed datagrams within the send budget, and decodes received ones.
 
 use crate::authenticator::{Authenticator, MAX_DATAGRAM_BYTES, MAX_OVERHEAD_BYTES};
 use crate::error::DropReason;
--- a/crates/merlinreel/src/mesh/tasks.rs
+++ b/crates/merlinreel/src/mesh/tasks.rs
@@ -15,7 +15,7 @@
 const PUBLISH_INTERVAL: Duration = Duration::from_secs(2);
 /// Time for the last datagrams to be sent before the process ends.
 const LEAVE_GRACE: Duration = Duration::from_millis(30);
-/// How many seconds' worth of bytes may be sent in one burst.
+/// The size of a burst, as the time in which the send budget refills by as much, in seconds.
 const BURST_SECONDS: u32 = 4;
 
 /// The tasks of a limiter that is a member of the mesh.
--- a/crates/merlinreel/src/mesh/tests.rs
+++ b/crates/merlinreel/src/mesh/tests.rs
@@ -86,3 +86,16 @@
     assert_eq!(minimal.advertised, None);
     assert_eq!(minimal.bytes_per_second, 8000);
 }
+
+#[test]
+fn mesh_config_with_other_keys_is_reloaded_and_with_another_address_needs_a_restart() {
+    let parse = |text: &str| serde_json::from_str::<MeshConfig>(text).expect("a section");
+    let mut present = parse(r#"{"listen": "127.0.0.1:1", "keys": [{"id": 1, "file": "/k"}]}"#);
+    let other_keys =
+        parse(r#"{"listen": "127.0.0.1:1", "keys": [{"id": 2, "file": "/l"}], "sign_with": 2}"#);
+    let other_address = parse(r#"{"listen": "127.0.0.1:2", "keys": [{"id": 1, "file": "/k"}]}"#);
+    assert!(!present.needs_restart(&other_keys));
+    assert!(present.needs_restart(&other_address));
+    present.reload_from(other_keys.clone());
+    assert_eq!(present, other_keys);
+}
