--- a/crates/merlinreel/src/lib.rs
+++ b/crates/merlinreel/src/lib.rs
@@ -65,7 +65,7 @@
 /// What the operators' door tells.
 struct Told {
     client_listener: Arc<client::ClientListener>,
-    mesh: Option<merlinreel_mesh::shell::Mesh>,
+    mesh: Option<merlinreel_mesh::runtime::Mesh>,
     metrics: Arc<telemetry::metrics::Metrics>,
 }
 
@@ -77,7 +77,7 @@
         self.metrics.text(self.client_listener.in_flight())
     }
     fn mesh(&self) -> Option<String> {
-        self.mesh.as_ref().map(|mesh| mesh::told(mesh).to_string())
+        self.mesh.as_ref().map(mesh::status_json)
     }
 }
 
@@ -87,8 +87,8 @@
     pub settings: watch::Receiver<merlinreel_settings::Settings>,
     /// Where the server list is watched.
     pub discovery: watch::Receiver<SocketAddr>,
-    /// The mesh's keys are read again at each word of it.
-    pub ground: watch::Receiver<Option<mesh::Ground>>,
+    /// The mesh's key files are read again at each change.
+    pub mesh: watch::Receiver<Option<mesh::MeshConfig>>,
 }
 
 /// Runs one limiter until `stop` ends and what it then holds is answered; `turns` tell what
@@ -105,7 +105,7 @@
     let ReloadChannels {
         settings: mut tunes,
         discovery,
-        ground: mut grounds,
+        mesh: mesh_configs,
     } = turns;
     let config::GatewayConfig {
         name,
@@ -118,7 +118,7 @@
         settings,
         cached_endpoints,
         unknown_keys,
-        mesh: ground,
+        mesh: mesh_config,
         ..
     } = station;
     unknown_keys
@@ -193,29 +193,19 @@
     let client_listener =
         client::ClientListener::new(limits.clone(), active_settings, queue, metrics.clone());
     let first = timeout(limits.endpoints.first_list_timeout, first);
-    let taking = match &ground {
-        Some(ground) => {
+    let mesh_tasks = match &mesh_config {
+        Some(config) => {
             let serving = client_listener.clone();
-            let taking =
-                mesh::Taking::begin(ground, name, seed, move || serving.is_serving()).await;
-            Some(taking.map_err(io::Error::other)?)
+            let started =
+                mesh::MeshTasks::start(config, name, seed, move || serving.is_serving()).await;
+            Some(started.map_err(io::Error::other)?)
         }
         None => None,
     };
-    if let Some(mesh) = taking.as_ref().map(|taking| taking.mesh.clone()) {
-        others.push(tokio::spawn(async move {
-            while grounds.changed().await.is_ok() {
-                let Some(ground) = grounds.borrow_and_update().clone() else {
-                    continue;
-                };
-                match ground.keys() {
-                    Ok(keys) => mesh.rekey(keys),
-                    Err(error) => log!("{error}; the keys before stand"),
-                }
-            }
-        }));
+    let mesh = mesh_tasks.as_ref().map(|tasks| tasks.handle().clone());
+    if let Some(mesh) = mesh.clone() {
+        others.push(tokio::spawn(mesh::reload_keys(mesh, mesh_configs)));
     }
-    let told = taking.as_ref().map(|taking| taking.mesh.clone());
     if let Some(at) = ops {
         let listener = bound(limits.listener.bind_timeout, async || {
             TcpListener::bind(at).await
@@ -227,7 +217,7 @@
             limits,
             Arc::new(Told {
                 client_listener: client_listener.clone(),
-                mesh: told,
+                mesh,
                 metrics,
             }),
         )));
@@ -241,8 +231,8 @@
         client_listener.attend(listener, inherited, stop).await
     };
     let ended = attended(client_listener, &mut driving).await;
-    if let Some(taking) = taking {
-        taking.end().await;
+    if let Some(tasks) = mesh_tasks {
+        tasks.stop().await;
     }
     others
         .iter()
--- a/crates/merlinreel/tests/sockets/stop.rs
+++ b/crates/merlinreel/tests/sockets/stop.rs
@@ -172,11 +172,11 @@
             merlinreel::telemetry::metrics::Metrics::new(&station.settings.sockets.classes);
         let (_tune, settings) = tokio::sync::watch::channel(station.settings.clone());
         let (_turn, discovery) = tokio::sync::watch::channel(station.discovery);
-        let (_reground, ground) = tokio::sync::watch::channel(None);
+        let (_mesh_changed, mesh) = tokio::sync::watch::channel(None);
         let turns = merlinreel::ReloadChannels {
             settings,
             discovery,
-            ground,
+            mesh,
         };
         let runtime = tokio::runtime::Builder::new_current_thread()
             .enable_all()
