--- a/crates/merlinreel/src/admin/tests.rs
+++ b/crates/merlinreel/src/admin/tests.rs
@@ -24,3 +24,40 @@
         status
     );
 }
+
+#[test_case("/healthcheck", true, "HTTP/1.1 200 OK", "yes\n" ; "serving")]
+#[test_case("/healthcheck", false, "HTTP/1.1 503 Service Unavailable", "no\n" ; "not serving")]
+#[test_case("/stats", true, "HTTP/1.1 200 OK", "limiter.in_flight:0|g\n" ; "stats")]
+#[test_case("/mesh", true, "HTTP/1.1 404 Not Found", "this limiter has no section mesh\n" ; "no mesh")]
+#[test_case("/other", true, "HTTP/1.1 404 Not Found", "not here: /healthcheck, /stats, /mesh\n" ; "another path")]
+#[tokio::test]
+async fn call_over_a_socket_has_its_literal_response(
+    path: &str,
+    is_serving: bool,
+    first: &str,
+    body: &str,
+) {
+    use tokio::io::{AsyncReadExt, AsyncWriteExt};
+    let settings = merlinreel_settings::Paths::from_json(&serde_json::json!({}))
+        .and_then(|paths| merlinreel_settings::Settings::read(&paths))
+        .expect("sound");
+    let limits = Limits::new(1024, 192, &settings).expect("room");
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("bound");
+    let address = listener.local_addr().expect("bound");
+    let serving = tokio::spawn(attend(listener, limits, Arc::new(Told(is_serving))));
+    let mut client = tokio::net::TcpStream::connect(address).await.expect("up");
+    let call = format!("GET {path} HTTP/1.1\r\nHost: limiter\r\n\r\n");
+    client.write_all(call.as_bytes()).await.expect("written");
+    let mut text = String::new();
+    client.read_to_string(&mut text).await.expect("read");
+    serving.abort();
+    let (head, date) = text.split_once("date: ").expect("a date");
+    assert_eq!(
+        head,
+        format!(
+            "{first}\r\nconnection: close\r\ncontent-length: {}\r\n",
+            body.len()
+        )
+    );
+    assert_eq!(date.split_once("\r\n\r\n").expect("a body").1, body);
+}
--- a/crates/merlinreel/src/client/tests.rs
+++ b/crates/merlinreel/src/client/tests.rs
@@ -1,4 +1,5 @@
 mod reading;
+mod response_heads;
 
 use super::connection::{ClientConnection, Times, lock, who_gives_way};
 use super::*;
--- a/crates/merlinreel/src/telemetry/metrics/tests.rs
+++ b/crates/merlinreel/src/telemetry/metrics/tests.rs
@@ -32,3 +32,29 @@
         "{text}"
     );
 }
+
+#[test]
+fn stats_have_their_literal_text() {
+    let metrics = Metrics::new(&["look".to_owned()]);
+    for (status, times) in [(200, 4), (429, 3), (502, 2)] {
+        (0..times).for_each(|_| metrics.answered("look", Outcome::of(status)));
+    }
+    metrics.attempted("look");
+    metrics.reloaded(true);
+    metrics.reloaded(false);
+    metrics.servers_known.store(10, Ordering::Relaxed);
+    metrics.servers_excluded.store(6, Ordering::Relaxed);
+    assert_eq!(
+        metrics.text(14),
+        "limiter.requests.look.served:4|c\n\
+        limiter.requests.look.refused:3|c\n\
+        limiter.requests.look.failed:2|c\n\
+        limiter.requests.look.attempts:1|c\n\
+        limiter.in_flight:14|g\n\
+        limiter.attempts:1|c\n\
+        limiter.servers_known:10|g\n\
+        limiter.servers_excluded:6|g\n\
+        limiter.reloads_ok:1|c\n\
+        limiter.reloads_failed:1|c\n"
+    );
+}
