--- a/crates/merlinreel/src/admin.rs
+++ b/crates/merlinreel/src/admin.rs
@@ -1,13 +1,18 @@
-//! The operators' door: HTTP/1.1, one call to a connection. `GET /healthcheck` says whether this process can
-//! serve (200, or 503 once it stops); `GET /stats` gives the figures, `GET /mesh` who takes part in the mesh. Another path is 404, another method 405.
-//! Each connection is its own task and must bring a whole call within `Limits::ops_call`, so that a caller who
-//! stalls delays nobody; at most `Limits::ops_connections` are open, and a newcomer beyond that ends the oldest.
+//! The admin endpoint: HTTP/1.1, one call to a connection. `GET /healthcheck` says whether this process can
+//! serve (200, or 503 once it shuts down), `GET /stats` has the metrics, `GET /mesh` the members of the mesh. Another path is
+//! 404, another method 405.
+//!
+//! Each connection is a task of its own and must bring a complete call within [`AdminLimits::call_timeout`], so that a
+//! stalled caller delays nobody; at most [`AdminLimits::max_connections`] are open, and a new one over that ends the oldest.
+//!
+//! [`AdminLimits::call_timeout`]: crate::config::limits::AdminLimits::call_timeout
+//! [`AdminLimits::max_connections`]: crate::config::limits::AdminLimits::max_connections
 
-use crate::client::decode::respond;
 use crate::config::limits::Limits;
 use crate::log;
 use crate::net::backoff::Backoff;
 use crate::net::observed_stream::{ObservedStream, Unobserved};
+use crate::net::text_response::text_response;
 use http_body_util::Full;
 use hyper::body::{Bytes, Incoming};
 use hyper::server::conn::http1::Builder;
@@ -17,88 +22,95 @@
 use std::collections::VecDeque;
 use std::convert::Infallible;
 use std::sync::Arc;
-use tokio::net::TcpListener;
+use std::time::Duration;
+use tokio::net::{TcpListener, TcpStream};
 use tokio::task::JoinHandle;
 use tokio::time::timeout;
 
-/// What the door tells: whether the process serves, and the figures as text.
+/// What the admin endpoint reports.
 pub trait AdminStatus: Send + Sync + 'static {
+    /// Whether the process serves requests.
     fn is_serving(&self) -> bool;
+    /// The text of `/stats`.
     fn stats(&self) -> String;
-    /// What is known of the mesh, as JSON; none where this limiter takes no part.
+    /// The members of the mesh as JSON; `None` where this limiter takes no part in one.
     fn mesh(&self) -> Option<String> {
         None
     }
 }
 
-/// Answers one call.
-pub fn answer(method: &Method, path: &str, status: &dyn AdminStatus) -> Response<Full<Bytes>> {
+/// The response to one call.
+pub fn respond(method: &Method, path: &str, status: &dyn AdminStatus) -> Response<Full<Bytes>> {
     match (path, method == Method::GET) {
         ("/healthcheck" | "/stats" | "/mesh", false) => {
-            respond(StatusCode::METHOD_NOT_ALLOWED, "GET only\n".to_owned())
+            text_response(StatusCode::METHOD_NOT_ALLOWED, "GET only\n".to_owned())
         }
         ("/healthcheck", true) if status.is_serving() => {
-            respond(StatusCode::OK, "yes\n".to_owned())
+            text_response(StatusCode::OK, "yes\n".to_owned())
         }
-        ("/healthcheck", true) => respond(StatusCode::SERVICE_UNAVAILABLE, "no\n".to_owned()),
-        ("/stats", true) => respond(StatusCode::OK, status.stats()),
+        ("/healthcheck", true) => text_response(StatusCode::SERVICE_UNAVAILABLE, "no\n".to_owned()),
+        ("/stats", true) => text_response(StatusCode::OK, status.stats()),
         ("/mesh", true) => match status.mesh() {
-            Some(text) => respond(StatusCode::OK, text + "\n"),
-            None => respond(
+            Some(text) => text_response(StatusCode::OK, text + "\n"),
+            None => text_response(
                 StatusCode::NOT_FOUND,
                 "this limiter has no section mesh\n".to_owned(),
             ),
         },
-        _ => respond(
+        _ => text_response(
             StatusCode::NOT_FOUND,
             "not here: /healthcheck, /stats, /mesh\n".to_owned(),
         ),
     }
 }
 
-/// Serves the door until the task is dropped.
-pub async fn attend(listener: TcpListener, limits: Limits, status: Arc<dyn AdminStatus>) {
-    let mut open: VecDeque<JoinHandle<()>> = VecDeque::new();
+/// Serves the admin endpoint until the task is dropped.
+pub async fn serve(listener: TcpListener, limits: Limits, status: Arc<dyn AdminStatus>) {
+    let mut connections: VecDeque<JoinHandle<()>> = VecDeque::new();
     let mut backoff = Backoff::default();
     loop {
         let stream = match listener.accept().await {
             Ok((stream, _)) => stream,
             Err(error) => {
                 log!("ops: {error}");
-                // Guards against a loop that spins while descriptors are out.
+                // Without descriptors this would spin.
                 backoff.pause().await;
                 continue;
             }
         };
         backoff.reset();
-        open.retain(|task| !task.is_finished());
-        // Guards against callers who hold connections and never call: the oldest gives way to who comes.
-        while open.len() >= limits.admin.max_connections {
-            open.pop_front().into_iter().for_each(|task| task.abort());
+        connections.retain(|task| !task.is_finished());
+        while connections.len() >= limits.admin.max_connections {
+            if let Some(oldest) = connections.pop_front() {
+                oldest.abort();
+            }
         }
-        let status = status.clone();
-        let call = limits.admin.call_timeout;
-        open.push_back(tokio::spawn(async move {
-            let _ = stream.set_nodelay(true);
-            let service = service_fn(move |request: Request<Incoming>| {
-                let status = status.clone();
-                async move {
-                    Ok::<_, Infallible>(answer(request.method(), request.uri().path(), &*status))
-                }
-            });
-            let connection = Builder::new()
-                .keep_alive(false)
-                .timer(TokioTimer::new())
-                .header_read_timeout(call)
-                .serve_connection(
-                    TokioIo::new(ObservedStream::new(stream, Arc::new(Unobserved))),
-                    service,
-                );
-            // A call whose body never ends is cut off, too.
-            let _ = timeout(call * 2, connection).await;
-        }));
+        connections.push_back(tokio::spawn(serve_connection(
+            stream,
+            limits.admin.call_timeout,
+            status.clone(),
+        )));
     }
 }
 
+/// Serves the one call of a connection.
+async fn serve_connection(stream: TcpStream, call_timeout: Duration, status: Arc<dyn AdminStatus>) {
+    let _ = stream.set_nodelay(true);
+    let service = service_fn(move |request: Request<Incoming>| {
+        let status = status.clone();
+        async move { Ok::<_, Infallible>(respond(request.method(), request.uri().path(), &*status)) }
+    });
+    let connection = Builder::new()
+        .keep_alive(false)
+        .timer(TokioTimer::new())
+        .header_read_timeout(call_timeout)
+        .serve_connection(
+            TokioIo::new(ObservedStream::new(stream, Arc::new(Unobserved))),
+            service,
+        );
+    // Ends a call whose body never does, too.
+    let _ = timeout(call_timeout * 2, connection).await;
+}
+
 #[cfg(test)]
 mod tests;
--- a/crates/merlinreel/src/admin/tests.rs
+++ b/crates/merlinreel/src/admin/tests.rs
@@ -1,9 +1,9 @@
 use super::*;
 use test_case::test_case;
 
-struct Told(bool);
+struct FixedStatus(bool);
 
-impl AdminStatus for Told {
+impl AdminStatus for FixedStatus {
     fn is_serving(&self) -> bool {
         self.0
     }
@@ -12,15 +12,17 @@
     }
 }
 
-#[test_case("GET", "/healthcheck", true, 200 ; "serves")]
-#[test_case("GET", "/healthcheck", false, 503 ; "stops")]
-#[test_case("GET", "/stats", false, 200 ; "figures")]
+#[test_case("GET", "/healthcheck", true, 200 ; "serving and asked for health")]
+#[test_case("GET", "/healthcheck", false, 503 ; "shutting down")]
+#[test_case("GET", "/stats", false, 200 ; "stats")]
 #[test_case("POST", "/stats", true, 405 ; "another method")]
 #[test_case("GET", "/up", true, 404 ; "another path")]
-fn each_call_has_its_answer(method: &str, path: &str, is_serving: bool, status: u16) {
+fn call_has_its_status(method: &str, path: &str, is_serving: bool, status: u16) {
     let method = Method::from_bytes(method.as_bytes()).expect("a method");
     assert_eq!(
-        answer(&method, path, &Told(is_serving)).status().as_u16(),
+        respond(&method, path, &FixedStatus(is_serving))
+            .status()
+            .as_u16(),
         status
     );
 }
@@ -44,7 +46,7 @@
     let limits = Limits::new(1024, 192, &settings).expect("room");
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("bound");
     let address = listener.local_addr().expect("bound");
-    let serving = tokio::spawn(attend(listener, limits, Arc::new(Told(is_serving))));
+    let serving = tokio::spawn(serve(listener, limits, Arc::new(FixedStatus(is_serving))));
     let mut client = tokio::net::TcpStream::connect(address).await.expect("up");
     let call = format!("GET {path} HTTP/1.1\r\nHost: limiter\r\n\r\n");
     client.write_all(call.as_bytes()).await.expect("written");
--- a/crates/merlinreel/src/client/arrival_times.rs
+++ b/crates/merlinreel/src/client/arrival_times.rs
@@ -1,45 +1,60 @@
-//! When the bytes of a client came, for requests that wait behind others on their connection.
+//! When each byte of a client's connection arrived, for requests that wait behind others on it.
 
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
 
-/// Bytes that came within this count as come with the first of them. It bounds the memory, and is far under what a
-/// client's time is measured in.
-const STEP: Duration = Duration::from_millis(5);
+/// Bytes that arrive within this of one another count as arrived with the first of them, which bounds the memory.
+const RESOLUTION: Duration = Duration::from_millis(5);
 
-/// Positions in the stream of a connection, with the time by which the bytes up to there had come.
+/// The time by which all bytes up to a position in the stream had arrived.
+#[derive(Debug)]
+struct Mark {
+    position: u64,
+    time: Instant,
+}
+
+/// The arrival times of the bytes that were received and not taken yet.
 #[derive(Debug, Default)]
-pub struct Arrivals {
-    marks: VecDeque<(u64, Instant)>,
-    came: u64,
+pub struct ArrivalTimes {
+    marks: VecDeque<Mark>,
+    received: u64,
     taken: u64,
 }
 
-impl Arrivals {
-    /// So many more bytes came.
-    pub fn came(&mut self, bytes: usize, now: Instant) {
-        self.came += bytes as u64;
+impl ArrivalTimes {
+    /// Records that so many more bytes arrived.
+    pub fn record(&mut self, bytes: usize, now: Instant) {
+        self.received += bytes as u64;
         match self.marks.back_mut() {
-            Some((end, at)) if now.duration_since(*at) < STEP => *end = self.came,
-            _ => self.marks.push_back((self.came, now)),
+            Some(last) if now.duration_since(last.time) < RESOLUTION => {
+                last.position = self.received;
+            }
+            _ => self.marks.push_back(Mark {
+                position: self.received,
+                time: now,
+            }),
         }
     }
 
-    /// So many more bytes are read; when the last of them had come.
+    /// Takes the next bytes, and returns when the last of them had arrived.
     pub fn take(&mut self, bytes: usize) -> Option<Instant> {
         self.taken += bytes as u64;
-        while self.marks.front().is_some_and(|(end, _)| *end < self.taken) {
+        while self
+            .marks
+            .front()
+            .is_some_and(|mark| mark.position < self.taken)
+        {
             self.marks.pop_front();
         }
-        let last = self.marks.front().map(|(_, at)| *at);
-        if self.taken == self.came {
+        let last = self.marks.front().map(|mark| mark.time);
+        if self.taken == self.received {
             self.marks.clear();
         }
         last
     }
 
-    /// So many of the bytes taken last are to be taken again.
-    pub fn give_back(&mut self, bytes: usize) {
+    /// Puts back so many of the bytes that were taken last: they will be taken again.
+    pub fn put_back(&mut self, bytes: usize) {
         self.taken = self.taken.saturating_sub(bytes as u64);
     }
 }
--- a/crates/merlinreel/src/client/arrival_times/tests.rs
+++ b/crates/merlinreel/src/client/arrival_times/tests.rs
@@ -1,22 +1,22 @@
 use super::*;
 
 #[test]
-fn bytes_are_as_old_as_their_arrival() {
-    let begun = Instant::now();
-    let at = |milliseconds| begun + Duration::from_millis(milliseconds);
-    let mut arrivals = Arrivals::default();
-    arrivals.came(10, at(0));
-    arrivals.came(10, at(3));
-    arrivals.came(10, at(50));
+fn taken_bytes_have_the_time_of_their_arrival() {
+    let start = Instant::now();
+    let at = |milliseconds| start + Duration::from_millis(milliseconds);
+    let mut arrival_times = ArrivalTimes::default();
+    arrival_times.record(10, at(0));
+    arrival_times.record(10, at(3));
+    arrival_times.record(10, at(50));
     assert_eq!(
-        arrivals.take(15),
+        arrival_times.take(15),
         Some(at(0)),
-        "what follows at once came with the first"
+        "what follows within the resolution arrived with the first"
     );
-    assert_eq!(arrivals.take(5), Some(at(0)));
-    assert_eq!(arrivals.take(1), Some(at(50)));
-    assert_eq!(arrivals.take(9), Some(at(50)));
-    arrivals.came(4, at(90));
-    assert_eq!(arrivals.take(4), Some(at(90)));
-    assert!(arrivals.marks.is_empty());
+    assert_eq!(arrival_times.take(5), Some(at(0)));
+    assert_eq!(arrival_times.take(1), Some(at(50)));
+    assert_eq!(arrival_times.take(9), Some(at(50)));
+    arrival_times.record(4, at(90));
+    assert_eq!(arrival_times.take(4), Some(at(90)));
+    assert!(arrival_times.marks.is_empty());
 }
--- a/crates/merlinreel/src/client/body.rs
+++ b/crates/merlinreel/src/client/body.rs
@@ -1,10 +1,11 @@
-//! Bodies of clients' requests: read whole, within their time and the memory that they share.
+//! Request bodies: read to their end, within their deadline and the memory that all bodies share.
 
-use super::ClientListener;
-use super::connection::{ClientConnection, lock};
-use crate::client::decode::respond;
+use super::connection::ClientConnection;
+use super::listener::ClientListener;
 use crate::config::limits::Limits;
 use crate::log;
+use crate::net::text_response::text_response;
+use crate::sync::lock;
 use http_body_util::{BodyExt, Full};
 use hyper::body::{Body, Bytes, Incoming};
 use hyper::{Response, StatusCode};
@@ -13,109 +14,139 @@
 use tokio::sync::OwnedSemaphorePermit;
 use tokio::time::timeout_at;
 
-/// Why a body is not taken.
+/// Why a request body is not accepted. Clients get the text of some of these in the body of their response.
 #[derive(Debug, Error)]
 pub enum BodyError {
-    #[error("a body of {least} bytes or more is longer than {most}")]
-    TooLong { least: u64, most: usize },
+    /// Longer than any body that is accepted.
+    #[error("a body of {at_least} bytes or more is longer than {limit}")]
+    TooLong {
+        /// Bytes that it has at least.
+        at_least: u64,
+        /// Bytes that it may have.
+        limit: usize,
+    },
+    /// The memory of all bodies is in use.
     #[error("too much in hand")]
-    NoRoom,
+    MemoryExhausted,
+    /// The request's class comes without a body.
     #[error("a repeatable class comes without a body")]
     NotAllowed,
-    #[error("a body was not whole in time")]
-    Late,
+    /// It did not arrive in time.
+    #[error("a request body was incomplete at its deadline")]
+    Incomplete,
+    /// It is malformed, or its connection broke.
     #[error(transparent)]
-    Broken(#[from] hyper::Error),
+    Http(#[from] hyper::Error),
 }
 
-/// How long a body may take. Guards the place against one that never ends.
-pub struct BodyPatience {
-    /// When a whole request is due.
-    pub due: Instant,
-    /// When its client gives up.
-    pub gone: Instant,
-    pub begun: Instant,
+/// How long a request body may take.
+pub struct BodyDeadline {
+    /// When the complete request is due.
+    pub request_due: Instant,
+    /// When its client stops waiting for the response.
+    pub client_deadline: Instant,
+    /// When the limiter began to read it.
+    pub started: Instant,
 }
 
-impl BodyPatience {
-    /// When the next piece must be there, with so many bytes before it: one that comes as fast as the slowest client sends
-    /// has longer than others.
-    fn until(&self, bytes: usize, limits: &Limits) -> Instant {
-        let sent_in = Duration::from_secs_f64(
+impl BodyDeadline {
+    /// When the next frame is due after so many bytes. A body that comes at the minimum rate may take longer than others.
+    fn next_frame_due(&self, bytes: usize, limits: &Limits) -> Instant {
+        let at_minimum_rate = Duration::from_secs_f64(
             bytes as f64 / f64::from(limits.client.min_body_bytes_per_second),
         );
-        self.due
-            .max(self.begun + sent_in + limits.client.max_body_pause)
-            .min(self.gone)
+        self.request_due
+            .max(self.started + at_minimum_rate + limits.client.max_body_pause)
+            .min(self.client_deadline)
     }
 }
 
 impl BodyError {
-    /// What its client is told.
-    pub fn answer(&self) -> Response<Full<Bytes>> {
+    /// The response to the request.
+    pub fn response(&self) -> Response<Full<Bytes>> {
         let status = match self {
             BodyError::TooLong { .. } => {
                 log!("clients: {self}: 413");
-                return respond(StatusCode::PAYLOAD_TOO_LARGE, String::new());
+                return text_response(StatusCode::PAYLOAD_TOO_LARGE, String::new());
             }
-            BodyError::Late => {
+            BodyError::Incomplete => {
                 log!("clients: {self}: 408");
-                return respond(StatusCode::REQUEST_TIMEOUT, String::new());
+                return text_response(StatusCode::REQUEST_TIMEOUT, String::new());
             }
-            BodyError::NoRoom => StatusCode::SERVICE_UNAVAILABLE,
-            BodyError::NotAllowed | BodyError::Broken(_) => StatusCode::BAD_REQUEST,
+            BodyError::MemoryExhausted => StatusCode::SERVICE_UNAVAILABLE,
+            BodyError::NotAllowed | BodyError::Http(_) => StatusCode::BAD_REQUEST,
         };
-        respond(status, format!("{self}\n"))
+        text_response(status, format!("{self}\n"))
     }
 }
 
+/// A complete request body, and the memory that is reserved for it.
+pub struct BufferedBody {
+    /// Its bytes.
+    pub bytes: Bytes,
+    /// Released once nothing of the request is left.
+    pub reserved: OwnedSemaphorePermit,
+}
+
 impl ClientListener {
-    /// The whole of a body and its place in the memory. One that comes in chunks, its length untold, takes its place
-    /// piece by piece; trailers are dropped.
-    pub(super) async fn body(
+    /// Reads a body to its end. Memory for a chunked one, whose length is not announced, is reserved as it comes;
+    /// trailers are dropped.
+    ///
+    /// # Errors
+    ///
+    /// The body is too long, late, malformed or not allowed, or the memory of all bodies is in use.
+    pub(super) async fn read_body(
         &self,
         mut body: Incoming,
         allowed: bool,
-        patience: BodyPatience,
+        deadline: BodyDeadline,
         client_connection: &ClientConnection,
-    ) -> Result<(Bytes, OwnedSemaphorePermit), BodyError> {
-        let (most, least) = (self.limits.max_body_bytes, body.size_hint().lower());
-        if least > most as u64 {
-            return Err(BodyError::TooLong { least, most });
+    ) -> Result<BufferedBody, BodyError> {
+        let limit = self.limits.max_body_bytes;
+        let announced = body.size_hint().lower();
+        if announced > limit as u64 {
+            return Err(BodyError::TooLong {
+                at_least: announced,
+                limit,
+            });
         }
-        let told = least as usize;
-        // Guards the memory against many large bodies at once.
-        let mut room = self.permits.body(told).ok_or(BodyError::NoRoom)?;
-        // Copied: pieces as they are would each keep a whole buffer of the connection's.
-        let mut whole = Vec::with_capacity(told);
+        let mut reserved = self
+            .permits
+            .reserve_body(announced as usize)
+            .ok_or(BodyError::MemoryExhausted)?;
+        // Copied: each frame as it is would keep a buffer of the connection's alive.
+        let mut bytes = Vec::with_capacity(announced as usize);
         loop {
-            let until = patience.until(whole.len(), &self.limits);
-            lock(&client_connection.times).body_due = Some(until);
-            let Some(frame) = timeout_at(until.into(), body.frame())
+            let due = deadline.next_frame_due(bytes.len(), &self.limits);
+            lock(&client_connection.times).body_due = Some(due);
+            let Some(frame) = timeout_at(due.into(), body.frame())
                 .await
-                .map_err(|_| BodyError::Late)?
+                .map_err(|_| BodyError::Incomplete)?
             else {
                 break;
             };
-            let Ok(piece) = frame?.into_data() else {
+            let Ok(data) = frame?.into_data() else {
                 continue;
             };
             if !allowed {
                 return Err(BodyError::NotAllowed);
             }
-            let length = whole.len() + piece.len();
-            if length > most {
+            let length = bytes.len() + data.len();
+            if length > limit {
                 return Err(BodyError::TooLong {
-                    least: length as u64,
-                    most,
+                    at_least: length as u64,
+                    limit,
                 });
             }
-            let beyond = length.saturating_sub(room.num_permits());
-            if !self.permits.grow(&mut room, beyond) {
-                return Err(BodyError::NoRoom);
+            let missing = length.saturating_sub(reserved.num_permits());
+            if !self.permits.extend_body(&mut reserved, missing) {
+                return Err(BodyError::MemoryExhausted);
             }
-            whole.extend_from_slice(&piece);
+            bytes.extend_from_slice(&data);
         }
-        Ok((Bytes::from(whole.into_boxed_slice()), room))
+        Ok(BufferedBody {
+            bytes: Bytes::from(bytes.into_boxed_slice()),
+            reserved,
+        })
     }
 }
--- a/crates/merlinreel/src/client/connection.rs
+++ b/crates/merlinreel/src/client/connection.rs
@@ -1,258 +1,242 @@
-//! One client's connection: what it did last, and who gives way where places are short.
+//! The state of one client connection, shared by its stream, the requests on it, eviction and shutdown.
 
 use super::framing::ObservedHead;
-use super::stream::ClientStream;
 use crate::config::limits::Limits;
 use crate::messages::Event;
 use crate::net::observed_stream::IoObserver;
+use crate::sync::lock;
+use std::sync::Mutex;
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering};
-use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Instant;
-use tokio::io::AsyncWriteExt;
 use tokio::sync::{Notify, mpsc};
 
-/// One client's connection.
+/// One client connection.
 pub struct ClientConnection {
+    /// A request is in flight, or its response is still streaming.
     pub busy: AtomicBool,
-    /// Requests that it sent before.
+    /// Complete requests that it carried.
     pub requests: AtomicUsize,
-    /// It was idle and has to give way.
+    /// It was idle, and was asked to close.
     pub evicted: AtomicBool,
-    /// The limiter's side has ended: nothing is read for a request any more.
+    /// The limiter's side has ended: no request is read any more.
     pub closing: AtomicBool,
-    /// More came behind a request than is kept: some of it was dropped.
-    pub flooded: AtomicBool,
-    /// Bytes that the HTTP library was given, and those of them that make up the requests before the next one.
-    pub handed: AtomicU64,
-    consumed: AtomicU64,
+    /// More arrived behind a request than is kept: some of it was dropped.
+    pub overflowed: AtomicBool,
+    /// Bytes that the HTTP library was given.
+    pub delivered_bytes: AtomicU64,
+    /// Those of them that make up the requests before the next one.
+    consumed_bytes: AtomicU64,
     /// Bytes that were read and that the library was not given yet.
-    pub ahead: AtomicUsize,
-    /// The head that the HTTP library read last has a line of Content-Length.
-    content_length: AtomicBool,
-    pub times: Mutex<Times>,
-    pub close: Notify,
-    /// A place in the queue for the news that the client has left; it can leave but once.
-    pub leaving: Mutex<Option<mpsc::OwnedPermit<Event>>>,
+    pub buffered_bytes: AtomicUsize,
+    /// The head that the HTTP library read last has a Content-Length line.
+    has_content_length: AtomicBool,
+    /// When it last did what.
+    pub times: Mutex<ConnectionTimes>,
+    /// Asks its task to close it.
+    pub close_requested: Notify,
+    /// Reserved capacity of the queue for the event that the client has disconnected, which happens once at most.
+    pub disconnect_event: Mutex<Option<mpsc::OwnedPermit<Event>>>,
 }
 
-/// Since when it waits for a request, since when part of one is there, since when the rest of an answer waits
-/// for the client to read on, and when the head that the HTTP library read last had come.
-pub struct Times {
-    pub arrived: Instant,
+/// When a client connection last did what.
+pub struct ConnectionTimes {
+    /// The head that the HTTP library read last had arrived by then.
+    pub head_arrived_at: Instant,
     /// When the next piece of a body that is being read is due.
     pub body_due: Option<Instant>,
-    pub idle: Instant,
-    pub heard: Option<Instant>,
-    pub held_up: Option<Instant>,
+    /// It waits for a request since then.
+    pub idle_since: Instant,
+    /// Part of a request is there since then.
+    pub partial_since: Option<Instant>,
+    /// The rest of a response waits since then for the client to read on.
+    pub write_blocked_since: Option<Instant>,
 }
 
-impl Times {
-    /// Guards the end of an answer to a client that reads slowly: the job is answered, but its last bytes wait
-    /// here. Who takes none of them for as long as a connection may be idle has gone.
-    pub fn held_up(&self, limits: &Limits) -> bool {
-        self.held_up
+impl ConnectionTimes {
+    /// Whether the end of a response waits for a client that reads slowly. A client that takes none of it for as long as a
+    /// connection may be idle counts as disconnected.
+    pub fn is_write_blocked(&self, limits: &Limits) -> bool {
+        self.write_blocked_since
             .is_some_and(|since| since.elapsed() < limits.client.idle_timeout)
     }
 }
 
+/// Decides which connections are evicted first: the least one is.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct EvictionRank {
+    /// Requests that it carried, up to 2. A client that came back is kept longer, so that many that came once can't
+    /// displace those that come again.
+    requests: usize,
+    idle_since: Instant,
+}
+
 impl ClientConnection {
-    pub fn new(leaving: mpsc::OwnedPermit<Event>) -> ClientConnection {
+    /// A new connection, whose first request is still to come.
+    pub fn new(disconnect_event: mpsc::OwnedPermit<Event>) -> ClientConnection {
         ClientConnection {
             busy: AtomicBool::new(false),
             requests: AtomicUsize::new(0),
             evicted: AtomicBool::new(false),
             closing: AtomicBool::new(false),
-            flooded: AtomicBool::new(false),
-            handed: AtomicU64::new(0),
-            consumed: AtomicU64::new(0),
-            ahead: AtomicUsize::new(0),
-            content_length: AtomicBool::new(false),
-            times: Mutex::new(Times {
-                arrived: Instant::now(),
+            overflowed: AtomicBool::new(false),
+            delivered_bytes: AtomicU64::new(0),
+            consumed_bytes: AtomicU64::new(0),
+            buffered_bytes: AtomicUsize::new(0),
+            has_content_length: AtomicBool::new(false),
+            times: Mutex::new(ConnectionTimes {
+                head_arrived_at: Instant::now(),
                 body_due: None,
-                idle: Instant::now(),
-                heard: None,
-                held_up: None,
+                idle_since: Instant::now(),
+                partial_since: None,
+                write_blocked_since: None,
             }),
-            close: Notify::new(),
-            leaving: Mutex::new(Some(leaving)),
+            close_requested: Notify::new(),
+            disconnect_event: Mutex::new(Some(disconnect_event)),
         }
     }
 
-    /// A head has gone to the HTTP library, which came then.
-    pub fn observe(&self, head: ObservedHead, arrived: Instant) {
-        self.content_length
+    /// Records a head that was given to the HTTP library, and when it had arrived.
+    pub fn record_head(&self, head: ObservedHead, arrived_at: Instant) {
+        self.has_content_length
             .store(head.content_length, Ordering::Relaxed);
-        lock(&self.times).arrived = arrived;
+        lock(&self.times).head_arrived_at = arrived_at;
+    }
+
+    /// What the head showed that the HTTP library read last. That is a request's own head only while the library hands the
+    /// request over: it may read the next head right after.
+    pub fn last_head(&self) -> ObservedHead {
+        ObservedHead {
+            content_length: self.has_content_length.load(Ordering::Relaxed),
+        }
     }
 
-    /// When the head came that the HTTP library read last; see [`ClientConnection::observed`] for whose that is.
-    pub fn arrived(&self) -> Instant {
-        lock(&self.times).arrived
+    /// When the head of [`ClientConnection::last_head`] had arrived.
+    pub fn head_arrived_at(&self) -> Instant {
+        lock(&self.times).head_arrived_at
     }
 
-    /// What the HTTP library was given so far makes up whole requests, or heads with their body to come. The library hands
-    /// a request over with nothing behind its head, and a body in chunks ends with a section.
-    pub fn consume(&self) {
-        self.consumed
-            .store(self.handed.load(Ordering::Relaxed), Ordering::Relaxed);
+    /// Counts all that the HTTP library was given so far as consumed: complete requests, or heads whose body is to come. The
+    /// library hands a request over before it reads anything behind its head, and a chunked body ends with a section.
+    pub fn consume_delivered(&self) {
+        self.consumed_bytes.store(
+            self.delivered_bytes.load(Ordering::Relaxed),
+            Ordering::Relaxed,
+        );
     }
 
-    /// So many bytes more make up the request whose head was consumed last.
-    pub fn extend_consumed(&self, body: u64) {
-        self.consumed.fetch_add(body, Ordering::Relaxed);
+    /// Counts the body of the request whose head was consumed last as consumed.
+    pub fn consume_body(&self, bytes: u64) {
+        self.consumed_bytes.fetch_add(bytes, Ordering::Relaxed);
     }
 
     /// Whether the HTTP library has read part of the next request, or all of it.
-    fn next_begun(&self) -> bool {
-        self.handed.load(Ordering::Relaxed) > self.consumed.load(Ordering::Relaxed)
+    fn next_request_started(&self) -> bool {
+        self.delivered_bytes.load(Ordering::Relaxed) > self.consumed_bytes.load(Ordering::Relaxed)
     }
 
-    /// Whether anything was read behind the request in hand.
-    pub fn more_was_read(&self) -> bool {
-        self.next_begun() || self.ahead.load(Ordering::Relaxed) > 0
+    /// Whether anything was read behind the request in flight.
+    pub fn has_pipelined_input(&self) -> bool {
+        self.next_request_started() || self.buffered_bytes.load(Ordering::Relaxed) > 0
     }
 
-    /// It rests from now on, but for what was read of the next request meanwhile.
-    pub fn rest(&self) {
-        let heard = self.next_begun().then(Instant::now);
+    /// Marks it idle from now on, except for what was read of the next request meanwhile.
+    pub fn mark_idle(&self) {
+        let partial_since = self.next_request_started().then(Instant::now);
         let mut times = lock(&self.times);
-        (times.idle, times.heard, times.body_due) = (Instant::now(), heard, None);
+        times.idle_since = Instant::now();
+        times.partial_since = partial_since;
+        times.body_due = None;
     }
 
-    /// What the head showed that the HTTP library read last. That is the head of a request only while the library hands
-    /// the request over: it may read the next one's right after.
-    pub fn observed(&self) -> ObservedHead {
-        ObservedHead {
-            content_length: self.content_length.load(Ordering::Relaxed),
+    /// Records that part of a request is there, unless a request is in flight.
+    pub fn mark_partial(&self) {
+        if !self.busy.load(Ordering::Relaxed) {
+            lock(&self.times)
+                .partial_since
+                .get_or_insert_with(Instant::now);
         }
     }
 
-    /// The request after this must be whole by then, or the connection closes. Guards the places against who
-    /// never sends one, or never ends it.
-    pub fn due(&self, limits: &Limits) -> Instant {
+    /// When its next request must be complete: it closes then, as one that never sends a request, or never completes it,
+    /// must not keep its place.
+    pub fn request_due(&self, limits: &Limits) -> Instant {
         let times = lock(&self.times);
-        let due = match (self.requests.load(Ordering::Relaxed), times.heard) {
-            (0, _) | (1, None) => times.idle + limits.client.request_timeout,
-            (_, Some(heard)) => heard + limits.client.request_timeout,
-            (_, None) => times.idle + limits.client.idle_timeout,
+        let due = match (self.requests.load(Ordering::Relaxed), times.partial_since) {
+            (0, _) | (1, None) => times.idle_since + limits.client.request_timeout,
+            (_, Some(partial_since)) => partial_since + limits.client.request_timeout,
+            (_, None) => times.idle_since + limits.client.idle_timeout,
         };
         times.body_due.map_or(due, |body_due| due.max(body_due))
     }
 
-    /// Nothing is likely to be on its way here. Guards against dropping a new connection whose first request was
-    /// not read yet: clients send that one again for connections that they used before only.
-    pub fn rests(&self, limits: &Limits) -> bool {
+    /// Whether it can be closed under pressure. A new connection has longer, as its first request may not have been read
+    /// yet: clients repeat a lost request by themselves only on connections that they used before.
+    pub fn is_evictable(&self, limits: &Limits) -> bool {
         let times = lock(&self.times);
-        if times.held_up(limits) {
+        if times.is_write_blocked(limits) {
             return false;
         }
-        let settled = match (times.heard, self.requests.load(Ordering::Relaxed)) {
+        let evict_after = match (times.partial_since, self.requests.load(Ordering::Relaxed)) {
             (Some(_), _) => limits.client.evict_partial_after,
             (None, 0) => limits.client.evict_unused_after,
             (None, _) => limits.client.evict_idle_after,
         };
-        !self.busy.load(Ordering::Relaxed) && times.heard.unwrap_or(times.idle).elapsed() >= settled
+        !self.busy.load(Ordering::Relaxed)
+            && times.partial_since.unwrap_or(times.idle_since).elapsed() >= evict_after
     }
 
-    /// Whether a stop may close it: nothing is in hand, no part of a request is there, no answer waits to be read,
-    /// and it has rested for a while; `late` in the stop, at all. One whose first request is still to come has longer.
-    pub fn may_go(&self, limits: &Limits, late: bool) -> bool {
-        let rest = match self.requests.load(Ordering::Relaxed) {
+    /// Whether a shutdown can close it: no request is in flight, no part of one is there, no response waits to be read, and
+    /// it was idle for a while; any time is enough where `close_idle`. One whose first request is still to come has longer.
+    pub fn can_shut_down(&self, limits: &Limits, close_idle: bool) -> bool {
+        let min_idle = match self.requests.load(Ordering::Relaxed) {
             0 => limits.shutdown.first_request_timeout,
-            _ if late => limits.client.evict_idle_after,
+            _ if close_idle => limits.client.evict_idle_after,
             _ => limits.shutdown.idle_before_close,
         };
         let times = lock(&self.times);
-        times.heard.is_none()
+        times.partial_since.is_none()
             && !self.closing.load(Ordering::Relaxed)
             && !self.busy.load(Ordering::Relaxed)
-            && !times.held_up(limits)
-            && times.idle.elapsed() >= rest
+            && !times.is_write_blocked(limits)
+            && times.idle_since.elapsed() >= min_idle
     }
 
-    /// Has it close, unless something comes meanwhile.
+    /// Asks it to close, unless something arrives meanwhile.
     pub fn evict(&self) {
         self.evicted.store(true, Ordering::Relaxed);
-        self.close.notify_one();
+        self.close_requested.notify_one();
     }
 
-    /// Closes it, for as long as that lingers or until it has to give way.
-    pub async fn close(&self, line: &mut ClientStream) {
-        // An order to close that came before is carried out by this.
-        tokio::select! {
-            biased;
-            () = self.close.notified() => {}
-            () = std::future::ready(()) => {}
-        }
-        tokio::select! {
-            _ = line.shutdown() => {}
-            () = self.close.notified() => {}
+    /// Its place in the order of eviction.
+    pub fn eviction_rank(&self) -> EvictionRank {
+        EvictionRank {
+            requests: self.requests.load(Ordering::Relaxed).min(2),
+            idle_since: lock(&self.times).idle_since,
         }
     }
-
-    /// Who gives way first: who never asked, then who asked once, then the others, the longest idle before.
-    /// Guards those that come back against crowds that stay.
-    pub fn rank(&self) -> (usize, Instant) {
-        (
-            self.requests.load(Ordering::Relaxed).min(2),
-            lock(&self.times).idle,
-        )
-    }
 }
 
 impl IoObserver for ClientConnection {
-    fn read(&self, _: usize) {
-        if !self.busy.load(Ordering::Relaxed) {
-            lock(&self.times).heard.get_or_insert_with(Instant::now);
-        }
+    fn on_read(&self, _: usize) {
+        self.mark_partial();
     }
 
-    fn wrote(&self, _: usize) {
+    fn on_write(&self, _: usize) {
         let mut times = lock(&self.times);
-        if times.held_up.take().is_some() {
-            // It rests from the last byte on.
-            times.idle = Instant::now();
+        if times.write_blocked_since.take().is_some() {
+            // Idle from the last byte on.
+            times.idle_since = Instant::now();
         }
     }
 
-    /// Part of a request is there.
-    fn expects_more(&self) -> bool {
-        !self.busy.load(Ordering::Relaxed) && lock(&self.times).heard.is_some()
-    }
-
-    fn held_up(&self) {
-        // From the first time on: a write is tried again at every turn, read on or not.
-        lock(&self.times).held_up.get_or_insert_with(Instant::now);
+    fn on_write_blocked(&self) {
+        // From the first time on: a write is tried again whenever the connection is polled.
+        lock(&self.times)
+            .write_blocked_since
+            .get_or_insert_with(Instant::now);
     }
-}
-
-pub fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
-    mutex.lock().unwrap_or_else(PoisonError::into_inner)
-}
 
-/// As many idle connections as are there beyond what may stay idle; one that comes back only where all places are
-/// taken. Guards against a front that holds so many connections and no more, which crowds that stay would fill.
-pub fn who_gives_way<'a>(
-    client_connections: impl ExactSizeIterator<Item = &'a Arc<ClientConnection>>,
-    limits: &Limits,
-) -> Vec<&'a ClientConnection> {
-    let all = client_connections.len() + 1;
-    if all <= limits.client.max_idle_connections {
-        return Vec::new();
-    }
-    // What was asked before to give way may still be there.
-    let (leaving, staying): (Vec<_>, Vec<_>) = client_connections
-        .map(Arc::as_ref)
-        .partition(|client_connection| client_connection.evicted.load(Ordering::Relaxed));
-    let mut idle: Vec<&ClientConnection> = staying
-        .into_iter()
-        .filter(|client_connection| client_connection.rests(limits))
-        .collect();
-    if all <= limits.client.max_connections {
-        idle.retain(|client_connection| client_connection.requests.load(Ordering::Relaxed) < 2);
+    fn expects_more(&self) -> bool {
+        !self.busy.load(Ordering::Relaxed) && lock(&self.times).partial_since.is_some()
     }
-    idle.sort_unstable_by_key(|client_connection| client_connection.rank());
-    idle.truncate((all - limits.client.max_idle_connections).saturating_sub(leaving.len()));
-    idle
 }
--- a/crates/merlinreel/src/client/decode/tests.rs
+++ b/crates/merlinreel/src/client/decode/tests.rs
@@ -13,7 +13,9 @@
     ("x-quota", "units=2,spread=2,first=1,odd=4"),
 ];
 
-fn read(uri: &str, changed: (&str, &str)) -> Result<Request, String> {
+/// Decodes a request with [`HEADERS`], one of them changed. A `+` before its name adds the header, an empty value removes it,
+/// and the value `GET` changes the method.
+fn decode_changed(uri: &str, changed: (&str, &str)) -> Result<Request, String> {
     let settings = json!({"balancers": 3, "familyInfo": {"maxUnits": 8}, "packages": [{"name": "solo"}, {"name": "team"}], "classes": [
         {"name": "look", "idempotency": "read_like", "hardLimitS": 1},
         {"name": "put", "idempotency": "idempotency_key", "group": "all", "hardLimitS": 1}]});
@@ -23,14 +25,11 @@
     } else {
         hyper::Request::post(uri)
     };
-    // A `+` before a name: once more.
-    let (name, more) = (
-        changed.0.trim_start_matches('+'),
-        changed.0.starts_with('+'),
-    );
+    let name = changed.0.trim_start_matches('+');
+    let is_added = changed.0.starts_with('+');
     for (name, value) in HEADERS
         .iter()
-        .filter(|(other, _)| more || *other != name)
+        .filter(|(other, _)| is_added || *other != name)
         .chain([&(name, changed.1)])
     {
         if !value.is_empty() && !name.is_empty() {
@@ -38,29 +37,37 @@
         }
     }
     let (head, ()) = request.body(()).expect("sound").into_parts();
-    decode(&head, &settings)
+    decode(&head, &settings).map_err(|error| error.to_string())
 }
 
 #[test]
-fn a_job_is_read_from_its_head() {
-    let job = read(URI, ("x-resent", "1")).expect("sound");
-    assert_eq!((job.customer, job.plan, job.class), (0xb4d6_5521, 1, 1));
+fn head_with_all_headers_is_decoded() {
+    let request = decode_changed(URI, ("x-resent", "1")).expect("sound");
+    assert_eq!(
+        (request.customer, request.plan, request.class),
+        (0xb4d6_5521, 1, 1)
+    );
     assert_eq!(
-        (job.units, job.set_size, job.set_first, job.is_retry),
+        (
+            request.units,
+            request.set_size,
+            request.set_first,
+            request.is_retry
+        ),
         (2.0, 2, 1, true)
     );
-    assert_eq!(job.remaining_time, Duration::from_millis(480));
-    let patient = read(URI, ("x-remaining", "4000000000m")).expect("sound");
+    assert_eq!(request.remaining_time, Duration::from_millis(480));
+    let patient = decode_changed(URI, ("x-remaining", "4000000000m")).expect("sound");
     assert_eq!(patient.remaining_time, Duration::from_secs(1));
 }
 
 #[test]
-fn a_job_may_come_in_chunks() {
-    let chunked = read(URI, ("transfer-encoding", "chunked")).expect("sound");
-    let told = read(URI, ("content-length", "6")).expect("sound");
+fn chunked_request_is_decoded_as_one_with_a_length() {
+    let chunked = decode_changed(URI, ("transfer-encoding", "chunked")).expect("sound");
+    let with_length = decode_changed(URI, ("content-length", "6")).expect("sound");
     assert_eq!(
         (chunked.customer, chunked.class),
-        (told.customer, told.class)
+        (with_length.customer, with_length.class)
     );
 }
 
@@ -68,7 +75,7 @@
 #[test_case(URI, ("x-lane", "look") => "the path and x-lane name two classes" ; "two classes")]
 #[test_case("/odd?key=1", ("x-lane", "") => "class 'odd' is unknown" ; "unknown class")]
 #[test_case(URI, ("x-plan", "gold") => "x-plan: unknown" ; "unknown plan")]
-#[test_case(URI, ("idempotency-key", "") => "idempotency-key is missing" ; "no mark")]
+#[test_case(URI, ("idempotency-key", "") => "idempotency-key is missing" ; "no idempotency key")]
 #[test_case("/put", ("", "") => "key is missing or stands there twice" ; "no customer")]
 #[test_case("/put?key=7&key=8", ("", "") => "key is missing or stands there twice" ; "two customers")]
 #[test_case("/put?key=+7", ("", "") => "key: no customer's number" ; "signed customer")]
@@ -81,23 +88,13 @@
 #[test_case(URI, ("x-quota", "units=+2,spread=1,first=0") => "x-quota: units is no number in range" ; "signed units")]
 #[test_case(URI, ("x-quota", "units=9,spread=1,first=0") => "x-quota: units is no number in range" ; "too many units")]
 #[test_case(URI, ("x-quota", "units=1,units=1") => "x-quota: units stands there twice" ; "units twice")]
-#[test_case(URI, ("x-quota", "units=1,spread=1.5,first=0") => "x-quota: no set among 3 limiters" ; "part of a set")]
+#[test_case(URI, ("x-quota", "units=1,spread=1.5,first=0") => "x-quota: no set among 3 limiters" ; "fractional set")]
 #[test_case(URI, ("x-remaining", "+7m") => "x-remaining: no number with m or u" ; "signed time")]
 #[test_case(URI, ("x-quota", "units=1,spread=0,first=0") => "x-quota: no set among 3 limiters" ; "empty set")]
-#[test_case(URI, ("x-quota", "units=1,spread=1,first=3") => "x-quota: no set among 3 limiters" ; "set beyond")]
+#[test_case(URI, ("x-quota", "units=1,spread=1,first=3") => "x-quota: no set among 3 limiters" ; "set out of range")]
 #[test_case(URI, ("x-quota", "units") => "x-quota: no name=value" ; "no pair")]
-fn what_is_malformed_is_named(uri: &str, changed: (&str, &str)) -> String {
-    read(uri, changed).map(|_| ()).expect_err("malformed")
-}
-
-#[test_case(ClientResponse::Rejected(Some(Duration::from_millis(1250))) => (429, Some("1.250".to_owned())) ; "refused")]
-#[test_case(ClientResponse::Rejected(None) => (429, None) ; "refused without advice")]
-#[test_case(ClientResponse::Failed => (502, None) ; "failed")]
-fn answers(answer: ClientResponse) -> (u16, Option<String>) {
-    let response = encode(answer);
-    let wait = response
-        .headers()
-        .get(RETRY_AFTER)
-        .and_then(|value| value.to_str().ok());
-    (response.status().as_u16(), wait.map(str::to_owned))
+fn malformed_head_is_named_in_the_error(uri: &str, changed: (&str, &str)) -> String {
+    decode_changed(uri, changed)
+        .map(|_| ())
+        .expect_err("malformed")
 }
--- a/crates/merlinreel/src/client/in_flight.rs
+++ b/crates/merlinreel/src/client/in_flight.rs
@@ -1,39 +1,56 @@
-//! What is in hand at a client's connection: a request, or a long answer that flows.
+//! Guards of what is in flight on a client connection: a request, or the response that still streams.
 
-use super::ClientListener;
-use super::connection::{ClientConnection, lock};
+use super::connection::ClientConnection;
+use super::listener::ClientListener;
 use crate::messages::Event;
-use crate::telemetry::metrics::Outcome;
+use crate::sync::lock;
+use crate::telemetry::metrics::ResponseOutcome;
 use crate::upstream::streaming_body::Held;
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 
-/// Tells the driver that the client has left, unless its job has been answered.
+/// Reports on drop that the client has disconnected, unless its request was answered.
 pub struct DisconnectGuard<'a> {
-    pub client_connection: &'a ClientConnection,
-    pub request_id: Option<u64>,
+    client_connection: &'a ClientConnection,
+    request_id: Option<u64>,
+}
+
+impl<'a> DisconnectGuard<'a> {
+    /// A guard of a request that is not answered yet.
+    pub fn new(client_connection: &'a ClientConnection, request_id: u64) -> DisconnectGuard<'a> {
+        DisconnectGuard {
+            client_connection,
+            request_id: Some(request_id),
+        }
+    }
+
+    /// The request is answered: nothing is reported any more.
+    pub fn disarm(&mut self) {
+        self.request_id = None;
+    }
 }
 
 impl Drop for DisconnectGuard<'_> {
     fn drop(&mut self) {
         if let Some(request_id) = self.request_id
-            && let Some(place) = lock(&self.client_connection.leaving).take()
+            && let Some(disconnect_event) = lock(&self.client_connection.disconnect_event).take()
         {
-            place.send(Event::ClientDisconnected(request_id));
+            disconnect_event.send(Event::ClientDisconnected(request_id));
         }
     }
 }
 
-/// A request in hand, answered or left at its end.
+/// Counts a request as in flight until it is dropped.
 pub struct InFlightGuard<'a> {
     client_listener: &'a ClientListener,
     client_connection: &'a ClientConnection,
-    /// How many there were before it.
-    pub number: usize,
+    /// How many requests were in flight before this one.
+    pub preceding: usize,
 }
 
 impl<'a> InFlightGuard<'a> {
-    pub fn take(
+    /// Counts a complete request of a connection.
+    pub fn new(
         client_listener: &'a ClientListener,
         client_connection: &'a ClientConnection,
     ) -> InFlightGuard<'a> {
@@ -42,35 +59,36 @@
         InFlightGuard {
             client_listener,
             client_connection,
-            number: client_listener.in_flight.fetch_add(1, Ordering::Relaxed),
+            preceding: client_listener.in_flight.fetch_add(1, Ordering::Relaxed),
         }
     }
 }
 
 impl Drop for InFlightGuard<'_> {
     fn drop(&mut self) {
-        self.client_listener.let_go(self.client_connection);
+        self.client_listener
+            .complete_request(self.client_connection);
     }
 }
 
-/// Keeps a client's connection busy, and its answer in hand, while a long answer flows on it. Guards the answer
-/// against a connection that looks idle once its request is answered at the head, and is closed under the body,
-/// and against a stop that ends the process with nothing else in hand.
-pub struct Flowing {
+/// Counts a streaming response as in flight until it is dropped. The connection would otherwise look idle once the head
+/// is written, and be closed before the end of the body, or a shutdown would end the process.
+pub struct StreamingGuard {
     client_listener: Arc<ClientListener>,
     client_connection: Arc<ClientConnection>,
     class: String,
 }
 
-impl Flowing {
+impl StreamingGuard {
+    /// Counts a response to a request of that class.
     pub fn new(
         client_listener: Arc<ClientListener>,
         client_connection: Arc<ClientConnection>,
         class: String,
-    ) -> Flowing {
+    ) -> StreamingGuard {
         client_connection.busy.store(true, Ordering::Relaxed);
         client_listener.in_flight.fetch_add(1, Ordering::Relaxed);
-        Flowing {
+        StreamingGuard {
             client_listener,
             client_connection,
             class,
@@ -78,20 +96,23 @@
     }
 }
 
-impl Held for Flowing {
-    /// An answer that the limiter began and could not complete has failed.
-    fn ended(self: Box<Self>, whole: bool) {
-        let outcome = if whole {
-            Outcome::Served
+impl Held for StreamingGuard {
+    /// A response that was begun and not completed has failed.
+    fn ended(self: Box<Self>, complete: bool) {
+        let outcome = if complete {
+            ResponseOutcome::Success
         } else {
-            Outcome::Failed
+            ResponseOutcome::Failed
         };
-        self.client_listener.metrics.answered(&self.class, outcome);
+        self.client_listener
+            .metrics
+            .count_response(&self.class, outcome);
     }
 }
 
-impl Drop for Flowing {
+impl Drop for StreamingGuard {
     fn drop(&mut self) {
-        self.client_listener.let_go(&self.client_connection);
+        self.client_listener
+            .complete_request(&self.client_connection);
     }
 }
--- a/crates/merlinreel/src/client/request_reader.rs
+++ b/crates/merlinreel/src/client/request_reader.rs
@@ -1,183 +1,216 @@
-//! A request taken in: read whole, handed to the driver as a job, and answered.
+//! Reads a complete request, hands it to the event loop, and responds to it.
 
-use super::ClientListener;
-use super::body::BodyPatience;
+use super::body::BodyDeadline;
 use super::connection::ClientConnection;
+use super::decode::{REQUEST_ID, decode};
 use super::framing::{self, ObservedHead};
 use super::in_flight::{DisconnectGuard, InFlightGuard};
-use crate::client::decode::{TXN, decode, encode, last, respond};
+use super::listener::ClientListener;
+use super::response::{encode, with_connection_close};
+use crate::admission::AdmissionPermit;
 use crate::log;
 use crate::messages::{Event, IncomingRequest, UpstreamRequest};
-use crate::net::observed_stream::IoObserver;
+use crate::net::text_response::text_response;
 use crate::upstream::streaming_body::Reply;
 use crate::upstream::strip_hop_by_hop;
 use http_body_util::{Either, Full};
 use hyper::body::{Body, Bytes, Incoming};
+use hyper::http::request::Parts;
 use hyper::{Method, Response, StatusCode, Uri};
 use merlinreel_policy::Request;
 use std::sync::atomic::Ordering;
 use std::time::Instant;
 use tokio::sync::oneshot;
 
+/// The path by which the platform asks whether requests are accepted.
+pub const UP_PATH: &str = "/up";
+
+/// A request that was read to its end.
+struct CompleteRequest {
+    request: Request,
+    upstream_request: UpstreamRequest,
+}
+
 impl ClientListener {
-    /// The answer to a request, whose head showed what is `observed` and came at `sent`: the client's time runs from its
-    /// sending, and that is the earliest that is known of it here.
-    pub(super) async fn request(
+    /// The response to a request. Its client's time runs from `sent_at`, when its head had arrived: the earliest time that
+    /// is known of it here.
+    pub(super) async fn respond(
         &self,
         request: hyper::Request<Incoming>,
-        observed: ObservedHead,
-        sent: Instant,
+        head: ObservedHead,
+        sent_at: Instant,
         client_connection: &ClientConnection,
     ) -> Response<Reply> {
-        if let Err(error) = framing::check(request.headers(), observed) {
+        if let Err(error) = framing::check(request.headers(), head) {
             log!("clients: {error}: 400");
-            return last(respond(StatusCode::BAD_REQUEST, format!("{error}\n"))).map(Either::Left);
+            let response = text_response(StatusCode::BAD_REQUEST, format!("{error}\n"));
+            return with_connection_close(response).map(Either::Left);
         }
-        if request.uri().path() == "/up" {
-            let status = if self.is_serving() {
-                StatusCode::OK
-            } else {
-                StatusCode::SERVICE_UNAVAILABLE
-            };
-            // It rests again: else a stop would wait for the rest of a request.
-            client_connection.rest();
-            return respond(status, String::new()).map(Either::Left);
+        if request.uri().path() == UP_PATH {
+            return self.respond_to_up(client_connection).map(Either::Left);
         }
-        // The whole request must be there by then, whatever time the client claims to have.
-        let due = client_connection
-            .due(&self.limits)
+        // It must be complete by then, whatever time the client claims to have.
+        let request_due = client_connection
+            .request_due(&self.limits)
             .min(Instant::now() + self.limits.client.request_timeout);
-        client_connection.read(0);
+        client_connection.mark_partial();
         let length = request.body().size_hint().exact();
-        let (job, upstream_request) = match self.read(request, sent, due, client_connection).await {
-            Ok(whole) => whole,
-            Err(answer) => return last(answer).map(Either::Left),
+        let read = self
+            .read_request(request, sent_at, request_due, client_connection)
+            .await;
+        let complete = match read {
+            Ok(complete) => complete,
+            Err(response) => return with_connection_close(response).map(Either::Left),
         };
-        // A body of told length was counted from its head on, one in chunks ends where the library stands.
+        // A body of announced length was counted from its head on, a chunked one ends where the library stands.
         match length {
-            Some(length) => client_connection.extend_consumed(length),
-            None => client_connection.consume(),
+            Some(length) => client_connection.consume_body(length),
+            None => client_connection.consume_delivered(),
         }
-        let hand = InFlightGuard::take(self, client_connection);
-        // The places beyond are kept to say so to whoever comes, at once.
-        if hand.number >= self.limits.client.max_served_connections {
-            let busy = respond(
-                StatusCode::SERVICE_UNAVAILABLE,
-                "too many connections\n".to_owned(),
-            );
-            // Guards what was read behind it against a close with no answer: it is told the same, in its turn.
-            let answer = if client_connection.more_was_read() {
-                busy
-            } else {
-                last(busy)
-            };
-            return answer.map(Either::Left);
+        let in_flight = InFlightGuard::new(self, client_connection);
+        if in_flight.preceding >= self.limits.client.max_served_connections {
+            return respond_too_many(client_connection).map(Either::Left);
         }
-        // A stop has its own end: what comes late has its answer by then.
-        let until = sent + job.remaining_time;
-        let until = self.stops_at().map_or(until, |end| until.min(end));
-        self.job(job, upstream_request, until, client_connection)
-            .await
+        // A shutdown has a deadline of its own: late requests are answered by then.
+        let client_deadline = sent_at + complete.request.remaining_time;
+        let until = self
+            .shutdown_deadline()
+            .map_or(client_deadline, |deadline| client_deadline.min(deadline));
+        self.submit(complete, until, client_connection).await
     }
 
-    /// The whole of a request, or what is wrong with it. Until it is there nothing is taken, so that one that is
-    /// never whole can give way to others.
-    async fn read(
+    /// Whether requests are accepted: 200 or 503.
+    fn respond_to_up(&self, client_connection: &ClientConnection) -> Response<Full<Bytes>> {
+        let status = if self.is_serving() {
+            StatusCode::OK
+        } else {
+            StatusCode::SERVICE_UNAVAILABLE
+        };
+        // Idle again: a shutdown would otherwise wait for the rest of a request.
+        client_connection.mark_idle();
+        text_response(status, String::new())
+    }
+
+    /// Reads a request to its end. Nothing is admitted until it is complete, so that one that never is can be evicted.
+    ///
+    /// # Errors
+    ///
+    /// The response that says what is wrong with the request.
+    async fn read_request(
         &self,
         request: hyper::Request<Incoming>,
-        sent: Instant,
-        due: Instant,
+        sent_at: Instant,
+        request_due: Instant,
         client_connection: &ClientConnection,
-    ) -> Result<(Request, UpstreamRequest), Response<Full<Bytes>>> {
-        let (mut head, body) = request.into_parts();
-        // A job keeps the rules that were in force when it came, whatever is read later.
+    ) -> Result<CompleteRequest, Response<Full<Bytes>>> {
+        let (head, body) = request.into_parts();
+        // A request keeps the settings that were in force when it came, whatever is loaded later.
         let active_settings = self.active_settings.borrow().clone();
-        let mut job = decode(&head, &active_settings.settings)
-            .map_err(|what| respond(StatusCode::BAD_REQUEST, what + "\n"))?;
-        job.class = active_settings.indices[job.class];
-        let mut room = None;
+        let mut request = decode(&head, &active_settings.settings)
+            .map_err(|error| text_response(StatusCode::BAD_REQUEST, format!("{error}\n")))?;
+        request.class = active_settings.indices[request.class];
+        let mut reserved = None;
         let body = if body.is_end_stream() {
             Bytes::new()
         } else {
             let allowed = head.method != Method::GET;
-            let patience = BodyPatience {
-                due,
-                gone: sent + job.remaining_time,
-                begun: Instant::now(),
+            let deadline = BodyDeadline {
+                request_due,
+                client_deadline: sent_at + request.remaining_time,
+                started: Instant::now(),
             };
-            let read = self.body(body, allowed, patience, client_connection).await;
-            let (body, claimed) = read.map_err(|error| error.answer())?;
-            room = Some(claimed);
-            body
+            let buffered = self
+                .read_body(body, allowed, deadline, client_connection)
+                .await
+                .map_err(|error| error.response())?;
+            reserved = Some(buffered.reserved);
+            buffered.bytes
         };
-        let id = head
+        let permit = head
             .headers
-            .get(TXN)
-            .and_then(|id| self.permits.open(id, room));
-        let permit = id.ok_or_else(|| {
-            respond(
-                StatusCode::CONFLICT,
-                "x-txn: such a job is open\n".to_owned(),
-            )
-        })?;
-        strip_hop_by_hop(&mut head.headers);
-        // UpstreamPool get the path alone, whichever form the client's target had.
-        let uri = match head.uri.authority() {
-            Some(_) => head
-                .uri
-                .path_and_query()
-                .cloned()
-                .map(Uri::from)
-                .unwrap_or_default(),
-            None => head.uri,
-        };
-        let permit = Some(permit);
-        Ok((
-            job,
-            UpstreamRequest {
-                method: head.method,
-                uri,
-                headers: head.headers,
-                body,
-                permit,
-            },
-        ))
+            .get(REQUEST_ID)
+            .and_then(|id| self.permits.admit(id, reserved))
+            .ok_or_else(respond_id_in_use)?;
+        Ok(CompleteRequest {
+            request,
+            upstream_request: upstream_request(head, body, permit),
+        })
     }
 
-    async fn job(
+    /// Hands a request to the event loop, and waits for the response.
+    async fn submit(
         &self,
-        job: Request,
-        upstream_request: UpstreamRequest,
+        complete: CompleteRequest,
         until: Instant,
         client_connection: &ClientConnection,
     ) -> Response<Reply> {
-        let request_id = self.request_ids.fetch_add(1, Ordering::Relaxed);
-        let (answer, answered) = oneshot::channel();
-        let arrival = IncomingRequest {
+        let request_id = self.next_id.fetch_add(1, Ordering::Relaxed);
+        let (answer, response) = oneshot::channel();
+        let incoming = IncomingRequest {
             request_id,
-            request: job,
+            request: complete.request,
             until,
-            upstream_request,
+            upstream_request: complete.upstream_request,
             answer,
         };
-        let mut attending = DisconnectGuard {
-            client_connection,
-            request_id: Some(request_id),
-        };
-        if self
-            .queue
-            .send(Event::Request(Box::new(arrival)))
-            .await
-            .is_err()
-        {
-            return last(respond(StatusCode::SERVICE_UNAVAILABLE, String::new())).map(Either::Left);
+        let mut disconnect = DisconnectGuard::new(client_connection, request_id);
+        let queued = self.queue.send(Event::Request(Box::new(incoming))).await;
+        if queued.is_err() {
+            let unavailable = text_response(StatusCode::SERVICE_UNAVAILABLE, String::new());
+            return with_connection_close(unavailable).map(Either::Left);
         }
-        let answer = answered.await;
-        attending.request_id = None;
-        match answer {
-            Ok(answer) => encode(answer),
-            // The driver has ended; nothing is known of the job.
-            Err(_) => last(respond(StatusCode::BAD_GATEWAY, String::new())).map(Either::Left),
+        let response = response.await;
+        disconnect.disarm();
+        match response {
+            Ok(response) => encode(response),
+            // The event loop has ended; nothing is known of the request.
+            Err(_) => {
+                let bad_gateway = text_response(StatusCode::BAD_GATEWAY, String::new());
+                with_connection_close(bad_gateway).map(Either::Left)
+            }
         }
     }
 }
+
+/// The response over the limit of served connections; the places left above it serve to say so at once. Requests that were
+/// read behind this one get the same, each in its turn, so only the last of them announces the close.
+fn respond_too_many(client_connection: &ClientConnection) -> Response<Full<Bytes>> {
+    let response = text_response(
+        StatusCode::SERVICE_UNAVAILABLE,
+        "too many connections\n".to_owned(),
+    );
+    if client_connection.has_pipelined_input() {
+        response
+    } else {
+        with_connection_close(response)
+    }
+}
+
+/// The response where a request of the same id is in flight.
+fn respond_id_in_use() -> Response<Full<Bytes>> {
+    text_response(
+        StatusCode::CONFLICT,
+        "x-txn: such a job is open\n".to_owned(),
+    )
+}
+
+/// What a server is to get. Its target is the path alone, whichever form the client's target has.
+fn upstream_request(mut head: Parts, body: Bytes, permit: AdmissionPermit) -> UpstreamRequest {
+    strip_hop_by_hop(&mut head.headers);
+    let uri = match head.uri.authority() {
+        Some(_) => head
+            .uri
+            .path_and_query()
+            .cloned()
+            .map(Uri::from)
+            .unwrap_or_default(),
+        None => head.uri,
+    };
+    UpstreamRequest {
+        method: head.method,
+        uri,
+        headers: head.headers,
+        body,
+        permit: Some(permit),
+    }
+}
--- /dev/null
+++ b/crates/merlinreel/src/client/response.rs
@@ -0,0 +1,51 @@
+//! Encodes the response to a client.
+
+use crate::messages::ClientResponse;
+use crate::net::text_response::text_response;
+use crate::upstream::streaming_body::Reply;
+use http_body_util::{Either, Full};
+use hyper::body::Bytes;
+use hyper::header::{CONNECTION, HeaderValue, RETRY_AFTER};
+use hyper::{Response, StatusCode};
+use std::time::Duration;
+
+/// Has a response announce that its connection closes.
+pub fn with_connection_close(mut response: Response<Full<Bytes>>) -> Response<Full<Bytes>> {
+    response
+        .headers_mut()
+        .insert(CONNECTION, HeaderValue::from_static("close"));
+    response
+}
+
+/// The HTTP response of what the event loop decided.
+pub fn encode(response: ClientResponse) -> Response<Reply> {
+    match response {
+        ClientResponse::Success(upstream_response) => {
+            let body = match upstream_response.flow {
+                Some(streaming) => Either::Right(*streaming),
+                None => Either::Left(Full::new(upstream_response.body)),
+            };
+            let mut response = Response::new(body);
+            *response.headers_mut() = upstream_response.headers;
+            response
+        }
+        ClientResponse::Rejected(retry_after) => encode_rejected(retry_after).map(Either::Left),
+        ClientResponse::Failed => {
+            text_response(StatusCode::BAD_GATEWAY, "failed\n".to_owned()).map(Either::Left)
+        }
+    }
+}
+
+/// Retry-After has seconds with three decimals.
+fn encode_rejected(retry_after: Option<Duration>) -> Response<Full<Bytes>> {
+    let mut response = text_response(StatusCode::TOO_MANY_REQUESTS, String::new());
+    let value = retry_after
+        .and_then(|wait| HeaderValue::try_from(format!("{:.3}", wait.as_secs_f64())).ok());
+    if let Some(value) = value {
+        response.headers_mut().insert(RETRY_AFTER, value);
+    }
+    response
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/merlinreel/src/client/serving.rs
@@ -0,0 +1,186 @@
+//! Serving one client connection: its requests in turn, until it ends or is closed between two of them.
+
+use super::connection::ClientConnection;
+use super::in_flight::StreamingGuard;
+use super::listener::ClientListener;
+use super::request_reader::UP_PATH;
+use super::stream::ClientStream;
+use crate::log;
+use crate::sync::lock;
+use crate::telemetry::metrics::{ResponseOutcome, class_of};
+use crate::upstream::streaming_body::Reply;
+use http_body_util::Either;
+use hyper::body::{Bytes, Incoming};
+use hyper::header::{CONNECTION, HeaderValue};
+use hyper::server::conn::http1::Builder;
+use hyper::service::service_fn;
+use hyper::{Request, Response};
+use hyper_util::rt::TokioIo;
+use std::convert::Infallible;
+use std::sync::Arc;
+use std::sync::atomic::Ordering;
+use std::time::{Duration, Instant};
+use tokio::net::TcpStream;
+use tokio::time::sleep;
+
+/// A client connection as the HTTP library reads and writes it.
+type HttpStream = TokioIo<ClientStream>;
+
+/// A connection that is to close is polled for this long before: a request may have arrived and not been read.
+const POLL_BEFORE_CLOSE: Duration = Duration::from_millis(1);
+
+impl ClientListener {
+    /// Serves a connection until it has ended.
+    pub(super) async fn serve_connection(
+        self: &Arc<ClientListener>,
+        stream: TcpStream,
+        client_connection: Arc<ClientConnection>,
+    ) {
+        let _ = stream.set_nodelay(true);
+        let mut stream = TokioIo::new(ClientStream::new(
+            stream,
+            client_connection.clone(),
+            &self.limits,
+            self.permits.clone(),
+        ));
+        while let Some(mut idle) = self.serve_until_idle(stream, &client_connection).await {
+            // The kernel is asked last: what arrived since the poller looked must not be cut off.
+            if !idle.inner().has_unread() {
+                return idle.inner_mut().close().await;
+            }
+            stream = idle;
+        }
+    }
+
+    /// Serves a connection until its end, or until it is to close between requests. It is then returned: to be closed, or
+    /// served further if something arrived meanwhile, whose response announces the close.
+    async fn serve_until_idle(
+        self: &Arc<ClientListener>,
+        stream: HttpStream,
+        client_connection: &Arc<ClientConnection>,
+    ) -> Option<HttpStream> {
+        let mut connection = Builder::new()
+            .header_read_timeout(None)
+            .max_buf_size(self.limits.max_head_bytes)
+            .serve_connection(
+                stream,
+                service_fn(|request| self.accept_request(request, client_connection)),
+            );
+        let close_timer = sleep(Duration::ZERO);
+        // One timer a connection that looks when it was last used costs less than one a request.
+        let idle_timer = sleep(self.limits.client.request_timeout);
+        tokio::pin!(close_timer, idle_timer);
+        let mut is_closing = false;
+        let poll_end = || tokio::time::Instant::now() + POLL_BEFORE_CLOSE;
+        loop {
+            tokio::select! {
+                biased;
+                _ = &mut connection => return None,
+                () = &mut close_timer, if is_closing => {
+                    if client_connection.closing.load(Ordering::Relaxed) {
+                        // It lingers, and was evicted meanwhile.
+                        return None;
+                    }
+                    if client_connection.is_evictable(&self.limits) {
+                        let parts = connection.into_parts();
+                        return reclaim_idle(parts.io, parts.read_buf, client_connection).await;
+                    }
+                    // What arrived has its response, which announces the close. The library's own shutdown would end a
+                    // connection that holds half a head, and never one that never sent anything.
+                    is_closing = false;
+                }
+                () = &mut idle_timer, if !is_closing => {
+                    let now = Instant::now();
+                    let request_due = client_connection.request_due(&self.limits);
+                    if request_due <= now && client_connection.is_evictable(&self.limits) {
+                        is_closing = true;
+                        close_timer.as_mut().reset(poll_end());
+                    }
+                    idle_timer.as_mut().reset(self.next_idle_check(now, request_due).into());
+                }
+                () = client_connection.close_requested.notified(), if !is_closing => {
+                    is_closing = true;
+                    close_timer.as_mut().reset(poll_end());
+                }
+            }
+        }
+    }
+
+    /// When a connection is looked at again: often enough to end a partial request in time, which may come at any moment.
+    fn next_idle_check(&self, now: Instant, request_due: Instant) -> Instant {
+        let at_latest = now + self.limits.client.request_timeout / 4;
+        if request_due > now {
+            request_due.min(at_latest)
+        } else {
+            at_latest
+        }
+    }
+
+    /// Accepts a request as the HTTP library hands it over. What belongs to the head that was read last is read at once,
+    /// not when the future is first polled: the library may have read the next head by then.
+    fn accept_request(
+        self: &Arc<ClientListener>,
+        request: Request<Incoming>,
+        client_connection: &Arc<ClientConnection>,
+    ) -> impl Future<Output = Result<Response<Reply>, Infallible>> + use<> {
+        let client_listener = self.clone();
+        let client_connection = client_connection.clone();
+        let head = client_connection.last_head();
+        let head_arrived_at = client_connection.head_arrived_at();
+        client_connection.consume_delivered();
+        async move {
+            let class = class_of(request.uri().path()).to_owned();
+            let counts = request.uri().path() != UP_PATH;
+            let mut response = client_listener
+                .respond(request, head, head_arrived_at, &client_connection)
+                .await;
+            let outcome = ResponseOutcome::from_status(response.status());
+            match response.body_mut() {
+                Either::Right(streaming) => streaming.hold(Box::new(StreamingGuard::new(
+                    client_listener.clone(),
+                    client_connection.clone(),
+                    class,
+                ))),
+                Either::Left(_) if counts => {
+                    client_listener.metrics.count_response(&class, outcome);
+                }
+                Either::Left(_) => {}
+            }
+            if client_listener.announces_close(&client_connection) {
+                response
+                    .headers_mut()
+                    .insert(CONNECTION, HeaderValue::from_static("close"));
+            }
+            Ok(response)
+        }
+    }
+
+    /// Whether a response announces that its connection closes, so that its client sends no request that would cross the
+    /// close. With pipelined requests the last response does, so that each is answered; an earlier one only where some
+    /// were dropped or the time of the shutdown is over.
+    fn announces_close(&self, client_connection: &ClientConnection) -> bool {
+        let is_ending = self.announcing_close.load(Ordering::Relaxed)
+            || client_connection.evicted.load(Ordering::Relaxed);
+        let is_over = self.shutdown_deadline().is_some_and(|deadline| {
+            deadline + self.limits.shutdown.response_grace <= Instant::now()
+        });
+        client_connection.overflowed.load(Ordering::Relaxed)
+            || is_ending && (is_over || !client_connection.has_pipelined_input())
+    }
+}
+
+/// Takes an idle connection back from the HTTP library. One with part of a request on it, whose time is over, is closed.
+async fn reclaim_idle(
+    mut stream: HttpStream,
+    read_buffer: Bytes,
+    client_connection: &ClientConnection,
+) -> Option<HttpStream> {
+    let is_partial = lock(&client_connection.times).partial_since.is_some();
+    if is_partial {
+        log!("clients: part of a request, incomplete at its deadline: the connection is closed");
+        stream.inner_mut().close().await;
+        return None;
+    }
+    stream.inner_mut().put_back(read_buffer);
+    Some(stream)
+}
--- a/crates/merlinreel/src/client/stream.rs
+++ b/crates/merlinreel/src/client/stream.rs
@@ -1,12 +1,12 @@
-//! A client's connection as a stream. It sees the client's end while a request of it is in hand, whatever was sent
+//! A client connection as a stream. It notices the client's disconnect while a request is in flight, whatever was sent
 //! behind that request, and it is closed in one way: what was written goes out, the limiter's side ends, and the
 //! client's end is waited for without reading what still comes. The HTTP library gets what it reads section by section,
 //! each up to a blank line, so that [`HeadScanner`] knows which head it has read last.
 
-use super::arrival_times::Arrivals;
+use super::arrival_times::ArrivalTimes;
 use super::connection::ClientConnection;
 use super::framing::HeadScanner;
-use crate::client::admission::AdmissionPermits;
+use crate::admission::AdmissionPermits;
 use crate::config::limits::Limits;
 use crate::net::observed_stream::{IoObserver, ObservedStream};
 use bytes::{Buf, Bytes, BytesMut};
@@ -16,45 +16,49 @@
 use std::sync::atomic::Ordering;
 use std::task::{Context, Poll, ready};
 use std::time::{Duration, Instant};
-use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
+use tokio::io::{AsyncRead, AsyncWrite, AsyncWriteExt, ReadBuf};
 use tokio::net::TcpStream;
 use tokio::sync::OwnedSemaphorePermit;
 use tokio::time::{Sleep, sleep};
 
-/// Read at once where it is dropped or kept for later.
-const PIECE: usize = 4096;
+/// Bytes that are read ahead at once.
+const READ_AHEAD_BYTES: usize = 4096;
 
-/// A connection whose limiter's side has ended.
-struct Closing {
-    /// Over then, where nothing lies unread.
-    lingered: Pin<Box<Sleep>>,
-    /// Over then in any case.
-    ends: Pin<Box<Sleep>>,
+/// A close whose limiter's side has ended, and that waits for the client's side.
+struct LingeringClose {
+    /// The end of the wait where nothing lies unread.
+    timeout: Pin<Box<Sleep>>,
+    /// The end of the wait in any case.
+    timeout_with_unread: Pin<Box<Sleep>>,
 }
 
+/// A client connection as the HTTP library reads and writes it.
 pub struct ClientStream {
     stream: ObservedStream<ClientConnection>,
     client_connection: Arc<ClientConnection>,
     scanner: HeadScanner,
-    /// Came behind a blank line in one read of the library, or while a request was in hand: read before the rest.
-    unread: BytesMut,
-    /// So many of the unread bytes the library had room for itself; only those beyond were read ahead.
-    had_room: usize,
-    arrivals: Arrivals,
-    /// What may be read ahead at all, and how much of that needs no place in the memory that bodies share.
-    most_ahead: usize,
-    free_ahead: usize,
+    /// Arrived behind a blank line in one read of the library, or while a request was in flight: read before the rest.
+    buffer: BytesMut,
+    /// So many bytes of the buffer the library had asked for itself; only those after them were read ahead.
+    requested: usize,
+    arrival_times: ArrivalTimes,
+    /// Bytes that may be read ahead.
+    max_read_ahead: usize,
+    /// Bytes of them that take no memory from that of request bodies.
+    unreserved_read_ahead: usize,
     permits: AdmissionPermits,
-    room: Option<OwnedSemaphorePermit>,
-    /// More came than that: the rest is dropped, and nothing behind it is read.
-    flooded: bool,
-    /// How long the client's end is waited for once the limiter's side has ended, and where something lies unread.
-    lingers: Duration,
-    lingers_over_unread: Duration,
-    closing: Option<Closing>,
+    reserved: Option<OwnedSemaphorePermit>,
+    /// More arrived than may be read ahead: the rest is dropped, and nothing behind it is read.
+    overflowed: bool,
+    /// How long a close waits for the client's end.
+    linger_timeout: Duration,
+    /// The same, where something lies unread.
+    linger_timeout_with_unread: Duration,
+    lingering: Option<LingeringClose>,
 }
 
 impl ClientStream {
+    /// The stream of a connection; bytes read ahead take memory from `permits`.
     pub fn new(
         stream: TcpStream,
         client_connection: Arc<ClientConnection>,
@@ -65,80 +69,96 @@
             stream: ObservedStream::new(stream, client_connection.clone()),
             client_connection,
             scanner: HeadScanner::default(),
-            unread: BytesMut::new(),
-            had_room: 0,
-            arrivals: Arrivals::default(),
-            most_ahead: limits.client.max_read_ahead_bytes,
-            free_ahead: limits.max_head_bytes,
+            buffer: BytesMut::new(),
+            requested: 0,
+            arrival_times: ArrivalTimes::default(),
+            max_read_ahead: limits.client.max_read_ahead_bytes,
+            unreserved_read_ahead: limits.max_head_bytes,
             permits,
-            room: None,
-            flooded: false,
-            lingers: limits.client.linger_timeout,
-            lingers_over_unread: limits
+            reserved: None,
+            overflowed: false,
+            linger_timeout: limits.client.linger_timeout,
+            linger_timeout_with_unread: limits
                 .client
                 .request_timeout
                 .max(limits.client.linger_timeout),
-            closing: None,
+            lingering: None,
         }
     }
 
-    /// Whether something came that nobody has read.
-    pub fn waits(&self) -> bool {
-        !self.unread.is_empty() || self.stream.waits()
+    /// Whether something arrived that the library has not read.
+    pub fn has_unread(&self) -> bool {
+        !self.buffer.is_empty() || self.stream.has_unread()
     }
 
-    /// Takes back what the HTTP library had read and not used: the beginning of a request.
-    pub fn give_back(&mut self, bytes: Bytes) {
+    /// Puts back what the HTTP library had read and not used: the beginning of a request.
+    pub fn put_back(&mut self, bytes: Bytes) {
         if bytes.is_empty() {
             return;
         }
         let length = bytes.len();
-        let mut unread = BytesMut::from(bytes);
-        unread.extend_from_slice(&self.unread);
-        self.unread = unread;
-        self.had_room = self.unread.len();
+        let mut buffer = BytesMut::from(bytes);
+        buffer.extend_from_slice(&self.buffer);
+        self.buffer = buffer;
+        self.requested = self.buffer.len();
         self.scanner = HeadScanner::default();
-        self.arrivals.give_back(length);
-        self.tell_ahead();
+        self.arrival_times.put_back(length);
+        self.publish_buffered();
     }
 
-    fn tell_ahead(&self) {
+    /// Closes the connection and waits for the client's end, until it is over or the connection is evicted.
+    pub async fn close(&mut self) {
+        let client_connection = self.client_connection.clone();
+        // A request to close that came before is fulfilled by this.
+        tokio::select! {
+            biased;
+            () = client_connection.close_requested.notified() => {}
+            () = std::future::ready(()) => {}
+        }
+        tokio::select! {
+            _ = self.shutdown() => {}
+            () = client_connection.close_requested.notified() => {}
+        }
+    }
+
+    fn publish_buffered(&self) {
         self.client_connection
-            .ahead
-            .store(self.unread.len(), Ordering::Relaxed);
+            .buffered_bytes
+            .store(self.buffer.len(), Ordering::Relaxed);
     }
 
-    /// So many bytes were read ahead of the library.
-    fn ahead(&self) -> usize {
-        self.unread.len() - self.had_room
+    /// Bytes of the buffer that were read ahead of the library.
+    fn read_ahead_bytes(&self) -> usize {
+        self.buffer.len() - self.requested
     }
 
-    /// Takes a place for so many bytes read ahead, if the memory that bodies share has one.
-    fn claim_room(&mut self, ahead: usize) -> bool {
-        let held = self.free_ahead
-            + self
-                .room
-                .as_ref()
-                .map_or(0, OwnedSemaphorePermit::num_permits);
-        let Some(more) = ahead.checked_sub(held).filter(|&more| more > 0) else {
+    /// Reserves memory for so many bytes read ahead, and returns whether there was enough.
+    fn reserve_read_ahead(&mut self, bytes: usize) -> bool {
+        let reserved = self
+            .reserved
+            .as_ref()
+            .map_or(0, OwnedSemaphorePermit::num_permits);
+        let available = self.unreserved_read_ahead + reserved;
+        let Some(missing) = bytes.checked_sub(available).filter(|&missing| missing > 0) else {
             return true;
         };
-        match &mut self.room {
-            Some(room) => self.permits.grow(room, more),
+        match &mut self.reserved {
+            Some(reserved) => self.permits.extend_body(reserved, missing),
             None => {
-                self.room = self.permits.body(more);
-                self.room.is_some()
+                self.reserved = self.permits.reserve_body(missing);
+                self.reserved.is_some()
             }
         }
     }
 
-    /// Reads ahead while a request is in hand. Guards servers against jobs of clients that have gone: the HTTP library
-    /// stops reading once there is anything behind a request, and so never sees the end. Where the memory has no place
-    /// just then nothing is read; what is longer than any client's requests is dropped, and its answer tells the closing.
-    fn look_ahead(&mut self, cx: &mut Context) -> io::Result<()> {
-        let mut piece = [0; PIECE];
-        while self.closing.is_none() && self.client_connection.busy.load(Ordering::Relaxed) {
-            if !self.flooded && !self.claim_room(self.ahead() + PIECE) {
+    /// Reads ahead while a request is in flight, to notice a disconnect: the HTTP library stops reading once there is anything
+    /// behind a request, and servers would work on requests that nobody waits for. Nothing is read while the memory is in
+    /// use; what is longer than any client's requests is dropped, and the response announces the close.
+    fn read_ahead(&mut self, cx: &mut Context) -> io::Result<()> {
+        let mut piece = [0; READ_AHEAD_BYTES];
+        while self.lingering.is_none() && self.client_connection.busy.load(Ordering::Relaxed) {
+            let wanted = self.read_ahead_bytes() + READ_AHEAD_BYTES;
+            if !self.overflowed && !self.reserve_read_ahead(wanted) {
                 return Ok(());
             }
             let mut into = ReadBuf::new(&mut piece);
@@ -146,64 +166,66 @@
                 Poll::Pending => return Ok(()),
                 Poll::Ready(read) => read?,
             }
-            if into.filled().is_empty() {
+            let bytes = into.filled();
+            if bytes.is_empty() {
                 return Err(io::ErrorKind::UnexpectedEof.into());
             }
-            if self.flooded || self.ahead() + into.filled().len() > self.most_ahead {
-                self.flooded = true;
+            if self.overflowed || self.read_ahead_bytes() + bytes.len() > self.max_read_ahead {
+                self.overflowed = true;
                 self.client_connection
-                    .flooded
+                    .overflowed
                     .store(true, Ordering::Relaxed);
             } else {
-                self.arrivals.came(into.filled().len(), Instant::now());
-                self.unread.extend_from_slice(into.filled());
-                self.tell_ahead();
+                self.arrival_times.record(bytes.len(), Instant::now());
+                self.buffer.extend_from_slice(bytes);
+                self.publish_buffered();
             }
         }
         Ok(())
     }
 
-    /// How many of these bytes, which the library reads next, lie in one section. Tells what the section's head showed
+    /// How many of these bytes, which the library reads next, lie in one section. Records what the section's head showed
     /// where it ends.
-    fn scan(&mut self, bytes: &[u8]) -> usize {
+    fn scan_section(&mut self, bytes: &[u8]) -> usize {
         let section = self.scanner.scan(bytes);
-        let arrived = self.arrivals.take(section.length);
-        if let Some(observed) = section.ended {
+        let arrived_at = self.arrival_times.take(section.length);
+        if let Some(head) = section.head {
             self.client_connection
-                .observe(observed, arrived.unwrap_or_else(Instant::now));
+                .record_head(head, arrived_at.unwrap_or_else(Instant::now));
         }
         self.client_connection
-            .handed
+            .delivered_bytes
             .fetch_add(section.length as u64, Ordering::Relaxed);
         section.length
     }
 
-    /// Hands over one section of the unread bytes. They count as heard where the kernel's would.
-    fn read_unread(&mut self, into: &mut ReadBuf) {
-        let mut unread = std::mem::take(&mut self.unread);
-        let room = unread.len().min(into.remaining());
-        let length = self.scan(&unread[..room]);
-        into.put_slice(&unread[..length]);
-        unread.advance(length);
-        self.unread = unread;
-        self.had_room = self.had_room.max(room) - length;
-        if self.unread.is_empty() {
-            (self.unread, self.room) = (BytesMut::new(), None);
+    /// Gives the library one section of the buffer. It counts as read where the kernel's bytes would.
+    fn read_buffered(&mut self, into: &mut ReadBuf) {
+        let mut buffer = std::mem::take(&mut self.buffer);
+        let available = buffer.len().min(into.remaining());
+        let length = self.scan_section(&buffer[..available]);
+        into.put_slice(&buffer[..length]);
+        buffer.advance(length);
+        self.buffer = buffer;
+        self.requested = self.requested.max(available) - length;
+        if self.buffer.is_empty() {
+            self.buffer = BytesMut::new();
+            self.reserved = None;
         }
-        self.tell_ahead();
-        self.client_connection.read(length);
+        self.publish_buffered();
+        self.client_connection.on_read(length);
     }
 
-    /// Keeps what the kernel gave beyond one section, from `before` on.
-    fn hold_back(&mut self, into: &mut ReadBuf, before: usize) {
-        self.arrivals
-            .came(into.filled().len() - before, Instant::now());
-        let length = self.scan(&into.filled()[before..]);
-        self.unread
-            .extend_from_slice(&into.filled()[before + length..]);
-        self.had_room = self.unread.len();
-        self.tell_ahead();
-        into.set_filled(before + length);
+    /// Keeps what the kernel gave after one section, from `start` on.
+    fn buffer_excess(&mut self, into: &mut ReadBuf, start: usize) {
+        self.arrival_times
+            .record(into.filled().len() - start, Instant::now());
+        let length = self.scan_section(&into.filled()[start..]);
+        self.buffer
+            .extend_from_slice(&into.filled()[start + length..]);
+        self.requested = self.buffer.len();
+        self.publish_buffered();
+        into.set_filled(start + length);
     }
 }
 
@@ -214,16 +236,16 @@
         cx: &mut Context,
         into: &mut ReadBuf,
     ) -> Poll<io::Result<()>> {
-        if !self.unread.is_empty() {
-            self.read_unread(into);
+        if !self.buffer.is_empty() {
+            self.read_buffered(into);
             return Poll::Ready(Ok(()));
         }
-        if self.flooded && !self.client_connection.busy.load(Ordering::Relaxed) {
+        if self.overflowed && !self.client_connection.busy.load(Ordering::Relaxed) {
             return Poll::Ready(Ok(()));
         }
-        let before = into.filled().len();
+        let start = into.filled().len();
         ready!(Pin::new(&mut self.stream).poll_read(cx, into))?;
-        self.hold_back(into, before);
+        self.buffer_excess(into, start);
         Poll::Ready(Ok(()))
     }
 }
@@ -240,47 +262,45 @@
     fn poll_write_vectored(
         mut self: Pin<&mut Self>,
         cx: &mut Context,
-        parts: &[IoSlice],
+        slices: &[IoSlice],
     ) -> Poll<io::Result<usize>> {
-        Pin::new(&mut self.stream).poll_write_vectored(cx, parts)
+        Pin::new(&mut self.stream).poll_write_vectored(cx, slices)
     }
 
     fn is_write_vectored(&self) -> bool {
         self.stream.is_write_vectored()
     }
 
-    /// The library flushes at each turn of the connection, so this is where each turn looks for the client's end.
+    /// The library flushes whenever the connection is polled, so this is where each poll looks for the client's end.
     fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context) -> Poll<io::Result<()>> {
-        self.look_ahead(cx)?;
+        self.read_ahead(cx)?;
         Pin::new(&mut self.stream).poll_flush(cx)
     }
 
-    /// A lingering close. Guards the end of an answer against bytes that cross it: the kernel resets a connection that
-    /// is closed over unread bytes, and the client's side may drop what it had not read. What comes now is not read: a
-    /// request in it was read by nobody.
+    /// A lingering close. The kernel resets a connection that is closed over unread bytes, and the client's side may then
+    /// drop the end of a response that it had not read. What arrives now is not read: nobody has read a request in it.
     fn poll_shutdown(mut self: Pin<&mut Self>, cx: &mut Context) -> Poll<io::Result<()>> {
-        if self.closing.is_none() {
+        if self.lingering.is_none() {
             ready!(Pin::new(&mut self.stream).poll_shutdown(cx))?;
             self.client_connection
                 .closing
                 .store(true, Ordering::Relaxed);
-            let lingered = Box::pin(sleep(self.lingers));
-            self.closing = Some(Closing {
-                lingered,
-                ends: Box::pin(sleep(self.lingers_over_unread)),
+            self.lingering = Some(LingeringClose {
+                timeout: Box::pin(sleep(self.linger_timeout)),
+                timeout_with_unread: Box::pin(sleep(self.linger_timeout_with_unread)),
             });
         }
-        let ended = self.stream.poll_other_end(cx).is_ready();
+        let client_ended = self.stream.poll_peer_closed(cx).is_ready();
         let ClientStream {
             stream,
-            closing: Some(closing),
+            lingering: Some(lingering),
             ..
         } = &mut *self
         else {
             return Poll::Ready(Ok(()));
         };
-        let lingered = closing.lingered.as_mut().poll(cx).is_ready() && !stream.waits();
-        if ended || lingered || closing.ends.as_mut().poll(cx).is_ready() {
+        let lingered = lingering.timeout.as_mut().poll(cx).is_ready() && !stream.has_unread();
+        if client_ended || lingered || lingering.timeout_with_unread.as_mut().poll(cx).is_ready() {
             return Poll::Ready(Ok(()));
         }
         Poll::Pending
--- a/crates/merlinreel/src/client/tests/reading.rs
+++ b/crates/merlinreel/src/client/tests/reading.rs
@@ -1,47 +1,49 @@
 //! What a client sends behind a request, in pieces or in chunks.
 
 use super::*;
+use crate::admission::AdmissionPermits;
+use crate::client::stream::ClientStream;
 use test_case::test_case;
 
-/// Bytes that may come behind a request in hand.
-const AHEAD: usize = 8192;
+/// Bytes that may be read ahead of a request in flight.
+const READ_AHEAD: usize = 8192;
 
-/// What a client sends behind its request is its next one, and is served in its turn; of a flood nothing is.
+/// What a client sends behind its request is its next one, and is served after it; nothing of a flood is.
 #[test_case(0 => 2 ; "the next request")]
-#[test_case(100_000 => 2 ; "with noise behind it, which is kept until it is its turn")]
+#[test_case(100_000 => 2 ; "with noise behind it, which is kept until it is read")]
 #[test_case(600_000 => 1 ; "with a flood behind it")]
 #[tokio::test]
-async fn requests_behind_another(noise: usize) -> usize {
+async fn request_behind_another_is_served_unless_flooded(noise: usize) -> usize {
     use std::io::{Read, Write};
-    let (mut client, stream) = came_with(LOOK).expect("a client");
-    let (client_listener, mut events) = open_door(limits());
-    let (client_connection, serving) = served(&client_listener, stream);
+    let (mut client, stream) = connect_client(LOOK).expect("a client");
+    let (client_listener, mut events) = serving_listener(limits());
+    let (client_connection, serving) = spawn_serving(&client_listener, stream);
     let Event::Request(first) = next(&mut events).await else {
-        panic!("no job")
+        panic!("no request")
     };
     let writing = tokio::task::spawn_blocking(move || {
         let second = String::from_utf8_lossy(LOOK).replace("9b", "9c");
         client
             .write_all(second.as_bytes())
             .and_then(|()| client.write_all(&vec![b'x'; noise]))
-            .expect("taken");
+            .expect("written");
         client
     });
     let client = writing.await.expect("written");
-    // All of it was taken by the kernel; that it was seen to be too much shows in the connection's own mark.
-    let flood = noise > limits().client.max_read_ahead_bytes;
-    if flood {
-        marked(&client_connection.flooded).await;
+    // The kernel has all of it; that it was too much shows in the flag of the connection.
+    let is_flood = noise > limits().client.max_read_ahead_bytes;
+    if is_flood {
+        wait_for(&client_connection.overflowed).await;
     }
     first
         .answer
         .send(crate::messages::ClientResponse::Failed)
         .expect("a client that waits");
-    let jobs = if flood {
+    let requests = if is_flood {
         1
     } else {
         let Event::Request(second) = next(&mut events).await else {
-            panic!("no second job")
+            panic!("no second request")
         };
         second
             .answer
@@ -52,30 +54,30 @@
     client
         .shutdown(std::net::Shutdown::Write)
         .expect("its side ends");
-    let answers = tokio::task::spawn_blocking(move || {
+    let responses = tokio::task::spawn_blocking(move || {
         let mut all = String::new();
         (&client)
             .read_to_string(&mut all)
             .map(|_| all.matches("HTTP/1.1 502").count())
     });
-    assert_eq!(answers.await.expect("read").expect("no reset"), jobs);
+    assert_eq!(responses.await.expect("read").expect("no reset"), requests);
     serving.await.expect("served");
     assert!(events.try_recv().is_err());
-    jobs
+    requests
 }
 
-/// Two requests in one piece: the HTTP library gets one head a read, with what is known of that head, and what is held
-/// back counts as unread until then. Guards against a Content-Length that is taken for another request's, and against a
-/// close over a request that has left the kernel already.
+/// Two requests in one piece: the HTTP library gets one head a read, with what is known of that head, and what is buffered
+/// counts as unread until then. A Content-Length is thereby not taken for another request's, and no connection closes over a
+/// request that has left the kernel already.
 #[tokio::test]
-async fn the_library_reads_one_head_at_a_time() -> std::io::Result<()> {
+async fn stream_gives_the_library_one_head_a_read() -> std::io::Result<()> {
     use tokio::io::AsyncReadExt;
     const FIRST: &[u8] = b"POST /a HTTP/1.1\r\nContent-Length: 4\r\n\r\n";
     const SECOND: &[u8] = b"bodyPOST /b HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n";
     const THIRD: &[u8] = b"0\r\n\r\n";
-    let (_client, stream) = came_with(&[FIRST, SECOND, THIRD].concat())?;
+    let (_client, stream) = connect_client(&[FIRST, SECOND, THIRD].concat())?;
     let client_connection = client_connection(2, 0.0, None);
-    let mut line = ClientStream::new(
+    let mut client_stream = ClientStream::new(
         stream,
         client_connection.clone(),
         &limits(),
@@ -83,59 +85,62 @@
     );
     let mut into = [0; 8192];
     for (section, content_length) in [(FIRST, true), (SECOND, false), (THIRD, false)] {
-        assert!(line.waits());
-        lock(&client_connection.times).heard = None;
-        let length = line.read(&mut into).await?;
+        assert!(client_stream.has_unread());
+        lock(&client_connection.times).partial_since = None;
+        let length = client_stream.read(&mut into).await?;
         assert_eq!(into[..length], *section);
-        assert_eq!(client_connection.observed().content_length, content_length);
+        assert_eq!(client_connection.last_head().content_length, content_length);
         assert!(
-            lock(&client_connection.times).heard.is_some(),
-            "what was held back is heard as it is read"
+            lock(&client_connection.times).partial_since.is_some(),
+            "what was buffered counts as read when the library reads it"
         );
     }
-    assert!(!line.waits());
+    assert!(!client_stream.has_unread());
     Ok(())
 }
 
-/// What the library had room for is no flood, however short its reads are; as much again may come behind a request.
-#[test_case(8192, AHEAD => false ; "as much as may come")]
-#[test_case(8192, AHEAD + 1 => true ; "a byte more")]
-#[test_case(100, AHEAD => false ; "less in the library's read")]
-#[test_case(100, AHEAD + 1 => true ; "less in the library's read and a byte more")]
+/// What the library had asked for is no flood, however short its reads are; as much again may come behind a request.
+#[test_case(8192, READ_AHEAD => false ; "as much as may be read ahead")]
+#[test_case(8192, READ_AHEAD + 1 => true ; "a byte more")]
+#[test_case(100, READ_AHEAD => false ; "less in the library's read")]
+#[test_case(100, READ_AHEAD + 1 => true ; "less in the library's read and a byte more")]
 #[tokio::test]
-async fn what_is_held_back_is_no_flood(first: usize, behind: usize) -> bool {
+async fn buffered_bytes_count_as_a_flood_only_over_the_read_ahead(
+    first: usize,
+    behind: usize,
+) -> bool {
     use std::io::Write;
     use tokio::io::{AsyncReadExt, AsyncWriteExt};
     let (mut client, stream) =
-        came_with(&[b"\r\n", vec![b'x'; first - 2].as_slice()].concat()).expect("a client");
+        connect_client(&[b"\r\n", vec![b'x'; first - 2].as_slice()].concat()).expect("a client");
     let client_connection = client_connection(2, 0.0, None);
     let limits = {
         let mut changed = limits();
-        changed.client.max_read_ahead_bytes = AHEAD;
+        changed.client.max_read_ahead_bytes = READ_AHEAD;
         changed
     };
-    let mut line = ClientStream::new(
+    let mut client_stream = ClientStream::new(
         stream,
         client_connection.clone(),
         &limits,
         AdmissionPermits::new(&limits),
     );
-    let length = line.read(&mut [0; 8192]).await.expect("read");
+    let length = client_stream.read(&mut [0; 8192]).await.expect("read");
     assert_eq!(length, 2);
     client_connection.busy.store(true, Ordering::Relaxed);
-    client.write_all(&vec![b'x'; behind]).expect("taken");
+    client.write_all(&vec![b'x'; behind]).expect("written");
     drop(client);
-    // Each turn looks ahead, until the client's end is seen.
-    while line.flush().await.is_ok() {
+    // Each flush reads ahead, until the client's end is seen.
+    while client_stream.flush().await.is_ok() {
         tokio::task::yield_now().await;
     }
-    client_connection.flooded.load(Ordering::Relaxed)
+    client_connection.overflowed.load(Ordering::Relaxed)
 }
 
-/// The kernel ends a read before bytes that are there already, as at an urgent mark, and the poller tells of nothing more:
+/// The kernel ends a read before bytes that are there already, as at an urgent mark, and the poller reports nothing more:
 /// the rest is read all the same, and the request served.
 #[tokio::test]
-async fn a_read_that_stops_short_holds_nothing_up() -> std::io::Result<()> {
+async fn request_after_a_short_read_is_served() -> std::io::Result<()> {
     use std::io::Write;
     let listener = std::net::TcpListener::bind("127.0.0.1:0")?;
     let mut client = std::net::TcpStream::connect(listener.local_addr()?)?;
@@ -155,17 +160,17 @@
         changed.client.request_timeout = Duration::from_secs(3600);
         changed
     };
-    let (client_listener, mut events) = open_door(limits);
-    let _served = served(&client_listener, TcpStream::from_std(stream)?);
-    let Event::Request(arrival) = next(&mut events).await else {
-        panic!("no job")
+    let (client_listener, mut events) = serving_listener(limits);
+    let _served = spawn_serving(&client_listener, TcpStream::from_std(stream)?);
+    let Event::Request(incoming) = next(&mut events).await else {
+        panic!("no request")
     };
-    assert_eq!(arrival.upstream_request.uri.path(), "/look");
+    assert_eq!(incoming.upstream_request.uri.path(), "/look");
     Ok(())
 }
 
-/// A class whose requests have a body.
-fn paying() -> Settings {
+/// Settings with one class, whose requests have a body.
+fn settings_of_pay() -> Settings {
     let settings = serde_json::json!({"packages": [{"name": "team"}], "balancers": 1, "classes":
         [{"name": "pay", "idempotency": "non_idempotent", "hardLimitS": 9}]});
     Paths::from_json(&settings)
@@ -173,49 +178,43 @@
         .expect("sound")
 }
 
-/// A chunked body, its length untold, takes its place in the memory piece by piece, and gives it back where it is
-/// refused. Guards the memory against many bodies at once that come in chunks.
+/// A chunked body, whose length is not announced, reserves its memory piece by piece, and releases it where it is rejected,
+/// so that many at once can't exceed the memory of all bodies.
 #[tokio::test]
-async fn a_chunked_body_claims_memory_as_it_comes() -> std::io::Result<()> {
+async fn chunked_body_reserves_memory_as_it_arrives() -> std::io::Result<()> {
     use std::io::Read;
     const HEAD: &str = "POST /pay?key=7 HTTP/1.1\r\nX-Txn: 9b\r\nX-Lane: pay\r\nX-Plan: team\r\n\
         X-Remaining: 8000m\r\nX-Quota: units=1,spread=1,first=0\r\nTransfer-Encoding: chunked\r\n\r\n";
-    let (queue, mut events) = mpsc::channel(9);
-    let active_settings = watch::channel(Arc::new(ActiveSettings::first(paying()))).1;
-    let client_listener = ClientListener::new(
-        {
-            let mut changed = limits();
-            changed.client.max_buffered_body_bytes = 8;
-            changed
-        },
-        active_settings,
-        queue,
-        Metrics::new(&[]),
-    );
+    let limits = {
+        let mut changed = limits();
+        changed.client.max_buffered_body_bytes = 8;
+        changed
+    };
+    let (client_listener, mut events) = new_listener(limits, settings_of_pay());
     let (mut client, stream) =
-        came_with(format!("{HEAD}6\r\na body\r\n3\r\nabc\r\n0\r\n\r\n").as_bytes())?;
+        connect_client(format!("{HEAD}6\r\na body\r\n3\r\nabc\r\n0\r\n\r\n").as_bytes())?;
     client.set_read_timeout(Some(Duration::from_secs(20)))?;
-    let _refused = served(&client_listener, stream);
+    let _rejected = spawn_serving(&client_listener, stream);
     let read = tokio::task::spawn_blocking(move || {
-        let mut answer = String::new();
-        client.read_to_string(&mut answer).map(|_| answer)
+        let mut response = String::new();
+        client.read_to_string(&mut response).map(|_| response)
     });
-    let answer = read.await.expect("read")?;
+    let response = read.await.expect("read")?;
     assert!(
-        answer.starts_with("HTTP/1.1 503") && answer.ends_with("too much in hand\n"),
-        "{answer}"
+        response.starts_with("HTTP/1.1 503") && response.ends_with("too much in hand\n"),
+        "{response}"
     );
     let (_client, stream) =
-        came_with(format!("{HEAD}6\r\na body\r\n2\r\nab\r\n0\r\n\r\n").as_bytes())?;
-    let _taken = served(&client_listener, stream);
-    let Event::Request(arrival) = next(&mut events).await else {
-        panic!("no job")
+        connect_client(format!("{HEAD}6\r\na body\r\n2\r\nab\r\n0\r\n\r\n").as_bytes())?;
+    let _accepted = spawn_serving(&client_listener, stream);
+    let Event::Request(incoming) = next(&mut events).await else {
+        panic!("no request")
     };
-    assert_eq!(arrival.upstream_request.body, "a bodyab");
+    assert_eq!(incoming.upstream_request.body, "a bodyab");
     assert!(
-        client_listener.permits.body(1).is_none(),
-        "all of it is held while the job is open"
+        client_listener.permits.reserve_body(1).is_none(),
+        "all of it is reserved while the request is in flight"
     );
-    drop(arrival);
+    drop(incoming);
     Ok(())
 }
--- a/crates/merlinreel/src/client/tests/response_heads.rs
+++ b/crates/merlinreel/src/client/tests/response_heads.rs
@@ -19,7 +19,7 @@
         .expect("sound")
 }
 
-/// The response to a request with these lines between its first line and its end.
+/// The text of a request with this first line, these framing headers and this body.
 fn request(first: &str, remaining: &str, framing: &str, body: &str) -> String {
     format!(
         "{first} HTTP/1.1\r\nX-Txn: 9b\r\nX-Plan: team\r\nX-Remaining: {remaining}\r\n\
@@ -34,16 +34,13 @@
     response: Option<ClientResponse>,
     expected: &str,
 ) -> String {
-    let (mut client, stream) = came_with(request.as_bytes()).expect("a client");
+    let (mut client, stream) = connect_client(request.as_bytes()).expect("a client");
     client
         .set_read_timeout(Some(Duration::from_secs(20)))
         .expect("set");
-    let (queue, mut events) = mpsc::channel(9);
-    let active_settings =
-        watch::channel(Arc::new(ActiveSettings::first(settings_of_two_classes()))).1;
-    let client_listener = ClientListener::new(limits, active_settings, queue, Metrics::new(&[]));
-    client_listener.opened.store(true, Ordering::Relaxed);
-    let _served = served(&client_listener, stream);
+    let (client_listener, mut events) = new_listener(limits, settings_of_two_classes());
+    client_listener.started.store(true, Ordering::Relaxed);
+    let _served = spawn_serving(&client_listener, stream);
     if let Some(response) = response {
         let Event::Request(incoming) = next(&mut events).await else {
             panic!("no request")
@@ -166,11 +163,11 @@
     const EXPECTED: &str = "HTTP/1.1 409 Conflict\r\nconnection: close\r\ncontent-length: 26\r\n\
         date: Thu, 01 Jan 1970 00:00:00 GMT\r\n\r\nx-txn: such a job is open\n";
     let text = request("GET /look?key=7", "8000m", "", "");
-    let (mut client, stream) = came_with(text.as_bytes()).expect("a client");
-    let (client_listener, mut events) = open_door(limits());
+    let (mut client, stream) = connect_client(text.as_bytes()).expect("a client");
+    let (client_listener, mut events) = serving_listener(limits());
     let id = HeaderValue::from_static("9b");
-    let _permit = client_listener.permits.open(&id, None).expect("free");
-    let _served = served(&client_listener, stream);
+    let _permit = client_listener.permits.admit(&id, None).expect("free");
+    let _served = spawn_serving(&client_listener, stream);
     let read = tokio::task::spawn_blocking(move || {
         let mut text = String::new();
         client.read_to_string(&mut text).map(|_| text)
@@ -189,10 +186,10 @@
     const EXPECTED: &str = "HTTP/1.1 503 Service Unavailable\r\nconnection: close\r\ncontent-length: 0\r\n\
         date: Thu, 01 Jan 1970 00:00:00 GMT\r\n\r\n";
     let (mut client, stream) =
-        came_with(b"GET /up HTTP/1.1\r\nConnection: close\r\n\r\n").expect("a client");
-    let (client_listener, _events) = open_door(limits());
-    client_listener.opened.store(false, Ordering::Relaxed);
-    let _served = served(&client_listener, stream);
+        connect_client(b"GET /up HTTP/1.1\r\nConnection: close\r\n\r\n").expect("a client");
+    let (client_listener, _events) = serving_listener(limits());
+    client_listener.started.store(false, Ordering::Relaxed);
+    let _served = spawn_serving(&client_listener, stream);
     let read = tokio::task::spawn_blocking(move || {
         let mut text = String::new();
         client.read_to_string(&mut text).map(|_| text)
--- a/crates/merlinreel/src/event_loop.rs
+++ b/crates/merlinreel/src/event_loop.rs
@@ -158,7 +158,7 @@
         let indices = self
             .limiter
             .reconfigure(&settings.classes, settings.request_limits);
-        self.metrics.classes_now(&settings.sockets.classes);
+        self.metrics.set_classes(&settings.sockets.classes);
         log!(
             "settings read again: classes {} and their rules in force",
             settings.sockets.classes.join(", ")
--- a/crates/merlinreel/src/lib.rs
+++ b/crates/merlinreel/src/lib.rs
@@ -2,6 +2,7 @@
 //! has one job; `driver` is the only one that knows the module.
 
 pub mod admin;
+pub mod admission;
 pub mod client;
 pub mod config;
 pub mod endpoints;
@@ -10,6 +11,7 @@
 pub mod messages;
 pub mod net;
 pub mod peers;
+mod sync;
 pub mod telemetry;
 pub mod upstream;
 
@@ -74,7 +76,7 @@
         self.client_listener.is_serving()
     }
     fn stats(&self) -> String {
-        self.metrics.text(self.client_listener.in_flight())
+        self.metrics.render(self.client_listener.in_flight())
     }
     fn mesh(&self) -> Option<String> {
         self.mesh.as_ref().map(|mesh| mesh::told(mesh).to_string())
@@ -222,7 +224,7 @@
         })
         .await
         .map_err(|error| named("ops", at, error))?;
-        others.push(tokio::spawn(admin::attend(
+        others.push(tokio::spawn(admin::serve(
             listener,
             limits,
             Arc::new(Told {
@@ -232,13 +234,18 @@
             }),
         )));
     }
+    let origin = if inherited {
+        client::ListenerOrigin::Inherited
+    } else {
+        client::ListenerOrigin::Bound
+    };
     let client_listener = async {
         // What the agent holds counts as told from the first moment on: guards against attempts to servers that left
         // since `known` was written. Clients wait on the socket meanwhile, `/healthcheck` says no.
         if first.await.is_err() {
             log!("discovery: no word from discovery; starting with the list as last held");
         }
-        client_listener.attend(listener, inherited, stop).await
+        client_listener.serve(listener, origin, stop).await
     };
     let ended = attended(client_listener, &mut driving).await;
     if let Some(taking) = taking {
--- a/crates/merlinreel/src/main.rs
+++ b/crates/merlinreel/src/main.rs
@@ -1,6 +1,7 @@
 //! One limiter, as its configuration says.
 
 use merlinreel::config;
+use merlinreel::telemetry::metrics::ReloadOutcome;
 use std::os::unix::process::CommandExt;
 use std::process::{Command, ExitCode};
 use thiserror::Error;
@@ -93,7 +94,11 @@
     tokio::spawn(async move {
         while again.recv().await.is_some() {
             let taken = config::reread(&mut present, |name| std::env::var(name).ok());
-            counted.reloaded(taken);
+            counted.count_reload(if taken {
+                ReloadOutcome::Applied
+            } else {
+                ReloadOutcome::Failed
+            });
             turn.send_if_modified(|at| replaced(at, &present.discovery));
             tune.send_if_modified(|settings| replaced(settings, &present.settings));
             if taken {
--- a/crates/merlinreel/src/messages.rs
+++ b/crates/merlinreel/src/messages.rs
@@ -1,7 +1,7 @@
 //! What passes between the driver and the tasks round it. Nothing here knows who sends or takes it, so that no task
 //! needs the driver's own module, nor another's.
 
-use crate::client::admission::AdmissionPermit;
+use crate::admission::AdmissionPermit;
 use crate::upstream::streaming_body::StreamingBody;
 use hyper::body::Bytes;
 use hyper::{HeaderMap, Method, Uri};
--- a/crates/merlinreel/src/net.rs
+++ b/crates/merlinreel/src/net.rs
@@ -1,5 +1,6 @@
-//! Network helpers shared by the client and the upstream side.
+//! What both sides of the limiter, clients and servers, need of the network.
 
 pub mod backoff;
 pub mod observed_stream;
 pub mod system_errors;
+pub mod text_response;
--- a/crates/merlinreel/src/net/backoff/tests.rs
+++ b/crates/merlinreel/src/net/backoff/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn pauses_begin_after_some_tries_double_and_begin_anew() {
+fn pauses_after_several_failures_double_and_reset() {
     let mut backoff = Backoff::default();
     let mut pauses = |count| {
         (0..count)
--- a/crates/merlinreel/src/net/observed_stream.rs
+++ b/crates/merlinreel/src/net/observed_stream.rs
@@ -1,8 +1,8 @@
-//! A TCP stream that tells what passes through it, and looks before it writes to a connection at rest.
+//! A TCP stream that reports its reads and writes, and checks an idle connection before it writes to it.
 //!
-//! Calls that a signal interrupts are made again. A read or write that moved less than was asked for usually means that the
-//! kernel has no more, or no more room (epoll(7)), and the runtime then waits for the poller. Where more is expected all
-//! the same the kernel is asked once more, so that a call cut short holds nothing up.
+//! Calls that a signal interrupts are repeated. A read or write that moved less than requested usually means that the
+//! kernel has no more data, or no more space (epoll(7)), and the runtime then waits for the poller. Where more is expected
+//! all the same the kernel is asked once more, so that a call cut short delays nothing.
 
 use socket2::SockRef;
 use std::io::{self, IoSlice, Read, Write};
@@ -13,42 +13,45 @@
 use tokio::io::{AsyncRead, AsyncWrite, Interest, ReadBuf};
 use tokio::net::TcpStream;
 
-/// Hears of all bytes that the kernel gave or took.
+/// Observes the reads and writes of an [`ObservedStream`].
 pub trait IoObserver {
-    fn read(&self, _bytes: usize) {}
-    fn wrote(&self, _bytes: usize) {}
+    /// So many bytes were read.
+    fn on_read(&self, _bytes: usize) {}
+    /// So many bytes were written.
+    fn on_write(&self, _bytes: usize) {}
     /// The kernel takes no more for now: something is still to be written.
-    fn held_up(&self) {}
-    /// Whether the next write begins something new, on a connection where nothing may be waiting; asked once
-    /// a write.
-    fn begins(&self) -> bool {
+    fn on_write_blocked(&self) {}
+    /// Whether the next write starts a message on an idle connection, where nothing may lie unread; asked once a write.
+    fn starts_message(&self) -> bool {
         false
     }
-    /// Whether a message has begun to come and is not whole, as far as is known.
+    /// Whether a message is incomplete, as far as is known.
     fn expects_more(&self) -> bool {
         true
     }
 }
 
-/// For streams of which nothing needs to be known.
+/// The observer of streams of which nothing needs to be known.
 #[derive(Debug)]
 pub struct Unobserved;
 
 impl IoObserver for Unobserved {}
 
+/// A TCP stream with an observer.
 pub struct ObservedStream<T> {
     stream: TcpStream,
-    tally: Arc<T>,
-    /// The last read, or write, moved less than was asked for.
+    observer: Arc<T>,
+    /// The last read moved less than requested.
     short_read: bool,
+    /// The last write moved less than requested.
     short_write: bool,
 }
 
-fn is_interrupted<T>(done: &Poll<io::Result<T>>) -> bool {
-    matches!(done, Poll::Ready(Err(error)) if error.kind() == io::ErrorKind::Interrupted)
+fn is_interrupted<T>(result: &Poll<io::Result<T>>) -> bool {
+    matches!(result, Poll::Ready(Err(error)) if error.kind() == io::ErrorKind::Interrupted)
 }
 
-/// What a call made beside the poller brought; none where the kernel has nothing to give or take.
+/// The result of a call made without the poller; `None` where it would block.
 fn unless_blocked<T>(mut call: impl FnMut() -> io::Result<T>) -> Option<io::Result<T>> {
     loop {
         return match call() {
@@ -60,41 +63,41 @@
 }
 
 impl<T: IoObserver> ObservedStream<T> {
-    pub fn new(stream: TcpStream, tally: Arc<T>) -> ObservedStream<T> {
+    /// Reports to `observer` what is read from `stream` and written to it.
+    pub fn new(stream: TcpStream, observer: Arc<T>) -> ObservedStream<T> {
         ObservedStream {
             stream,
-            tally,
+            observer,
             short_read: false,
             short_write: false,
         }
     }
 
-    /// How many bytes the kernel holds that nobody has read, one at most: none at the other side's end. `None` where it
-    /// has nothing to tell.
+    /// How many unread bytes the kernel holds, counted to 1: 0 at the end of the stream. `None` where it would block.
     fn peek(&self) -> Option<io::Result<usize>> {
         unless_blocked(|| SockRef::from(&self.stream).peek(&mut [MaybeUninit::uninit()]))
     }
 
-    /// Whether the kernel holds bytes that nobody has read.
-    pub fn waits(&self) -> bool {
+    /// Whether the kernel holds unread bytes.
+    pub fn has_unread(&self) -> bool {
         matches!(self.peek(), Some(Ok(1..)))
     }
 
-    /// Waits for the other side's end, and reads nothing of what it sent before.
-    pub fn poll_other_end(&self, cx: &mut Context) -> Poll<()> {
+    /// Waits until the peer has closed its side, and reads nothing of what it sent before.
+    pub fn poll_peer_closed(&self, cx: &mut Context) -> Poll<()> {
         loop {
-            if ready!(self.stream.poll_read_ready(cx)).is_err() || self.other_has_ended() {
+            if ready!(self.stream.poll_read_ready(cx)).is_err() || self.peer_has_closed() {
                 return Poll::Ready(());
             }
-            // Bytes lie there unread: the poller tells of the next event.
+            // Bytes lie there unread: the poller reports the next event.
             let _ = self.stream.try_io(Interest::READABLE, || {
                 Err::<(), _>(io::ErrorKind::WouldBlock.into())
             });
         }
     }
 
-    /// Seen by the poller, where bytes lie unread before the end, or by the kernel where none do.
-    fn other_has_ended(&self) -> bool {
+    /// The poller knows it where bytes lie unread before the end, the kernel where none do.
+    fn peer_has_closed(&self) -> bool {
         let ready = pin!(self.stream.ready(Interest::READABLE))
             .poll(&mut Context::from_waker(Waker::noop()));
         match ready {
@@ -106,21 +109,23 @@
         }
     }
 
-    /// Guards against bytes behind the last answer, which would be read as the next one's: asks the kernel, as
-    /// the poller may not have told of them yet.
-    fn clear(&self) -> io::Result<()> {
-        if !self.tally.begins() {
+    /// Checks that nothing lies unread before a message: it would be taken for the response to it. The kernel is asked, as
+    /// the poller may not have reported it yet.
+    fn check_idle(&self) -> io::Result<()> {
+        if !self.observer.starts_message() {
             return Ok(());
         }
         match self.peek() {
             None => Ok(()),
             Some(Err(error)) => Err(error),
             Some(Ok(0)) => Err(io::ErrorKind::ConnectionAborted.into()),
-            Some(Ok(_)) => Err(io::Error::other("more than the last answer came")),
+            Some(Ok(_)) => Err(io::Error::other(
+                "unsolicited bytes after the last response",
+            )),
         }
     }
 
-    /// A read beside the poller.
+    /// Reads without the poller.
     fn read_directly(&mut self, into: &mut ReadBuf) -> Poll<io::Result<()>> {
         let read =
             unless_blocked(|| (&*SockRef::from(&self.stream)).read(into.initialize_unfilled()));
@@ -135,20 +140,21 @@
         }
     }
 
-    /// A write beside the poller.
+    /// Writes without the poller.
     fn write_directly(&mut self, bytes: &[u8]) -> Poll<io::Result<usize>> {
-        let wrote = unless_blocked(|| (&*SockRef::from(&self.stream)).write(bytes));
-        self.short_write = wrote.is_some();
-        wrote.map_or(Poll::Pending, Poll::Ready)
+        let written = unless_blocked(|| (&*SockRef::from(&self.stream)).write(bytes));
+        self.short_write = written.is_some();
+        written.map_or(Poll::Pending, Poll::Ready)
     }
 
-    fn count(&self, done: Poll<io::Result<usize>>) -> Poll<io::Result<usize>> {
-        match done {
-            Poll::Ready(Ok(bytes)) => self.tally.wrote(bytes),
+    /// Reports the result of a write.
+    fn report_write(&self, result: Poll<io::Result<usize>>) -> Poll<io::Result<usize>> {
+        match result {
+            Poll::Ready(Ok(bytes)) => self.observer.on_write(bytes),
             Poll::Ready(Err(_)) => {}
-            Poll::Pending => self.tally.held_up(),
+            Poll::Pending => self.observer.on_write_blocked(),
         }
-        done
+        result
     }
 }
 
@@ -158,20 +164,21 @@
         cx: &mut Context,
         into: &mut ReadBuf,
     ) -> Poll<io::Result<()>> {
-        let (before, room) = (into.filled().len(), into.remaining());
-        let mut done = Pin::new(&mut self.stream).poll_read(cx, into);
-        while is_interrupted(&done) {
-            done = Pin::new(&mut self.stream).poll_read(cx, into);
+        let before = into.filled().len();
+        let requested = into.remaining();
+        let mut result = Pin::new(&mut self.stream).poll_read(cx, into);
+        while is_interrupted(&result) {
+            result = Pin::new(&mut self.stream).poll_read(cx, into);
         }
-        if done.is_ready() {
-            self.short_read = into.filled().len() - before < room;
-        } else if self.short_read && self.tally.expects_more() {
-            done = self.read_directly(into);
+        if result.is_ready() {
+            self.short_read = into.filled().len() - before < requested;
+        } else if self.short_read && self.observer.expects_more() {
+            result = self.read_directly(into);
         }
         if into.filled().len() > before {
-            self.tally.read(into.filled().len() - before);
+            self.observer.on_read(into.filled().len() - before);
         }
-        done
+        result
     }
 }
 
@@ -181,30 +188,30 @@
         cx: &mut Context,
         bytes: &[u8],
     ) -> Poll<io::Result<usize>> {
-        self.clear()?;
-        let mut done = Pin::new(&mut self.stream).poll_write(cx, bytes);
-        while is_interrupted(&done) {
-            done = Pin::new(&mut self.stream).poll_write(cx, bytes);
+        self.check_idle()?;
+        let mut result = Pin::new(&mut self.stream).poll_write(cx, bytes);
+        while is_interrupted(&result) {
+            result = Pin::new(&mut self.stream).poll_write(cx, bytes);
         }
-        match done {
-            Poll::Ready(Ok(wrote)) => self.short_write = wrote < bytes.len(),
-            Poll::Pending if self.short_write => done = self.write_directly(bytes),
+        match result {
+            Poll::Ready(Ok(written)) => self.short_write = written < bytes.len(),
+            Poll::Pending if self.short_write => result = self.write_directly(bytes),
             _ => {}
         }
-        self.count(done)
+        self.report_write(result)
     }
 
     fn poll_write_vectored(
         mut self: Pin<&mut Self>,
         cx: &mut Context,
-        parts: &[IoSlice],
+        slices: &[IoSlice],
     ) -> Poll<io::Result<usize>> {
-        self.clear()?;
-        let mut done = Pin::new(&mut self.stream).poll_write_vectored(cx, parts);
-        while is_interrupted(&done) {
-            done = Pin::new(&mut self.stream).poll_write_vectored(cx, parts);
+        self.check_idle()?;
+        let mut result = Pin::new(&mut self.stream).poll_write_vectored(cx, slices);
+        while is_interrupted(&result) {
+            result = Pin::new(&mut self.stream).poll_write_vectored(cx, slices);
         }
-        self.count(done)
+        self.report_write(result)
     }
 
     fn is_write_vectored(&self) -> bool {
--- a/crates/merlinreel/src/net/system_errors/tests.rs
+++ b/crates/merlinreel/src/net/system_errors/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use test_case::test_case;
 
-#[test_case(libc::ECONNABORTED => true ; "given up")]
+#[test_case(libc::ECONNABORTED => true ; "aborted by the client")]
 #[test_case(libc::EINTR => true ; "a signal")]
 #[test_case(libc::EPROTO => true ; "a protocol error")]
 #[test_case(libc::EHOSTUNREACH => true ; "a network error of the connection")]
@@ -9,7 +9,7 @@
 #[test_case(libc::ENFILE => false ; "no descriptor of the system")]
 #[test_case(libc::ENOBUFS => false ; "no buffer")]
 #[test_case(libc::ENOMEM => false ; "no memory")]
-fn errors_of_accept(number: i32) -> bool {
+fn accept_error_concerns_one_connection(number: i32) -> bool {
     concerns_one_connection(&io::Error::from_raw_os_error(number))
 }
 
@@ -22,10 +22,10 @@
 #[test_case(libc::ENFILE => true ; "no descriptor of the system")]
 #[test_case(libc::EINTR => true ; "a signal")]
 #[test_case(libc::EPERM => true ; "a firewall rule")]
-#[test_case(libc::ECONNREFUSED => false ; "nobody listens")]
-#[test_case(libc::ETIMEDOUT => false ; "nobody answers")]
-#[test_case(libc::EHOSTUNREACH => false ; "no such host on the way")]
-#[test_case(libc::ECONNRESET => false ; "it was up and ended")]
-fn errors_of_connect(number: i32) -> bool {
+#[test_case(libc::ECONNREFUSED => false ; "refused")]
+#[test_case(libc::ETIMEDOUT => false ; "no answer")]
+#[test_case(libc::EHOSTUNREACH => false ; "unreachable host")]
+#[test_case(libc::ECONNRESET => false ; "reset by the peer")]
+fn connect_error_is_of_this_machine(number: i32) -> bool {
     is_of_this_machine(&io::Error::from_raw_os_error(number))
 }
--- a/crates/merlinreel/src/telemetry/log.rs
+++ b/crates/merlinreel/src/telemetry/log.rs
@@ -1,45 +1,48 @@
-//! The log: lines on standard error through one macro, so many a second and no more. A line that can't be written is lost.
+//! The log: lines on standard error through one macro, at a limited rate. A line that can't be written is lost.
 
+use crate::sync::lock;
 use std::fmt::Arguments;
 use std::io::{Write, stderr};
 use std::sync::Mutex;
 use std::time::{Duration, Instant};
 
-/// Lines that may be written in a row, and in each second on from there.
-const LINES: u32 = 50;
+/// Lines that may be written in each period.
+const LINES_PER_PERIOD: u32 = 50;
 const PERIOD: Duration = Duration::from_secs(1);
 
-/// Guards the disk and the CPU against a trouble that repeats with every job.
+/// Limits the rate of lines, so that a fault that repeats with every request fills neither the disk nor the CPU.
 #[derive(Debug)]
 pub struct LogRateLimiter {
-    since: Option<Instant>,
+    period_start: Option<Instant>,
     lines: u32,
-    held_back: u64,
+    suppressed: u64,
 }
 
 impl LogRateLimiter {
+    /// A limiter that has seen no line.
     pub const fn new() -> LogRateLimiter {
         LogRateLimiter {
-            since: None,
+            period_start: None,
             lines: 0,
-            held_back: 0,
+            suppressed: 0,
         }
     }
 
-    /// Whether a line may be written now, and how many were held back before it.
-    pub fn admits(&mut self, now: Instant) -> Option<u64> {
+    /// Admits a line, and returns how many were suppressed before it; `None` where this one is suppressed.
+    pub fn admit(&mut self, now: Instant) -> Option<u64> {
         if self
-            .since
-            .is_none_or(|since| now.duration_since(since) >= PERIOD)
+            .period_start
+            .is_none_or(|start| now.duration_since(start) >= PERIOD)
         {
-            (self.since, self.lines) = (Some(now), 0);
+            self.period_start = Some(now);
+            self.lines = 0;
         }
-        if self.lines == LINES {
-            self.held_back += 1;
+        if self.lines == LINES_PER_PERIOD {
+            self.suppressed += 1;
             return None;
         }
         self.lines += 1;
-        Some(std::mem::take(&mut self.held_back))
+        Some(std::mem::take(&mut self.suppressed))
     }
 }
 
@@ -49,29 +52,26 @@
     }
 }
 
-static GAUGE: Mutex<LogRateLimiter> = Mutex::new(LogRateLimiter::new());
+static RATE_LIMITER: Mutex<LogRateLimiter> = Mutex::new(LogRateLimiter::new());
 
-/// Whether the process may write a line now; used by the macro.
-pub fn admits() -> Option<u64> {
-    let mut gauge = GAUGE
-        .lock()
-        .unwrap_or_else(std::sync::PoisonError::into_inner);
-    gauge.admits(Instant::now())
+/// Admits a line of the process, as [`LogRateLimiter::admit`]; used by the macro.
+pub fn admit() -> Option<u64> {
+    lock(&RATE_LIMITER).admit(Instant::now())
 }
 
-/// Writes a line; used by the macro. Guards the limiter against its log: a reader that has gone, or a full disk, must end
-/// nothing, as `eprintln!` would.
+/// Writes a line; used by the macro. A closed standard error or a full disk is ignored, where `eprintln!` would panic.
 pub fn write(line: Arguments) {
     let _ = writeln!(stderr(), "merlinreel: {line}");
 }
 
+/// Writes a line to the log, as `format!` words it, unless the rate of lines is too high.
 #[macro_export]
 macro_rules! log {
-    ($($what:tt)*) => {
-        match $crate::telemetry::log::admits() {
-            Some(0) => $crate::telemetry::log::write(format_args!($($what)*)),
-            Some(more) => {
-                $crate::telemetry::log::write(format_args!("{} ({more} lines held back)", format_args!($($what)*)))
+    ($($format:tt)*) => {
+        match $crate::telemetry::log::admit() {
+            Some(0) => $crate::telemetry::log::write(format_args!($($format)*)),
+            Some(suppressed) => {
+                $crate::telemetry::log::write(format_args!("{} ({suppressed} lines held back)", format_args!($($format)*)))
             }
             None => {}
         }
--- a/crates/merlinreel/src/telemetry/log/tests.rs
+++ b/crates/merlinreel/src/telemetry/log/tests.rs
@@ -1,9 +1,12 @@
 use super::*;
 
 #[test]
-fn lines_beyond_the_rate_are_counted_and_told_later() {
-    let (mut gauge, now) = (LogRateLimiter::new(), Instant::now());
-    assert!((0..LINES).all(|_| gauge.admits(now) == Some(0)));
-    assert_eq!((gauge.admits(now), gauge.admits(now)), (None, None));
-    assert_eq!(gauge.admits(now + PERIOD), Some(2));
+fn lines_over_the_rate_are_counted_and_reported_later() {
+    let (mut rate_limiter, now) = (LogRateLimiter::new(), Instant::now());
+    assert!((0..LINES_PER_PERIOD).all(|_| rate_limiter.admit(now) == Some(0)));
+    assert_eq!(
+        (rate_limiter.admit(now), rate_limiter.admit(now)),
+        (None, None)
+    );
+    assert_eq!(rate_limiter.admit(now + PERIOD), Some(2));
 }
--- a/crates/merlinreel/src/telemetry/metrics.rs
+++ b/crates/merlinreel/src/telemetry/metrics.rs
@@ -1,88 +1,114 @@
-//! The figures on the operators' door: plain atomic counters, counted where each event happens and read
-//! without the driver, so that a busy round never makes an answer late. Each process counts from 0.
+//! The metrics of `/stats`: plain atomic counters, counted where each event happens and read without the event loop, so
+//! that a busy batch never delays an answer. Each process counts from 0.
 //!
-//! Shape of `/stats`, one figure a line, in statsd's form (`|c` a count since start, `|g` a present value):
+//! Shape of `/stats`, one metric a line, in statsd's form (`|c` a count since start, `|g` a present value):
 //!
 //! ```text
 //! limiter.requests.C.served:812|c      (also refused, failed, attempts; C a class of the settings in force)
-//! limiter.attempts:900|c               (attempts written whole to servers)
-//! limiter.in_flight:14|g               (jobs in hand)
-//! limiter.servers_known:10|g           (servers listed and not gone)
-//! limiter.servers_excluded:1|g         (of those, draining or resting now)
+//! limiter.attempts:900|c               (attempts completely written to servers)
+//! limiter.in_flight:14|g               (requests in flight)
+//! limiter.servers_known:10|g           (servers listed and not removed)
+//! limiter.servers_excluded:1|g         (of those, draining or ejected now)
 //! limiter.reloads_ok:2|c
 //! limiter.reloads_failed:1|c
 //! ```
 
+use crate::sync::lock;
+use hyper::StatusCode;
 use std::collections::BTreeMap;
 use std::fmt::Write;
 use std::sync::atomic::{AtomicU64, Ordering};
-use std::sync::{Arc, Mutex, PoisonError};
+use std::sync::{Arc, Mutex};
 
-/// What became of a job, as its client reads the answer's status.
+/// How a request ended, as its client reads the status of the response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Outcome {
-    Served,
-    Refused,
+pub enum ResponseOutcome {
+    /// 200.
+    Success,
+    /// 429 or 503, whether the limiter or a server sent it.
+    Rejected,
+    /// Any other status.
     Failed,
 }
 
-impl Outcome {
-    /// 200 is served; 429 and 503 are refused, whoever worded them; anything else failed.
-    pub fn of(status: u16) -> Outcome {
+impl ResponseOutcome {
+    /// The outcome of a response of that status.
+    pub fn from_status(status: StatusCode) -> ResponseOutcome {
         match status {
-            200 => Outcome::Served,
-            429 | 503 => Outcome::Refused,
-            _ => Outcome::Failed,
+            StatusCode::OK => ResponseOutcome::Success,
+            StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE => {
+                ResponseOutcome::Rejected
+            }
+            _ => ResponseOutcome::Failed,
         }
     }
 }
 
-/// One class's counts: served, refused, failed, attempts.
+/// How a reload of the configuration ended.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ReloadOutcome {
+    /// The new configuration is in force.
+    Applied,
+    /// It was invalid, and the one before stays in force.
+    Failed,
+}
+
+/// The counts of one class.
 #[derive(Default)]
-struct Counts([AtomicU64; 4]);
+struct ClassCounts {
+    success: AtomicU64,
+    rejected: AtomicU64,
+    failed: AtomicU64,
+    attempts: AtomicU64,
+}
 
 /// The classes that have counts: those in force, and those of before, which keep theirs.
 #[derive(Default)]
 struct Classes {
-    counts: BTreeMap<String, Arc<Counts>>,
+    counts: BTreeMap<String, Arc<ClassCounts>>,
     /// Names in force; another name counts nothing.
     current: Vec<String>,
 }
 
+/// All metrics of the process.
 #[derive(Default)]
 pub struct Metrics {
-    /// One lock for both, taken once an answer.
+    /// One lock for both of its parts, taken once a response.
     classes: Mutex<Classes>,
     attempts: AtomicU64,
+    /// Servers listed and not removed.
     pub servers_known: AtomicU64,
+    /// Of those, draining or ejected now.
     pub servers_excluded: AtomicU64,
     reloads_ok: AtomicU64,
     reloads_failed: AtomicU64,
 }
 
-/// The class of a job is the first part of its path.
+/// The class of a request is the first segment of its path.
 pub fn class_of(path: &str) -> &str {
     path.trim_start_matches('/').split('/').next().unwrap_or("")
 }
 
 impl Metrics {
+    /// All counts at 0, with these classes in force.
     pub fn new(classes: &[String]) -> Arc<Metrics> {
         let metrics = Arc::new(Metrics::default());
-        metrics.classes_now(classes);
+        metrics.set_classes(classes);
         metrics
     }
 
-    /// The classes in force from now on.
-    pub fn classes_now(&self, names: &[String]) {
-        let mut classes = self.classes.lock().unwrap_or_else(PoisonError::into_inner);
+    /// Has these classes in force from now on.
+    pub fn set_classes(&self, names: &[String]) {
+        let mut classes = lock(&self.classes);
         for name in names {
             classes.counts.entry(name.clone()).or_default();
         }
         classes.current = names.to_vec();
     }
 
-    fn counts(&self, class: &str) -> Option<Arc<Counts>> {
-        let classes = self.classes.lock().unwrap_or_else(PoisonError::into_inner);
+    /// The counts of a class in force.
+    fn class_counts(&self, class: &str) -> Option<Arc<ClassCounts>> {
+        let classes = lock(&self.classes);
         classes
             .current
             .iter()
@@ -91,49 +117,51 @@
             .flatten()
     }
 
-    pub fn answered(&self, class: &str, outcome: Outcome) {
-        let place = match outcome {
-            Outcome::Served => 0,
-            Outcome::Refused => 1,
-            Outcome::Failed => 2,
+    /// Counts a response to a request of that class.
+    pub fn count_response(&self, class: &str, outcome: ResponseOutcome) {
+        let Some(counts) = self.class_counts(class) else {
+            return;
+        };
+        let count = match outcome {
+            ResponseOutcome::Success => &counts.success,
+            ResponseOutcome::Rejected => &counts.rejected,
+            ResponseOutcome::Failed => &counts.failed,
         };
-        self.counts(class)
-            .map(|counts| counts.0[place].fetch_add(1, Ordering::Relaxed));
+        count.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// An attempt's last byte was written to its server.
-    pub fn attempted(&self, class: &str) {
+    /// Counts an attempt whose last byte was written to its server.
+    pub fn count_attempt(&self, class: &str) {
         self.attempts.fetch_add(1, Ordering::Relaxed);
-        self.counts(class)
-            .map(|counts| counts.0[3].fetch_add(1, Ordering::Relaxed));
+        if let Some(counts) = self.class_counts(class) {
+            counts.attempts.fetch_add(1, Ordering::Relaxed);
+        }
     }
 
-    pub fn reloaded(&self, ok: bool) {
-        let count = if ok {
-            &self.reloads_ok
-        } else {
-            &self.reloads_failed
+    /// Counts a reload of the configuration.
+    pub fn count_reload(&self, outcome: ReloadOutcome) {
+        let count = match outcome {
+            ReloadOutcome::Applied => &self.reloads_ok,
+            ReloadOutcome::Failed => &self.reloads_failed,
         };
         count.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// All figures, one a line, with the jobs `in_flight` that the door holds.
-    pub fn text(&self, in_flight: usize) -> String {
+    /// The text of `/stats`, with the number of requests in flight that the caller knows.
+    pub fn render(&self, in_flight: usize) -> String {
         let mut text = String::new();
-        let classes = self
-            .classes
-            .lock()
-            .unwrap_or_else(PoisonError::into_inner)
-            .counts
-            .clone();
-        for (name, counts) in &classes {
-            for (what, count) in ["served", "refused", "failed", "attempts"]
-                .iter()
-                .zip(&counts.0)
-            {
+        let class_counts = lock(&self.classes).counts.clone();
+        for (class, counts) in &class_counts {
+            let metrics = [
+                ("served", &counts.success),
+                ("refused", &counts.rejected),
+                ("failed", &counts.failed),
+                ("attempts", &counts.attempts),
+            ];
+            for (name, count) in metrics {
                 let _ = writeln!(
                     text,
-                    "limiter.requests.{name}.{what}:{}|c",
+                    "limiter.requests.{class}.{name}:{}|c",
                     count.load(Ordering::Relaxed)
                 );
             }
@@ -146,11 +174,11 @@
             ("reloads_ok", &self.reloads_ok, "c"),
             ("reloads_failed", &self.reloads_failed, "c"),
         ];
-        for (name, figure, kind) in metrics {
+        for (name, metric, kind) in metrics {
             let _ = writeln!(
                 text,
                 "limiter.{name}:{}|{kind}",
-                figure.load(Ordering::Relaxed)
+                metric.load(Ordering::Relaxed)
             );
         }
         text
--- a/crates/merlinreel/src/telemetry/metrics/tests.rs
+++ b/crates/merlinreel/src/telemetry/metrics/tests.rs
@@ -1,24 +1,24 @@
 use super::*;
 use test_case::test_case;
 
-#[test_case(200 => Outcome::Served ; "served")]
-#[test_case(429 => Outcome::Refused ; "refused")]
-#[test_case(503 => Outcome::Refused ; "busy")]
-#[test_case(400 => Outcome::Failed ; "malformed")]
-#[test_case(502 => Outcome::Failed ; "failed")]
-fn a_status_is_read_as_its_client_reads_it(status: u16) -> Outcome {
-    Outcome::of(status)
+#[test_case(200 => ResponseOutcome::Success ; "success")]
+#[test_case(429 => ResponseOutcome::Rejected ; "rejected")]
+#[test_case(503 => ResponseOutcome::Rejected ; "busy")]
+#[test_case(400 => ResponseOutcome::Failed ; "malformed")]
+#[test_case(502 => ResponseOutcome::Failed ; "failed")]
+fn outcome_follows_from_the_status(status: u16) -> ResponseOutcome {
+    ResponseOutcome::from_status(StatusCode::from_u16(status).expect("a status"))
 }
 
 #[test]
-fn classes_dropped_keep_their_counts_and_strangers_count_nothing() {
+fn removed_class_keeps_its_counts_and_unknown_class_counts_nothing() {
     let metrics = Metrics::new(&["look".to_owned()]);
-    metrics.answered("look", Outcome::Served);
-    metrics.answered("garbage", Outcome::Failed);
-    metrics.classes_now(&["put".to_owned()]);
-    metrics.answered("look", Outcome::Served);
-    metrics.attempted("put");
-    let text = metrics.text(3);
+    metrics.count_response("look", ResponseOutcome::Success);
+    metrics.count_response("garbage", ResponseOutcome::Failed);
+    metrics.set_classes(&["put".to_owned()]);
+    metrics.count_response("look", ResponseOutcome::Success);
+    metrics.count_attempt("put");
+    let text = metrics.render(3);
     assert!(
         text.contains("limiter.requests.look.served:1|c\n"),
         "{text}"
@@ -37,15 +37,20 @@
 fn stats_have_their_literal_text() {
     let metrics = Metrics::new(&["look".to_owned()]);
     for (status, times) in [(200, 4), (429, 3), (502, 2)] {
-        (0..times).for_each(|_| metrics.answered("look", Outcome::of(status)));
+        (0..times).for_each(|_| {
+            metrics.count_response(
+                "look",
+                ResponseOutcome::from_status(StatusCode::from_u16(status).expect("a status")),
+            )
+        });
     }
-    metrics.attempted("look");
-    metrics.reloaded(true);
-    metrics.reloaded(false);
+    metrics.count_attempt("look");
+    metrics.count_reload(ReloadOutcome::Applied);
+    metrics.count_reload(ReloadOutcome::Failed);
     metrics.servers_known.store(10, Ordering::Relaxed);
     metrics.servers_excluded.store(6, Ordering::Relaxed);
     assert_eq!(
-        metrics.text(14),
+        metrics.render(14),
         "limiter.requests.look.served:4|c\n\
         limiter.requests.look.refused:3|c\n\
         limiter.requests.look.failed:2|c\n\
--- a/crates/merlinreel/src/upstream/connection.rs
+++ b/crates/merlinreel/src/upstream/connection.rs
@@ -50,17 +50,17 @@
 }
 
 impl IoObserver for Sent {
-    fn read(&self, _: usize) {
+    fn on_read(&self, _: usize) {
         if self.resting.load(Ordering::Relaxed) {
             self.unasked.note();
         }
     }
 
-    fn wrote(&self, bytes: usize) {
+    fn on_write(&self, bytes: usize) {
         self.bytes.fetch_add(bytes as u64, Ordering::Relaxed);
     }
 
-    fn begins(&self) -> bool {
+    fn starts_message(&self) -> bool {
         self.resting.swap(false, Ordering::Relaxed)
     }
 
@@ -279,7 +279,7 @@
         let attempted = {
             let metrics = self.metrics.clone();
             let class = class_of(attempt.upstream_request.uri.path()).to_owned();
-            move || metrics.attempted(&class)
+            move || metrics.count_attempt(&class)
         };
         let answer = async {
             sender.ready().await?;
