--- a/crates/merlinreel/src/admin/tests.rs
+++ b/crates/merlinreel/src/admin/tests.rs
@@ -43,7 +43,7 @@
     let settings = merlinreel_settings::Paths::from_json(&serde_json::json!({}))
         .and_then(|paths| merlinreel_settings::Settings::read(&paths))
         .expect("sound");
-    let limits = Limits::new(1024, 192, &settings).expect("room");
+    let limits = Limits::new(1024, 192, &settings).expect("enough for the least");
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("bound");
     let address = listener.local_addr().expect("bound");
     let serving = tokio::spawn(serve(listener, limits, Arc::new(FixedStatus(is_serving))));
--- a/crates/merlinreel/src/client.rs
+++ b/crates/merlinreel/src/client.rs
@@ -1,4 +1,4 @@
-//! Client connections: read requests, hand them to the event loop, and give each one response.
+//! Client connections: read requests, pass them to the event loop, and send one response to each.
 
 mod accept;
 mod arrival_times;
--- a/crates/merlinreel/src/client/accept.rs
+++ b/crates/merlinreel/src/client/accept.rs
@@ -15,7 +15,7 @@
 use tokio::sync::{OwnedSemaphorePermit, Semaphore, mpsc};
 use tokio::time::timeout;
 
-/// What a connection needs before it is accepted, so that none is dropped half way.
+/// What a connection needs before it is accepted, so that none is dropped after it.
 struct ConnectionSlot {
     /// One of the connections that may be open at once.
     connection_permit: OwnedSemaphorePermit,
--- a/crates/merlinreel/src/client/request_reader.rs
+++ b/crates/merlinreel/src/client/request_reader.rs
@@ -1,4 +1,4 @@
-//! Reads a complete request, hands it to the event loop, and responds to it.
+//! Reads a complete request, passes it to the event loop, and responds to it.
 
 use super::body::BodyDeadline;
 use super::connection::ClientConnection;
@@ -137,7 +137,7 @@
         })
     }
 
-    /// Hands a request to the event loop, and waits for the response.
+    /// Passes a request to the event loop, and waits for the response.
     async fn submit(
         &self,
         complete: CompleteRequest,
@@ -173,7 +173,7 @@
 }
 
 /// The response over the limit of served connections; the places left above it serve to say so at once. Requests that were
-/// read behind this one get the same, each in its turn, so only the last of them announces the close.
+/// read behind this one get the same response one after another, so only the last of them announces the close.
 fn respond_too_many(client_connection: &ClientConnection) -> Response<Full<Bytes>> {
     let response = text_response(
         StatusCode::SERVICE_UNAVAILABLE,
--- a/crates/merlinreel/src/client/serving.rs
+++ b/crates/merlinreel/src/client/serving.rs
@@ -1,4 +1,4 @@
-//! Serving one client connection: its requests in turn, until it ends or is closed between two of them.
+//! Serving one client connection: one request after another, until it ends or is closed between two of them.
 
 use super::connection::ClientConnection;
 use super::in_flight::StreamingGuard;
@@ -159,13 +159,13 @@
     /// close. With pipelined requests the last response does, so that each is answered; an earlier one only where some
     /// were dropped or the time of the shutdown is over.
     fn announces_close(&self, client_connection: &ClientConnection) -> bool {
-        let is_ending = self.announcing_close.load(Ordering::Relaxed)
+        let must_close = self.announcing_close.load(Ordering::Relaxed)
             || client_connection.evicted.load(Ordering::Relaxed);
         let is_over = self.shutdown_deadline().is_some_and(|deadline| {
             deadline + self.limits.shutdown.response_grace <= Instant::now()
         });
         client_connection.overflowed.load(Ordering::Relaxed)
-            || is_ending && (is_over || !client_connection.has_pipelined_input())
+            || must_close && (is_over || !client_connection.has_pipelined_input())
     }
 }
 
