--- a/crates/merlinreel/tests/sockets/gone_clients.rs
+++ b/crates/merlinreel/tests/sockets/client_disconnects.rs
@@ -1,4 +1,4 @@
-//! Clients that close their connection while their request waits for its first attempt.
+//! Clients that disconnect while their request waits for its first attempt.
 
 use merlinreel_testkit::*;
 use socket2::{Domain, Socket, Type};
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 use test_case::test_case;
 
-/// A server whose connections come up late: its queue holds one connection, which is taken, until that is accepted.
+/// A server whose connections are established late: its backlog holds one connection, which is in use until it is accepted.
 pub fn server_with_a_full_queue() -> (TcpListener, TcpStream) {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
     socket
@@ -23,18 +23,18 @@
     )
 }
 
-/// Waits until a connection to `address` is on its way, its first packet refused by the full queue, other than the one
-/// from `known`; returns where it comes from. The kernel tries each again a second after its first packet.
+/// Waits until a connection to `address` is being established, its first packet dropped by the full backlog, other than the
+/// one from `known`; returns its source address. The kernel tries each again a second after its first packet.
 pub fn wait_for_connecting(address: SocketAddr, known: Option<&str>) -> String {
     const SYN_SENT: &str = "02";
     let port = format!(":{:04X}", address.port());
     let from = |line: &str| {
-        let fields: Vec<&str> = line.split_whitespace().collect();
-        let connecting = fields.len() > 3 && fields[2].ends_with(&port) && fields[3] == SYN_SENT;
-        (connecting && Some(fields[1]) != known).then(|| fields[1].to_owned())
+        let columns: Vec<&str> = line.split_whitespace().collect();
+        let connecting = columns.len() > 3 && columns[2].ends_with(&port) && columns[3] == SYN_SENT;
+        (connecting && Some(columns[1]) != known).then(|| columns[1].to_owned())
     };
-    let begun = Instant::now();
-    while begun.elapsed() < PATIENCE {
+    let started_at = Instant::now();
+    while started_at.elapsed() < PATIENCE {
         let sockets =
             std::fs::read_to_string("/proc/net/tcp").expect("the kernel's table of sockets");
         if let Some(from) = sockets.lines().find_map(from) {
@@ -42,7 +42,7 @@
         }
         thread::sleep(Duration::from_millis(1));
     }
-    panic!("no connection to {address} is on its way");
+    panic!("no connection to {address} is being established");
 }
 
 /// The id of the first request on the next connection that brings any.
@@ -56,29 +56,29 @@
     }
 }
 
-/// The attempt's connection is still coming up as its client goes: nothing is written on it, whether or not the
-/// settings let attempts be cancelled. Its connection would have come up before the second client's, which asked later.
+/// The attempt's connection is still being established as its client disconnects: nothing is written on it, whether or not
+/// the settings allow attempts to be cancelled. It would be established before the second client's, which asked later.
 #[test_case(true ; "attempts may be cancelled")]
 #[test_case(false ; "attempts may not be cancelled")]
-fn no_attempt_begins_for_a_client_that_has_gone(may_cancel: bool) {
+fn disconnected_client_starts_no_further_attempt(may_cancel: bool) {
     let (listener, place) = server_with_a_full_queue();
     let address = listener.local_addr().expect("bound");
     let mut config = config(&[listed("s-1", address, "up")]);
     config["settings"]["policyLimits"]["mayCancel"] = may_cancel.into();
     config["settings"]["policyLimits"]["connectTimeoutS"] = 20.into();
     let program = Program::start(&config);
-    let mut goes = program.client();
-    goes.send(&request("pay", 1, 1, "4000m"));
+    let mut disconnecting = program.client();
+    disconnecting.send(&request("pay", 1, 1, "4000m"));
     let first = wait_for_connecting(address, None);
-    drop(goes);
-    let mut stays = program.client();
+    drop(disconnecting);
+    let mut waiting = program.client();
     let text = request("pay", 2, 1, "4000m");
-    stays.send(&text);
+    waiting.send(&text);
     wait_for_connecting(address, Some(&first));
     drop(place);
     let id = next_request_id(&listener);
     assert!(
         text.contains(&format!("X-Txn: {id}\r\n")),
-        "{id} is the request of the client that has gone"
+        "{id} is the request of the client that has disconnected"
     );
 }
--- a/crates/merlinreel/tests/sockets/stop.rs
+++ b/crates/merlinreel/tests/sockets/graceful_shutdown.rs
@@ -1,4 +1,4 @@
-//! The planned stop of the program, with clients that never stop sending, and a process that starts while its agent
+//! The graceful shutdown of the program, with clients that never stop sending, and a process that starts while discovery
 //! knows more than it does.
 
 use merlinreel_testkit::*;
@@ -9,43 +9,44 @@
 use std::thread;
 use std::time::Duration;
 
+/// Whether a response announces that its connection closes.
 fn closing(answer: &Message) -> bool {
     answer
         .header("connection")
         .is_some_and(|value| value == "close")
 }
 
-/// Calls until an answer tells that its connection closes: from then on connections are closed between requests.
-fn until_closing(program: &Program) {
+/// Calls until a response announces that its connection closes: from then on connections are closed between requests.
+fn wait_until_closing(program: &Program) {
     let closes = || {
         let answer = program
             .client()
             .call("GET /up HTTP/1.1\r\nHost: svc\r\n\r\n");
         answer.is_some_and(|answer| closing(&answer))
     };
-    let told = (0..2000).any(|_| {
+    let announced = (0..2000).any(|_| {
         thread::sleep(Duration::from_millis(1));
         closes()
     });
-    assert!(told, "no answer told of the closing");
+    assert!(announced, "no response announced the close");
 }
 
-/// What one of the clients of a full front saw.
+/// What one of the busy clients saw.
 #[derive(Default)]
 struct Seen {
     sent: usize,
-    /// Closed with no answer though nothing told of it.
+    /// Closed without a response and unannounced.
     unanswered: usize,
-    /// Connections that ended with an answer that told so.
-    told: usize,
+    /// Connections that ended with a response that announced it.
+    announced: usize,
 }
 
-/// Sends on a connection for as long as it stays open, and then on the next, until none is to be had.
-fn never_stops(
+/// Sends requests on a connection for as long as it stays open, and then on the next, until none can be established.
+fn send_until_stopped(
     address: std::net::SocketAddr,
     customer: u32,
     stop: &AtomicBool,
-    beat: Duration,
+    pause: Duration,
 ) -> Seen {
     let mut seen = Seen::default();
     while let Ok(mut client) = Client::connect(address) {
@@ -60,38 +61,37 @@
                     break;
                 }
                 Some(answer) if closing(&answer) => {
-                    seen.told += 1;
+                    seen.announced += 1;
                     break;
                 }
-                Some(_) => thread::sleep(beat),
+                Some(_) => thread::sleep(pause),
             }
         }
     }
     seen
 }
 
-/// Guards requests of clients that send on every connection that stays open and on new ones up to the end: fewer
-/// than one in 200 may meet a connection that closes with no answer. Before, each connection that rested was closed
-/// at one moment, whatever was on its way, and what waited on the socket at its end was reset.
+/// Clients send on every connection that stays open, and on new ones up to the end: fewer than one request in 200 may meet a
+/// connection that closes without a response.
 #[test]
-fn a_full_front_that_never_stops_is_answered_through_the_stop() {
+fn busy_clients_are_answered_throughout_a_shutdown() {
     let server = StandIn::start(|_| fine());
     let mut config = config(&[listed("s-1", server.address, "up")]);
     config["limits"]["sockets"] = 1024.into();
     config["settings"]["packages"][0]["unitsPerS"] = 1e6.into();
     config["settings"]["packages"][0]["mostAtOnce"] = 1e6.into();
     let mut program = Program::start(&config);
-    let (stop, begun) = (
+    let (stop, connected) = (
         Arc::new(AtomicBool::new(false)),
         Arc::new(AtomicUsize::new(0)),
     );
     let clients: Vec<_> = (0..40)
         .map(|customer| {
-            let (address, stop, begun) = (program.address, stop.clone(), begun.clone());
+            let (address, stop, connected) = (program.address, stop.clone(), connected.clone());
             thread::spawn(move || {
-                begun.fetch_add(1, Ordering::Relaxed);
+                connected.fetch_add(1, Ordering::Relaxed);
                 // Some leave their connection idle for longer than others.
-                never_stops(
+                send_until_stopped(
                     address,
                     customer,
                     &stop,
@@ -100,7 +100,7 @@
             })
         })
         .collect();
-    while begun.load(Ordering::Relaxed) < 40 {
+    while connected.load(Ordering::Relaxed) < 40 {
         thread::sleep(Duration::from_millis(5));
     }
     thread::sleep(Duration::from_millis(200));
@@ -112,19 +112,20 @@
         .map(|client| client.join().expect("a client"))
         .collect();
     let sum = |of: fn(&Seen) -> usize| seen.iter().map(of).sum::<usize>();
-    let (sent, unanswered, told) = (sum(|s| s.sent), sum(|s| s.unanswered), sum(|s| s.told));
+    let (sent, unanswered, announced) =
+        (sum(|s| s.sent), sum(|s| s.unanswered), sum(|s| s.announced));
     assert!(ended.success());
-    assert!(told >= 40, "{told} told of their closing");
-    eprintln!("front: {unanswered} of {sent}, {told} told");
+    assert!(announced >= 40, "{announced} announced closes");
+    eprintln!("busy clients: {unanswered} of {sent} unanswered, {announced} announced");
     assert!(
         sent > 400 && unanswered * 200 < sent,
-        "{unanswered} of {sent} had no answer"
+        "{unanswered} of {sent} had no response"
     );
 }
 
-/// Half a request is there as the stop begins, the rest comes once connections are closed: it is a request like others.
+/// Half a request is there as the shutdown begins, the rest comes once connections are closed: it is served like any other.
 #[test]
-fn a_request_half_received_at_the_stop_is_answered() {
+fn partial_request_at_shutdown_is_answered() {
     let server = StandIn::start(|_| fine());
     let mut program = Program::start(&config(&[listed("s-1", server.address, "up")]));
     let mut client = program.client();
@@ -133,8 +134,8 @@
     let (first, rest) = text.split_at(40);
     client.send(first);
     program.signal("-TERM");
-    until_closing(&program);
-    // Longer than a connection that rests is kept by then.
+    wait_until_closing(&program);
+    // Longer than an idle connection is kept by then.
     thread::sleep(Duration::from_millis(300));
     client.send(rest);
     let answer = client.receive().expect("an answer");
@@ -142,9 +143,9 @@
     assert!(program.end().success());
 }
 
-/// A client that reads nothing until the stop has closed all other connections still gets its answer whole.
+/// A client that reads nothing until the shutdown has closed all other connections still gets its complete response.
 #[test]
-fn a_slow_reader_at_the_stop_gets_its_whole_answer() {
+fn slow_reader_at_shutdown_gets_its_complete_response() {
     const LENGTH: usize = 24 << 20;
     let long = "x".repeat(LENGTH);
     let server = StandIn::start(move |_| answer("200 OK", "", &long));
@@ -153,7 +154,7 @@
     client.send(&request("look", 7, 1, "3000m"));
     server.next();
     program.signal("-TERM");
-    until_closing(&program);
+    wait_until_closing(&program);
     thread::sleep(Duration::from_millis(300));
     assert_eq!(
         client.receive().map(|answer| answer.body.len()),
@@ -162,18 +163,20 @@
     assert!(program.end().success());
 }
 
-/// A limiter in a thread of its own, whose wait for discovery's first answer is as long as the test says; it ends with
+/// Starts a limiter in a thread of its own, whose wait for discovery's first list is as long as the test says; it ends with
 /// the test's process.
 fn start_here(config: &Value, first_list: Duration) {
-    let mut station = merlinreel::config::parse(&config.to_string(), |_| None).expect("sound");
-    station.limits.endpoints.first_list_timeout = first_list;
+    let mut gateway_config =
+        merlinreel::config::parse(&config.to_string(), |_| None).expect("sound");
+    gateway_config.limits.endpoints.first_list_timeout = first_list;
     thread::spawn(move || {
         let metrics =
-            merlinreel::telemetry::metrics::Metrics::new(&station.settings.sockets.classes);
-        let (_tune, settings) = tokio::sync::watch::channel(station.settings.clone());
-        let (_turn, discovery) = tokio::sync::watch::channel(station.discovery);
-        let (_reground, ground) = tokio::sync::watch::channel(None);
-        let turns = merlinreel::ReloadChannels {
+            merlinreel::telemetry::metrics::Metrics::new(&gateway_config.settings.sockets.classes);
+        let (_settings_sender, settings) =
+            tokio::sync::watch::channel(gateway_config.settings.clone());
+        let (_discovery_sender, discovery) = tokio::sync::watch::channel(gateway_config.discovery);
+        let (_mesh_sender, ground) = tokio::sync::watch::channel(None);
+        let reload_channels = merlinreel::ReloadChannels {
             settings,
             discovery,
             ground,
@@ -183,23 +186,23 @@
             .build()
             .expect("a runtime");
         runtime.block_on(merlinreel::run(
-            station,
+            gateway_config,
             None,
             metrics,
-            turns,
+            reload_channels,
             std::future::pending(),
         ))
     });
 }
 
-/// A request of a client that finds the socket, sent off in a thread of its own.
+/// Sends a request in a thread of its own, as soon as the socket is there; returns where its status arrives.
 fn first_request(config: &Value) -> mpsc::Receiver<u16> {
     let address: std::net::SocketAddr = config["listen"]
         .as_str()
         .expect("an address")
         .parse()
         .expect("one");
-    let (tell, told) = channel();
+    let (sender, status) = channel();
     thread::spawn(move || {
         let client = (0..2000).find_map(|_| {
             thread::sleep(Duration::from_millis(5));
@@ -208,32 +211,33 @@
         let answer = client
             .expect("a socket")
             .call(&request("pay", 7, 1, "3000m"));
-        let _ = tell.send(answer.map_or(0, |answer| answer.status()));
+        let _ = sender.send(answer.map_or(0, |answer| answer.status()));
     });
-    told
+    status
 }
 
-/// The agent knows of a drain that the list held before the start does not: nothing goes to that server, however
-/// long the agent takes. Guards the rule on drains: what the agent has counts as told from the first moment on.
+/// Discovery knows of a drain that the list cached before the start does not have: nothing is sent to that server, however
+/// long discovery takes, as what discovery knows counts from the first moment on.
 #[test]
-fn a_new_process_waits_for_what_its_agent_knows() {
+fn new_process_waits_for_the_first_endpoint_list() {
     let (old, new) = (StandIn::start(|_| fine()), StandIn::start(|_| fine()));
-    let (tell, told) = channel();
-    let discovery = discovery(told);
+    let (lists, queue) = channel();
+    let discovery = discovery(queue);
     let mut config = config(&[listed("s-1", old.address, "up")]);
     config["discovery"] = discovery.address.to_string().into();
     start_here(&config, PATIENCE);
     let answered = first_request(&config);
     assert!(discovery.next().first.contains("after=1&wait_ms=10 "));
-    // Long enough for an attempt to the old one, were it allowed.
+    // Long enough for an attempt at the old one, were it allowed.
     assert!(answered.recv_timeout(Duration::from_millis(400)).is_err());
     let changes = [
         listed("s-1", old.address, "draining"),
         listed("s-2", new.address, "up"),
     ];
     // Lists may come indented.
-    tell.send(serde_json::to_string_pretty(&server_list(2, false, &changes)).expect("text"))
-        .expect("told");
+    lists
+        .send(serde_json::to_string_pretty(&server_list(2, false, &changes)).expect("text"))
+        .expect("sent");
     assert_eq!(answered.recv_timeout(PATIENCE), Ok(200));
     assert_eq!(
         (old.seen.try_iter().count(), new.seen.try_iter().count()),
@@ -241,9 +245,9 @@
     );
 }
 
-/// An agent that says nothing holds a start up for a while, not for good: the list as last held serves.
+/// Silent discovery delays a start for a limited time: then the cached list is used.
 #[test]
-fn a_silent_agent_holds_a_start_up_for_a_while_only() {
+fn silent_discovery_delays_the_start_for_a_limited_time() {
     let server = StandIn::start(|_| fine());
     let silent = StandIn::start(|_| React::Hang);
     let mut config = config(&[listed("s-1", server.address, "up")]);
@@ -252,9 +256,9 @@
     assert_eq!(first_request(&config).recv_timeout(PATIENCE), Ok(200));
 }
 
-/// Watches that break in a row: silent, silent behind the head of an answer, ended. The next call has its answer.
+/// Watches that fail in a row: silent, silent after the head of a response, closed. The next call is answered.
 #[test]
-fn watches_broken_in_a_row_are_asked_anew_until_one_answers() {
+fn failed_watches_are_repeated_until_one_is_answered() {
     let (old, new) = (StandIn::start(|_| fine()), StandIn::start(|_| fine()));
     let text = server_list(2, true, &[listed("s-2", new.address, "up")]).to_string();
     let calls = AtomicUsize::new(0);
@@ -270,9 +274,9 @@
     let mut config = config(&[listed("s-1", old.address, "up")]);
     config["discovery"] = discovery.address.to_string().into();
     let program = Program::start(&config);
-    let ways: Vec<usize> = (0..4).map(|_| discovery.next().connection).collect();
-    assert_eq!(ways, [0, 1, 2, 3], "each on a connection of its own");
-    // The fifth call is made once the list is in the driver's queue.
+    let connections: Vec<usize> = (0..4).map(|_| discovery.next().connection).collect();
+    assert_eq!(connections, [0, 1, 2, 3], "each on a connection of its own");
+    // The fifth call is made once the list is in the event loop's queue.
     discovery.next();
     assert_eq!(program.client().request("look", 1, 1).status(), 200);
     assert_eq!(
@@ -282,9 +286,9 @@
 }
 
 /// SIGHUP brings shorter deadlines: the process may be killed the longest of them and 0.7 s after SIGTERM. A request that
-/// arrives late in the stop, at a server that hangs, has its answer before that.
+/// arrives late in the shutdown, at a server that hangs, has its response before that.
 #[test]
-fn a_stop_goes_by_the_deadlines_in_force() {
+fn shutdown_ends_by_the_deadlines_in_force() {
     let server = StandIn::start(|_| React::Hang);
     let mut config = config(&[listed("s-1", server.address, "up")]);
     let mut program = Program::start(&config);
@@ -299,28 +303,28 @@
     let (half, rest) = text.split_at(40);
     let mut client = program.client();
     client.send(half);
-    // Longer than a file takes to be read again.
+    // Longer than a reload takes.
     thread::sleep(Duration::from_millis(300));
-    let asked = std::time::Instant::now();
+    let requested_at = std::time::Instant::now();
     program.signal("-TERM");
     thread::sleep(Duration::from_millis(900));
     client.send(rest);
     assert!(client.receive().is_some());
     assert!(
-        asked.elapsed() < Duration::from_millis(1700),
+        requested_at.elapsed() < Duration::from_millis(1700),
         "{:?}",
-        asked.elapsed()
+        requested_at.elapsed()
     );
     assert!(program.end().success());
 }
 
-/// Nobody reads the log any more: the limiter goes on without it.
+/// Nobody reads the log any more: the limiter continues without it.
 #[test]
-fn a_log_that_can_not_be_written_ends_nothing() {
+fn unwritable_log_is_ignored() {
     let server = StandIn::start(|_| fine());
     let mut program = Program::start(&config(&[listed("s-1", server.address, "up")]));
     program.close_log();
-    // A body that is too long is told in the log.
+    // A body that is too long is logged.
     let text = request("pay", 7, 1, "900m").replace("Content-Length: 6", "Content-Length: 65537");
     assert_eq!(
         program.client().call(&text).map(|answer| answer.status()),
@@ -332,10 +336,10 @@
     assert!(program.end().success());
 }
 
-/// Signals in series: three to stop, with new configurations before and between them, are one stop. What is in hand, at a
-/// server that hangs, has its answer before the process may be killed.
+/// Three signals to shut down, with reloads before and between them, are one shutdown. Requests in flight, at a server that
+/// hangs, have their response before the process may be killed.
 #[test]
-fn signals_in_series_are_one_stop() {
+fn repeated_signals_are_one_shutdown() {
     let server = StandIn::start(|_| React::Hang);
     let config = config(&[listed("s-1", server.address, "up")]);
     let mut program = Program::start(&config);
@@ -349,7 +353,7 @@
         ));
     }
     server.next();
-    let asked = std::time::Instant::now();
+    let requested_at = std::time::Instant::now();
     for signal in ["-HUP", "-TERM", "-HUP", "-TERM", "-HUP", "-TERM"] {
         program.signal(signal);
         thread::sleep(Duration::from_millis(20));
@@ -357,8 +361,8 @@
     assert!(clients.iter_mut().all(|client| client.receive().is_some()));
     assert!(program.end().success());
     assert!(
-        asked.elapsed() < Duration::from_millis(3700),
+        requested_at.elapsed() < Duration::from_millis(3700),
         "{:?}",
-        asked.elapsed()
+        requested_at.elapsed()
     );
 }
--- a/crates/merlinreel/tests/sockets/main.rs
+++ b/crates/merlinreel/tests/sockets/main.rs
@@ -1,19 +1,19 @@
 //! The program as it runs: started by its configuration, spoken to over sockets.
 
-mod broken_answers;
-mod drains;
-mod faults;
-mod gone_clients;
+mod client_disconnects;
+mod endpoint_draining;
+mod fault_campaign;
+mod graceful_shutdown;
 mod limited_process;
 mod mesh;
 mod operations;
 mod pipelining;
 mod request_bodies;
-mod settings_at_their_limits;
+mod settings_bounds;
 mod slow_clients;
-mod starts;
-mod stop;
-mod system_faults;
+mod startup;
+mod system_call_failures;
+mod truncated_responses;
 
 use merlinreel_testkit::*;
 use std::sync::mpsc::channel;
@@ -22,7 +22,7 @@
 use test_case::test_case;
 
 #[test]
-fn a_request_goes_through_unchanged_and_connections_are_kept() {
+fn request_is_forwarded_unchanged_and_connections_are_reused() {
     let server = StandIn::start(|_| {
         answer(
             "200 OK",
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn a_target_with_a_host_reaches_servers_as_a_path() {
+fn absolute_form_target_reaches_servers_as_a_path() {
     let server = StandIn::start(|_| fine());
     let program = Program::start(&config(&[listed("s-1", server.address, "up")]));
     let text = request("look", 7, 1, "3000m").replace("GET /look", "GET http://origin.svc/look");
@@ -69,14 +69,14 @@
 }
 
 #[test]
-fn beyond_its_quota_a_customer_is_refused_and_told_when_to_come_back() {
+fn request_over_quota_is_rejected_with_retry_after() {
     let server = StandIn::start(|_| fine());
     let program = Program::start(&config(&[listed("s-1", server.address, "up")]));
     let mut client = program.client();
     assert_eq!(client.request("look", 7, 8).status(), 200);
-    let refused = client.request("look", 7, 8);
-    assert_eq!(refused.status(), 429);
-    let wait = refused
+    let rejected = client.request("look", 7, 8);
+    assert_eq!(rejected.status(), 429);
+    let wait = rejected
         .header("retry-after")
         .and_then(|text| text.parse::<f64>().ok());
     assert!(wait.is_some_and(|seconds| seconds > 0.0), "{wait:?}");
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn units_settled_by_the_answer_count() {
+fn units_charged_by_the_response_count_against_the_quota() {
     let server = StandIn::start(|_| answer("200 OK", "X-Units-Charged: 9\r\n", ""));
     let program = Program::start(&config(&[listed("s-1", server.address, "up")]));
     let mut client = program.client();
@@ -138,7 +138,7 @@
 }
 
 #[test]
-fn an_id_of_an_open_request_is_turned_away_and_the_request_goes_on() {
+fn request_with_an_id_in_flight_is_rejected_and_the_first_continues() {
     let server = StandIn::start(|_| React::Hang);
     let program = Program::start(&config(&[listed("s-1", server.address, "up")]));
     let (text, mut first) = (request("pay", 7, 1, "1200m"), program.client());
@@ -152,10 +152,10 @@
     assert!(server.seen.try_recv().is_err());
 }
 
-/// Guards against another request hidden in a body whose length is told twice.
+/// A body whose length is given twice may hide another request.
 #[test_case("Content-Length: 4\r\nTransfer-Encoding: chunked\r\n" ; "length first")]
 #[test_case("Transfer-Encoding: chunked\r\nContent-Length: 4\r\n" ; "pieces first")]
-fn a_request_hidden_in_a_body_goes_nowhere(lengths: &str) {
+fn request_hidden_in_a_body_is_not_forwarded(lengths: &str) {
     let server = StandIn::start(|_| fine());
     let program = Program::start(&config(&[listed("s-1", server.address, "up")]));
     let hidden = request("pay", 8, 1, "3000m");
@@ -173,13 +173,13 @@
     assert!(server.seen.try_recv().is_err());
 }
 
-/// Who sends nothing, or never the whole, is let go of within 3 s, whatever time it claims to have; who asked
-/// and is asked for nothing stays.
+/// A client that sends nothing, or never a complete request, is closed within 3 s, whatever time it claims to have; one that
+/// sent requests before and is idle stays.
 #[test_case("" => None ; "nothing")]
 #[test_case("POST /pay?key=7 HTTP/1.1\r\nHost:" => None ; "half a head")]
 #[test_case("POST /pay?key=7 HTTP/1.1\r\nHost: svc\r\nX-Txn: 1\r\nX-Plan: team\r\nX-Remaining: 9000000m\r\n\
     X-Quota: units=1,spread=1,first=0\r\nContent-Length: 10\r\n\r\nhalf" => Some(408) ; "half a body")]
-fn what_is_never_whole_has_its_end(text: &str) -> Option<u16> {
+fn incomplete_request_is_ended_in_time(text: &str) -> Option<u16> {
     let server = StandIn::start(|_| fine());
     let program = Program::start(&config(&[listed("s-1", server.address, "up")]));
     let mut known = program.client();
@@ -189,9 +189,9 @@
     answer.map(|answer| answer.status())
 }
 
-/// Guards against crowds that ask once and hold all that a front may hold; who comes back is kept longer.
+/// Many clients that send one request and stay must not hold all connections; those that come back are kept longer.
 #[test]
-fn who_asked_once_and_stays_is_let_go_of() {
+fn connection_idle_after_one_request_is_closed() {
     let server = StandIn::start(|_| fine());
     let program = Program::start(&config(&[listed("s-1", server.address, "up")]));
     let (mut once, mut twice) = (program.client(), program.client());
@@ -201,18 +201,18 @@
     assert_eq!(twice.request("look", 4, 1).status(), 200);
 }
 
-/// Crowds that send nothing, ask once and stay, or never end what they send, hold no place that others need.
+/// Clients that send nothing, stay after one request, or never complete one, hold no connection that others need.
 #[test_case("", 0 ; "silent")]
 #[test_case("GET /look?key=7 HTTP/1.1\r\nHost:", 0 ; "half a head")]
 #[test_case("POST /pay?key=7 HTTP/1.1\r\nHost: svc\r\nX-Txn: 1\r\nX-Plan: team\r\nX-Remaining: 9000m\r\n\
     X-Quota: units=1,spread=1,first=0\r\nContent-Length: 10\r\n\r\nhalf", 0 ; "half a body")]
-#[test_case("", 1 ; "asked once")]
-fn a_crowd_that_stays_takes_nobody_s_place(sends: &str, requests: usize) {
+#[test_case("", 1 ; "one request")]
+fn idle_connections_do_not_displace_a_new_client(sends: &str, requests: usize) {
     let server = StandIn::start(|_| fine());
     let mut config = config(&[listed("s-1", server.address, "up")]);
     config["limits"]["sockets"] = 80.into();
     let program = Program::start(&config);
-    let crowd: Vec<Client> = (0..150)
+    let idle_clients: Vec<Client> = (0..150)
         .map(|customer| {
             let mut client = program.client();
             client.send(sends);
@@ -222,7 +222,7 @@
             client
         })
         .collect();
-    // Well inside its time: nobody of the crowd is due yet.
+    // Well within its time: none of the idle connections is due yet.
     assert_eq!(
         program
             .client()
@@ -230,7 +230,7 @@
             .map(|answer| answer.status()),
         Some(200)
     );
-    drop(crowd);
+    drop(idle_clients);
 }
 
 #[test_case("GET /look?key=7 HTTP/1.1\r\nHost: svc\r\n\r\n" => 400 ; "headers missing")]
@@ -239,20 +239,20 @@
 #[test_case("POST /pay?key=7 HTTP/1.1\r\nHost: svc\r\nX-Txn: 1\r\nX-Plan: team\r\nX-Remaining: 900m\r\n\
     X-Quota: units=1,spread=1,first=0\r\nContent-Length: 65537\r\n\r\n" => 413 ; "too long")]
 #[test_case("POST /pay?key=7 HTTP/1.1\r\nHost: svc\r\nX-Txn: 1\r\nX-Plan: team\r\nX-Remaining: 50m\r\n\
-    X-Quota: units=1,spread=1,first=0\r\nContent-Length: 10\r\n\r\nhalf" => 408 ; "never whole")]
-fn every_path_has_one_answer(text: &str) -> u16 {
+    X-Quota: units=1,spread=1,first=0\r\nContent-Length: 10\r\n\r\nhalf" => 408 ; "incomplete")]
+fn invalid_request_has_its_status(text: &str) -> u16 {
     let program = Program::start(&config(&[]));
     program.client().call(text).expect("an answer").status()
 }
 
 #[test]
-fn with_no_server_a_request_is_refused_within_its_time() {
+fn request_without_a_server_is_rejected_in_time() {
     let program = Program::start(&config(&[]));
     assert_eq!(program.client().request("pay", 7, 1).status(), 429);
 }
 
 #[test]
-fn a_client_that_leaves_ends_its_attempt() {
+fn client_disconnect_cancels_its_attempt() {
     let server = StandIn::start(|_| React::Hang);
     let program = Program::start(&config(&[listed("s-1", server.address, "up")]));
     let mut client = program.client();
@@ -263,7 +263,7 @@
 }
 
 #[test]
-fn a_silent_server_s_request_is_answered_before_the_client_gives_up() {
+fn request_at_a_silent_server_fails_before_the_client_deadline() {
     let server = StandIn::start(|_| React::Hang);
     let program = Program::start(&config(&[listed("s-1", server.address, "up")]));
     let answer = program
@@ -380,7 +380,7 @@
 }
 
 #[test]
-fn a_stop_serves_on_and_finishes_what_is_in_hand() {
+fn shutdown_serves_new_clients_and_completes_requests_in_flight() {
     let (server, release) = holding();
     let mut program = Program::start(&config(&[listed("s-1", server.address, "up")]));
     let mut slow = program.client();
@@ -397,22 +397,22 @@
 }
 
 #[test]
-fn idle_clients_make_room_for_new_ones() {
+fn idle_connections_are_evicted_for_new_clients() {
     let server = StandIn::start(|_| fine());
     let mut config = config(&[listed("s-1", server.address, "up")]);
     config["limits"]["sockets"] = 80.into();
     let program = Program::start(&config);
-    // One that is held up between its connection and its request may be taken for silent: it comes again.
-    let come = |customer| {
+    // One that is delayed between its connection and its request may be evicted as idle: it connects again.
+    let connect = |customer| {
         let mut client = program.client();
         let answer = client.call(&request("look", customer, 1, "3000m"))?;
         assert_eq!(answer.status(), 200);
         Some(client)
     };
     let mut clients: Vec<Client> = (0..100)
-        .map(|customer| (0..50).find_map(|_| come(customer)).expect("an answer"))
+        .map(|customer| (0..50).find_map(|_| connect(customer)).expect("an answer"))
         .collect();
-    // The newest are still open, the oldest gave way.
+    // The newest are still open, the oldest were evicted.
     assert_eq!(clients[99].request("look", 1000, 1).status(), 200);
     assert!(
         clients[0]
@@ -421,7 +421,7 @@
     );
 }
 
-/// A limiter whose requests in hand are as many as it may have, or soon are: their clients wait at a server that hangs.
+/// A limiter with as many requests in flight as it serves at once, or soon so: their clients wait at a server that hangs.
 fn busy_limiter() -> (StandIn, Program, Vec<Client>) {
     let server = StandIn::start(|_| React::Hang);
     let mut config = config(&[listed("s-1", server.address, "up")]);
@@ -443,23 +443,23 @@
 }
 
 #[test]
-fn with_every_connection_busy_newcomers_are_told_so() {
+fn request_over_the_served_connections_is_rejected_as_busy() {
     let (_server, program, holders) = busy_limiter();
-    // Whoever of the others is read first: soon all places are held.
-    let told = (0..100).find_map(|_| {
+    // Whichever of the others is read first: soon all connections are busy.
+    let rejected = (0..100).find_map(|_| {
         let answer = program.client().call(&request("pay", 100, 1, "200m"))?;
         (answer.status() == 503).then_some(answer)
     });
     drop(holders);
-    let told = told.expect("one that is told");
+    let rejected = rejected.expect("one that is rejected");
     assert_eq!(
-        (told.body.as_str(), told.header("connection")),
+        (rejected.body.as_str(), rejected.header("connection")),
         ("too many connections\n", Some("close"))
     );
 }
 
 #[test]
-fn the_client_s_time_runs_from_its_sending() {
+fn client_deadline_counts_from_the_sending_of_the_head() {
     let server = StandIn::start(|_| fine());
     let program = Program::start(&config(&[listed("s-1", server.address, "up")]));
     let mut client = program.client();
--- a/crates/merlinreel/tests/sockets/operations.rs
+++ b/crates/merlinreel/tests/sockets/operations.rs
@@ -1,13 +1,13 @@
-//! What staff do with a limiter that runs: upgrades, figures, settings read again; and answers that are long.
+//! What operators do with a running limiter: upgrades, stats and reloads; and responses that are long.
 
 use merlinreel_testkit::*;
 use std::thread;
 use std::time::Duration;
 
-/// Guards the upgrade: the next process starts beside the one before on the socket that the platform holds,
-/// shares the peer messages' port, and the one before leaves on SIGTERM with what it holds answered and nothing refused.
+/// The next process starts beside the one before on the socket that the platform holds and shares the peer messages' port;
+/// the one before ends on SIGTERM with its requests in flight answered and none rejected.
 #[test]
-fn an_upgrade_hands_the_socket_over_and_loses_nothing() {
+fn upgrade_on_an_inherited_socket_loses_no_request() {
     let (server, release) = holding();
     let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a free port");
     let mut config = config(&[listed("s-1", server.address, "up")]);
@@ -23,7 +23,7 @@
     config["ops"] = free_address().to_string().into();
     let after = Program::start_handed(&config, &listener);
     before.signal("-TERM");
-    // Whoever takes them, every new connection is served.
+    // Whichever process accepts them, every new connection is served.
     for customer in 2..8 {
         assert_eq!(after.client().request("look", customer, 1).status(), 200);
     }
@@ -33,10 +33,10 @@
     assert_eq!(after.client().request("look", 9, 1).status(), 200);
 }
 
-/// Guards long answers: one larger than any that is read whole, from a server that pauses in the middle for
-/// longer than a connection may look idle, reaches the client whole.
+/// A response larger than any that is buffered, from a server that pauses in the middle for longer than a connection may be
+/// idle, reaches the client complete.
 #[test]
-fn a_long_answer_that_pauses_goes_on_whole() {
+fn streaming_response_that_pauses_arrives_complete() {
     use std::io::{BufRead, BufReader, Write};
     const HALF: usize = 4 << 20;
     let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a free port");
@@ -68,24 +68,24 @@
 
 fn stats(ops: std::net::SocketAddr) -> String {
     let answer = Client::connect(ops)
-        .expect("the door")
+        .expect("the admin endpoint")
         .call("GET /stats HTTP/1.1\r\nHost: ops\r\n\r\n");
     let answer = answer.expect("an answer");
     assert_eq!(answer.status(), 200);
     answer.body
 }
 
-/// Guards the figures and the door: counts as clients read their answers, a broken file at SIGHUP counted and
-/// turned down, and a caller who never sends a whole call delays nobody.
+/// Responses are counted as clients read them, an invalid file at SIGHUP is counted and rejected, and a caller that never
+/// completes its call delays nobody.
 #[test]
-fn the_door_tells_true_figures_beside_a_caller_who_stalls() {
+fn admin_endpoint_reports_stats_beside_a_stalled_caller() {
     use std::io::Write;
     let server = StandIn::start(|_| fine());
     let mut config = config(&[listed("s-1", server.address, "up")]);
     let ops: std::net::SocketAddr = free_address();
     config["ops"] = ops.to_string().into();
     let program = Program::start(&config);
-    let mut stalled = std::net::TcpStream::connect(ops).expect("the door");
+    let mut stalled = std::net::TcpStream::connect(ops).expect("the admin endpoint");
     stalled.write_all(b"GET /sta").expect("written");
     let mut client = program.client();
     assert_eq!(client.request("look", 7, 4).status(), 200);
@@ -99,7 +99,7 @@
             .map(|answer| answer.status()),
         Some(400)
     );
-    let told = stats(ops);
+    let text = stats(ops);
     for line in [
         "look.served:2|c",
         "look.refused:1|c",
@@ -107,8 +107,8 @@
         "look.attempts:2|c",
     ] {
         assert!(
-            told.contains(&format!("limiter.requests.{line}\n")),
-            "{line} in {told}"
+            text.contains(&format!("limiter.requests.{line}\n")),
+            "{line} in {text}"
         );
     }
     for line in [
@@ -118,27 +118,28 @@
         "servers_excluded:0|g",
     ] {
         assert!(
-            told.contains(&format!("limiter.{line}\n")),
-            "{line} in {told}"
+            text.contains(&format!("limiter.{line}\n")),
+            "{line} in {text}"
         );
     }
     let odd = Client::connect(ops)
-        .expect("the door")
+        .expect("the admin endpoint")
         .call("GET /nothing HTTP/1.1\r\nHost: ops\r\n\r\n");
     assert_eq!(odd.map(|answer| answer.status()), Some(404));
     program.turn("{\"settings\":");
-    let begun = std::time::Instant::now();
+    let started_at = std::time::Instant::now();
     while !stats(ops).contains("limiter.reloads_failed:1|c\n") {
-        assert!(begun.elapsed() < PATIENCE, "never counted");
+        assert!(started_at.elapsed() < PATIENCE, "never counted");
         thread::sleep(Duration::from_millis(10));
     }
     assert!(stats(ops).contains("limiter.reloads_ok:0|c\n"));
     assert_eq!(client.request("look", 8, 1).status(), 200);
 }
 
-/// A long answer that the client has whole counts as served, also where its told length makes nobody ask for its end.
+/// A streaming response that the client has complete counts as served, also where its announced length makes nobody poll
+/// for its end.
 #[test]
-fn a_long_answer_that_went_on_whole_counts_as_served() {
+fn complete_streaming_response_counts_as_served() {
     const LENGTH: usize = 300 << 10;
     let server = StandIn::start(|_| answer("200 OK", "", &"x".repeat(LENGTH)));
     let mut config = config(&[listed("s-1", server.address, "up")]);
@@ -146,17 +147,17 @@
     config["ops"] = ops.to_string().into();
     let program = Program::start(&config);
     assert_eq!(program.client().request("look", 7, 1).body.len(), LENGTH);
-    let told = stats(ops);
+    let text = stats(ops);
     assert!(
-        told.contains("limiter.requests.look.served:1|c\n"),
-        "{told}"
+        text.contains("limiter.requests.look.served:1|c\n"),
+        "{text}"
     );
 }
 
-/// Guards settings read again: a class added at SIGHUP is served under its own rules, a file that allows no
-/// attempts is turned down whole and changes nothing.
+/// A class added at SIGHUP is served under its own rules; a file that allows no attempts is rejected and changes
+/// nothing.
 #[test]
-fn a_class_added_at_sighup_is_served_and_a_broken_file_changes_nothing() {
+fn reload_adds_a_class_and_an_invalid_file_changes_nothing() {
     let server = StandIn::start(|_| fine());
     let config = config(&[listed("s-1", server.address, "up")]);
     let program = Program::start(&config);
@@ -178,11 +179,11 @@
         .expect("classes")
         .push(class);
     thread::sleep(Duration::from_millis(200));
-    assert_eq!(fetch(2), Some(400), "taken from a broken file");
+    assert_eq!(fetch(2), Some(400), "applied from an invalid file");
     program.turn(&added.to_string());
-    let begun = std::time::Instant::now();
+    let started_at = std::time::Instant::now();
     while fetch(3) != Some(200) {
-        assert!(begun.elapsed() < PATIENCE, "the class never came");
+        assert!(started_at.elapsed() < PATIENCE, "the class never came");
         thread::sleep(Duration::from_millis(20));
     }
     assert_eq!(program.client().request("look", 4, 1).status(), 200);
--- a/crates/merlinreel/tests/sockets/pipelining.rs
+++ b/crates/merlinreel/tests/sockets/pipelining.rs
@@ -1,4 +1,4 @@
-//! Requests that clients send behind one another without waiting for answers.
+//! Pipelined requests: sent one behind another without waiting for responses.
 
 use merlinreel_testkit::*;
 use std::io::Write;
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 use test_case::test_case;
 
-/// A server that answers at once, and the program in front of it; customers have all that they ask.
+/// A server that responses at once, and the program in front of it; no customer reaches its quota.
 fn started() -> (StandIn, Program) {
     let server = StandIn::start(|_| fine());
     let mut config = config(&[listed("s-1", server.address, "up")]);
@@ -22,35 +22,36 @@
         .collect()
 }
 
-/// All that a client sends at once is answered, in its order: far more than the limiter reads ahead of the request in hand,
+/// All that a client sends at once is answered in order: far more than the limiter reads ahead of the request in flight,
 /// and more than the kernel holds.
 #[test_case(200 ; "hundreds")]
 #[test_case(2000 ; "thousands")]
-fn each_of_many_requests_in_one_piece_is_answered(count: usize) {
+fn pipelined_requests_are_each_answered_in_order(count: usize) {
     let (server, program) = started();
     let mut client = program.client();
     let text = requests(count);
     let mut writer = client.writer().expect("a second handle");
     let writing = thread::spawn(move || writer.write_all(text.as_bytes()));
-    let answers: Vec<u16> = (0..count)
+    let responses: Vec<u16> = (0..count)
         .map_while(|_| client.receive())
-        .map(|answer| answer.status())
+        .map(|response| response.status())
         .collect();
-    assert_eq!(answers.len(), count);
-    // On a busy machine the last ones may be past their target time, and are refused.
-    let served = answers.iter().filter(|&&status| status == 200).count();
+    assert_eq!(responses.len(), count);
+    // On a busy machine the last ones may be past their latency objective, and are rejected.
+    let served = responses.iter().filter(|&&status| status == 200).count();
     assert_eq!(
-        served + answers.iter().filter(|&&status| status == 429).count(),
+        served + responses.iter().filter(|&&status| status == 429).count(),
         count
     );
     assert_eq!(server.seen.try_iter().count(), served);
     assert!(served > 100, "{served} served");
-    writing.join().expect("a writer").expect("all is taken");
+    writing.join().expect("a writer").expect("all is written");
 }
 
-/// A stop comes while hundreds of requests are there: each that was read is answered, the last answer tells the closing.
+/// A shutdown begins while hundreds of requests are there: each that was read is answered, and the last response announces
+/// the close.
 #[test]
-fn requests_that_were_read_are_answered_across_a_stop() {
+fn pipelined_requests_are_answered_across_a_shutdown() {
     const COUNT: usize = 200;
     let server = StandIn::start(|_| {
         thread::sleep(Duration::from_millis(8));
@@ -63,17 +64,17 @@
     client.send(&requests(COUNT));
     server.next();
     program.signal("-TERM");
-    let answers: Vec<Message> = (0..COUNT).map_while(|_| client.receive()).collect();
-    let closing = |answer: &Message| answer.header("connection") == Some("close");
-    assert_eq!(answers.len(), COUNT);
-    assert!(answers.last().is_some_and(closing) && !answers[..COUNT - 1].iter().any(closing));
+    let responses: Vec<Message> = (0..COUNT).map_while(|_| client.receive()).collect();
+    let closing = |response: &Message| response.header("connection") == Some("close");
+    assert_eq!(responses.len(), COUNT);
+    assert!(responses.last().is_some_and(closing) && !responses[..COUNT - 1].iter().any(closing));
     assert!(program.end().success());
 }
 
-/// The second request waits for the first one's answer: its server is told what its client has left by then, with 0.15 s of
-/// slack, and the client has its answer in its own time.
+/// The second request waits for the first one's response: its server gets the time that its client has left by then, with
+/// 0.15 s of slack, and the client has its response in time.
 #[test]
-fn a_request_behind_another_is_told_what_its_client_has_left() {
+fn pipelined_request_is_forwarded_with_its_remaining_time() {
     const HELD: Duration = Duration::from_millis(600);
     let server = StandIn::start(|message| {
         if message.first.contains("key=0000000000000001") {
@@ -85,44 +86,48 @@
     let mut client = program.client();
     client.send(&(request("look", 1, 1, "3000m") + &request("look", 2, 1, "1800m")));
     server.next();
-    let told = server.next();
-    let told = told
+    let second = server.next();
+    let remaining_ms = second
         .header("x-remaining")
         .and_then(|text| text.strip_suffix('m')?.parse::<u64>().ok());
     assert!(
-        told.is_some_and(|left| left <= 1800 - 600 + 150),
-        "{told:?}"
+        remaining_ms.is_some_and(|left| left <= 1800 - 600 + 150),
+        "{remaining_ms:?}"
     );
     assert!((0..2).all(|_| {
         client
             .receive()
-            .is_some_and(|answer| answer.status() == 200)
+            .is_some_and(|response| response.status() == 200)
     }));
 }
 
-/// A client sends a request and half of the next, and stays: the half has its end in the time of any that is never whole,
-/// however many requests came before.
+/// A client sends a request and half of the next, and stays: the half is ended in the time of any incomplete request, however
+/// many requests came before.
 #[test]
-fn half_a_request_behind_another_has_its_end() {
+fn incomplete_pipelined_request_is_ended_in_time() {
     let (_server, program) = started();
     let mut client = program.client();
     assert!((0..3).all(|customer| client.request("look", customer, 1).status() == 200));
-    let begun = Instant::now();
-    let answer =
+    let started_at = Instant::now();
+    let response =
         client.call(&(request("look", 7, 1, "3000m") + "GET /look?key=8 HTTP/1.1\r\nHost:"));
-    assert_eq!(answer.map(|answer| answer.status()), Some(200));
-    assert!(client.receive().is_none_or(|answer| answer.status() == 408));
+    assert_eq!(response.map(|response| response.status()), Some(200));
     assert!(
-        begun.elapsed() < Duration::from_secs(3),
+        client
+            .receive()
+            .is_none_or(|response| response.status() == 408)
+    );
+    assert!(
+        started_at.elapsed() < Duration::from_secs(3),
         "{:?}",
-        begun.elapsed()
+        started_at.elapsed()
     );
 }
 
-/// Half of the next request came with one that is in hand as the stop begins; the rest comes once resting connections are
-/// closed. It is a request like others.
+/// Half of the next request came with one that is in flight as the shutdown begins; the rest comes once idle connections are
+/// closed. It is served like any other.
 #[test]
-fn half_a_request_behind_another_is_heard_by_a_stop() {
+fn incomplete_pipelined_request_is_answered_across_a_shutdown() {
     let (server, release) = holding();
     let mut program = Program::start(&config(&[listed("s-1", server.address, "up")]));
     let mut client = program.client();
@@ -135,20 +140,26 @@
     server.next();
     program.signal("-TERM");
     release.send(()).expect("a server that holds it");
-    assert_eq!(client.receive().map(|answer| answer.status()), Some(200));
+    assert_eq!(
+        client.receive().map(|response| response.status()),
+        Some(200)
+    );
     thread::sleep(Duration::from_millis(900));
     client.send(rest);
-    assert_eq!(client.receive().map(|answer| answer.status()), Some(200));
+    assert_eq!(
+        client.receive().map(|response| response.status()),
+        Some(200)
+    );
     assert!(program.end().success());
 }
 
-/// No more requests can be in hand: each of those that a client sent at once is told so, not the first alone.
+/// No more requests can be in flight: each of those that a client sent at once gets the busy response, not only the first.
 #[test]
-fn each_of_several_requests_is_told_that_the_limiter_is_busy() {
+fn pipelined_requests_over_the_limit_are_each_rejected_as_busy() {
     const BEHIND: usize = 3;
     let (_server, program, holders) = super::busy_limiter();
-    // Until all places are held, what comes waits at the server for its time.
-    let told = (0..100).find_map(|_| {
+    // Until all connections are busy, such requests wait at the server for their time.
+    let rejected = (0..100).find_map(|_| {
         let mut client = program.client();
         client.send(
             &(0..BEHIND)
@@ -157,10 +168,10 @@
         );
         let statuses: Vec<u16> = (0..BEHIND)
             .map_while(|_| client.receive())
-            .map(|answer| answer.status())
+            .map(|response| response.status())
             .collect();
         statuses.contains(&503).then_some(statuses)
     });
     drop(holders);
-    assert_eq!(told.expect("one that is told"), [503; BEHIND]);
+    assert_eq!(rejected.expect("one that is rejected"), [503; BEHIND]);
 }
--- a/crates/merlinreel/tests/sockets/request_bodies.rs
+++ b/crates/merlinreel/tests/sockets/request_bodies.rs
@@ -8,8 +8,8 @@
 const LENGTH: &str = "Content-Length: 6\r\n";
 const CHUNKED: &str = "Transfer-Encoding: chunked\r\n";
 const PATIENT: &str = "3000m";
-/// The longest body that is taken.
-const MOST: usize = 64 * 1024;
+/// The longest body that is accepted.
+const MAX_BODY_BYTES: usize = 64 * 1024;
 
 /// A connection on which each write leaves at once.
 struct RawClient {
@@ -29,17 +29,17 @@
     }
 
     fn send(&mut self, bytes: &[u8]) {
-        // Where the other side has closed, the missing answer tells.
+        // Where the other side has closed, the response is missing.
         let _ = self.to.write_all(bytes);
     }
 
-    /// The status of the next answer, read whole; none where the connection has ended.
+    /// The status of the next response, read to its end; none where the connection has ended.
     fn status(&mut self) -> Option<u16> {
         let mut first = String::new();
         if self
             .from
             .read_line(&mut first)
-            .expect("an answer or the end")
+            .expect("a response or the end")
             == 0
         {
             return None;
@@ -65,7 +65,7 @@
     }
 }
 
-/// A request whose framing and body are given as they go on the wire.
+/// A request whose framing and body are given as they go on the framed.
 fn framed_request(class: &str, customer: u32, framing: &str, body: &str) -> String {
     let text = request(class, customer, 1, PATIENT);
     let (head, _) = text.split_once("\r\n\r\n").expect("a head");
@@ -81,14 +81,14 @@
     framed_request(class, customer, CHUNKED, body)
 }
 
-/// A server that answers all, and the program in front of it.
+/// A server that answers everything, and the program in front of it.
 fn started() -> (StandIn, Program) {
     let server = StandIn::start(|_| fine());
     let program = Program::start(&config(&[listed("s-1", server.address, "up")]));
     (server, program)
 }
 
-/// What came is a whole body, told by its length and by nothing else.
+/// The server got a complete body, framed by its length and by nothing else.
 fn assert_body(seen: &Message, body: &str) {
     let lengths: Vec<&str> = seen
         .headers
@@ -97,12 +97,12 @@
         .map(|(_, value)| value.as_str())
         .collect();
     // A request without a length has no body.
-    let told = if lengths.is_empty() {
+    let announced = if lengths.is_empty() {
         vec!["0"]
     } else {
         lengths
     };
-    assert_eq!(told, [body.len().to_string()]);
+    assert_eq!(announced, [body.len().to_string()]);
     assert_eq!(
         (seen.header("transfer-encoding"), seen.header("trailer")),
         (None, None)
@@ -110,22 +110,22 @@
     assert_eq!(seen.body, body);
 }
 
-/// Each way to write the same body in chunks, for both kinds of class that have one; the connection serves on.
+/// Each way to write the same body in chunks, for both kinds of class that have one; the connection stays in use.
 #[test_case("6\r\na body\r\n0\r\n\r\n", "a body" ; "one chunk")]
 #[test_case("1\r\na\r\n1\r\n \r\n4\r\nbody\r\n0\r\n\r\n", "a body" ; "several chunks")]
 #[test_case("0006\r\na body\r\n000\r\n\r\n", "a body" ; "zeros before the size")]
 #[test_case("6;name=value;other=\"a;b\"\r\na body\r\n0;last\r\n\r\n", "a body" ; "extensions")]
-#[test_case("6 \t\r\na body\r\n0\r\n\r\n", "a body" ; "space behind the size")]
+#[test_case("6 \t\r\na body\r\n0\r\n\r\n", "a body" ; "space after the size")]
 #[test_case("6\r\na body\r\n0\r\nX-Sum: 5c\r\nContent-Length: 3\r\n\r\n", "a body" ; "trailers")]
 #[test_case("1A\r\nabcdefghijklmnopqrstuvwxyz\r\n0\r\n\r\n", "abcdefghijklmnopqrstuvwxyz" ; "upper case")]
 #[test_case("1a\r\nabcdefghijklmnopqrstuvwxyz\r\n0\r\n\r\n", "abcdefghijklmnopqrstuvwxyz" ; "lower case")]
 #[test_case("19\r\n\r\n\r\nContent-Length: 3\r\n\r\n\r\n0\r\n\r\n", "\r\n\r\nContent-Length: 3\r\n\r\n" ; "a body like a head")]
 #[test_case("0\r\n\r\n", "" ; "empty")]
-fn a_chunked_body_reaches_the_server_whole(wire: &str, body: &str) {
+fn chunked_body_reaches_the_server_complete(framed: &str, body: &str) {
     let (server, program) = started();
     let mut client = RawClient::connect(&program);
     for (customer, class) in ["put", "pay"].into_iter().enumerate() {
-        let text = chunked(class, customer as u32, wire);
+        let text = chunked(class, customer as u32, framed);
         assert_eq!(client.call(text.as_bytes()), Some(200), "{class}");
         assert_body(&server.next(), body);
         let next = request(class, 7, 1, PATIENT);
@@ -136,7 +136,7 @@
 }
 
 #[test]
-fn a_chunked_request_may_come_byte_by_byte() {
+fn chunked_request_sent_byte_by_byte_is_served() {
     let (server, program) = started();
     let mut client = RawClient::connect(&program);
     for customer in 0..3 {
@@ -153,7 +153,7 @@
 
 /// Cut in two at each place, on one connection.
 #[test]
-fn a_chunked_request_may_be_cut_anywhere() {
+fn chunked_request_split_anywhere_is_served() {
     let (server, program) = started();
     let mut client = RawClient::connect(&program);
     let length = chunked("pay", 0, "6\r\na body\r\n0\r\n\r\n").len();
@@ -168,20 +168,20 @@
 }
 
 #[test]
-fn a_chunked_body_of_many_pieces_may_be_as_long_as_any() {
+fn chunked_body_of_the_maximum_length_is_served() {
     let (server, program) = started();
     let mut client = RawClient::connect(&program);
-    let body: String = ('a'..='z').cycle().take(MOST).collect();
-    for size in [1, 7, 4096, MOST] {
+    let body: String = ('a'..='z').cycle().take(MAX_BODY_BYTES).collect();
+    for size in [1, 7, 4096, MAX_BODY_BYTES] {
         let pieces = body
             .as_bytes()
             .chunks(size)
             .map(|piece| String::from_utf8_lossy(piece));
-        let wire: String = pieces
+        let framed: String = pieces
             .map(|piece| format!("{:x}\r\n{piece}\r\n", piece.len()))
             .collect();
         assert_eq!(
-            client.call(chunked("pay", 1, &(wire + "0\r\n\r\n")).as_bytes()),
+            client.call(chunked("pay", 1, &(framed + "0\r\n\r\n")).as_bytes()),
             Some(200),
             "{size}"
         );
@@ -189,22 +189,22 @@
     }
 }
 
-#[test_case(MOST + 1, 1 ; "a byte more, in small chunks")]
-#[test_case(MOST + 1, MOST + 1 ; "a byte more, in one chunk")]
-#[test_case(2 * MOST, 4096 ; "twice as long")]
-fn a_chunked_body_that_is_too_long_is_told_so(length: usize, size: usize) {
+#[test_case(MAX_BODY_BYTES + 1, 1 ; "a byte more, in small chunks")]
+#[test_case(MAX_BODY_BYTES + 1, MAX_BODY_BYTES + 1 ; "a byte more, in one chunk")]
+#[test_case(2 * MAX_BODY_BYTES, 4096 ; "twice as long")]
+fn chunked_body_over_the_maximum_length_is_rejected_with_413(length: usize, size: usize) {
     let (server, program) = started();
     let body = "x".repeat(length);
     let pieces = body
         .as_bytes()
         .chunks(size)
         .map(|piece| String::from_utf8_lossy(piece));
-    let wire: String = pieces
+    let framed: String = pieces
         .map(|piece| format!("{:x}\r\n{piece}\r\n", piece.len()))
         .collect();
     let mut client = RawClient::connect(&program);
     assert_eq!(
-        client.call(chunked("pay", 1, &(wire + "0\r\n\r\n")).as_bytes()),
+        client.call(chunked("pay", 1, &(framed + "0\r\n\r\n")).as_bytes()),
         Some(413)
     );
     assert_eq!(client.status(), None);
@@ -214,18 +214,18 @@
 #[test_case("6\r\na bo" ; "half a chunk")]
 #[test_case("6\r\na body\r\n" ; "no last chunk")]
 #[test_case("6\r\na body\r\n0\r\nX-Sum: 5c\r\n" ; "no end of the trailers")]
-fn a_chunked_body_that_is_never_whole_has_its_end(wire: &str) {
+fn incomplete_chunked_body_is_ended_with_408(framed: &str) {
     let (server, program) = started();
     let mut client = RawClient::connect(&program);
-    let text = chunked("pay", 1, wire).replace(PATIENT, "50m");
+    let text = chunked("pay", 1, framed).replace(PATIENT, "50m");
     assert_eq!(client.call(text.as_bytes()), Some(408));
     assert_eq!(client.status(), None);
     assert!(server.seen.try_recv().is_err());
 }
 
-/// A client whose side ends before the body has its answer too, and no server gets the part.
+/// A client whose side ends before the body is answered or closed, and no server gets the part.
 #[test]
-fn a_chunked_body_that_ends_early_goes_nowhere() {
+fn truncated_chunked_body_is_not_forwarded() {
     let (server, program) = started();
     let mut client = RawClient::connect(&program);
     client.send(chunked("pay", 1, "6\r\na bo").as_bytes());
@@ -238,16 +238,16 @@
 #[test_case("g\r\na body\r\n0\r\n\r\n" ; "no digit")]
 #[test_case("\r\na body\r\n0\r\n\r\n" ; "no size")]
 #[test_case("-6\r\na body\r\n0\r\n\r\n" ; "signed")]
-#[test_case("0x6\r\na body\r\n0\r\n\r\n" ; "with a mark of its base")]
+#[test_case("0x6\r\na body\r\n0\r\n\r\n" ; "with a base prefix")]
 #[test_case("6 6\r\na body\r\n0\r\n\r\n" ; "two sizes")]
-#[test_case("10000000000000006\r\na body\r\n0\r\n\r\n" ; "beyond 64 bits")]
+#[test_case("10000000000000006\r\na body\r\n0\r\n\r\n" ; "over 64 bits")]
 #[test_case("6\na body\n0\n\n" ; "line feeds alone")]
 #[test_case("5\r\na body\r\n0\r\n\r\n" ; "too short")]
 #[test_case("6;a\nb\r\na body\r\n0\r\n\r\n" ; "a line feed in an extension")]
-fn a_malformed_chunk_closes_the_connection(wire: &str) {
+fn malformed_chunk_closes_the_connection(framed: &str) {
     let (server, program) = started();
     let mut client = RawClient::connect(&program);
-    let text = chunked("pay", 1, wire) + &request("pay", 2, 1, PATIENT);
+    let text = chunked("pay", 1, framed) + &request("pay", 2, 1, PATIENT);
     assert_eq!(client.call(text.as_bytes()), Some(400));
     assert_eq!(client.status(), None);
     assert!(server.seen.try_recv().is_err());
@@ -260,7 +260,7 @@
 #[test_case("tRANSFER-eNCODING: cHUNKED\r\ncONTENT-lENGTH:6\r\n" ; "mixed case")]
 #[test_case("cONTENT-lENGTH:6\r\ntRANSFER-eNCODING:cHUNKED\r\n" ; "mixed case with the length first")]
 #[test_case("Transfer-Encoding: chunked\r\nX-Between: 1\r\nContent-Length: 0\r\n" ; "a length of nothing")]
-#[test_case("Transfer-Encoding: chunked\r\nContent-Length: many\r\n" ; "a length that is none")]
+#[test_case("Transfer-Encoding: chunked\r\nContent-Length: many\r\n" ; "a length that is no number")]
 #[test_case("Transfer-Encoding: chunked\r\nContent-Length:\r\n" ; "an empty length")]
 #[test_case("Content-Length: 6\r\nTransfer-Encoding: chunked\r\nContent-Length: 6\r\n" ; "between two lengths")]
 #[test_case("Transfer-Encoding: chunked\r\nContent-Length : 6\r\n" ; "space before the colon of the length")]
@@ -287,7 +287,7 @@
 #[test_case("Transfer-Encoding: , chunked\r\n" ; "an empty element")]
 #[test_case("Transfer-Encoding: chunked;q=1\r\n" ; "a parameter")]
 #[test_case("Transfer-Encoding:\r\n" ; "no coding")]
-fn a_request_with_two_readings_is_refused(framing: &str) {
+fn ambiguous_framing_is_rejected(framing: &str) {
     let (server, program) = started();
     let hidden = request("pay", 8, 1, PATIENT);
     let bodies = [
@@ -301,7 +301,7 @@
         assert_eq!(client.call(text.as_bytes()), Some(400), "{body:?}");
         assert_eq!(client.status(), None, "{body:?}");
     }
-    // The same in two pieces, the head alone first: the refusal does not wait for what is behind.
+    // The same in two pieces, the head alone first: the rejection does not wait for the body.
     let mut client = RawClient::connect(&program);
     assert_eq!(
         client.call(framed_request("pay", 7, framing, "").as_bytes()),
@@ -312,11 +312,11 @@
     assert!(server.seen.try_recv().is_err());
 }
 
-/// Guards the call by which the platform asks whether requests are taken: it is no way round the check.
+/// The call by which the platform asks whether requests are accepted is no way around the check.
 #[test_case("Content-Length: 6\r\nTransfer-Encoding: chunked\r\n" ; "length first")]
 #[test_case("Transfer-Encoding: chunked\r\nContent-Length: 6\r\n" ; "chunked first")]
 #[test_case("Transfer-Encoding: gzip, chunked\r\n" ; "another coding before")]
-fn a_probe_with_two_readings_is_refused(framing: &str) {
+fn ambiguous_framing_of_an_up_call_is_rejected(framing: &str) {
     let (server, program) = started();
     let mut client = RawClient::connect(&program);
     let text = format!("GET /up HTTP/1.1\r\nHost: svc\r\n{framing}\r\n0\r\n\r\n");
@@ -329,7 +329,7 @@
 }
 
 #[test]
-fn the_older_protocol_has_no_chunks() {
+fn chunked_request_of_http_1_0_is_rejected() {
     let (server, program) = started();
     let mut client = RawClient::connect(&program);
     let text =
@@ -342,17 +342,17 @@
     assert!(server.seen.try_recv().is_err());
 }
 
-/// The second head shows a length or a coding that is none of the first's: each is read by its own.
+/// The second head shows a length or a coding that is not the first one's: each request is framed by its own head.
 #[test]
-fn requests_in_one_piece_are_each_read_by_their_own_head() {
+fn pipelined_requests_are_each_framed_by_their_own_head() {
     let (server, program) = started();
     let mut client = RawClient::connect(&program);
     let like_a_head = "Content-Length: 3\r\n\r\nContent-Length: 4";
-    let wire = format!("{:x}\r\n{like_a_head}\r\n0\r\n\r\n", like_a_head.len());
+    let framed = format!("{:x}\r\n{like_a_head}\r\n0\r\n\r\n", like_a_head.len());
     let texts = [
         (framed_request("pay", 1, LENGTH, "a body"), "a body"),
         (chunked("pay", 2, "6\r\na body\r\n0\r\n\r\n"), "a body"),
-        (chunked("put", 3, &wire), like_a_head),
+        (chunked("put", 3, &framed), like_a_head),
         (chunked("pay", 4, "0\r\nContent-Length: 3\r\n\r\n"), ""),
         (chunked("pay", 5, "5\r\nagain\r\n0\r\n\r\n"), "again"),
         (framed_request("pay", 6, LENGTH, "a body"), "a body"),
@@ -370,9 +370,9 @@
     }
 }
 
-/// A pipelined request that tells both is found out by its own head, and by nothing before it.
+/// A pipelined request that has both is detected by its own head, and by nothing before it.
 #[test]
-fn a_request_with_two_readings_behind_sound_ones_is_refused() {
+fn ambiguous_framing_behind_valid_requests_is_rejected() {
     let (server, program) = started();
     let mut client = RawClient::connect(&program);
     let sound = [
@@ -391,10 +391,10 @@
     assert_eq!(server.seen.try_iter().count(), 2);
 }
 
-/// Of a body told by its length, what lies between the last blank line and the next head counts as that head's. Where it
-/// looks like a length, a chunked request behind it is refused: more than need be, and the client may send it again.
+/// Of a body framed by its length, what lies between the last blank line and the next head counts as that head's. Where it
+/// looks like a length, a chunked request behind it is rejected: more than need be, and the client may send it again.
 #[test]
-fn a_body_that_looks_like_a_length_has_the_chunked_request_behind_it_refused() {
+fn chunked_request_behind_a_body_like_a_length_is_rejected() {
     let (server, program) = started();
     let mut client = RawClient::connect(&program);
     let body = "x\r\nContent-Length: 3\r\n";
@@ -410,10 +410,10 @@
 
 #[test_case("0\r\n\r\n" => Some(200) ; "empty")]
 #[test_case("1\r\nx\r\n0\r\n\r\n" => Some(400) ; "not empty")]
-fn a_repeatable_request_may_come_chunked_if_it_is_empty(wire: &str) -> Option<u16> {
+fn chunked_idempotent_request_is_served_only_without_a_body(framed: &str) -> Option<u16> {
     let (server, program) = started();
     let mut client = RawClient::connect(&program);
-    let status = client.call(chunked("look", 1, wire).as_bytes());
+    let status = client.call(chunked("look", 1, framed).as_bytes());
     let seen = server.seen.try_iter().next();
     assert_eq!(seen.is_some(), status == Some(200));
     if let Some(seen) = seen {
@@ -425,9 +425,9 @@
     status
 }
 
-/// A client that waits for leave to send its body gets it.
+/// A client that expects `100 Continue` before its body gets it.
 #[test]
-fn a_chunked_body_may_wait_for_leave() {
+fn chunked_body_with_expect_continue_is_served() {
     let (server, program) = started();
     let mut client = RawClient::connect(&program);
     let text = framed_request("pay", 1, &format!("Expect: 100-continue\r\n{CHUNKED}"), "");
--- a/crates/merlinreel/tests/sockets/settings_at_their_limits.rs
+++ b/crates/merlinreel/tests/sockets/settings_bounds.rs
@@ -17,23 +17,23 @@
     (server, config)
 }
 
-#[test_case("settings.rules.coldS", json!(0) ; "warm at once")]
-#[test_case("settings.rules.fallS", json!(0) ; "no time to fall")]
-#[test_case("settings.rules.startCapacity", json!(0) ; "nothing at the start")]
-#[test_case("settings.rules.startCapacity", json!(1) ; "all at the start")]
+#[test_case("settings.rules.coldS", json!(0) ; "no slow start")]
+#[test_case("settings.rules.fallS", json!(0) ; "no overload window")]
+#[test_case("settings.rules.startCapacity", json!(0) ; "slow start from nothing")]
+#[test_case("settings.rules.startCapacity", json!(1) ; "slow start from everything")]
 #[test_case("settings.rules.overloadFactor", json!(0) ; "no factor")]
 #[test_case("settings.rules.drainGraceS", json!(0) ; "no grace")]
 #[test_case("settings.policyLimits.connIdleS", json!(0) ; "idle for no time")]
 #[test_case("settings.policyLimits.connectTimeoutS", json!(0) ; "no time to connect")]
 #[test_case("settings.policyLimits.sendCap", json!(1) ; "one attempt")]
-#[test_case("settings.policyLimits.mostHeld", json!(0) ; "none named to hold")]
-#[test_case("settings.policyLimits.mostHeld", json!(1) ; "one held")]
+#[test_case("settings.policyLimits.mostHeld", json!(0) ; "no maximum in flight")]
+#[test_case("settings.policyLimits.mostHeld", json!(1) ; "one in flight")]
 #[test_case("settings.policyLimits.mayCancel", json!(false) ; "never cancelled")]
 #[test_case("settings.classes.1.keyTtlS", json!(0) ; "a key kept for no time")]
-#[test_case("settings.classes.0.promiseS", json!(0) ; "no target time")]
-#[test_case("settings.classes.0.worth", json!(0) ; "no worth")]
+#[test_case("settings.classes.0.promiseS", json!(0) ; "no latency objective")]
+#[test_case("settings.classes.0.worth", json!(0) ; "no priority weight")]
 #[test_case("settings.packages.0.unitsPerS", json!(0) ; "no rate")]
-#[test_case("settings.packages.0.mostAtOnce", json!(0) ; "no store")]
+#[test_case("settings.packages.0.mostAtOnce", json!(0) ; "no token bucket")]
 #[test_case("settings.packages.0.price", json!(0) ; "no price")]
 #[test_case("settings.packages.0.maxOut", json!(1) ; "one out")]
 #[test_case("settings.familyInfo.inboxPerS", json!(0) ; "no inbox")]
@@ -43,7 +43,7 @@
 #[test_case("settings.dcs", json!([]) ; "no zones")]
 #[test_case("known", json!(null) ; "no list")]
 #[test_case("known.instances", json!([]) ; "no server")]
-fn a_setting_at_its_limit_answers_all_classes(path: &str, value: Value) {
+fn setting_at_its_bound_serves_all_classes(path: &str, value: Value) {
     let (_server, config) = with(path, value);
     let program = Program::start(&config);
     let mut client = program.client();
@@ -59,7 +59,7 @@
 #[test_case("settings.packages", json!([]) ; "plans")]
 #[test_case("settings.classes.0.hardLimitS", json!(0) ; "hardLimitS")]
 #[test_case("settings.policyLimits.sendCap", json!(0) ; "sendCap")]
-fn a_setting_without_which_nothing_is_served_is_refused_by_name(path: &str, value: Value) {
+fn setting_out_of_bounds_is_rejected_with_its_key(path: &str, value: Value) {
     let key = path.rsplit('.').next().expect("a key");
     let (status, text) = Program::complaint(&with(path, value).1);
     assert!(!status.success() && text.contains(key), "{text}");
--- a/crates/merlinreel/tests/sockets/slow_clients.rs
+++ b/crates/merlinreel/tests/sockets/slow_clients.rs
@@ -1,4 +1,4 @@
-//! Clients that are slow, or have hardly any time, and are requests like others.
+//! Clients that send slowly, or have little time left, and are served like others.
 
 use merlinreel_testkit::*;
 use std::thread;
@@ -7,7 +7,7 @@
 
 /// A head takes 1.9 s, and its body of 64 KiB another 1.1 s, a piece at a time: as slow as a client may be.
 #[test]
-fn a_client_may_take_two_seconds_for_a_head_and_64_kb_a_second_for_a_body() {
+fn slow_request_of_two_seconds_for_its_head_and_64_kb_per_second_is_served() {
     const LENGTH: usize = 64 * 1024;
     const PIECES: usize = 22;
     let server = StandIn::start(|_| fine());
@@ -25,40 +25,47 @@
         thread::sleep(Duration::from_millis(50));
         client.send(&String::from_utf8_lossy(piece));
     }
-    assert_eq!(client.receive().map(|answer| answer.status()), Some(200));
+    assert_eq!(
+        client.receive().map(|response| response.status()),
+        Some(200)
+    );
     assert_eq!(server.next().body.len(), LENGTH);
 }
 
-/// A body that stops in its middle has its end within 3 s of its connection all the same, however slow its head was.
-#[test_case(100 ; "behind a quick head")]
-#[test_case(1900 ; "behind a slow one")]
-fn a_body_that_stops_has_its_end(head_takes: u64) {
+/// A body that stalls is ended within 3 s of its connection, however slow its head was.
+#[test_case(100 ; "after a fast head")]
+#[test_case(1900 ; "after a slow head")]
+fn stalled_body_is_ended_in_time(head_takes: u64) {
     let program = Program::start(&config(&[]));
     let text = request("pay", 7, 1, "3000m").replace("Content-Length: 6", "Content-Length: 60000");
     let (first, rest) = text.split_at(40);
-    let (begun, mut client) = (Instant::now(), program.client());
+    let (started_at, mut client) = (Instant::now(), program.client());
     client.send(first);
     thread::sleep(Duration::from_millis(head_takes));
     client.send(rest);
-    assert!(client.receive().is_none_or(|answer| answer.status() == 408));
     assert!(
-        begun.elapsed() < Duration::from_secs(3),
+        client
+            .receive()
+            .is_none_or(|response| response.status() == 408)
+    );
+    assert!(
+        started_at.elapsed() < Duration::from_secs(3),
         "{:?}",
-        begun.elapsed()
+        started_at.elapsed()
     );
 }
 
-/// Hardly any time is left: the client has its one answer soon, and the next request with time is served.
+/// Little time is left: the client has its one response soon, and the next request with enough time is served.
 #[test_case("0m")]
 #[test_case("1u")]
 #[test_case("4m")]
 #[test_case("6m")]
-fn hardly_any_time_left(remaining: &str) {
+fn request_with_little_remaining_time_is_answered_at_once(remaining: &str) {
     let server = StandIn::start(|_| fine());
     let program = Program::start(&config(&[listed("s-1", server.address, "up")]));
     let mut client = program.client();
     for customer in 0..5 {
-        let (begun, class) = (
+        let (started_at, class) = (
             Instant::now(),
             ["look", "put", "pay"][customer as usize % 3],
         );
@@ -68,9 +75,9 @@
                 .is_some()
         );
         assert!(
-            begun.elapsed() < Duration::from_millis(500),
+            started_at.elapsed() < Duration::from_millis(500),
             "{:?}",
-            begun.elapsed()
+            started_at.elapsed()
         );
     }
     assert_eq!(client.request("pay", 9, 1).status(), 200);
--- a/crates/merlinreel/tests/sockets/starts.rs
+++ b/crates/merlinreel/tests/sockets/startup.rs
@@ -1,4 +1,4 @@
-//! Limiters that start or start again while discovery is down or their descriptors are taken.
+//! Limiters that start or restart while discovery is down or their descriptors are in use.
 
 use super::limited_process::LimitedProcess;
 use merlinreel_testkit::*;
@@ -13,42 +13,42 @@
 use std::time::{Duration, Instant};
 use test_case::test_case;
 
-/// Within this a process that starts is to be ready.
+/// A process must be ready within this of its start.
 const READY_WITHIN: Duration = Duration::from_secs(10);
-/// Descriptors that the system lets a process have where they are short.
+/// Descriptors that the system allows a process where they are short.
 const DESCRIPTORS: u32 = 256;
 
-/// A discovery that takes calls and says nothing until it is given a list; then each call has that.
-struct Mute {
-    standin: StandIn,
+/// A discovery stub that accepts calls and is silent until it is given a list; then each call gets that.
+struct SilentDiscovery {
+    stub: StandIn,
     list: Arc<Mutex<Option<String>>>,
 }
 
-impl Mute {
-    fn start() -> Mute {
+impl SilentDiscovery {
+    fn start() -> SilentDiscovery {
         let list = Arc::new(Mutex::new(None::<String>));
-        let told = list.clone();
-        let standin = StandIn::start(move |call| match &*told.lock().expect("whole") {
+        let current = list.clone();
+        let stub = StandIn::start(move |call| match &*current.lock().expect("not poisoned") {
             Some(text) if !call.first.contains("after=2&") => answer("200 OK", "", text),
             _ => React::Hang,
         });
-        Mute { standin, list }
+        SilentDiscovery { stub, list }
     }
 
     fn speak(&self, list: &Value) {
-        *self.list.lock().expect("whole") = Some(list.to_string());
+        *self.list.lock().expect("not poisoned") = Some(list.to_string());
     }
 }
 
-/// Clients that come and stay, so many at a time, and come again for each that the limiter lets go of: one in two asks
-/// once, the others never say a word.
-struct Crowd {
+/// Clients that connect and stay, so many at a time, with a new one for each that the limiter closes: one in two sends a
+/// request, the others send nothing.
+struct ClientBurst {
     over: Arc<AtomicBool>,
     coming: Option<JoinHandle<()>>,
 }
 
-impl Crowd {
-    fn start(address: SocketAddr, size: usize) -> Crowd {
+impl ClientBurst {
+    fn start(address: SocketAddr, size: usize) -> ClientBurst {
         let over: Arc<AtomicBool> = Arc::default();
         let ends = over.clone();
         let coming = thread::spawn(move || {
@@ -65,28 +65,28 @@
                 }
                 here.push_back(client);
                 if here.len() > size {
-                    // The longest here: let go of long ago.
+                    // The oldest: closed long ago.
                     here.pop_front();
-                    // A pause between two that come: others of this machine have a turn.
+                    // A pause between two that connect, for other processes of this machine.
                     thread::sleep(Duration::from_millis(1));
                 }
             }
         });
-        Crowd {
+        ClientBurst {
             over,
             coming: Some(coming),
         }
     }
 }
 
-impl Drop for Crowd {
+impl Drop for ClientBurst {
     fn drop(&mut self) {
         self.over.store(true, Ordering::Relaxed);
         let _ = self.coming.take().map(JoinHandle::join);
     }
 }
 
-/// Whether a server's call is of one of these customers.
+/// Whether a request at a server is of one of these customers.
 fn is_of(customers: &Range<u64>, call: &Message) -> bool {
     let key = call
         .first
@@ -97,35 +97,35 @@
         .is_some_and(|key| customers.contains(&key))
 }
 
-/// Each of these customers comes for the first time and is served. One that is held up between its connection and its
-/// request may be taken for silent: it comes again, as clients do.
-fn asks(process: &LimitedProcess, customers: Range<u64>) {
+/// Each of these customers connects for the first time and is served. One that is delayed between its connection and its
+/// request may be evicted as idle: it connects again, as clients do.
+fn assert_served(process: &LimitedProcess, customers: Range<u64>) {
     for customer in customers {
-        let come = |_| {
+        let connect = |_| {
             process
                 .client()
                 .call(&request("look", customer as u32, 1, "3000m"))
         };
         assert_eq!(
-            (0..50).find_map(come).map(|answer| answer.status()),
+            (0..50).find_map(connect).map(|answer| answer.status()),
             Some(200),
             "{customer}"
         );
     }
 }
 
-/// Discovery is down, and clients that stay hold all descriptors that clients may: a newcomer is served by the list of the
-/// configuration, and once discovery is back its list counts. Guards the calls to discovery against want of descriptors.
+/// Discovery is down, and clients that stay use all descriptors that clients may: a new client is served by the list of the
+/// configuration, and once discovery is back its list is applied. The calls to discovery never lack a descriptor.
 #[test]
-fn a_crowd_while_discovery_is_silent_keeps_no_list_out() {
+fn burst_of_clients_does_not_keep_the_endpoint_list_out() {
     let (old, new) = (StandIn::start(|_| fine()), StandIn::start(|_| fine()));
-    let discovery = Mute::start();
+    let discovery = SilentDiscovery::start();
     let mut config = config(&[listed("s-1", old.address, "up")]);
-    config["discovery"] = discovery.standin.address.to_string().into();
+    config["discovery"] = discovery.stub.address.to_string().into();
     config["limits"]["sockets"] = DESCRIPTORS.into();
     let process = LimitedProcess::start(&config, DESCRIPTORS);
     assert!(process.is_ready_by(Instant::now() + READY_WITHIN));
-    let crowd = Crowd::start(process.address, 400);
+    let burst = ClientBurst::start(process.address, 400);
     let until = Instant::now() + PATIENCE;
     let most =
         std::iter::repeat_with(|| process.descriptors()).take_while(|_| Instant::now() < until);
@@ -134,7 +134,7 @@
         "never full"
     );
     assert!(process.is_ready_by(Instant::now() + READY_WITHIN));
-    asks(&process, 1..11);
+    assert_served(&process, 1..11);
     assert_eq!(
         old.seen
             .try_iter()
@@ -150,10 +150,10 @@
             listed("s-2", new.address, "up"),
         ],
     ));
-    // The call behind the list's: the list is in the driver's queue by then.
-    while !discovery.standin.next().first.contains("after=2&") {}
-    asks(&process, 11..21);
-    drop(crowd);
+    // The call after the list's: the list is in the event loop's queue by then.
+    while !discovery.stub.next().first.contains("after=2&") {}
+    assert_served(&process, 11..21);
+    drop(burst);
     assert_eq!(
         old.seen
             .try_iter()
@@ -173,20 +173,20 @@
 
 /// What discovery does while the fleet starts again.
 #[derive(Clone, Copy)]
-enum Down {
+enum Outage {
     Silent,
     Refusing,
 }
 
-/// Ten processes killed at once and started again: nine of them are ready in time, whatever discovery does, and serve.
-#[test_case(Down::Silent ; "discovery is silent")]
-#[test_case(Down::Refusing ; "discovery refuses")]
-fn a_fleet_killed_in_an_outage_is_back_in_time(down: Down) {
+/// Ten processes killed at once and restarted: nine of them are ready in time, whatever discovery does, and serve.
+#[test_case(Outage::Silent ; "discovery is silent")]
+#[test_case(Outage::Refusing ; "discovery refuses")]
+fn fleet_killed_during_an_outage_is_ready_in_time(outage: Outage) {
     let server = StandIn::start(|_| fine());
     let discovery = StandIn::start(|_| React::Hang);
-    let at = match down {
-        Down::Silent => discovery.address,
-        Down::Refusing => free_address(),
+    let at = match outage {
+        Outage::Silent => discovery.address,
+        Outage::Refusing => free_address(),
     };
     let start = |_| {
         let mut config = config(&[listed("s-1", server.address, "up")]);
@@ -215,42 +215,42 @@
     }
 }
 
-/// An agent whose every answer comes in small pieces, each once another call has come or a newcomer was served.
-struct Trickle {
+/// A discovery stub whose responses come in small pieces, each once another call has come.
+struct TricklingDiscovery {
     address: SocketAddr,
     steps: Arc<(Mutex<usize>, Condvar)>,
-    whole: Arc<AtomicUsize>,
+    complete: Arc<AtomicUsize>,
 }
 
-impl Trickle {
-    fn start(list: &Value, pieces: usize) -> Trickle {
+impl TricklingDiscovery {
+    fn start(list: &Value, pieces: usize) -> TricklingDiscovery {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
         let address = listener.local_addr().expect("bound");
         let steps: Arc<(Mutex<usize>, Condvar)> = Arc::default();
-        let whole: Arc<AtomicUsize> = Arc::default();
+        let complete: Arc<AtomicUsize> = Arc::default();
         let text = list.to_string();
-        let (serving, finished) = (steps.clone(), whole.clone());
+        let (serving, finished) = (steps.clone(), complete.clone());
         thread::spawn(move || {
             for mut stream in listener.incoming().flatten() {
                 let (steps, finished, text) = (serving.clone(), finished.clone(), text.clone());
-                *steps.0.lock().expect("whole") += 1;
+                *steps.0.lock().expect("not poisoned") += 1;
                 steps.1.notify_all();
                 thread::spawn(move || trickle(&mut stream, &text, pieces, &steps, &finished));
             }
         });
-        Trickle {
+        TricklingDiscovery {
             address,
             steps,
-            whole,
+            complete,
         }
     }
 
     fn calls(&self) -> usize {
-        *self.steps.0.lock().expect("whole")
+        *self.steps.0.lock().expect("not poisoned")
     }
 }
 
-/// Answers one call, a piece at each further call.
+/// Answers one call, with a piece at each further call.
 fn trickle(
     stream: &mut TcpStream,
     text: &str,
@@ -267,7 +267,7 @@
     )?;
     for piece in text.as_bytes().chunks(text.len().div_ceil(pieces)) {
         stream.write_all(piece)?;
-        let seen = steps.0.lock().expect("whole");
+        let seen = steps.0.lock().expect("not poisoned");
         let before = *seen;
         drop(steps.1.wait_while(seen, |now| *now == before));
     }
@@ -276,9 +276,9 @@
 }
 
 /// Discovery's first list takes far longer than a start may wait for it, and longer than it takes to make as many calls as
-/// may be out at once: the start is in time with the list of the configuration, and the one that trickles comes whole.
+/// may be open at once: the start is in time with the list of the configuration, and the trickling one is applied later.
 #[test]
-fn a_first_list_that_trickles_holds_no_start_up_and_counts_at_last() {
+fn trickling_first_list_delays_no_start_and_is_applied_later() {
     const PIECES: usize = 8;
     let (old, new) = (StandIn::start(|_| fine()), StandIn::start(|_| fine()));
     let list = server_list(
@@ -289,13 +289,13 @@
             listed("s-2", new.address, "up"),
         ],
     );
-    let discovery = Trickle::start(&list, PIECES);
+    let discovery = TricklingDiscovery::start(&list, PIECES);
     let mut config = config(&[listed("s-1", old.address, "up")]);
     config["discovery"] = discovery.address.to_string().into();
     let process = LimitedProcess::start(&config, DESCRIPTORS);
     assert!(process.is_ready_by(Instant::now() + READY_WITHIN));
     assert_eq!(
-        discovery.whole.load(Ordering::SeqCst),
+        discovery.complete.load(Ordering::SeqCst),
         0,
         "it started with its own list"
     );
@@ -308,10 +308,10 @@
     });
     assert!(
         Instant::now() < until,
-        "not taken after {} calls",
+        "not applied after {} calls",
         discovery.calls()
     );
-    // Once it is known to drain it gets nothing more.
+    // Once it is known to drain it gets no more requests.
     let _ = old.seen.try_iter().count();
     for customer in taken.unwrap_or(0) + 1..taken.unwrap_or(0) + 6 {
         assert_eq!(process.client().request("look", customer, 1).status(), 200);
@@ -322,10 +322,10 @@
     );
 }
 
-/// A process that is asked to stop before it ever served, while it waits for a silent discovery: who connected meanwhile is
-/// answered all the same.
+/// A process that is shut down before it ever served, while it waits for silent discovery: clients that connected meanwhile
+/// are answered all the same.
 #[test]
-fn a_stop_during_a_start_answers_who_came() {
+fn shutdown_during_startup_answers_connected_clients() {
     let server = StandIn::start(|_| fine());
     let discovery = StandIn::start(|_| React::Hang);
     let mut config = config(&[listed("s-1", server.address, "up")]);
@@ -343,22 +343,23 @@
     assert!(process.end().success());
 }
 
-/// A process that stands still for a moment, as one whose accept fails does: all who connect meanwhile wait on its socket, and
-/// are answered. The kernel drops what does not fit into a listener's queue, and its client tries again only after a second.
+/// A process that is paused for a moment, as one whose accept fails is: all clients that connect meanwhile wait on its socket,
+/// and are answered. The kernel drops what does not fit into a listener's backlog, and its client tries again only after a
+/// second.
 #[test]
-fn who_connects_while_the_process_stands_still_is_answered() {
+fn clients_that_connect_to_a_paused_process_are_answered() {
     const CLIENTS: usize = 500;
     let mut config = config(&[]);
     config["limits"]["sockets"] = 1024.into();
     let program = Program::start(&config);
     program.signal("-STOP");
-    let come = |_| {
+    let connect = |_| {
         let mut client =
             Client::connect_within(program.address, Duration::from_millis(500)).ok()?;
         client.send("GET /up HTTP/1.1\r\nHost: svc\r\n\r\n");
         Some(client)
     };
-    let mut waiting: Vec<Client> = (0..CLIENTS).map_while(come).collect();
+    let mut waiting: Vec<Client> = (0..CLIENTS).map_while(connect).collect();
     program.signal("-CONT");
     assert_eq!(waiting.len(), CLIENTS);
     assert!(waiting.iter_mut().all(|client| {
--- a/crates/merlinreel/tests/sockets/system_faults.rs
+++ b/crates/merlinreel/tests/sockets/system_call_failures.rs
@@ -6,15 +6,15 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Descriptors that the system lets the process have; its configuration says more.
+/// Descriptors that the system allows the process; its configuration says more.
 const DESCRIPTORS: u32 = 40;
 const READY_WITHIN: Duration = Duration::from_secs(10);
 const HALF_A_HEAD: &str = "GET /look?key=7 HTTP/1.1\r\nHost:";
 
-fn until(what: impl Fn() -> bool) {
+fn wait_until(condition: impl Fn() -> bool) {
     let end = Instant::now() + PATIENCE;
-    while !what() {
-        assert!(Instant::now() < end, "never so");
+    while !condition() {
+        assert!(Instant::now() < end, "the condition never held");
         thread::sleep(Duration::from_millis(2));
     }
 }
@@ -25,25 +25,25 @@
     process
 }
 
-/// Clients that hold all descriptors that are left: each has sent half a request.
+/// Clients that use all descriptors that are left: each has sent half a request.
 fn with_all_descriptors_taken(process: &LimitedProcess) -> Vec<Client> {
-    let come = |_| {
+    let connect = |_| {
         let mut client = process.client();
         client.send(HALF_A_HEAD);
         client
     };
-    let halves = (0..DESCRIPTORS).map(come).collect();
-    until(|| process.descriptors() >= DESCRIPTORS as usize);
-    halves
+    let partial_clients = (0..DESCRIPTORS).map(connect).collect();
+    wait_until(|| process.descriptors() >= DESCRIPTORS as usize);
+    partial_clients
 }
 
-/// Clients whose connections can't be accepted as the stop comes, for want of descriptors: they are taken once they can
-/// be, and answered. Guards them against a listener that is let go of at accept's first error.
+/// Clients whose connections can't be accepted as the shutdown begins, for want of descriptors: they are accepted once they
+/// can be, and answered. The listener is not closed at accept's first error.
 #[test]
-fn what_waits_while_accept_fails_at_a_stop_is_answered() {
+fn connections_pending_while_accept_fails_at_shutdown_are_answered() {
     let server = StandIn::start(|_| fine());
     let mut process = started(server.address);
-    let halves = with_all_descriptors_taken(&process);
+    let partial_clients = with_all_descriptors_taken(&process);
     let waiting: Vec<_> = (0..8)
         .map(|customer| {
             let mut client = process.client();
@@ -58,13 +58,13 @@
         .collect();
     assert_eq!(answers, [Some(200); 8]);
     assert!(process.end().success());
-    drop(halves);
+    drop(partial_clients);
 }
 
-/// No socket for a connection to the server is to be had for half a second: the request of that time waits and is served,
-/// and the server is neither avoided nor taken for one that has just started afterwards.
+/// No socket for a connection to the server is available for half a second: the request of that time waits and is served, and
+/// the server is afterwards neither avoided nor in slow start.
 #[test]
-fn a_machine_that_has_no_socket_for_a_while_says_nothing_of_a_server() {
+fn socket_shortage_of_this_machine_does_not_count_against_a_server() {
     let server = StandIn::start(|_| fine());
     let process = started(server.address);
     let mut client = process.client();
@@ -74,13 +74,13 @@
             .map(|answer| answer.status()),
         Some(200)
     );
-    let halves = with_all_descriptors_taken(&process);
-    let begun = Instant::now();
+    let partial_clients = with_all_descriptors_taken(&process);
+    let started_at = Instant::now();
     client.send(&request("look", 1, 1, "3000m"));
-    thread::sleep(Duration::from_millis(500).saturating_sub(begun.elapsed()));
-    drop(halves);
+    thread::sleep(Duration::from_millis(500).saturating_sub(started_at.elapsed()));
+    drop(partial_clients);
     assert_eq!(client.receive().map(|answer| answer.status()), Some(200));
-    let begun = Instant::now();
+    let started_at = Instant::now();
     for customer in 2..22 {
         assert_eq!(
             client.request("look", customer, 1).status(),
@@ -88,17 +88,17 @@
             "{customer}"
         );
     }
-    // A server that has just started gets about one request a second here.
+    // A server in slow start gets about one request a second here.
     assert!(
-        begun.elapsed() < Duration::from_secs(5),
+        started_at.elapsed() < Duration::from_secs(5),
         "{:?}",
-        begun.elapsed()
+        started_at.elapsed()
     );
 }
 
-/// The address is still another's as the program starts, and free a moment later.
+/// The address is in use as the program starts, and free a moment later.
 #[test]
-fn a_start_waits_for_its_address() {
+fn start_waits_for_its_address_to_be_free() {
     let config = config(&[]);
     let address: SocketAddr = config["listen"]
         .as_str()
