--- a/crates/merlinreel/src/client/tests/response_heads.rs
+++ b/crates/merlinreel/src/client/tests/response_heads.rs
@@ -59,11 +59,24 @@
         }
         String::from_utf8(bytes).expect("text")
     });
-    let text = read.await.expect("read");
+    with_fixed_date(&read.await.expect("read"))
+}
+
+/// The text of a response with its date replaced.
+fn with_fixed_date(text: &str) -> String {
     let (before, date) = text.split_once("date: ").expect("a date");
     format!("{before}{DATE}{}", &date[DATE.len() - "date: ".len()..])
 }
 
+/// All that a client gets until its connection ends, with the date replaced.
+async fn read_to_end(mut client: std::net::TcpStream) -> String {
+    let read = tokio::task::spawn_blocking(move || {
+        let mut text = String::new();
+        client.read_to_string(&mut text).map(|_| text)
+    });
+    with_fixed_date(&read.await.expect("read").expect("no reset"))
+}
+
 #[tokio::test]
 async fn successful_response_passes_on_the_upstream_headers() {
     const EXPECTED: &str = "HTTP/1.1 200 OK\r\nx-kind: blue\r\nx-units-charged: 2\r\ncontent-length: 4\r\n\
@@ -163,21 +176,12 @@
     const EXPECTED: &str = "HTTP/1.1 409 Conflict\r\nconnection: close\r\ncontent-length: 26\r\n\
         date: Thu, 01 Jan 1970 00:00:00 GMT\r\n\r\nx-txn: such a job is open\n";
     let text = request("GET /look?key=7", "8000m", "", "");
-    let (mut client, stream) = connect_client(text.as_bytes()).expect("a client");
+    let (client, stream) = connect_client(text.as_bytes()).expect("a client");
     let (client_listener, mut events) = serving_listener(limits());
     let id = HeaderValue::from_static("9b");
     let _permit = client_listener.permits.admit(&id, None).expect("free");
     let _served = spawn_serving(&client_listener, stream);
-    let read = tokio::task::spawn_blocking(move || {
-        let mut text = String::new();
-        client.read_to_string(&mut text).map(|_| text)
-    });
-    let text = read.await.expect("read").expect("no reset");
-    let (before, date) = text.split_once("date: ").expect("a date");
-    assert_eq!(
-        format!("{before}{DATE}{}", &date[DATE.len() - "date: ".len()..]),
-        EXPECTED
-    );
+    assert_eq!(read_to_end(client).await, EXPECTED);
     assert!(events.try_recv().is_err());
 }
 
@@ -185,19 +189,10 @@
 async fn up_before_the_start_is_unavailable_with_literal_bytes() {
     const EXPECTED: &str = "HTTP/1.1 503 Service Unavailable\r\nconnection: close\r\ncontent-length: 0\r\n\
         date: Thu, 01 Jan 1970 00:00:00 GMT\r\n\r\n";
-    let (mut client, stream) =
+    let (client, stream) =
         connect_client(b"GET /up HTTP/1.1\r\nConnection: close\r\n\r\n").expect("a client");
     let (client_listener, _events) = serving_listener(limits());
     client_listener.started.store(false, Ordering::Relaxed);
     let _served = spawn_serving(&client_listener, stream);
-    let read = tokio::task::spawn_blocking(move || {
-        let mut text = String::new();
-        client.read_to_string(&mut text).map(|_| text)
-    });
-    let text = read.await.expect("read").expect("no reset");
-    let (before, date) = text.split_once("date: ").expect("a date");
-    assert_eq!(
-        format!("{before}{DATE}{}", &date[DATE.len() - "date: ".len()..]),
-        EXPECTED
-    );
+    assert_eq!(read_to_end(client).await, EXPECTED);
 }
--- a/crates/merlinreel/tests/sockets/request_bodies.rs
+++ b/crates/merlinreel/tests/sockets/request_bodies.rs
@@ -253,8 +253,8 @@
     assert!(server.seen.try_recv().is_err());
 }
 
-/// Each way to tell two lengths, with a request hidden where one of two readers would look for the next: refused, and
-/// nothing behind it is a request. Both kinds of body are tried, as the reader by length ends elsewhere.
+/// Each way to give two lengths, with a request hidden where one of two readers would look for the next: rejected, and
+/// nothing after it is read as a request. Both kinds of body are tried, as the reader by length ends elsewhere.
 #[test_case("Content-Length: 6\r\nTransfer-Encoding: chunked\r\n" ; "length first")]
 #[test_case("Transfer-Encoding: chunked\r\nContent-Length: 6\r\n" ; "chunked first")]
 #[test_case("tRANSFER-eNCODING: cHUNKED\r\ncONTENT-lENGTH:6\r\n" ; "mixed case")]
