--- a/crates/merlinreel/src/endpoints/tests.rs
+++ b/crates/merlinreel/src/endpoints/tests.rs
@@ -1,3 +1,5 @@
+mod wire;
+
 use super::*;
 
 use test_case::test_case;
--- /dev/null
+++ b/crates/merlinreel/src/endpoints/tests/wire.rs
@@ -0,0 +1,69 @@
+//! The bytes that discovery receives.
+
+use super::*;
+use tokio::io::{AsyncReadExt, AsyncWriteExt};
+
+async fn read_head(stream: &mut tokio::net::TcpStream) -> std::io::Result<String> {
+    let mut head = Vec::new();
+    while !head.ends_with(b"\r\n\r\n") {
+        head.push(stream.read_u8().await?);
+    }
+    Ok(String::from_utf8_lossy(&head).into_owned())
+}
+
+/// The first call asks for the whole list, the second one waits at the version that came, the third one is the first
+/// that may wait for long.
+#[tokio::test]
+async fn discovery_calls_have_these_bytes() -> std::io::Result<()> {
+    let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await?;
+    let at = listener.local_addr()?;
+    let limits = {
+        let mut changed = limits();
+        changed.endpoints.response_grace = Duration::from_secs(60);
+        changed
+    };
+    let (queue, _events) = tokio::sync::mpsc::channel(4);
+    let (told, _first) = oneshot::channel();
+    let (_turn, discovery) = watch::channel(at);
+    let watching = tokio::spawn(super::super::watch(discovery, None, limits, queue, told));
+    let (mut stream, _) = listener.accept().await?;
+    let targets = [
+        "/discovery/hosts",
+        "/discovery/hosts?after=7&wait_ms=1000",
+        "/discovery/hosts?after=8&wait_ms=1000",
+    ];
+    for (version, target) in (7..).zip(targets) {
+        assert_eq!(
+            read_head(&mut stream).await?,
+            format!("GET {target} HTTP/1.1\r\nhost: {at}\r\n\r\n")
+        );
+        let list = with_length(&format!(r#"{{"generation":{version},"reset":true}}"#));
+        stream.write_all(list.as_bytes()).await?;
+    }
+    watching.abort();
+    Ok(())
+}
+
+/// A process that knows a list from before asks what has changed since, and wants the answer at once.
+#[tokio::test]
+async fn first_call_with_a_known_version_has_these_bytes() -> std::io::Result<()> {
+    let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await?;
+    let at = listener.local_addr()?;
+    let (queue, _events) = tokio::sync::mpsc::channel(4);
+    let (told, _first) = oneshot::channel();
+    let (_turn, discovery) = watch::channel(at);
+    let watching = tokio::spawn(super::super::watch(
+        discovery,
+        Some(5),
+        limits(),
+        queue,
+        told,
+    ));
+    let (mut stream, _) = listener.accept().await?;
+    assert_eq!(
+        read_head(&mut stream).await?,
+        format!("GET /discovery/hosts?after=5&wait_ms=10 HTTP/1.1\r\nhost: {at}\r\n\r\n")
+    );
+    watching.abort();
+    Ok(())
+}
--- a/crates/merlinreel/src/upstream/tests.rs
+++ b/crates/merlinreel/src/upstream/tests.rs
@@ -1,4 +1,5 @@
 mod idle_connections;
+mod wire;
 
 use super::message::{PRESSURE, encode, wire_length};
 use super::*;
--- /dev/null
+++ b/crates/merlinreel/src/upstream/tests/wire.rs
@@ -0,0 +1,52 @@
+//! The bytes that servers receive.
+
+use super::*;
+
+/// Reads the head of one message.
+async fn read_head(stream: &mut TcpStream) -> String {
+    let mut head = Vec::new();
+    while !head.ends_with(b"\r\n\r\n") {
+        head.push(
+            timeout(LONG, stream.read_u8())
+                .await
+                .expect("in time")
+                .expect("a byte"),
+        );
+    }
+    String::from_utf8(head).expect("text")
+}
+
+#[tokio::test]
+async fn forwarded_request_has_these_bytes() {
+    let (listener, address) = listener().await;
+    let (mut servers, _events) = servers(address, 4);
+    let _connection = servers.send(0, attempt(1, 3, LONG)).expect("a connection");
+    let mut stream = accept(&listener).await;
+    let head = read_head(&mut stream).await;
+    let (before, rest) = head
+        .split_once("x-remaining: ")
+        .expect("the remaining time");
+    let (remaining, after) = rest.split_once("m\r\n").expect("milliseconds");
+    let remaining: u64 = remaining.parse().expect("a number");
+    assert!((1..=20_000).contains(&remaining), "{remaining}");
+    assert_eq!(
+        before,
+        "POST /pay?key=07 HTTP/1.1\r\nx-txn: 9b\r\nhost: origin.svc\r\ncontent-length: 3\r\n"
+    );
+    assert_eq!(after, "\r\n");
+    let mut body = [0; 3];
+    stream.read_exact(&mut body).await.expect("the body");
+    assert_eq!(&body, b"xxx");
+}
+
+#[tokio::test]
+async fn health_check_has_these_bytes() {
+    let (listener, address) = listener().await;
+    let (mut servers, _events) = servers(address, 4);
+    servers.probe(0);
+    let mut stream = accept(&listener).await;
+    assert_eq!(
+        read_head(&mut stream).await,
+        format!("GET /metrics/load HTTP/1.1\r\nhost: {address}\r\nconnection: close\r\n\r\n")
+    );
+}
