--- a/crates/merlinreel/src/client.rs
+++ b/crates/merlinreel/src/client.rs
@@ -159,7 +159,7 @@
                     .await;
                 let status = answer.status().as_u16();
                 match answer.body_mut() {
-                    Either::Right(flow) => flow.hold(Box::new(Flowing::new(
+                    Either::Right(flow) => flow.set_observer(Box::new(Flowing::new(
                         client_listener.clone(),
                         client_connection.clone(),
                         class,
--- a/crates/merlinreel/src/client/decode.rs
+++ b/crates/merlinreel/src/client/decode.rs
@@ -1,7 +1,7 @@
 //! What a client sent as a job, and an answer as the client gets it.
 
 use crate::messages::ClientResponse;
-use crate::upstream::streaming_body::Reply;
+use crate::messages::streaming_body::ResponseBody;
 use http_body_util::{Either, Full};
 use hyper::body::Bytes;
 use hyper::header::{CONNECTION, CONTENT_LENGTH, HeaderMap, HeaderName, HeaderValue, RETRY_AFTER};
@@ -181,10 +181,10 @@
 }
 
 /// An answer as the client gets it.
-pub fn encode(answer: ClientResponse) -> Response<Reply> {
+pub fn encode(answer: ClientResponse) -> Response<ResponseBody> {
     let answer = match answer {
         ClientResponse::Success(upstream_response) => {
-            let body = match upstream_response.flow {
+            let body = match upstream_response.streaming_body {
                 Some(flow) => Either::Right(*flow),
                 None => Either::Left(Full::new(upstream_response.body)),
             };
--- a/crates/merlinreel/src/client/in_flight.rs
+++ b/crates/merlinreel/src/client/in_flight.rs
@@ -3,8 +3,9 @@
 use super::ClientListener;
 use super::connection::{ClientConnection, lock};
 use crate::messages::Event;
+use crate::messages::streaming_body::{StreamEnd, StreamObserver};
 use crate::telemetry::metrics::Outcome;
-use crate::upstream::streaming_body::Held;
+
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 
@@ -78,13 +79,12 @@
     }
 }
 
-impl Held for Flowing {
+impl StreamObserver for Flowing {
     /// An answer that the limiter began and could not complete has failed.
-    fn ended(self: Box<Self>, whole: bool) {
-        let outcome = if whole {
-            Outcome::Served
-        } else {
-            Outcome::Failed
+    fn stream_ended(self: Box<Self>, end: StreamEnd) {
+        let outcome = match end {
+            StreamEnd::Complete => Outcome::Served,
+            StreamEnd::Incomplete => Outcome::Failed,
         };
         self.client_listener.metrics.answered(&self.class, outcome);
     }
--- a/crates/merlinreel/src/client/request_reader.rs
+++ b/crates/merlinreel/src/client/request_reader.rs
@@ -7,9 +7,9 @@
 use super::in_flight::{DisconnectGuard, InFlightGuard};
 use crate::client::decode::{TXN, decode, encode, last, respond};
 use crate::log;
+use crate::messages::streaming_body::ResponseBody;
 use crate::messages::{Event, IncomingRequest, UpstreamRequest};
 use crate::net::observed_stream::IoObserver;
-use crate::upstream::streaming_body::Reply;
 use crate::upstream::strip_hop_by_hop;
 use http_body_util::{Either, Full};
 use hyper::body::{Body, Bytes, Incoming};
@@ -28,7 +28,7 @@
         observed: ObservedHead,
         sent: Instant,
         client_connection: &ClientConnection,
-    ) -> Response<Reply> {
+    ) -> Response<ResponseBody> {
         if let Err(error) = framing::check(request.headers(), observed) {
             log!("clients: {error}: 400");
             return last(respond(StatusCode::BAD_REQUEST, format!("{error}\n"))).map(Either::Left);
@@ -150,15 +150,15 @@
         upstream_request: UpstreamRequest,
         until: Instant,
         client_connection: &ClientConnection,
-    ) -> Response<Reply> {
+    ) -> Response<ResponseBody> {
         let request_id = self.request_ids.fetch_add(1, Ordering::Relaxed);
         let (answer, answered) = oneshot::channel();
         let arrival = IncomingRequest {
             request_id,
             request: job,
-            until,
+            deadline: until,
             upstream_request,
-            answer,
+            response_sender: answer,
         };
         let mut attending = DisconnectGuard {
             client_connection,
--- a/crates/merlinreel/src/client/tests.rs
+++ b/crates/merlinreel/src/client/tests.rs
@@ -124,10 +124,10 @@
     let upstream_response = crate::messages::UpstreamResponse {
         headers: Default::default(),
         body,
-        flow: None,
+        streaming_body: None,
     };
     arrival
-        .answer
+        .response_sender
         .send(crate::messages::ClientResponse::Success(upstream_response))
         .expect("a client that waits");
     let read = tokio::task::spawn_blocking(move || {
@@ -246,7 +246,7 @@
     let Some(Event::Request(arrival)) = events.recv().await else {
         panic!("no job")
     };
-    assert_eq!(arrival.until, asked + end);
+    assert_eq!(arrival.deadline, asked + end);
     Ok(())
 }
 
--- a/crates/merlinreel/src/client/tests/reading.rs
+++ b/crates/merlinreel/src/client/tests/reading.rs
@@ -34,7 +34,7 @@
         marked(&client_connection.flooded).await;
     }
     first
-        .answer
+        .response_sender
         .send(crate::messages::ClientResponse::Failed)
         .expect("a client that waits");
     let jobs = if flood {
@@ -44,7 +44,7 @@
             panic!("no second job")
         };
         second
-            .answer
+            .response_sender
             .send(crate::messages::ClientResponse::Failed)
             .expect("a client that waits");
         2
--- a/crates/merlinreel/src/event_loop.rs
+++ b/crates/merlinreel/src/event_loop.rs
@@ -1,174 +1,181 @@
-//! The one task that owns the module. All else reaches it by its queue: it takes what waits there into
-//! one round, carries the decisions out in order, and sleeps until there is news or a wake is due.
+//! The one task that owns the policy. Everything else reaches it through its queue: it takes the waiting events into one
+//! batch, carries the decisions out in order, and sleeps until an event arrives or a wakeup is due.
 
 mod action_executor;
+mod clock;
+mod in_flight;
 #[cfg(test)]
 mod tests;
 
+pub use clock::Clock;
+
 use crate::log;
 use crate::messages::{ActiveSettings, ClientResponse, Event, IncomingRequest};
 use crate::peers::PeerSender;
 use crate::telemetry::metrics::Metrics;
 use crate::upstream::UpstreamPool;
-use action_executor::{ActionExecutor, InFlightRequest};
+use action_executor::ActionExecutor;
+use in_flight::InFlightRequest;
 use merlinreel_discovery::DiscoveryUpdate;
 use merlinreel_policy::decide::Limiter;
-use merlinreel_policy::*;
+use merlinreel_policy::{EventBatch, Request};
 use merlinreel_settings::Settings;
-use std::collections::HashMap;
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
-use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
+use std::time::Instant;
 use tokio::sync::{mpsc, watch};
 use tokio::time::sleep_until;
 
-/// The shared clock: Unix time, read once and advanced by the monotonic clock, so that windows align over
-/// limiters and restarts and never run backwards.
-#[derive(Clone, Copy, Debug)]
-pub struct Clock {
-    started: Instant,
-    unix: Duration,
-}
-
-impl Clock {
-    pub fn start() -> Clock {
-        let unix = SystemTime::now()
-            .duration_since(UNIX_EPOCH)
-            .unwrap_or_default();
-        Clock {
-            started: Instant::now(),
-            unix,
-        }
-    }
-
-    pub fn at(&self, instant: Instant) -> Duration {
-        self.unix + instant.saturating_duration_since(self.started)
-    }
-}
-
+/// Runs the policy on the events of its queue.
 pub struct EventLoop {
     limiter: Limiter,
     metrics: Arc<Metrics>,
-    /// Where the door learns of settings read again.
-    client_listener: Option<watch::Sender<Arc<ActiveSettings>>>,
+    /// Passes reloaded settings on to the client listener.
+    settings_sender: Option<watch::Sender<Arc<ActiveSettings>>>,
     executor: ActionExecutor,
-    most_jobs: usize,
-    batch: usize,
+    /// Requests in flight at once.
+    max_requests: usize,
+    /// Events in one batch.
+    batch_size: usize,
 }
 
 impl EventLoop {
+    /// An event loop that has seen no event. `peer_sender` is there where limiters exchange messages.
     pub fn new(
         limiter: Limiter,
-        servers: UpstreamPool,
+        upstreams: UpstreamPool,
         peer_sender: Option<PeerSender>,
         clock: Clock,
         metrics: Arc<Metrics>,
     ) -> EventLoop {
-        let limits = servers.limits().clone();
+        let limits = upstreams.limits().event_loop.clone();
         EventLoop {
             limiter,
             metrics,
-            client_listener: None,
-            most_jobs: limits.event_loop.max_requests,
-            batch: limits.event_loop.batch_size,
-            executor: ActionExecutor {
-                clock,
-                servers,
-                peer_sender,
-                margin: limits.event_loop.response_margin,
-                in_flight: Vec::new(),
-                free: Vec::new(),
-                request_ids: HashMap::new(),
-                attempts: HashMap::new(),
-                attempt_id: 0,
-                unsent: Vec::new(),
-                closed: Vec::new(),
-                wake_at: None,
-                now: Instant::now(),
-            },
+            settings_sender: None,
+            max_requests: limits.max_requests,
+            batch_size: limits.batch_size,
+            executor: ActionExecutor::new(clock, upstreams, peer_sender, limits.response_margin),
         }
     }
 
-    /// Runs without end; `known` is the server list as it was last held.
-    pub async fn run(mut self, known: Option<DiscoveryUpdate>, mut queue: mpsc::Receiver<Event>) {
-        let mut events = Vec::with_capacity(self.batch);
-        let mut round = EventBatch::default();
-        if let Some(known) = known {
-            round
-                .endpoint_updates
-                .push(self.executor.servers.list(known, true));
+    /// Reloaded settings are passed on to `settings_sender` once the policy has them.
+    pub fn with_settings_sender(
+        mut self,
+        settings_sender: watch::Sender<Arc<ActiveSettings>>,
+    ) -> EventLoop {
+        self.settings_sender = Some(settings_sender);
+        self
+    }
+
+    /// Runs until every sender of the queue is dropped; `cached_endpoints` are those of the process before.
+    pub async fn run(
+        mut self,
+        cached_endpoints: Option<DiscoveryUpdate>,
+        mut queue: mpsc::Receiver<Event>,
+    ) {
+        let mut events = Vec::with_capacity(self.batch_size);
+        let mut batch = EventBatch::default();
+        if let Some(update) = cached_endpoints {
+            let update = self.executor.upstreams.apply_cached_endpoints(update);
+            batch.endpoint_updates.push(update);
         }
-        self.round(round);
+        self.run_batch(batch);
         let timer = sleep_until(Instant::now().into());
         tokio::pin!(timer);
         loop {
-            let wake = self.executor.wake_at;
-            if let Some(at) = wake {
+            let wake_at = self.executor.wake_at;
+            if let Some(at) = wake_at {
                 timer.as_mut().reset(at.into());
             }
             tokio::select! {
                 biased;
-                count = queue.recv_many(&mut events, self.batch) => if count == 0 {
+                count = queue.recv_many(&mut events, self.batch_size) => if count == 0 {
                     return;
                 },
-                () = &mut timer, if wake.is_some() => {}
+                () = &mut timer, if wake_at.is_some() => {}
             }
-            self.step(&mut events);
+            self.process_events(&mut events);
         }
     }
 
-    /// One round with all that waits.
-    fn step(&mut self, events: &mut Vec<Event>) {
-        let mut round = EventBatch::default();
+    /// Runs one batch with all of `events`, in their order.
+    fn process_events(&mut self, events: &mut Vec<Event>) {
+        let mut batch = EventBatch::default();
         self.executor.now = Instant::now();
-        for one in events.drain(..) {
-            match one {
-                Event::Request(arrival) => self.arrive(*arrival, &mut round),
-                Event::ClientDisconnected(request_id) => {
-                    if let Some(request) = self.executor.request_ids.remove(&request_id) {
-                        self.executor.forget_client(request);
-                        round.disconnects.push(request);
-                    }
-                }
-                Event::AttemptCompleted(end) => {
-                    round.attempt_results.extend(self.executor.end_attempt(end))
-                }
-                Event::Reconfigure(settings) => self.reconfigure(*settings),
-                Event::HealthCheck(answer) => round.health_checks.push(answer),
-                Event::EndpointUpdate(endpoint_updates) => {
-                    round
-                        .endpoint_updates
-                        .push(self.executor.servers.list(endpoint_updates, false));
-                    self.executor.withdraw_from_leaving();
+        for event in events.drain(..) {
+            self.add_event(event, &mut batch);
+        }
+        self.run_batch(batch);
+    }
+
+    fn add_event(&mut self, event: Event, batch: &mut EventBatch) {
+        match event {
+            Event::Request(request) => self.add_request(*request, batch),
+            Event::ClientDisconnected(request_id) => {
+                if let Some(request) = self.executor.requests.stop_waiting(request_id) {
+                    self.executor.handle_disconnect(request);
+                    batch.disconnects.push(request);
                 }
-                Event::PeerMessage(peer_message) => round.peer_messages.push(peer_message),
             }
+            Event::AttemptCompleted(completion) => {
+                let result = self.executor.complete_attempt(completion);
+                batch.attempt_results.extend(result);
+            }
+            Event::Reconfigure(settings) => self.reconfigure(*settings),
+            Event::HealthCheck(result) => batch.health_checks.push(result),
+            Event::EndpointUpdate(update) => {
+                let update = self.executor.upstreams.apply_endpoints(update);
+                batch.endpoint_updates.push(update);
+                self.executor.withdraw_attempts_from_unready_servers();
+            }
+            Event::PeerMessage(message) => batch.peer_messages.push(message),
         }
-        self.round(round);
     }
 
-    /// The door is told of settings read again from now on.
-    pub fn tells(mut self, client_listener: watch::Sender<Arc<ActiveSettings>>) -> EventLoop {
-        self.client_listener = Some(client_listener);
-        self
+    /// Adds a request to the batch, or rejects it where the maximum is in flight.
+    fn add_request(&mut self, incoming: IncomingRequest, batch: &mut EventBatch) {
+        if self.executor.requests.waiting() >= self.max_requests {
+            // No server has seen it: a retry is harmless.
+            let _ = incoming
+                .response_sender
+                .send(ClientResponse::Rejected(None));
+            return;
+        }
+        let index = self.executor.requests.insert(InFlightRequest {
+            request_id: incoming.request_id,
+            deadline: incoming.deadline,
+            upstream_request: Arc::new(incoming.upstream_request),
+            response_sender: Some(incoming.response_sender),
+            attempts_numbered: 0,
+            attempts: Vec::new(),
+        });
+        batch.requests.push(Request {
+            id: index,
+            remaining_time: incoming
+                .deadline
+                .saturating_duration_since(self.executor.now),
+            ..incoming.request
+        });
     }
 
-    /// Settings read again: the module first, so that the door never names a class that it does not know.
+    /// Reloaded settings reach the policy first, so that the client listener never names a class that it does not know.
     fn reconfigure(&mut self, settings: Settings) {
         let indices = self
             .limiter
             .reconfigure(&settings.classes, settings.request_limits);
         self.metrics.classes_now(&settings.sockets.classes);
         log!(
-            "settings read again: classes {} and their rules in force",
+            "settings reloaded: classes {} and their request limits in effect",
             settings.sockets.classes.join(", ")
         );
-        if let Some(client_listener) = &self.client_listener {
-            client_listener.send_replace(Arc::new(ActiveSettings { settings, indices }));
+        if let Some(settings_sender) = &self.settings_sender {
+            settings_sender.send_replace(Arc::new(ActiveSettings { settings, indices }));
         }
     }
 
-    fn round(&mut self, mut round: EventBatch) {
+    /// Runs a batch, and a further one as long as attempts of the last one could not be sent.
+    fn run_batch(&mut self, mut batch: EventBatch) {
         loop {
             let executor = &mut self.executor;
             executor.now = Instant::now();
@@ -176,7 +183,7 @@
                 executor.wake_at = None;
             }
             let now = executor.clock.at(executor.now);
-            self.limiter.round(now, &round, executor);
+            self.limiter.round(now, &batch, executor);
             let (known, excluded) = self.limiter.endpoint_counts(now);
             self.metrics
                 .servers_known
@@ -184,44 +191,14 @@
             self.metrics
                 .servers_excluded
                 .store(excluded as u64, Ordering::Relaxed);
-            for request in std::mem::take(&mut executor.closed) {
-                executor.free_if_over(request);
-            }
-            if executor.unsent.is_empty() {
+            executor.release_finished_requests();
+            if executor.not_sent.is_empty() {
                 return;
             }
-            round = EventBatch {
-                attempt_results: std::mem::take(&mut executor.unsent),
+            batch = EventBatch {
+                attempt_results: std::mem::take(&mut executor.not_sent),
                 ..EventBatch::default()
             };
         }
     }
-
-    fn arrive(&mut self, arrival: IncomingRequest, round: &mut EventBatch) {
-        let executor = &mut self.executor;
-        if executor.request_ids.len() >= self.most_jobs {
-            // Never taken in: trying again is harmless.
-            let _ = arrival.answer.send(ClientResponse::Rejected(None));
-            return;
-        }
-        let index = executor.free.pop().unwrap_or_else(|| {
-            executor.in_flight.push(None);
-            executor.in_flight.len() as u32 - 1
-        });
-        let remaining_time = arrival.until.saturating_duration_since(executor.now);
-        round.requests.push(Request {
-            id: index,
-            remaining_time,
-            ..arrival.request
-        });
-        executor.request_ids.insert(arrival.request_id, index);
-        executor.in_flight[index as usize] = Some(InFlightRequest {
-            request_id: arrival.request_id,
-            until: arrival.until,
-            upstream_request: Arc::new(arrival.upstream_request),
-            answer: Some(arrival.answer),
-            attempts: 0,
-            out: Vec::new(),
-        });
-    }
 }
--- a/crates/merlinreel/src/event_loop/action_executor.rs
+++ b/crates/merlinreel/src/event_loop/action_executor.rs
@@ -1,245 +1,257 @@
-//! What decisions are carried out with: jobs that are held, attempts that are out, servers and peer messages.
+//! Carries out what the policy decides: starts and cancels attempts, answers clients, sends peer messages.
 
-use super::Clock;
+use super::clock::Clock;
+use super::in_flight::{AttemptReference, InFlightAttempt, InFlightRequests};
 use crate::log;
-use crate::messages::{AttemptCompletion, ClientResponse, UpstreamRequest};
+use crate::messages::{AttemptCompletion, AttemptId, ClientResponse};
 use crate::peers::PeerSender;
 use crate::upstream::{Attempt, ConnectionHandle, UpstreamPool};
-use merlinreel_policy::*;
+use merlinreel_policy::{Actions, AttemptOutcome, AttemptResult, LoadReport};
 use std::collections::HashMap;
-use std::sync::Arc;
 use std::time::{Duration, Instant};
-use tokio::sync::oneshot;
-
-/// An attempt that is out: of which job, which number, where, and by which connection.
-pub struct InFlightAttempt {
-    pub request: u32,
-    pub attempt: u32,
-    pub server: u32,
-    pub link: ConnectionHandle,
-}
-
-/// A job that is held.
-pub struct InFlightRequest {
-    pub request_id: u64,
-    pub until: Instant,
-    pub upstream_request: Arc<UpstreamRequest>,
-    pub answer: Option<oneshot::Sender<ClientResponse>>,
-    pub attempts: u32,
-    /// Serial numbers of the attempts that are out, with their own numbers.
-    pub out: Vec<(u32, u64)>,
-}
 
-/// Everything that decisions are carried out with.
+/// Everything that actions need.
 pub struct ActionExecutor {
+    /// Translates instants for the policy.
     pub clock: Clock,
-    pub servers: UpstreamPool,
+    /// Connections to servers.
+    pub upstreams: UpstreamPool,
+    /// Sends peer messages, where limiters exchange any.
     pub peer_sender: Option<PeerSender>,
-    /// Attempts end so long before the client gives up.
-    pub margin: Duration,
-    pub in_flight: Vec<Option<InFlightRequest>>,
-    pub free: Vec<u32>,
-    pub request_ids: HashMap<u64, u32>,
-    pub attempts: HashMap<u64, InFlightAttempt>,
-    pub attempt_id: u64,
-    /// Attempts that could not begin: news for the next round.
-    pub unsent: Vec<AttemptResult>,
-    /// Jobs that may be over once the round is.
-    pub closed: Vec<u32>,
+    /// Attempts end this long before their client gives up.
+    pub response_margin: Duration,
+    /// Requests in flight.
+    pub requests: InFlightRequests,
+    /// Attempts in flight.
+    pub attempts: HashMap<AttemptId, InFlightAttempt>,
+    /// The id of the attempt that was started last.
+    pub last_attempt_id: AttemptId,
+    /// Results of attempts that could not be sent, for the next batch.
+    pub not_sent: Vec<AttemptResult>,
+    /// Indices of requests that may be finished at the end of the batch.
+    pub maybe_finished: Vec<u32>,
+    /// When the policy wants to be called again.
     pub wake_at: Option<Instant>,
+    /// The time of the present batch.
     pub now: Instant,
 }
 
 impl ActionExecutor {
-    pub fn in_flight(&mut self, request: u32) -> Option<&mut InFlightRequest> {
-        self.in_flight
-            .get_mut(request as usize)
-            .and_then(Option::as_mut)
+    /// An executor without requests.
+    pub fn new(
+        clock: Clock,
+        upstreams: UpstreamPool,
+        peer_sender: Option<PeerSender>,
+        response_margin: Duration,
+    ) -> ActionExecutor {
+        ActionExecutor {
+            clock,
+            upstreams,
+            peer_sender,
+            response_margin,
+            requests: InFlightRequests::default(),
+            attempts: HashMap::new(),
+            last_attempt_id: AttemptId::default(),
+            not_sent: Vec::new(),
+            maybe_finished: Vec::new(),
+            wake_at: None,
+            now: Instant::now(),
+        }
     }
 
-    /// The client's final answer; there is none after it.
-    pub fn answer(&mut self, request: u32, answer: ClientResponse) {
-        let Some(in_flight) = self.in_flight(request) else {
+    /// Sends the client its final response; any further one is dropped.
+    pub fn send_response(&mut self, request: u32, response: ClientResponse) {
+        let Some(in_flight) = self.requests.get_mut(request) else {
             return;
         };
-        if let Some(client) = in_flight.answer.take() {
+        if let Some(response_sender) = in_flight.response_sender.take() {
             let request_id = in_flight.request_id;
-            // A client that left meanwhile needs none.
-            let _ = client.send(answer);
-            self.request_ids.remove(&request_id);
-            self.closed.push(request);
+            // A client that disconnected meanwhile needs none.
+            let _ = response_sender.send(response);
+            self.requests.stop_waiting(request_id);
+            self.maybe_finished.push(request);
         }
     }
 
-    /// The client has gone: no attempt begins for it any more, also where attempts that have begun may not be
-    /// cancelled.
-    pub fn forget_client(&mut self, request: u32) {
-        let Some(in_flight) = self.in_flight(request) else {
+    /// The client has disconnected: attempts that have not started never do, also where attempts that have started may
+    /// not be cancelled.
+    pub fn handle_disconnect(&mut self, request: u32) {
+        let Some(in_flight) = self.requests.get_mut(request) else {
             return;
         };
-        in_flight.answer = None;
-        for (_, attempt_id) in in_flight.out.clone() {
-            if let Some(out) = self.attempts.get(&attempt_id) {
-                out.link.withdraw(attempt_id);
+        in_flight.response_sender = None;
+        for reference in &in_flight.attempts {
+            if let Some(attempt) = self.attempts.get(&reference.attempt_id) {
+                attempt
+                    .connection
+                    .cancel_if_not_started(reference.attempt_id);
             }
         }
-        self.closed.push(request);
+        self.maybe_finished.push(request);
     }
 
-    /// Attempts that have not begun leave servers that drain or are gone. Guards the rule on drains against a connection
-    /// that comes up after the grace.
-    pub fn withdraw_from_leaving(&self) {
-        let leaving = self
-            .attempts
-            .iter()
-            .filter(|(_, out)| !self.servers.is_up(out.server));
-        leaving.for_each(|(&attempt_id, out)| out.link.withdraw(attempt_id));
-    }
-
-    /// An index is free again once its job is answered and no attempt is out.
-    pub fn free_if_over(&mut self, request: u32) {
-        if self
-            .in_flight(request)
-            .is_some_and(|in_flight| in_flight.answer.is_none() && in_flight.out.is_empty())
-        {
-            self.in_flight[request as usize] = None;
-            self.free.push(request);
+    /// Cancels attempts that have not started at servers that are draining or removed: a connection may come up only
+    /// after the drain's grace.
+    pub fn withdraw_attempts_from_unready_servers(&self) {
+        for (&attempt_id, attempt) in &self.attempts {
+            if !self.upstreams.is_ready(attempt.server) {
+                attempt.connection.cancel_if_not_started(attempt_id);
+            }
         }
     }
 
-    /// The first good answer goes to the client as it stands.
-    pub fn end_attempt(&mut self, end: AttemptCompletion) -> Option<AttemptResult> {
-        let out = self.attempts.remove(&end.attempt_id)?;
-        if end.reusable {
-            self.servers.keep(out.server, out.link);
+    /// Gives the indices of finished requests back.
+    pub fn release_finished_requests(&mut self) {
+        for request in std::mem::take(&mut self.maybe_finished) {
+            self.requests.release_if_finished(request);
         }
-        let in_flight = self.in_flight(out.request)?;
+    }
+
+    /// Takes an attempt's result: the connection goes back to the pool, and a successful response to the client. `None`
+    /// where the attempt or its request is not in flight.
+    pub fn complete_attempt(&mut self, completion: AttemptCompletion) -> Option<AttemptResult> {
+        let attempt = self.attempts.remove(&completion.attempt_id)?;
+        if completion.reusable {
+            self.upstreams
+                .return_connection(attempt.server, attempt.connection);
+        }
+        let in_flight = self.requests.get_mut(attempt.request)?;
         in_flight
-            .out
-            .retain(|&(_, attempt_id)| attempt_id != end.attempt_id);
-        if let Some(upstream_response) = end.upstream_response {
-            self.answer(out.request, ClientResponse::Success(upstream_response));
+            .attempts
+            .retain(|reference| reference.attempt_id != completion.attempt_id);
+        if let Some(response) = completion.upstream_response {
+            self.send_response(attempt.request, ClientResponse::Success(response));
         }
-        self.closed.push(out.request);
-        let finished = self
-            .in_flight(out.request)
-            .is_none_or(|in_flight| in_flight.answer.is_none());
+        self.maybe_finished.push(attempt.request);
         Some(AttemptResult {
-            request: out.request,
-            attempt: out.attempt,
-            server: out.server,
-            outcome: end.outcome,
-            latency: end.latency,
-            request_completed: finished,
-            units: end.units,
+            request: attempt.request,
+            attempt: attempt.number,
+            server: attempt.server,
+            outcome: completion.outcome,
+            latency: completion.latency,
+            request_completed: self.requests.is_completed(attempt.request),
+            units: completion.units,
             metered_usage: None,
-            load: end.load,
+            load: completion.load,
         })
     }
+
+    /// Records an attempt that a connection has taken.
+    fn track_attempt(&mut self, attempt_id: AttemptId, attempt: InFlightAttempt) {
+        self.last_attempt_id = attempt_id;
+        if let Some(in_flight) = self.requests.get_mut(attempt.request) {
+            in_flight.attempts.push(AttemptReference {
+                number: attempt.number,
+                attempt_id,
+            });
+        }
+        self.attempts.insert(attempt_id, attempt);
+    }
+
+    /// The result of an attempt that no connection could take.
+    fn report_not_sent(&mut self, request: u32, number: u32, server: u32) {
+        self.not_sent.push(AttemptResult {
+            request,
+            attempt: number,
+            server,
+            outcome: AttemptOutcome::NotSent,
+            latency: Duration::ZERO,
+            request_completed: self.requests.is_completed(request),
+            units: None,
+            metered_usage: None,
+            load: LoadReport::default(),
+        });
+    }
+
+    fn send_attempt(&mut self, server: u32, attempt: Attempt) -> Option<ConnectionHandle> {
+        if attempt.deadline > self.now {
+            self.upstreams.start_attempt(server, attempt)
+        } else {
+            None
+        }
+    }
 }
 
 impl Actions for ActionExecutor {
     fn start_attempt(&mut self, request: u32, server: u32, within: Option<Duration>) {
-        let (now, margin, attempt_id) = (self.now, self.margin, self.attempt_id + 1);
-        let Some(in_flight) = self.in_flight(request) else {
+        let attempt_id = self.last_attempt_id.next();
+        let response_margin = self.response_margin;
+        let Some(in_flight) = self.requests.get_mut(request) else {
             return;
         };
-        let number = in_flight.attempts;
-        in_flight.attempts += 1;
-        let until = in_flight
-            .until
-            .checked_sub(margin)
-            .unwrap_or(in_flight.until);
-        let begins_by = within.map(|within| now + within);
+        let number = in_flight.attempts_numbered;
+        in_flight.attempts_numbered += 1;
         let attempt = Attempt {
             attempt_id,
             upstream_request: in_flight.upstream_request.clone(),
-            started: now,
-            until,
-            begins_by,
+            started: self.now,
+            deadline: in_flight.attempt_deadline(response_margin),
+            write_deadline: within.map(|within| self.now + within),
         };
-        let link = if until > now {
-            self.servers.send(server, attempt)
-        } else {
-            None
-        };
-        if let Some(link) = link {
-            self.attempt_id = attempt_id;
-            self.attempts.insert(
+        match self.send_attempt(server, attempt) {
+            Some(connection) => self.track_attempt(
                 attempt_id,
                 InFlightAttempt {
                     request,
-                    attempt: number,
+                    number,
                     server,
-                    link,
+                    connection,
                 },
-            );
-            if let Some(in_flight) = self.in_flight(request) {
-                in_flight.out.push((number, attempt_id));
-            }
-            return;
+            ),
+            None => self.report_not_sent(request, number, server),
         }
-        let finished = self
-            .in_flight(request)
-            .is_none_or(|in_flight| in_flight.answer.is_none());
-        self.unsent.push(AttemptResult {
-            request,
-            attempt: number,
-            server,
-            outcome: AttemptOutcome::NotSent,
-            latency: Duration::ZERO,
-            request_completed: finished,
-            units: None,
-            metered_usage: None,
-            load: LoadReport::default(),
-        });
     }
 
     fn reject(&mut self, request: u32, retry_after: Option<Duration>) {
-        self.answer(request, ClientResponse::Rejected(retry_after));
+        self.send_response(request, ClientResponse::Rejected(retry_after));
     }
 
     fn fail(&mut self, request: u32) {
-        self.answer(request, ClientResponse::Failed);
+        self.send_response(request, ClientResponse::Failed);
     }
 
     fn cancel_attempt(&mut self, request: u32, attempt: u32) {
-        let out = self
-            .in_flight(request)
-            .and_then(|in_flight| in_flight.out.iter().find(|(n, _)| *n == attempt).copied());
-        if let Some(out) = out
-            .and_then(|(_, attempt_id)| self.attempts.get(&attempt_id).map(|out| (attempt_id, out)))
-        {
-            out.1.link.abandon(out.0);
+        let Some(in_flight) = self.requests.get_mut(request) else {
+            return;
+        };
+        let reference = in_flight
+            .attempts
+            .iter()
+            .find(|reference| reference.number == attempt);
+        let Some(&AttemptReference { attempt_id, .. }) = reference else {
+            return;
+        };
+        if let Some(attempt) = self.attempts.get(&attempt_id) {
+            attempt.connection.cancel(attempt_id);
         }
     }
 
     fn start_health_check(&mut self, server: u32) {
-        self.servers.probe(server);
+        self.upstreams.start_health_check(server);
     }
 
     fn send_peer_message(&mut self, limiter: u32, peer_message: &[u8]) {
         if let Some(peer_sender) = &self.peer_sender {
-            peer_sender.tell(limiter, peer_message);
+            peer_sender.send(limiter, peer_message);
         }
     }
 
-    /// A configuration with a counter is refused at start.
+    /// Never called: a configuration with a counter is rejected at start.
     fn increment_counter(&mut self, customer: u64, window: u64, _: f64, _: Duration) {
-        log!("no counter to tell of customer {customer}, window {window}");
+        log!("no counter service to update for customer {customer}, window {window}");
     }
 
-    /// The server list is always watched.
+    /// The endpoint list is always watched.
     fn set_endpoint_subscription(&mut self, _: bool) {}
 
     fn poll_endpoints(&mut self) {}
 
     fn close_idle_connections(&mut self, server: u32) {
-        self.servers.close_idle(server);
+        self.upstreams.close_idle_connections(server);
     }
 
     fn release_endpoint(&mut self, server: u32) {
-        self.servers.forget(server);
+        self.upstreams.release_endpoint(server);
     }
 
     fn schedule_wakeup(&mut self, after: Duration) {
--- a/crates/merlinreel/src/event_loop/tests.rs
+++ b/crates/merlinreel/src/event_loop/tests.rs
@@ -1,10 +1,11 @@
 use super::*;
-use crate::messages::Queue;
-use crate::messages::{AttemptCompletion, UpstreamRequest};
+use crate::messages::{AttemptCompletion, AttemptId, Queue, UpstreamRequest};
+use merlinreel_policy::{Actions, AttemptOutcome, LoadReport};
+use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::sync::oneshot;
 
 #[test]
-fn the_clock_is_unix_time_and_only_runs_forward() {
+fn clock_is_unix_time_and_never_runs_backwards() {
     let clock = Clock::start();
     let unix = SystemTime::now()
         .duration_since(UNIX_EPOCH)
@@ -17,7 +18,7 @@
     );
 }
 
-/// A driver that holds one job at most, and an arrival of that ticket.
+/// An event loop with one request in flight at most.
 fn event_loop() -> (EventLoop, Queue, mpsc::Receiver<Event>) {
     let settings = serde_json::json!({"classes": [{"idempotency": "non_idempotent", "promiseS": 30.0,
         "hardLimitS": 60.0}], "packages": [{"unitsPerS": 9.0, "mostAtOnce": 9.0}],
@@ -29,16 +30,22 @@
     let limits = crate::config::limits::Limits::new(1024, 192, &settings).expect("room");
     let (queue, events) = mpsc::channel(16);
     let metrics = Metrics::new(&[]);
-    let servers = UpstreamPool::new(limits, &settings, queue.clone(), metrics.clone());
+    let upstreams = UpstreamPool::new(limits, &settings, queue.clone(), metrics.clone());
     (
-        EventLoop::new(settings.limiter(7), servers, None, Clock::start(), metrics),
+        EventLoop::new(
+            settings.limiter(7),
+            upstreams,
+            None,
+            Clock::start(),
+            metrics,
+        ),
         queue,
         events,
     )
 }
 
-fn arrival(request_id: u64) -> (Event, oneshot::Receiver<ClientResponse>) {
-    let (answer, answered) = oneshot::channel();
+fn incoming_request(request_id: u64) -> (Event, oneshot::Receiver<ClientResponse>) {
+    let (response_sender, response) = oneshot::channel();
     let request = Request {
         id: 0,
         customer: 7,
@@ -51,7 +58,7 @@
         is_retry: false,
     };
     let (method, uri, headers, body, permit) = Default::default();
-    let until = Instant::now() + Duration::from_secs(60);
+    let deadline = Instant::now() + Duration::from_secs(60);
     let upstream_request = UpstreamRequest {
         method,
         uri,
@@ -63,44 +70,50 @@
         Event::Request(Box::new(IncomingRequest {
             request_id,
             request,
-            until,
+            deadline,
             upstream_request,
-            answer,
+            response_sender,
         })),
-        answered,
+        response,
     )
 }
 
 #[tokio::test]
-async fn what_cannot_be_held_is_refused_and_a_leaving_makes_room() {
-    let (mut event_loop, _queue, _news) = event_loop();
-    let ((first, mut waits), (second, mut refused)) = (arrival(1), arrival(2));
-    // All that waits goes into one round, in order.
-    event_loop.step(&mut vec![first, second]);
-    assert!(waits.try_recv().is_err());
+async fn request_beyond_the_maximum_is_rejected_until_a_client_disconnects() {
+    let (mut event_loop, _queue, _events) = event_loop();
+    let ((first, mut first_response), (second, mut second_response)) =
+        (incoming_request(1), incoming_request(2));
+    // All waiting events go into one batch, in order.
+    event_loop.process_events(&mut vec![first, second]);
+    assert!(first_response.try_recv().is_err());
     assert!(matches!(
-        refused.try_recv(),
+        second_response.try_recv(),
         Ok(ClientResponse::Rejected(None))
     ));
-    let (third, mut in_flight) = arrival(3);
-    event_loop.step(&mut vec![
+    let (third, mut third_response) = incoming_request(3);
+    event_loop.process_events(&mut vec![
         Event::ClientDisconnected(1),
         Event::ClientDisconnected(99),
     ]);
     assert!(
-        event_loop.executor.in_flight.iter().all(Option::is_none)
-            && event_loop.executor.request_ids.is_empty()
+        event_loop
+            .executor
+            .requests
+            .slots
+            .iter()
+            .all(Option::is_none)
+            && event_loop.executor.requests.waiting() == 0
     );
-    event_loop.step(&mut vec![third]);
-    assert!(in_flight.try_recv().is_err() && event_loop.executor.in_flight.len() == 1);
+    event_loop.process_events(&mut vec![third]);
+    assert!(third_response.try_recv().is_err() && event_loop.executor.requests.slots.len() == 1);
     assert!(event_loop.executor.wake_at.is_some());
 }
 
 #[tokio::test]
-async fn an_end_told_twice_or_of_no_attempt_changes_nothing() {
-    let (mut event_loop, _queue, _news) = event_loop();
-    let end = AttemptCompletion {
-        attempt_id: 5,
+async fn repeated_or_unknown_completion_changes_nothing() {
+    let (mut event_loop, _queue, _events) = event_loop();
+    let completion = AttemptCompletion {
+        attempt_id: AttemptId(5),
         outcome: AttemptOutcome::Success,
         latency: Duration::ZERO,
         units: None,
@@ -108,10 +121,13 @@
         upstream_response: None,
         reusable: false,
     };
-    assert!(event_loop.executor.end_attempt(end).is_none());
-    let (first, mut waits) = arrival(1);
-    event_loop.step(&mut vec![first]);
+    assert!(event_loop.executor.complete_attempt(completion).is_none());
+    let (first, mut first_response) = incoming_request(1);
+    event_loop.process_events(&mut vec![first]);
     event_loop.executor.fail(0);
     event_loop.executor.reject(0, None);
-    assert!(matches!(waits.try_recv(), Ok(ClientResponse::Failed)));
+    assert!(matches!(
+        first_response.try_recv(),
+        Ok(ClientResponse::Failed)
+    ));
 }
--- a/crates/merlinreel/src/lib.rs
+++ b/crates/merlinreel/src/lib.rs
@@ -160,7 +160,7 @@
         clock,
         metrics.clone(),
     )
-    .tells(tune);
+    .with_settings_sender(tune);
     let mut driving = tokio::spawn(event_loop.run(cached_endpoints, events));
     let (told, first) = oneshot::channel();
     let watching = endpoints::watch(discovery, version, limits.clone(), queue.clone(), told);
--- a/crates/merlinreel/src/peers.rs
+++ b/crates/merlinreel/src/peers.rs
@@ -41,7 +41,7 @@
     }
 
     /// A peer message that can't leave at once is lost, as any may be.
-    pub fn tell(&self, limiter: u32, peer_message: &[u8]) {
+    pub fn send(&self, limiter: u32, peer_message: &[u8]) {
         let Some(&to) = self.peers.get(limiter as usize) else {
             return;
         };
--- /dev/null
+++ b/crates/merlinreel/src/upstream/load_report.rs
@@ -0,0 +1,25 @@
+//! The load reports of servers, as health checks and responses carry them.
+
+use merlinreel_policy::LoadReport;
+use std::collections::HashMap;
+
+/// Reads a load report: a JSON object of numbers, of which servers use either of two names. What it does not hold is
+/// absent, and so is everything where it is no such object.
+pub fn read_load(bytes: &[u8]) -> LoadReport {
+    let Ok(fields) = serde_json::from_slice::<HashMap<String, f64>>(bytes) else {
+        return LoadReport::default();
+    };
+    let mut load = LoadReport::default();
+    for (name, value) in fields.into_iter().filter(|(_, value)| value.is_finite()) {
+        match name.as_str() {
+            "inflight" | "busy_reqs" => load.in_flight = Some(value),
+            "queue" | "pending" => load.queued = Some(value),
+            "util" | "cpu_share" => load.utilization = Some(value),
+            "latency_ms" | "svc_ms" => load.service_time_ms = Some(value),
+            "qps" | "served_ps" => load.requests_per_second = Some(value),
+            "eps" | "failed_ps" => load.errors_per_second = Some(value),
+            _ => {}
+        }
+    }
+    load
+}
--- /dev/null
+++ b/crates/merlinreel/src/upstream/pool.rs
@@ -0,0 +1,217 @@
+//! The servers by index, with their connections.
+
+use super::attempt::{Attempt, Command, ConnectionHandle};
+use super::connection::UpstreamConnection;
+use super::health_check::HealthCheck;
+use super::idle_connections::{IdleConnections, Reuse};
+use super::response_memory::ResponseMemory;
+use super::unsolicited_bytes::UnsolicitedBytes;
+use crate::config::limits::Limits;
+use crate::log;
+use crate::messages::Queue;
+use crate::telemetry::metrics::Metrics;
+use merlinreel_discovery::{DiscoveryUpdate, EndpointTable};
+use merlinreel_policy::{EndpointState, EndpointUpdate};
+use merlinreel_settings::Settings;
+use std::net::SocketAddr;
+use std::sync::Arc;
+use tokio::sync::mpsc::error::TrySendError;
+use tokio::sync::{OwnedSemaphorePermit, Semaphore, mpsc};
+
+/// Commands that wait at a connection: an attempt, and its cancellation.
+const COMMAND_QUEUE_LENGTH: usize = 4;
+
+/// The servers by index, with their connections.
+pub struct UpstreamPool {
+    pub(super) limits: Limits,
+    /// Responses carry load reports.
+    responses_carry_load: bool,
+    /// Health checks are answered with load reports.
+    health_checks_carry_load: bool,
+    health_checks: bool,
+    response_memory: ResponseMemory,
+    endpoints: EndpointTable,
+    /// By the server's index.
+    pub(super) idle: Vec<IdleConnections>,
+    /// A permit for each connection that may be open.
+    connection_permits: Arc<Semaphore>,
+    queue: Queue,
+    metrics: Arc<Metrics>,
+    pub(super) unsolicited_bytes: Arc<UnsolicitedBytes>,
+}
+
+impl UpstreamPool {
+    /// A pool without servers. Results of attempts and health checks go to `queue`.
+    pub fn new(
+        limits: Limits,
+        settings: &Settings,
+        queue: Queue,
+        metrics: Arc<Metrics>,
+    ) -> UpstreamPool {
+        UpstreamPool {
+            responses_carry_load: settings.sockets.loads_in_answers,
+            health_checks_carry_load: settings.sockets.loads_in_probes,
+            health_checks: settings.endpoints.health_checks,
+            response_memory: ResponseMemory::new(&limits),
+            endpoints: EndpointTable::new(settings.sockets.zones.clone()),
+            idle: Vec::new(),
+            connection_permits: Arc::new(Semaphore::new(limits.upstream.max_connections)),
+            limits,
+            queue,
+            metrics,
+            unsolicited_bytes: Arc::default(),
+        }
+    }
+
+    /// The bounds that it was made with.
+    pub fn limits(&self) -> &Limits {
+        &self.limits
+    }
+
+    /// Takes discovery's endpoints and translates them for the policy.
+    pub fn apply_endpoints(&mut self, update: DiscoveryUpdate) -> EndpointUpdate {
+        let update = self.endpoints.apply(update, false);
+        self.close_connections_of_unready_servers(&update);
+        update
+    }
+
+    /// Takes the endpoints that a process before had from discovery, and translates them for the policy.
+    pub fn apply_cached_endpoints(&mut self, update: DiscoveryUpdate) -> EndpointUpdate {
+        let update = self.endpoints.apply(update, true);
+        self.close_connections_of_unready_servers(&update);
+        update
+    }
+
+    /// No idle connection stays open to a server that is draining or removed.
+    fn close_connections_of_unready_servers(&mut self, update: &EndpointUpdate) {
+        self.idle
+            .resize_with(self.endpoints.indices(), IdleConnections::default);
+        for endpoint in &update.endpoints {
+            if endpoint.state != EndpointState::Ready {
+                self.close_idle_connections(endpoint.server);
+            }
+        }
+        if update.complete {
+            self.close_connections_of_removed_servers();
+        }
+    }
+
+    fn close_connections_of_removed_servers(&mut self) {
+        for (server, idle) in self.idle.iter_mut().enumerate() {
+            if !self.endpoints.stands(server as u32) {
+                idle.0.clear();
+            }
+        }
+    }
+
+    /// Whether discovery lists the server as ready.
+    pub fn is_ready(&self, server: u32) -> bool {
+        self.endpoints.is_up(server)
+    }
+
+    /// Forgets a server; its index may be another's from now on.
+    pub fn release_endpoint(&mut self, server: u32) {
+        self.close_idle_connections(server);
+        self.endpoints.forget(server);
+    }
+
+    /// Starts an attempt on an idle connection, else on a new one. `None` where the server is not known or every
+    /// connection is taken.
+    pub fn start_attempt(&mut self, server: u32, mut attempt: Attempt) -> Option<ConnectionHandle> {
+        let address = self.endpoints.address(server)?;
+        let idle = self.idle.get_mut(server as usize)?;
+        let settle_time = self.limits.upstream.settle_time;
+        let reuse = if self.unsolicited_bytes.seen() {
+            Reuse::OnlySettled
+        } else {
+            Reuse::PreferSettled
+        };
+        while let Some(connection) = idle.take(attempt.started, settle_time, reuse) {
+            if connection.address != address {
+                continue;
+            }
+            match connection.commands.try_send(Command::Start(attempt)) {
+                Ok(()) => return Some(connection),
+                Err(TrySendError::Closed(Command::Start(returned))) => attempt = returned,
+                Err(_) => return None,
+            }
+        }
+        let permit = self.acquire_connection_permit()?;
+        Some(self.open_connection(address, attempt, permit))
+    }
+
+    fn open_connection(
+        &self,
+        address: SocketAddr,
+        attempt: Attempt,
+        permit: OwnedSemaphorePermit,
+    ) -> ConnectionHandle {
+        let (commands, received) = mpsc::channel(COMMAND_QUEUE_LENGTH);
+        let connection = UpstreamConnection {
+            commands: received,
+            address,
+            limits: self.limits.clone(),
+            responses_carry_load: self.responses_carry_load,
+            response_memory: self.response_memory.clone(),
+            queue: self.queue.clone(),
+            metrics: self.metrics.clone(),
+            unsolicited_bytes: self.unsolicited_bytes.clone(),
+        };
+        tokio::spawn(connection.run(attempt, permit));
+        ConnectionHandle { commands, address }
+    }
+
+    /// A permit for one more connection. Where it is the last one, the oldest idle connection of the server that has most
+    /// of them closes, so that the next attempt finds a permit.
+    fn acquire_connection_permit(&mut self) -> Option<OwnedSemaphorePermit> {
+        let permit = self.connection_permits.clone().try_acquire_owned().ok();
+        if self.connection_permits.available_permits() == 0 {
+            let most_idle = self.idle.iter_mut().max_by_key(|idle| idle.0.len());
+            if let Some(idle) = most_idle {
+                idle.close_oldest();
+            }
+        }
+        if permit.is_none() {
+            log!("no descriptor is free for a connection to a server");
+        }
+        permit
+    }
+
+    /// Takes back a connection whose attempt is over, unless the server has another address by now.
+    pub fn return_connection(&mut self, server: u32, connection: ConnectionHandle) {
+        if self.endpoints.address(server) != Some(connection.address) {
+            return;
+        }
+        if let Some(idle) = self.idle.get_mut(server as usize) {
+            idle.add(connection);
+        }
+    }
+
+    /// Closes the server's idle connections.
+    pub fn close_idle_connections(&mut self, server: u32) {
+        if let Some(idle) = self.idle.get_mut(server as usize) {
+            idle.0.clear();
+        }
+    }
+
+    /// Checks a server's health, where the settings want that and a connection is free; the result goes to the queue.
+    pub fn start_health_check(&mut self, server: u32) {
+        let Some(address) = self.endpoints.address(server) else {
+            return;
+        };
+        if !self.health_checks {
+            return;
+        }
+        let Some(permit) = self.acquire_connection_permit() else {
+            return;
+        };
+        let health_check = HealthCheck {
+            server,
+            address,
+            carries_load: self.health_checks_carry_load,
+            timeout: self.limits.upstream.health_check_timeout,
+            max_body_bytes: self.limits.max_body_bytes,
+        };
+        tokio::spawn(health_check.run(permit, self.queue.clone()));
+    }
+}
--- a/crates/merlinreel/src/upstream/response_memory/tests.rs
+++ b/crates/merlinreel/src/upstream/response_memory/tests.rs
@@ -8,10 +8,10 @@
 use test_case::test_case;
 
 /// Bodies of up to four bytes are held, and sixteen bytes in all.
-fn memory() -> AnswerMemory {
-    AnswerMemory {
+fn memory() -> ResponseMemory {
+    ResponseMemory {
         bytes: Arc::new(Semaphore::new(16)),
-        whole: 4,
+        max_buffered: 4,
     }
 }
 
@@ -47,10 +47,10 @@
     Long(usize),
 }
 
-fn seen<B>(received: Received<B>) -> Seen {
+fn seen<B>(received: BufferedBody<B>) -> Seen {
     match received {
-        Received::Whole(bytes) => Seen::Whole(bytes.len()),
-        Received::Long { beginning, .. } => Seen::Long(beginning.len()),
+        BufferedBody::Complete(bytes) => Seen::Whole(bytes.len()),
+        BufferedBody::TooLong { first_part, .. } => Seen::Long(first_part.len()),
     }
 }
 
@@ -63,7 +63,7 @@
 #[tokio::test]
 async fn a_body_of_untold_length(frames: usize, breaks_off: bool) -> Result<Seen, BodyError> {
     memory()
-        .receive(Frames {
+        .buffer(Frames {
             left: frames,
             breaks_off,
         })
@@ -76,7 +76,7 @@
 #[tokio::test]
 async fn a_body_of_told_length(length: usize) -> Result<Seen, BodyError> {
     memory()
-        .receive(Full::new(Bytes::from(vec![1; length])))
+        .buffer(Full::new(Bytes::from(vec![1; length])))
         .await
         .map(seen)
 }
@@ -98,14 +98,14 @@
     let memory = memory();
     let mut held = Vec::new();
     for _ in 0..4 {
-        let Ok(Received::Whole(bytes)) =
-            memory.receive(Full::new(Bytes::from_static(b"held"))).await
+        let Ok(BufferedBody::Complete(bytes)) =
+            memory.buffer(Full::new(Bytes::from_static(b"held"))).await
         else {
             panic!("a body that fits")
         };
         held.push(bytes);
     }
-    let mut next = pin!(memory.receive(Full::new(Bytes::from_static(b"next"))));
+    let mut next = pin!(memory.buffer(Full::new(Bytes::from_static(b"next"))));
     let mut turn = Context::from_waker(Waker::noop());
     assert!(next.as_mut().poll(&mut turn).is_pending());
     held.pop();
--- a/crates/merlinreel/src/upstream/tests.rs
+++ b/crates/merlinreel/src/upstream/tests.rs
@@ -1,17 +1,25 @@
 mod idle_connections;
 mod wire;
 
-use super::message::{PRESSURE, encode, wire_length};
+use super::idle_connections::{IdleConnection, IdleConnections, Reuse};
+use super::message::{LOAD, encode, strip_hop_by_hop, wire_length};
 use super::*;
-use crate::messages::AttemptCompletion;
+use crate::config::limits::Limits;
+use crate::messages::{AttemptCompletion, AttemptId, Event, UpstreamRequest};
+use crate::telemetry::metrics::Metrics;
 use hyper::body::Bytes;
 use hyper::header::{HeaderMap, HeaderName, HeaderValue};
 use hyper::{Method, Uri};
-use merlinreel_policy::{AttemptOutcome, LoadReport};
+use merlinreel_discovery::DiscoveryUpdate;
+use merlinreel_policy::{AttemptOutcome, EndpointState, LoadReport};
+use std::net::SocketAddr;
+use std::sync::Arc;
+use std::time::{Duration, Instant};
 use test_case::test_case;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
-use tokio::time::sleep;
+use tokio::sync::mpsc;
+use tokio::time::{sleep, timeout};
 
 const LONG: Duration = Duration::from_secs(20);
 
@@ -39,11 +47,11 @@
 fn attempt(attempt_id: u64, body: usize, within: Duration) -> Attempt {
     let started = Instant::now();
     Attempt {
-        attempt_id,
+        attempt_id: AttemptId(attempt_id),
         upstream_request: upstream_request(body),
         started,
-        until: started + within,
-        begins_by: None,
+        deadline: started + within,
+        write_deadline: None,
     }
 }
 
@@ -62,7 +70,7 @@
     };
     let (queue, events) = mpsc::channel(16);
     let mut servers = UpstreamPool::new(limits, &settings, queue, Metrics::new(&[]));
-    servers.list(list(address, EndpointState::Ready), true);
+    servers.apply_cached_endpoints(list(address, EndpointState::Ready));
     (servers, events)
 }
 
@@ -121,7 +129,7 @@
     attempt_id: u64,
 ) -> (ConnectionHandle, TcpStream) {
     let link = servers
-        .send(0, attempt(attempt_id, 1, LONG))
+        .start_attempt(0, attempt(attempt_id, 1, LONG))
         .expect("a slot");
     let mut stream = accept(listener).await;
     request(&mut stream).await;
@@ -182,7 +190,7 @@
         assert_eq!((end.units, end.load), (Some(3.0), load));
         let upstream_response = end.upstream_response.expect("an answer");
         assert_eq!(&upstream_response.body[..], b"done");
-        assert!(upstream_response.headers.get(PRESSURE).is_none());
+        assert!(upstream_response.headers.get(LOAD).is_none());
     }
     (end.outcome, end.reusable)
 }
@@ -192,7 +200,7 @@
     let (listener, address) = listener().await;
     drop(listener);
     let (mut servers, mut events) = servers(address, 4);
-    let _link = servers.send(0, attempt(1, 1, LONG));
+    let _link = servers.start_attempt(0, attempt(1, 1, LONG));
     assert_eq!(
         end(&mut events).await.outcome,
         AttemptOutcome::ConnectionRefused
@@ -212,7 +220,7 @@
     } else {
         Duration::from_millis(300)
     };
-    let _link = servers.send(0, attempt(1, body, within));
+    let _link = servers.start_attempt(0, attempt(1, body, within));
     let mut stream = accept(&listener).await;
     assert!(stream.read(&mut [0; 64]).await.expect("the beginning") > 0);
     if closes && body == 1 {
@@ -230,8 +238,8 @@
     let (mut servers, mut events) = servers(address, 4);
     let (link, stream) = begun(&listener, &mut servers, 5).await;
     // An order for an attempt that is over is none for this one.
-    link.abandon(4);
-    link.abandon(5);
+    link.cancel(AttemptId(4));
+    link.cancel(AttemptId(5));
     assert_eq!(end(&mut events).await.outcome, AttemptOutcome::Cancelled);
     assert_eq!(
         stream
@@ -259,10 +267,12 @@
     let _place = std::net::TcpStream::connect(address).expect("the one place");
     let (mut servers, mut events) = servers(address, 4);
     servers.limits.connect_timeout = LONG;
-    let link = servers.send(0, attempt(7, 1, LONG)).expect("a slot");
+    let link = servers
+        .start_attempt(0, attempt(7, 1, LONG))
+        .expect("a slot");
     // An order for another attempt is none for this one.
-    link.withdraw(6);
-    link.withdraw(7);
+    link.cancel_if_not_started(AttemptId(6));
+    link.cancel_if_not_started(AttemptId(7));
     assert_eq!(end(&mut events).await.outcome, AttemptOutcome::NotSent);
 }
 
@@ -272,7 +282,7 @@
     let (listener, address) = listener().await;
     let (mut servers, mut events) = servers(address, 4);
     let (link, mut stream) = begun(&listener, &mut servers, 5).await;
-    link.withdraw(5);
+    link.cancel_if_not_started(AttemptId(5));
     assert_eq!(
         done(&mut stream, &mut events).await.outcome,
         AttemptOutcome::Success
@@ -286,7 +296,7 @@
 async fn a_probe(text: &str) -> (bool, Option<f64>) {
     let (listener, address) = listener().await;
     let (mut servers, mut events) = servers(address, 4);
-    servers.probe(0);
+    servers.start_health_check(0);
     let mut stream = accept(&listener).await;
     let mut bytes = vec![0; 64];
     let length = stream.read(&mut bytes).await.expect("a request");
@@ -329,18 +339,18 @@
     if rests {
         let (link, mut stream) = begun(&listener, &mut servers, 1).await;
         done(&mut stream, &mut events).await;
-        servers.keep(0, link);
+        servers.return_connection(0, link);
         server = Some(stream);
     }
-    let begins_by = match body {
+    let write_deadline = match body {
         HUGE => Some(Instant::now() + Duration::from_millis(50)),
         _ => Some(Instant::now()),
     };
     let _link = servers
-        .send(
+        .start_attempt(
             0,
             Attempt {
-                begins_by,
+                write_deadline,
                 ..attempt(2, body, 3 * LONG)
             },
         )
--- a/crates/merlinreel/src/upstream/tests/idle_connections.rs
+++ b/crates/merlinreel/src/upstream/tests/idle_connections.rs
@@ -3,25 +3,25 @@
 use super::*;
 use test_case::test_case;
 
-#[test_case(&[40, 30, 1], false => Some(30) ; "the newest that is settled")]
-#[test_case(&[3, 2, 1], false => Some(3) ; "the oldest where none is")]
-#[test_case(&[], false => None ; "none")]
-#[test_case(&[40, 30, 1], true => Some(30) ; "the newest that is settled, once a server sent something unasked")]
-#[test_case(&[3, 2, 1], true => None ; "none that is not settled, once a server sent something unasked")]
-fn the_idle_connection_for_an_attempt(idle: &[u64], only_settled: bool) -> Option<u64> {
+#[test_case(&[40, 30, 1], Reuse::PreferSettled => Some(30) ; "the newest that is settled")]
+#[test_case(&[3, 2, 1], Reuse::PreferSettled => Some(3) ; "the oldest where none is")]
+#[test_case(&[], Reuse::PreferSettled => None ; "none")]
+#[test_case(&[40, 30, 1], Reuse::OnlySettled => Some(30) ; "the newest that is settled, once a server sent something unasked")]
+#[test_case(&[3, 2, 1], Reuse::OnlySettled => None ; "none that is not settled, once a server sent something unasked")]
+fn the_idle_connection_for_an_attempt(idle: &[u64], reuse: Reuse) -> Option<u64> {
     let now = Instant::now() + LONG;
     let link = |ms: &u64| {
         let address = SocketAddr::from(([127, 0, 0, 1], *ms as u16));
-        (
-            now - Duration::from_millis(*ms),
-            ConnectionHandle {
+        IdleConnection {
+            since: now - Duration::from_millis(*ms),
+            handle: ConnectionHandle {
                 commands: mpsc::channel(1).0,
                 address,
             },
-        )
+        }
     };
     let mut idle = IdleConnections(idle.iter().map(link).collect());
-    idle.take(now, Duration::from_millis(25), only_settled)
+    idle.take(now, Duration::from_millis(25), reuse)
         .map(|link| link.address.port().into())
 }
 
@@ -31,7 +31,7 @@
     let (mut servers, mut events) = servers(address, 4);
     let links = [1, 2].map(|attempt_id| {
         servers
-            .send(0, attempt(attempt_id, 1, LONG))
+            .start_attempt(0, attempt(attempt_id, 1, LONG))
             .expect("a slot")
     });
     let mut one = accept(&listener).await;
@@ -40,8 +40,12 @@
         request(stream).await;
         done(stream, &mut events).await;
     }
-    links.into_iter().for_each(|link| servers.keep(0, link));
-    let _link = servers.send(0, attempt(3, 1, LONG)).expect("an idle one");
+    links
+        .into_iter()
+        .for_each(|link| servers.return_connection(0, link));
+    let _link = servers
+        .start_attempt(0, attempt(3, 1, LONG))
+        .expect("an idle one");
     // None is settled: the oldest.
     let bytes = request(&mut one).await;
     assert_eq!(
@@ -56,16 +60,19 @@
     let (mut servers, mut events) = servers(address, 4);
     let (link, mut stream) = begun(&listener, &mut servers, 1).await;
     done(&mut stream, &mut events).await;
-    servers.keep(0, link);
+    servers.return_connection(0, link);
     drop(stream);
-    while !servers.idle[0].0[0].1.commands.is_closed() {
+    while !servers.idle[0].0[0].handle.commands.is_closed() {
         sleep(Duration::from_millis(1)).await;
     }
-    let _link = servers.send(0, attempt(2, 1, LONG));
+    let _link = servers.start_attempt(0, attempt(2, 1, LONG));
     let mut stream = accept(&listener).await;
     request(&mut stream).await;
     let end = done(&mut stream, &mut events).await;
-    assert_eq!((end.attempt_id, end.outcome), (2, AttemptOutcome::Success));
+    assert_eq!(
+        (end.attempt_id, end.outcome),
+        (AttemptId(2), AttemptOutcome::Success)
+    );
 }
 
 /// A server that has sent something unasked may do so again, some milliseconds late: an attempt that follows an answer
@@ -89,7 +96,7 @@
         end(&mut events).await;
     }
     timeout(LONG, async {
-        while !servers.unasked.seen() {
+        while !servers.unsolicited_bytes.seen() {
             tokio::task::yield_now().await;
         }
     })
@@ -98,8 +105,10 @@
     let (second, mut stream) = begun(&listener, &mut servers, 2).await;
     done(&mut stream, &mut events).await;
     servers.limits.upstream.settle_time = LONG;
-    servers.keep(0, second);
-    let _third = servers.send(0, attempt(3, 1, LONG)).expect("a slot");
+    servers.return_connection(0, second);
+    let _third = servers
+        .start_attempt(0, attempt(3, 1, LONG))
+        .expect("a slot");
     request(&mut accept(&listener).await).await;
 }
 
@@ -111,10 +120,10 @@
     let (mut servers, mut events) = servers(address, 4);
     let (link, mut stream) = begun(&listener, &mut servers, 1).await;
     done(&mut stream, &mut events).await;
-    servers.keep(0, link);
+    servers.return_connection(0, link);
     // Not waited for: this limiter's poller has not told of it when the next attempt begins.
     stream.try_write(more.as_bytes()).expect("written");
-    let _link = servers.send(0, attempt(2, 1, LONG));
+    let _link = servers.start_attempt(0, attempt(2, 1, LONG));
     let mut other = accept(&listener).await;
     request(&mut other).await;
     let end = done(&mut other, &mut events).await;
@@ -137,9 +146,9 @@
         [127, 0, 0, 1],
         if port == 0 { address.port() } else { port },
     ));
-    servers.list(list(elsewhere, standing), false);
-    servers.keep(0, link);
-    servers.close_idle(0);
+    servers.apply_endpoints(list(elsewhere, standing));
+    servers.return_connection(0, link);
+    servers.close_idle_connections(0);
     assert_eq!(
         timeout(LONG, stream.read(&mut [0; 8]))
             .await
@@ -157,7 +166,7 @@
     servers.limits.upstream.idle_timeout = Duration::from_millis(1);
     let (link, mut stream) = begun(&listener, &mut servers, 1).await;
     done(&mut stream, &mut events).await;
-    servers.keep(0, link);
+    servers.return_connection(0, link);
     assert_eq!(
         timeout(LONG, stream.read(&mut [0; 8]))
             .await
@@ -173,11 +182,12 @@
     let (mut servers, mut events) = servers(address, 2);
     let (first, mut stream) = begun(&listener, &mut servers, 1).await;
     done(&mut stream, &mut events).await;
-    servers
-        .idle
-        .push(IdleConnections(vec![(Instant::now(), first)]));
-    let second = servers.send(0, attempt(2, 1, LONG));
-    assert!(second.is_some() && servers.send(0, attempt(3, 1, LONG)).is_none());
+    servers.idle.push(IdleConnections(vec![IdleConnection {
+        since: Instant::now(),
+        handle: first,
+    }]));
+    let second = servers.start_attempt(0, attempt(2, 1, LONG));
+    assert!(second.is_some() && servers.start_attempt(0, attempt(3, 1, LONG)).is_none());
     assert_eq!(
         timeout(LONG, stream.read(&mut [0; 8]))
             .await
@@ -198,16 +208,16 @@
     let (mut servers, mut events) = servers(address, 4);
     let (link, mut stream) = begun(&listener, &mut servers, 1).await;
     done(&mut stream, &mut events).await;
-    servers.keep(0, link);
+    servers.return_connection(0, link);
     let mut whole = list(address, standing);
     whole.servers[0].name = name.to_owned();
     if name != "s-1" {
         whole.servers[0].address = SocketAddr::from(([127, 0, 0, 9], 9));
     }
-    servers.list(whole, false);
+    servers.apply_endpoints(whole);
     let _next = standing
         .eq(&EndpointState::Ready)
-        .then(|| servers.send(0, attempt(2, 1, LONG)));
+        .then(|| servers.start_attempt(0, attempt(2, 1, LONG)));
     let mut byte = [0];
     timeout(LONG, stream.read(&mut byte))
         .await
--- a/crates/merlinreel/src/upstream/tests/wire.rs
+++ b/crates/merlinreel/src/upstream/tests/wire.rs
@@ -20,7 +20,9 @@
 async fn forwarded_request_has_these_bytes() {
     let (listener, address) = listener().await;
     let (mut servers, _events) = servers(address, 4);
-    let _connection = servers.send(0, attempt(1, 3, LONG)).expect("a connection");
+    let _connection = servers
+        .start_attempt(0, attempt(1, 3, LONG))
+        .expect("a connection");
     let mut stream = accept(&listener).await;
     let head = read_head(&mut stream).await;
     let (before, rest) = head
@@ -43,7 +45,7 @@
 async fn health_check_has_these_bytes() {
     let (listener, address) = listener().await;
     let (mut servers, _events) = servers(address, 4);
-    servers.probe(0);
+    servers.start_health_check(0);
     let mut stream = accept(&listener).await;
     assert_eq!(
         read_head(&mut stream).await,
