--- a/crates/merlinreel/src/event_loop/in_flight.rs
+++ b/crates/merlinreel/src/event_loop/in_flight.rs
@@ -45,7 +45,7 @@
 }
 
 impl InFlightRequest {
-    /// Whether the client has its response, or is gone.
+    /// Whether the client has its response or has disconnected.
     pub fn is_completed(&self) -> bool {
         self.response_sender.is_none()
     }
--- a/crates/merlinreel/src/event_loop/tests.rs
+++ b/crates/merlinreel/src/event_loop/tests.rs
@@ -27,7 +27,7 @@
     let settings = paths
         .and_then(|paths| merlinreel_settings::Settings::read(&paths))
         .expect("sound");
-    let limits = crate::config::limits::Limits::new(1024, 192, &settings).expect("room");
+    let limits = crate::config::limits::Limits::new(1024, 192, &settings).expect("enough memory");
     let (queue, events) = mpsc::channel(16);
     let metrics = Metrics::new(&[]);
     let upstreams = UpstreamPool::new(limits, &settings, queue.clone(), metrics.clone());
@@ -79,7 +79,7 @@
 }
 
 #[tokio::test]
-async fn request_beyond_the_maximum_is_rejected_until_a_client_disconnects() {
+async fn request_over_the_maximum_is_rejected_until_a_client_disconnects() {
     let (mut event_loop, _queue, _events) = event_loop();
     let ((first, mut first_response), (second, mut second_response)) =
         (incoming_request(1), incoming_request(2));
--- a/crates/merlinreel/src/messages.rs
+++ b/crates/merlinreel/src/messages.rs
@@ -85,7 +85,7 @@
     pub outcome: AttemptOutcome,
     /// From the decision to start it to its result.
     pub latency: Duration,
-    /// The quota units that the server charged, where it said so.
+    /// The quota units that the server charged, where its response names them.
     pub units: Option<f64>,
     /// The server's load as the response reported it.
     pub load: LoadReport,
--- a/crates/merlinreel/src/messages/streaming_body.rs
+++ b/crates/merlinreel/src/messages/streaming_body.rs
@@ -46,7 +46,7 @@
 }
 
 impl StreamingBody {
-    /// A body of its `first_part` and its `rest`, and the channel that tells how it ended.
+    /// A body of its `first_part` and its `rest`, and the channel that receives how it ended.
     pub fn new(first_part: Bytes, rest: Incoming) -> (StreamingBody, oneshot::Receiver<StreamEnd>) {
         let (end_sender, end_receiver) = oneshot::channel();
         let body = StreamingBody {
--- a/crates/merlinreel/src/upstream.rs
+++ b/crates/merlinreel/src/upstream.rs
@@ -3,6 +3,7 @@
 
 mod attempt;
 mod connection;
+mod connection_task;
 mod exchange;
 mod health_check;
 mod idle_connections;
--- /dev/null
+++ b/crates/merlinreel/src/upstream/connection_task.rs
@@ -0,0 +1,182 @@
+//! The task of one connection to a server: it carries one attempt at a time and reports each one's result.
+
+use super::attempt::{Attempt, Command};
+use super::connection::UpstreamConnection;
+use super::exchange::Exchange;
+use super::message::DecodedResponse;
+use super::open_connection::{
+    OpenConnection, connect, connect_deadline_outcome, connect_error_outcome,
+};
+use crate::log;
+use crate::messages::streaming_body::StreamEnd;
+use crate::messages::{AttemptCompletion, AttemptId, Event};
+use merlinreel_policy::AttemptOutcome;
+use std::pin::pin;
+use std::time::Instant;
+use tokio::sync::{OwnedSemaphorePermit, oneshot};
+use tokio::time::{sleep, sleep_until};
+
+/// An attempt that this connection was given.
+#[derive(Clone, Copy)]
+struct StartedAttempt {
+    attempt_id: AttemptId,
+    started: Instant,
+}
+
+impl StartedAttempt {
+    fn of(attempt: &Attempt) -> StartedAttempt {
+        StartedAttempt {
+            attempt_id: attempt.attempt_id,
+            started: attempt.started,
+        }
+    }
+}
+
+impl UpstreamConnection {
+    /// Makes `attempt` and those that follow it, until the connection closes; the permit is held as long.
+    pub async fn run(mut self, mut attempt: Attempt, _permit: OwnedSemaphorePermit) {
+        let mut idle: Option<OpenConnection> = None;
+        loop {
+            let started = StartedAttempt::of(&attempt);
+            let mut open = match idle.take() {
+                Some(open) => open,
+                None => match self.open(&attempt).await {
+                    Ok(open) => open,
+                    Err(outcome) => return self.report_outcome(started, outcome).await,
+                },
+            };
+            let written_before = open.observer.bytes_written();
+            let result = match self.exchange(&mut open, &attempt).await {
+                // The server closed the connection while it was idle, and nothing of this attempt was written: it
+                // starts again on a new connection.
+                Err(AttemptOutcome::Rejected)
+                    if written_before > 0 && open.observer.bytes_written() == written_before =>
+                {
+                    continue;
+                }
+                result => result,
+            };
+            // An idle connection keeps nothing of the request in memory.
+            drop(attempt);
+            match result {
+                Ok(Exchange::Complete { response, reusable }) => {
+                    self.report(started, response, reusable).await;
+                    if !reusable {
+                        return;
+                    }
+                }
+                Ok(Exchange::Streaming { response, end }) => {
+                    self.report(started, response, false).await;
+                    return drive_until_stream_ends(open, end).await;
+                }
+                Err(outcome) => {
+                    // Closed before the result is reported, and so before the next attempt starts.
+                    drop(open);
+                    return self.report_outcome(started, outcome).await;
+                }
+            }
+            let Some(next) = self.wait_for_attempt(&mut open).await else {
+                return;
+            };
+            attempt = next;
+            if !open.ended {
+                idle = Some(open);
+            }
+        }
+    }
+
+    async fn open(&mut self, attempt: &Attempt) -> Result<OpenConnection, AttemptOutcome> {
+        let address = self.address;
+        let connecting = connect(address, self.limits.connect_timeout);
+        let result = tokio::select! {
+            biased;
+            () = self.wait_for_cancellation(attempt.attempt_id, || false) => {
+                return Err(AttemptOutcome::NotSent);
+            }
+            result = connecting => result,
+            () = sleep_until(attempt.written_by().into()) => {
+                return Err(connect_deadline_outcome(attempt));
+            }
+        };
+        let Ok(result) = result else {
+            let within = self.limits.connect_timeout;
+            log!("server at {address}: no connection within {within:?}");
+            return Err(AttemptOutcome::Unreachable);
+        };
+        let stream = result.map_err(|error| connect_error_outcome(address, &error))?;
+        OpenConnection::new(stream, &self.limits, self.unsolicited_bytes.clone())
+            .await
+            .map_err(|_| AttemptOutcome::Unreachable)
+    }
+
+    /// Waits for the next attempt as long as the connection is good. `None` once no further attempt can come.
+    async fn wait_for_attempt(&mut self, open: &mut OpenConnection) -> Option<Attempt> {
+        let idle_timeout = sleep(self.limits.upstream.idle_timeout);
+        tokio::pin!(idle_timeout);
+        loop {
+            tokio::select! {
+                biased;
+                result = open.http.as_mut(), if !open.ended => {
+                    self.record_connection_end(result);
+                    open.ended = true;
+                }
+                command = self.commands.recv(), if !open.ended => match command? {
+                    Command::Start(attempt) => return Some(attempt),
+                    Command::Cancel(_) | Command::CancelIfNotStarted(_) => {}
+                },
+                () = &mut idle_timeout, if !open.ended => open.ended = true,
+                else => break,
+            }
+        }
+        self.take_waiting_attempt().await
+    }
+
+    /// An attempt that was commanded while the connection ended goes out on a new one. Any further command finds the
+    /// channel closed.
+    async fn take_waiting_attempt(&mut self) -> Option<Attempt> {
+        while let Ok(command) = self.commands.try_recv() {
+            if let Command::Start(attempt) = command {
+                return Some(attempt);
+            }
+        }
+        self.commands.close();
+        while let Some(command) = self.commands.recv().await {
+            if let Command::Start(attempt) = command {
+                self.report_outcome(StartedAttempt::of(&attempt), AttemptOutcome::NotSent)
+                    .await;
+            }
+        }
+        None
+    }
+
+    /// Reports an attempt that had no response.
+    async fn report_outcome(&self, attempt: StartedAttempt, outcome: AttemptOutcome) {
+        let response = DecodedResponse::without_response(outcome);
+        self.report(attempt, response, false).await;
+    }
+
+    async fn report(&self, attempt: StartedAttempt, response: DecodedResponse, reusable: bool) {
+        let completion = AttemptCompletion {
+            attempt_id: attempt.attempt_id,
+            outcome: response.outcome,
+            latency: attempt.started.elapsed(),
+            units: response.units,
+            load: response.load,
+            upstream_response: response.upstream_response,
+            reusable,
+        };
+        let _ = self.queue.send(Event::AttemptCompleted(completion)).await;
+    }
+}
+
+/// Keeps the connection open and reading until the client has all of its response or has disconnected, which can take
+/// minutes; then closes it.
+async fn drive_until_stream_ends(mut open: OpenConnection, end: oneshot::Receiver<StreamEnd>) {
+    let mut end = pin!(end);
+    while !open.ended {
+        tokio::select! {
+            _ = &mut end => return,
+            _ = open.http.as_mut() => open.ended = true,
+        }
+    }
+}
--- a/crates/merlinreel/src/upstream/exchange.rs
+++ b/crates/merlinreel/src/upstream/exchange.rs
@@ -29,7 +29,7 @@
     Streaming {
         /// The response.
         response: DecodedResponse,
-        /// Tells how the body ended.
+        /// Receives how the body ended.
         end: oneshot::Receiver<StreamEnd>,
     },
 }
--- a/crates/merlinreel/src/upstream/message.rs
+++ b/crates/merlinreel/src/upstream/message.rs
@@ -1,4 +1,4 @@
-//! A request as a server receives it, and what its response says.
+//! A request as a server receives it, and what the response to it means.
 
 use super::load_report::read_load;
 use crate::messages::streaming_body::StreamingBody;
@@ -76,11 +76,11 @@
     }
 }
 
-/// What a response says.
+/// What a response means.
 pub struct DecodedResponse {
     /// What became of the attempt.
     pub outcome: AttemptOutcome,
-    /// The quota units that the server charged, where it said so.
+    /// The quota units that the server charged, where the response names them.
     pub units: Option<f64>,
     /// The server's load.
     pub load: LoadReport,
--- a/crates/merlinreel/src/upstream/pool.rs
+++ b/crates/merlinreel/src/upstream/pool.rs
@@ -1,4 +1,4 @@
-//! The servers by index, with their connections.
+//! The pool of connections to servers.
 
 use super::attempt::{Attempt, Command, ConnectionHandle};
 use super::connection::UpstreamConnection;
--- a/crates/merlinreel/src/upstream/response.rs
+++ b/crates/merlinreel/src/upstream/response.rs
@@ -24,7 +24,7 @@
     /// Clients and servers could read different messages from it.
     #[error("both Content-Length and Transfer-Encoding are present (RFC 9112, section 6.3)")]
     AmbiguousFraming,
-    /// The announced length is beyond the maximum.
+    /// The announced length exceeds the maximum.
     #[error("{announced} bytes are announced, {max} are the maximum of a response")]
     TooLong {
         /// Bytes.
@@ -42,7 +42,7 @@
     Streaming {
         /// Takes it to the client.
         body: Box<StreamingBody>,
-        /// Tells how it ended.
+        /// Receives how it ended.
         end: oneshot::Receiver<StreamEnd>,
     },
 }
@@ -53,7 +53,7 @@
     pub head: Parts,
     /// The body; empty where it was long and no client gets it.
     pub body: ReceivedBody,
-    /// Its framing tells its end, so that the connection may carry another request.
+    /// Its framing delimits it, so that the connection may carry another request.
     pub is_self_delimited: bool,
 }
 
--- a/crates/merlinreel/src/upstream/response_memory/tests.rs
+++ b/crates/merlinreel/src/upstream/response_memory/tests.rs
@@ -7,7 +7,7 @@
 use std::task::{Context, Poll, Waker};
 use test_case::test_case;
 
-/// Bodies of up to four bytes are held, and sixteen bytes in all.
+/// Bodies of up to four bytes are buffered, and sixteen bytes in all.
 fn memory() -> ResponseMemory {
     ResponseMemory {
         bytes: Arc::new(Semaphore::new(16)),
@@ -15,7 +15,7 @@
     }
 }
 
-/// A body of untold length in frames of two bytes, that ends or breaks off behind them.
+/// A body of unknown length in frames of two bytes, that ends or breaks off behind them.
 struct Frames {
     left: usize,
     breaks_off: bool,
@@ -40,28 +40,31 @@
     }
 }
 
-/// What became of a body: whole, or what had come when it was passed on.
+/// What became of a body: complete, or what had arrived when it was passed on.
 #[derive(Debug, PartialEq)]
 enum Seen {
-    Whole(usize),
-    Long(usize),
+    Complete(usize),
+    TooLong(usize),
 }
 
 fn seen<B>(received: BufferedBody<B>) -> Seen {
     match received {
-        BufferedBody::Complete(bytes) => Seen::Whole(bytes.len()),
-        BufferedBody::TooLong { first_part, .. } => Seen::Long(first_part.len()),
+        BufferedBody::Complete(bytes) => Seen::Complete(bytes.len()),
+        BufferedBody::TooLong { first_part, .. } => Seen::TooLong(first_part.len()),
     }
 }
 
-#[test_case(0, false => Ok(Seen::Whole(0)) ; "empty")]
-#[test_case(2, false => Ok(Seen::Whole(4)) ; "as long as is held")]
-#[test_case(3, false => Ok(Seen::Long(6)) ; "longer")]
-#[test_case(9, true => Ok(Seen::Long(6)) ; "longer, and cut after it was passed on")]
+#[test_case(0, false => Ok(Seen::Complete(0)) ; "empty")]
+#[test_case(2, false => Ok(Seen::Complete(4)) ; "as long as is buffered")]
+#[test_case(3, false => Ok(Seen::TooLong(6)) ; "longer")]
+#[test_case(9, true => Ok(Seen::TooLong(6)) ; "longer, and cut after it was passed on")]
 #[test_case(0, true => Err(BodyError::BrokeOff(0)) ; "cut behind its head")]
 #[test_case(2, true => Err(BodyError::BrokeOff(4)) ; "cut behind its last byte, before its end")]
 #[tokio::test]
-async fn a_body_of_untold_length(frames: usize, breaks_off: bool) -> Result<Seen, BodyError> {
+async fn body_of_unknown_length_is_buffered_up_to_the_bound(
+    frames: usize,
+    breaks_off: bool,
+) -> Result<Seen, BodyError> {
     memory()
         .buffer(Frames {
             left: frames,
@@ -71,20 +74,25 @@
         .map(seen)
 }
 
-#[test_case(4 => Ok(Seen::Whole(4)) ; "as long as is held")]
-#[test_case(5 => Ok(Seen::Long(5)) ; "longer")]
+#[test_case(4 => Ok(Seen::Complete(4)) ; "as long as is buffered")]
+#[test_case(5 => Ok(Seen::TooLong(5)) ; "longer")]
 #[tokio::test]
-async fn a_body_of_told_length(length: usize) -> Result<Seen, BodyError> {
+async fn body_of_known_length_is_buffered_up_to_the_bound(
+    length: usize,
+) -> Result<Seen, BodyError> {
     memory()
         .buffer(Full::new(Bytes::from(vec![1; length])))
         .await
         .map(seen)
 }
 
-#[test_case(9, false => Ok(()) ; "whole")]
+#[test_case(9, false => Ok(()) ; "complete")]
 #[test_case(9, true => Err(BodyError::BrokeOff(18)) ; "cut")]
 #[tokio::test]
-async fn a_body_that_no_client_gets(frames: usize, breaks_off: bool) -> Result<(), BodyError> {
+async fn body_that_no_client_gets_is_read_to_its_end(
+    frames: usize,
+    breaks_off: bool,
+) -> Result<(), BodyError> {
     read_to_end(Frames {
         left: frames,
         breaks_off,
@@ -92,22 +100,22 @@
     .await
 }
 
-/// A whole answer's memory is in use until its client has it; the next one waits so long.
+/// The memory of a complete response is in use until its client has it; the next response waits until then.
 #[tokio::test]
-async fn a_whole_answer_waits_for_memory_until_another_s_client_has_it() {
+async fn complete_response_waits_for_memory_until_another_is_delivered() {
     let memory = memory();
-    let mut held = Vec::new();
+    let mut delivered_later = Vec::new();
     for _ in 0..4 {
         let Ok(BufferedBody::Complete(bytes)) =
             memory.buffer(Full::new(Bytes::from_static(b"held"))).await
         else {
             panic!("a body that fits")
         };
-        held.push(bytes);
+        delivered_later.push(bytes);
     }
     let mut next = pin!(memory.buffer(Full::new(Bytes::from_static(b"next"))));
-    let mut turn = Context::from_waker(Waker::noop());
-    assert!(next.as_mut().poll(&mut turn).is_pending());
-    held.pop();
-    assert_eq!(next.await.map(seen), Ok(Seen::Whole(4)));
+    let mut context = Context::from_waker(Waker::noop());
+    assert!(next.as_mut().poll(&mut context).is_pending());
+    delivered_later.pop();
+    assert_eq!(next.await.map(seen), Ok(Seen::Complete(4)));
 }
--- a/crates/merlinreel/src/upstream/tests.rs
+++ b/crates/merlinreel/src/upstream/tests.rs
@@ -55,8 +55,8 @@
     }
 }
 
-/// The servers with one at that address.
-fn servers(address: SocketAddr, slots: usize) -> (UpstreamPool, mpsc::Receiver<Event>) {
+/// A pool with one server at that address.
+fn pool(address: SocketAddr, max_connections: usize) -> (UpstreamPool, mpsc::Receiver<Event>) {
     let settings =
         serde_json::json!({"report": {"how": "answers"}, "policyLimits": {"probes": true}});
     let paths = merlinreel_settings::Paths::from_json(&settings);
@@ -64,37 +64,37 @@
         .and_then(|paths| merlinreel_settings::Settings::read(&paths))
         .expect("sound");
     let limits = {
-        let mut changed = Limits::new(1024, 192, &settings).expect("room");
-        changed.upstream.max_connections = slots;
+        let mut changed = Limits::new(1024, 192, &settings).expect("enough memory");
+        changed.upstream.max_connections = max_connections;
         changed
     };
     let (queue, events) = mpsc::channel(16);
-    let mut servers = UpstreamPool::new(limits, &settings, queue, Metrics::new(&[]));
-    servers.apply_cached_endpoints(list(address, EndpointState::Ready));
-    (servers, events)
+    let mut pool = UpstreamPool::new(limits, &settings, queue, Metrics::new(&[]));
+    pool.apply_cached_endpoints(list(address, EndpointState::Ready));
+    (pool, events)
 }
 
-fn list(address: SocketAddr, standing: EndpointState) -> DiscoveryUpdate {
+fn list(address: SocketAddr, state: EndpointState) -> DiscoveryUpdate {
     let (name, zone) = ("s-1".to_owned(), "a".to_owned());
-    let listed = merlinreel_discovery::DiscoveredEndpoint {
+    let endpoint = merlinreel_discovery::DiscoveredEndpoint {
         name,
         address,
         zone,
         cell: 0,
-        state: standing,
+        state,
         weight: 1.0,
         started_at: None,
     };
     DiscoveryUpdate {
         version: 1,
         complete: true,
-        servers: vec![listed],
+        servers: vec![endpoint],
     }
 }
 
-async fn end(events: &mut mpsc::Receiver<Event>) -> AttemptCompletion {
+async fn completion(events: &mut mpsc::Receiver<Event>) -> AttemptCompletion {
     match timeout(LONG, events.recv()).await {
-        Ok(Some(Event::AttemptCompleted(end))) => end,
+        Ok(Some(Event::AttemptCompleted(completion))) => completion,
         other => panic!("{other:?}"),
     }
 }
@@ -123,43 +123,46 @@
 }
 
 /// An attempt that has reached the server.
-async fn begun(
+async fn started(
     listener: &TcpListener,
-    servers: &mut UpstreamPool,
+    pool: &mut UpstreamPool,
     attempt_id: u64,
 ) -> (ConnectionHandle, TcpStream) {
-    let link = servers
+    let connection = pool
         .start_attempt(0, attempt(attempt_id, 1, LONG))
-        .expect("a slot");
+        .expect("a connection");
     let mut stream = accept(listener).await;
     request(&mut stream).await;
-    (link, stream)
+    (connection, stream)
 }
 
-/// The server answers it.
-async fn done(stream: &mut TcpStream, events: &mut mpsc::Receiver<Event>) -> AttemptCompletion {
-    stream.write_all(GOOD.as_bytes()).await.expect("written");
-    end(events).await
+/// The server answers it, and its result arrives.
+async fn completed(
+    stream: &mut TcpStream,
+    events: &mut mpsc::Receiver<Event>,
+) -> AttemptCompletion {
+    stream.write_all(SUCCESS.as_bytes()).await.expect("written");
+    completion(events).await
 }
 
-/// More than the buffers of both sides hold.
+/// Bytes: more than the buffers of both sides hold.
 const HUGE: usize = 1 << 26;
-const INFORMED: &str = "HTTP/1.1 102 On\r\n\r\nHTTP/1.1 103 Hint\r\nLink: x\r\n\r\nHTTP/1.1 200 OK\r\n\
+const WITH_INFORMATIONAL: &str = "HTTP/1.1 102 On\r\n\r\nHTTP/1.1 103 Hint\r\nLink: x\r\n\r\nHTTP/1.1 200 OK\r\n\
     X-Units-Charged: 3\r\nX-Pressure: {\"queue\":2,\"util\":0.5,\"odd\":1}\r\nContent-Length: 4\r\n\r\ndone";
-const GOOD: &str = "HTTP/1.1 200 OK\r\nX-Units-Charged: 3\r\nX-Pressure: {\"queue\":2,\"util\":0.5,\"odd\":1}\r\n\
+const SUCCESS: &str = "HTTP/1.1 200 OK\r\nX-Units-Charged: 3\r\nX-Pressure: {\"queue\":2,\"util\":0.5,\"odd\":1}\r\n\
     Content-Length: 4\r\n\r\ndone";
 
-#[test_case(GOOD => (AttemptOutcome::Success, true) ; "a good answer")]
+#[test_case(SUCCESS => (AttemptOutcome::Success, true) ; "a successful response")]
 #[test_case("HTTP/1.1 500 Odd\r\nContent-Length: 0\r\n\r\n" => (AttemptOutcome::Error, true) ; "an error")]
 #[test_case("HTTP/1.1 503 Odd\r\nContent-Length: 0\r\n\r\n" => (AttemptOutcome::Error, true) ; "unavailable, but it may have run")]
-#[test_case("HTTP/1.1 503 Full\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n" => (AttemptOutcome::Rejected, true) ; "turned away")]
-#[test_case("HTTP/1.1 504 Over\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n" => (AttemptOutcome::Rejected, true) ; "over already")]
+#[test_case("HTTP/1.1 503 Full\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n" => (AttemptOutcome::Rejected, true) ; "rejected")]
+#[test_case("HTTP/1.1 504 Over\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n" => (AttemptOutcome::Rejected, true) ; "rejected past its deadline")]
 #[test_case("HTTP/1.1 500 Odd\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n" => (AttemptOutcome::Error, true) ; "the header alone proves nothing")]
-#[test_case("" => (AttemptOutcome::ConnectionLost, false) ; "no answer")]
-#[test_case("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndo" => (AttemptOutcome::ConnectionLost, false) ; "half an answer")]
-#[test_case("HTTP/1.1 200 OK\r\nContent-Length: 3221225472\r\n\r\n" => (AttemptOutcome::ConnectionLost, false) ; "too long an answer")]
-#[test_case("HTTP/1.1 200 OK\r\n\r\ndone" => (AttemptOutcome::Success, false) ; "an answer that ends with the connection")]
-#[test_case("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\n" => (AttemptOutcome::ConnectionLost, false) ; "a told length, its head alone")]
+#[test_case("" => (AttemptOutcome::ConnectionLost, false) ; "no response")]
+#[test_case("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndo" => (AttemptOutcome::ConnectionLost, false) ; "half a response")]
+#[test_case("HTTP/1.1 200 OK\r\nContent-Length: 3221225472\r\n\r\n" => (AttemptOutcome::ConnectionLost, false) ; "too long a response")]
+#[test_case("HTTP/1.1 200 OK\r\n\r\ndone" => (AttemptOutcome::Success, false) ; "a response that ends with the connection")]
+#[test_case("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\n" => (AttemptOutcome::ConnectionLost, false) ; "a known length, its head alone")]
 #[test_case("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" => (AttemptOutcome::ConnectionLost, false) ; "chunked, its head alone")]
 #[test_case("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4" => (AttemptOutcome::ConnectionLost, false) ; "chunked, within the size line")]
 #[test_case("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\ndo" => (AttemptOutcome::ConnectionLost, false) ; "chunked, within a chunk")]
@@ -169,40 +172,42 @@
 #[test_case("HTTP/1.1 500 Odd\r\n\r\nodd" => (AttemptOutcome::Error, false) ; "an error that ends with the connection")]
 #[test_case("HTTP/1.1 200 OK\r\nContent-Length: 4\r\nContent-Length: 3\r\n\r\ndone" => (AttemptOutcome::ConnectionLost, false) ; "two lengths")]
 #[test_case("HTTP/1.1 200 OK\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n4\r\ndone\r\n0\r\n\r\n"
-    => (AttemptOutcome::ConnectionLost, false) ; "a length and pieces")]
+    => (AttemptOutcome::ConnectionLost, false) ; "a length and chunks")]
 #[test_case("HTTP/1.1 101 Other\r\nConnection: upgrade\r\nUpgrade: x\r\n\r\n" => (AttemptOutcome::ConnectionLost, false) ; "another protocol")]
-#[test_case(INFORMED => (AttemptOutcome::Success, true) ; "told first that it goes on")]
-#[test_case("gibberish\r\n\r\n" => (AttemptOutcome::ConnectionLost, false) ; "no answer in HTTP")]
+#[test_case(WITH_INFORMATIONAL => (AttemptOutcome::Success, true) ; "informational responses first")]
+#[test_case("gibberish\r\n\r\n" => (AttemptOutcome::ConnectionLost, false) ; "no HTTP")]
 #[tokio::test]
-async fn what_comes_back_after_the_last_byte(text: &str) -> (AttemptOutcome, bool) {
+async fn response_or_its_lack_after_the_last_byte_decides_the_outcome(
+    text: &str,
+) -> (AttemptOutcome, bool) {
     let (listener, address) = listener().await;
-    let (mut servers, mut events) = servers(address, 4);
-    let (_link, mut stream) = begun(&listener, &mut servers, 1).await;
+    let (mut pool, mut events) = pool(address, 4);
+    let (_connection, mut stream) = started(&listener, &mut pool, 1).await;
     stream.write_all(text.as_bytes()).await.expect("written");
     drop(stream);
-    let end = end(&mut events).await;
-    if end.outcome == AttemptOutcome::Success && text == INFORMED {
+    let completion = completion(&mut events).await;
+    if completion.outcome == AttemptOutcome::Success && text == WITH_INFORMATIONAL {
         let load = LoadReport {
             queued: Some(2.0),
             utilization: Some(0.5),
             ..LoadReport::default()
         };
-        assert_eq!((end.units, end.load), (Some(3.0), load));
-        let upstream_response = end.upstream_response.expect("an answer");
+        assert_eq!((completion.units, completion.load), (Some(3.0), load));
+        let upstream_response = completion.upstream_response.expect("a response");
         assert_eq!(&upstream_response.body[..], b"done");
         assert!(upstream_response.headers.get(LOAD).is_none());
     }
-    (end.outcome, end.reusable)
+    (completion.outcome, completion.reusable)
 }
 
 #[tokio::test]
-async fn a_connection_that_never_comes_up_proves_that_nothing_ran() {
+async fn refused_connection_proves_that_nothing_ran() {
     let (listener, address) = listener().await;
     drop(listener);
-    let (mut servers, mut events) = servers(address, 4);
-    let _link = servers.start_attempt(0, attempt(1, 1, LONG));
+    let (mut pool, mut events) = pool(address, 4);
+    let _connection = pool.start_attempt(0, attempt(1, 1, LONG));
     assert_eq!(
-        end(&mut events).await.outcome,
+        completion(&mut events).await.outcome,
         AttemptOutcome::ConnectionRefused
     );
 }
@@ -212,35 +217,42 @@
 #[test_case(1, true, AttemptOutcome::ConnectionLost ; "the server closes after it")]
 #[test_case(1, false, AttemptOutcome::DeadlineExceeded ; "the time is over after it")]
 #[tokio::test]
-async fn the_last_byte_tells_what_may_have_run(body: usize, closes: bool, outcome: AttemptOutcome) {
+async fn interruption_before_the_last_byte_proves_that_nothing_ran(
+    body: usize,
+    closes: bool,
+    outcome: AttemptOutcome,
+) {
     let (listener, address) = listener().await;
-    let (mut servers, mut events) = servers(address, 4);
+    let (mut pool, mut events) = pool(address, 4);
     let within = if closes {
         LONG
     } else {
         Duration::from_millis(300)
     };
-    let _link = servers.start_attempt(0, attempt(1, body, within));
+    let _connection = pool.start_attempt(0, attempt(1, body, within));
     let mut stream = accept(&listener).await;
     assert!(stream.read(&mut [0; 64]).await.expect("the beginning") > 0);
     if closes && body == 1 {
         request(&mut stream).await;
     }
-    let held = (!closes).then_some(stream);
-    let end = end(&mut events).await;
-    assert_eq!((end.outcome, end.reusable), (outcome, false));
-    drop(held);
+    let kept_open = (!closes).then_some(stream);
+    let completion = completion(&mut events).await;
+    assert_eq!((completion.outcome, completion.reusable), (outcome, false));
+    drop(kept_open);
 }
 
 #[tokio::test]
-async fn an_abandoned_attempt_is_closed_before_its_end_is_told() {
+async fn cancelled_attempt_is_closed_before_its_result_is_reported() {
     let (listener, address) = listener().await;
-    let (mut servers, mut events) = servers(address, 4);
-    let (link, stream) = begun(&listener, &mut servers, 5).await;
-    // An order for an attempt that is over is none for this one.
-    link.cancel(AttemptId(4));
-    link.cancel(AttemptId(5));
-    assert_eq!(end(&mut events).await.outcome, AttemptOutcome::Cancelled);
+    let (mut pool, mut events) = pool(address, 4);
+    let (connection, stream) = started(&listener, &mut pool, 5).await;
+    // A command for an attempt that is over does not concern this one.
+    connection.cancel(AttemptId(4));
+    connection.cancel(AttemptId(5));
+    assert_eq!(
+        completion(&mut events).await.outcome,
+        AttemptOutcome::Cancelled
+    );
     assert_eq!(
         stream
             .try_read(&mut [0; 8])
@@ -249,10 +261,9 @@
     );
 }
 
-/// Nothing is written for a client that has gone: its attempt's connection comes up late, and the attempt may not be
-/// cancelled once it has begun.
+/// The attempt's connection comes up late, and attempts may not be cancelled once they have started.
 #[tokio::test]
-async fn an_attempt_that_has_not_begun_is_withdrawn() {
+async fn attempt_that_has_not_started_is_cancelled_for_a_disconnected_client() {
     let full =
         socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
     full.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into())
@@ -263,28 +274,31 @@
         .ok()
         .and_then(|address| address.as_socket())
         .expect("bound");
-    // The one place of its queue is taken: further connections come up only once it is accepted.
-    let _place = std::net::TcpStream::connect(address).expect("the one place");
-    let (mut servers, mut events) = servers(address, 4);
-    servers.limits.connect_timeout = LONG;
-    let link = servers
+    // The listen queue is full: further connections come up only once this one is accepted.
+    let _queued = std::net::TcpStream::connect(address).expect("the only queue entry");
+    let (mut pool, mut events) = pool(address, 4);
+    pool.limits.connect_timeout = LONG;
+    let connection = pool
         .start_attempt(0, attempt(7, 1, LONG))
-        .expect("a slot");
-    // An order for another attempt is none for this one.
-    link.cancel_if_not_started(AttemptId(6));
-    link.cancel_if_not_started(AttemptId(7));
-    assert_eq!(end(&mut events).await.outcome, AttemptOutcome::NotSent);
+        .expect("a connection");
+    // A command for another attempt does not concern this one.
+    connection.cancel_if_not_started(AttemptId(6));
+    connection.cancel_if_not_started(AttemptId(7));
+    assert_eq!(
+        completion(&mut events).await.outcome,
+        AttemptOutcome::NotSent
+    );
 }
 
-/// One that has begun goes on: where attempts may not be cancelled its server works for it.
+/// Where attempts may not be cancelled the server works on.
 #[tokio::test]
-async fn an_attempt_that_has_begun_is_not_withdrawn() {
+async fn attempt_that_has_started_goes_on_for_a_disconnected_client() {
     let (listener, address) = listener().await;
-    let (mut servers, mut events) = servers(address, 4);
-    let (link, mut stream) = begun(&listener, &mut servers, 5).await;
-    link.cancel_if_not_started(AttemptId(5));
+    let (mut pool, mut events) = pool(address, 4);
+    let (connection, mut stream) = started(&listener, &mut pool, 5).await;
+    connection.cancel_if_not_started(AttemptId(5));
     assert_eq!(
-        done(&mut stream, &mut events).await.outcome,
+        completed(&mut stream, &mut events).await.outcome,
         AttemptOutcome::Success
     );
 }
@@ -293,10 +307,10 @@
 #[test_case("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n" => (false, None) ; "not well")]
 #[test_case("" => (false, None) ; "silent")]
 #[tokio::test]
-async fn a_probe(text: &str) -> (bool, Option<f64>) {
+async fn health_check_reports_the_load(text: &str) -> (bool, Option<f64>) {
     let (listener, address) = listener().await;
-    let (mut servers, mut events) = servers(address, 4);
-    servers.start_health_check(0);
+    let (mut pool, mut events) = pool(address, 4);
+    pool.start_health_check(0);
     let mut stream = accept(&listener).await;
     let mut bytes = vec![0; 64];
     let length = stream.read(&mut bytes).await.expect("a request");
@@ -309,7 +323,7 @@
 }
 
 #[test]
-fn headers_of_one_connection_are_not_passed_on() {
+fn hop_by_hop_headers_are_removed() {
     let mut headers = HeaderMap::new();
     for (name, value) in [
         ("connection", "x-own, close"),
@@ -326,27 +340,27 @@
     );
 }
 
-/// A repeat of a keyed job whose servers forget the key at that moment: on a connection that rests, on a new one, and
-/// on one that took a part of it. None of it is written after, or its last byte is not; all are proven never to have run.
-#[test_case(true, 1 ; "on a connection that rests")]
+/// A retry with an idempotency key that servers forget at that moment: on an idle connection, on a new one, and on one
+/// that took a part of it. Nothing of it is written afterwards, or its last byte is not; it provably never ran.
+#[test_case(true, 1 ; "on an idle connection")]
 #[test_case(false, 1 ; "on a new one")]
 #[test_case(true, HUGE ; "one that takes a part of it")]
 #[tokio::test]
-async fn nothing_is_written_once_the_key_may_be_forgotten(rests: bool, body: usize) {
+async fn nothing_is_written_after_the_write_deadline(idle: bool, body: usize) {
     let (listener, address) = listener().await;
-    let (mut servers, mut events) = servers(address, 4);
+    let (mut pool, mut events) = pool(address, 4);
     let mut server = None;
-    if rests {
-        let (link, mut stream) = begun(&listener, &mut servers, 1).await;
-        done(&mut stream, &mut events).await;
-        servers.return_connection(0, link);
+    if idle {
+        let (connection, mut stream) = started(&listener, &mut pool, 1).await;
+        completed(&mut stream, &mut events).await;
+        pool.return_connection(0, connection);
         server = Some(stream);
     }
     let write_deadline = match body {
         HUGE => Some(Instant::now() + Duration::from_millis(50)),
         _ => Some(Instant::now()),
     };
-    let _link = servers
+    let _connection = pool
         .start_attempt(
             0,
             Attempt {
@@ -354,8 +368,11 @@
                 ..attempt(2, body, 3 * LONG)
             },
         )
-        .expect("a slot");
-    assert_eq!(end(&mut events).await.outcome, AttemptOutcome::NotSent);
+        .expect("a connection");
+    assert_eq!(
+        completion(&mut events).await.outcome,
+        AttemptOutcome::NotSent
+    );
     let mut read = Vec::new();
     if let Some(stream) = &mut server {
         let _ = timeout(LONG, stream.read_to_end(&mut read))
--- a/crates/merlinreel/src/upstream/tests/idle_connections.rs
+++ b/crates/merlinreel/src/upstream/tests/idle_connections.rs
@@ -1,4 +1,4 @@
-//! Connections to servers that rest between two attempts.
+//! Connections to servers that are idle between two attempts.
 
 use super::*;
 use test_case::test_case;
@@ -6,11 +6,14 @@
 #[test_case(&[40, 30, 1], Reuse::PreferSettled => Some(30) ; "the newest that is settled")]
 #[test_case(&[3, 2, 1], Reuse::PreferSettled => Some(3) ; "the oldest where none is")]
 #[test_case(&[], Reuse::PreferSettled => None ; "none")]
-#[test_case(&[40, 30, 1], Reuse::OnlySettled => Some(30) ; "the newest that is settled, once a server sent something unasked")]
-#[test_case(&[3, 2, 1], Reuse::OnlySettled => None ; "none that is not settled, once a server sent something unasked")]
-fn the_idle_connection_for_an_attempt(idle: &[u64], reuse: Reuse) -> Option<u64> {
+#[test_case(&[40, 30, 1], Reuse::OnlySettled => Some(30) ; "the newest that is settled, after unsolicited bytes")]
+#[test_case(&[3, 2, 1], Reuse::OnlySettled => None ; "none that is not settled, after unsolicited bytes")]
+fn idle_connection_for_an_attempt_is_the_newest_settled_one(
+    idle: &[u64],
+    reuse: Reuse,
+) -> Option<u64> {
     let now = Instant::now() + LONG;
-    let link = |ms: &u64| {
+    let connection = |ms: &u64| {
         let address = SocketAddr::from(([127, 0, 0, 1], *ms as u16));
         IdleConnection {
             since: now - Duration::from_millis(*ms),
@@ -20,30 +23,29 @@
             },
         }
     };
-    let mut idle = IdleConnections(idle.iter().map(link).collect());
+    let mut idle = IdleConnections(idle.iter().map(connection).collect());
     idle.take(now, Duration::from_millis(25), reuse)
-        .map(|link| link.address.port().into())
+        .map(|connection| connection.address.port().into())
 }
 
 #[tokio::test]
-async fn one_attempt_a_connection_and_idle_ones_first() {
+async fn attempts_use_one_connection_each_and_idle_ones_first() {
     let (listener, address) = listener().await;
-    let (mut servers, mut events) = servers(address, 4);
-    let links = [1, 2].map(|attempt_id| {
-        servers
-            .start_attempt(0, attempt(attempt_id, 1, LONG))
-            .expect("a slot")
+    let (mut pool, mut events) = pool(address, 4);
+    let connections = [1, 2].map(|attempt_id| {
+        pool.start_attempt(0, attempt(attempt_id, 1, LONG))
+            .expect("a connection")
     });
     let mut one = accept(&listener).await;
     let mut two = accept(&listener).await;
     for stream in [&mut one, &mut two] {
         request(stream).await;
-        done(stream, &mut events).await;
+        completed(stream, &mut events).await;
     }
-    links
+    connections
         .into_iter()
-        .for_each(|link| servers.return_connection(0, link));
-    let _link = servers
+        .for_each(|connection| pool.return_connection(0, connection));
+    let _connection = pool
         .start_attempt(0, attempt(3, 1, LONG))
         .expect("an idle one");
     // None is settled: the oldest.
@@ -55,80 +57,81 @@
 }
 
 #[tokio::test]
-async fn a_connection_the_server_closed_while_idle_costs_no_attempt() {
+async fn idle_connection_closed_by_the_server_costs_no_attempt() {
     let (listener, address) = listener().await;
-    let (mut servers, mut events) = servers(address, 4);
-    let (link, mut stream) = begun(&listener, &mut servers, 1).await;
-    done(&mut stream, &mut events).await;
-    servers.return_connection(0, link);
+    let (mut pool, mut events) = pool(address, 4);
+    let (connection, mut stream) = started(&listener, &mut pool, 1).await;
+    completed(&mut stream, &mut events).await;
+    pool.return_connection(0, connection);
     drop(stream);
-    while !servers.idle[0].0[0].handle.commands.is_closed() {
+    while !pool.idle[0].0[0].handle.commands.is_closed() {
         sleep(Duration::from_millis(1)).await;
     }
-    let _link = servers.start_attempt(0, attempt(2, 1, LONG));
+    let _connection = pool.start_attempt(0, attempt(2, 1, LONG));
     let mut stream = accept(&listener).await;
     request(&mut stream).await;
-    let end = done(&mut stream, &mut events).await;
+    let completion = completed(&mut stream, &mut events).await;
     assert_eq!(
-        (end.attempt_id, end.outcome),
+        (completion.attempt_id, completion.outcome),
         (AttemptId(2), AttemptOutcome::Success)
     );
 }
 
-/// A server that has sent something unasked may do so again, some milliseconds late: an attempt that follows an answer
-/// at once goes by a new connection from then on, to whichever server.
-#[test_case(false ; "behind the answer")]
-#[test_case(true ; "once the connection rests")]
+/// A server that has sent unsolicited bytes may do so again, some milliseconds late: from then on an attempt that follows
+/// a response at once takes a new connection, whichever the server.
+#[test_case(false ; "behind the response")]
+#[test_case(true ; "once the connection is idle")]
 #[tokio::test]
-async fn after_unasked_bytes_only_rested_connections_are_used(rests: bool) {
+async fn after_unsolicited_bytes_only_settled_connections_are_reused(idle: bool) {
     const SECOND: &str = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong";
     let (listener, address) = listener().await;
-    let (mut servers, mut events) = servers(address, 8);
-    let (_first, mut stream) = begun(&listener, &mut servers, 1).await;
-    if rests {
-        done(&mut stream, &mut events).await;
+    let (mut pool, mut events) = pool(address, 8);
+    let (_first, mut stream) = started(&listener, &mut pool, 1).await;
+    if idle {
+        completed(&mut stream, &mut events).await;
         stream.write_all(SECOND.as_bytes()).await.expect("written");
     } else {
         stream
-            .write_all(format!("{GOOD}{SECOND}").as_bytes())
+            .write_all(format!("{SUCCESS}{SECOND}").as_bytes())
             .await
             .expect("written");
-        end(&mut events).await;
+        completion(&mut events).await;
     }
     timeout(LONG, async {
-        while !servers.unsolicited_bytes.seen() {
+        while !pool.unsolicited_bytes.seen() {
             tokio::task::yield_now().await;
         }
     })
     .await
     .expect("seen");
-    let (second, mut stream) = begun(&listener, &mut servers, 2).await;
-    done(&mut stream, &mut events).await;
-    servers.limits.upstream.settle_time = LONG;
-    servers.return_connection(0, second);
-    let _third = servers
+    let (second, mut stream) = started(&listener, &mut pool, 2).await;
+    completed(&mut stream, &mut events).await;
+    pool.limits.upstream.settle_time = LONG;
+    pool.return_connection(0, second);
+    let _third = pool
         .start_attempt(0, attempt(3, 1, LONG))
-        .expect("a slot");
+        .expect("a connection");
     request(&mut accept(&listener).await).await;
 }
 
 #[test_case("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong" ; "a second copy")]
 #[test_case("noise" ; "noise")]
 #[tokio::test]
-async fn what_comes_behind_an_answer_is_never_the_next_one_s(more: &str) {
+async fn bytes_behind_a_response_are_never_the_next_response(more: &str) {
     let (listener, address) = listener().await;
-    let (mut servers, mut events) = servers(address, 4);
-    let (link, mut stream) = begun(&listener, &mut servers, 1).await;
-    done(&mut stream, &mut events).await;
-    servers.return_connection(0, link);
-    // Not waited for: this limiter's poller has not told of it when the next attempt begins.
+    let (mut pool, mut events) = pool(address, 4);
+    let (connection, mut stream) = started(&listener, &mut pool, 1).await;
+    completed(&mut stream, &mut events).await;
+    pool.return_connection(0, connection);
+    // Not awaited: the poller has not reported it yet when the next attempt starts.
     stream.try_write(more.as_bytes()).expect("written");
-    let _link = servers.start_attempt(0, attempt(2, 1, LONG));
+    let _connection = pool.start_attempt(0, attempt(2, 1, LONG));
     let mut other = accept(&listener).await;
     request(&mut other).await;
-    let end = done(&mut other, &mut events).await;
+    let completion = completed(&mut other, &mut events).await;
     assert_eq!(
-        end.upstream_response
+        completion
+            .upstream_response
             .map(|upstream_response| upstream_response.body),
         Some(Bytes::from_static(b"done"))
     );
@@ -137,18 +140,18 @@
 #[test_case(EndpointState::Draining, 0 ; "a server that drains")]
 #[test_case(EndpointState::Ready, 1 ; "a server at another address")]
 #[tokio::test]
-async fn idle_connections_are_let_go_of(standing: EndpointState, port: u16) {
+async fn idle_connections_of_unready_or_moved_servers_close(state: EndpointState, port: u16) {
     let (listener, address) = listener().await;
-    let (mut servers, mut events) = servers(address, 4);
-    let (link, mut stream) = begun(&listener, &mut servers, 1).await;
-    done(&mut stream, &mut events).await;
+    let (mut pool, mut events) = pool(address, 4);
+    let (connection, mut stream) = started(&listener, &mut pool, 1).await;
+    completed(&mut stream, &mut events).await;
     let elsewhere = SocketAddr::from((
         [127, 0, 0, 1],
         if port == 0 { address.port() } else { port },
     ));
-    servers.apply_endpoints(list(elsewhere, standing));
-    servers.return_connection(0, link);
-    servers.close_idle_connections(0);
+    pool.apply_endpoints(list(elsewhere, state));
+    pool.return_connection(0, connection);
+    pool.close_idle_connections(0);
     assert_eq!(
         timeout(LONG, stream.read(&mut [0; 8]))
             .await
@@ -159,14 +162,14 @@
 }
 
 #[tokio::test]
-async fn an_idle_connection_is_dropped_before_the_server_does() {
+async fn idle_connection_closes_before_the_server_closes_it() {
     let (listener, address) = listener().await;
-    let (mut servers, mut events) = servers(address, 4);
-    assert!(servers.limits.upstream.idle_timeout < Duration::from_secs(15));
-    servers.limits.upstream.idle_timeout = Duration::from_millis(1);
-    let (link, mut stream) = begun(&listener, &mut servers, 1).await;
-    done(&mut stream, &mut events).await;
-    servers.return_connection(0, link);
+    let (mut pool, mut events) = pool(address, 4);
+    assert!(pool.limits.upstream.idle_timeout < Duration::from_secs(15));
+    pool.limits.upstream.idle_timeout = Duration::from_millis(1);
+    let (connection, mut stream) = started(&listener, &mut pool, 1).await;
+    completed(&mut stream, &mut events).await;
+    pool.return_connection(0, connection);
     assert_eq!(
         timeout(LONG, stream.read(&mut [0; 8]))
             .await
@@ -177,17 +180,17 @@
 }
 
 #[tokio::test]
-async fn descriptors_for_servers_are_bounded_and_idle_ones_give_way() {
+async fn connections_are_bounded_and_idle_ones_give_way() {
     let (listener, address) = listener().await;
-    let (mut servers, mut events) = servers(address, 2);
-    let (first, mut stream) = begun(&listener, &mut servers, 1).await;
-    done(&mut stream, &mut events).await;
-    servers.idle.push(IdleConnections(vec![IdleConnection {
+    let (mut pool, mut events) = pool(address, 2);
+    let (first, mut stream) = started(&listener, &mut pool, 1).await;
+    completed(&mut stream, &mut events).await;
+    pool.idle.push(IdleConnections(vec![IdleConnection {
         since: Instant::now(),
         handle: first,
     }]));
-    let second = servers.start_attempt(0, attempt(2, 1, LONG));
-    assert!(second.is_some() && servers.start_attempt(0, attempt(3, 1, LONG)).is_none());
+    let second = pool.start_attempt(0, attempt(2, 1, LONG));
+    assert!(second.is_some() && pool.start_attempt(0, attempt(3, 1, LONG)).is_none());
     assert_eq!(
         timeout(LONG, stream.read(&mut [0; 8]))
             .await
@@ -197,27 +200,29 @@
     );
 }
 
-/// What a whole list does to a connection that rests: to a server that it names as up it is used again, to any other it
-/// closes.
-#[test_case("s-1", EndpointState::Ready => true ; "named as up")]
+/// A complete list: an idle connection to a server that it names as ready is used again, to any other server it closes.
+#[test_case("s-1", EndpointState::Ready => true ; "named as ready")]
 #[test_case("s-1", EndpointState::Draining => false ; "named as draining")]
 #[test_case("s-2", EndpointState::Ready => false ; "not named")]
 #[tokio::test]
-async fn a_whole_list_and_a_connection_that_rests(name: &str, standing: EndpointState) -> bool {
+async fn complete_list_keeps_idle_connections_of_ready_servers_only(
+    name: &str,
+    state: EndpointState,
+) -> bool {
     let (listener, address) = listener().await;
-    let (mut servers, mut events) = servers(address, 4);
-    let (link, mut stream) = begun(&listener, &mut servers, 1).await;
-    done(&mut stream, &mut events).await;
-    servers.return_connection(0, link);
-    let mut whole = list(address, standing);
-    whole.servers[0].name = name.to_owned();
+    let (mut pool, mut events) = pool(address, 4);
+    let (connection, mut stream) = started(&listener, &mut pool, 1).await;
+    completed(&mut stream, &mut events).await;
+    pool.return_connection(0, connection);
+    let mut complete = list(address, state);
+    complete.servers[0].name = name.to_owned();
     if name != "s-1" {
-        whole.servers[0].address = SocketAddr::from(([127, 0, 0, 9], 9));
+        complete.servers[0].address = SocketAddr::from(([127, 0, 0, 9], 9));
     }
-    servers.apply_endpoints(whole);
-    let _next = standing
+    pool.apply_endpoints(complete);
+    let _next = state
         .eq(&EndpointState::Ready)
-        .then(|| servers.start_attempt(0, attempt(2, 1, LONG)));
+        .then(|| pool.start_attempt(0, attempt(2, 1, LONG)));
     let mut byte = [0];
     timeout(LONG, stream.read(&mut byte))
         .await
--- a/crates/merlinreel/src/upstream/tests/wire.rs
+++ b/crates/merlinreel/src/upstream/tests/wire.rs
@@ -19,8 +19,8 @@
 #[tokio::test]
 async fn forwarded_request_has_these_bytes() {
     let (listener, address) = listener().await;
-    let (mut servers, _events) = servers(address, 4);
-    let _connection = servers
+    let (mut pool, _events) = pool(address, 4);
+    let _connection = pool
         .start_attempt(0, attempt(1, 3, LONG))
         .expect("a connection");
     let mut stream = accept(&listener).await;
@@ -44,8 +44,8 @@
 #[tokio::test]
 async fn health_check_has_these_bytes() {
     let (listener, address) = listener().await;
-    let (mut servers, _events) = servers(address, 4);
-    servers.start_health_check(0);
+    let (mut pool, _events) = pool(address, 4);
+    pool.start_health_check(0);
     let mut stream = accept(&listener).await;
     assert_eq!(
         read_head(&mut stream).await,
--- a/crates/merlinreel/src/upstream/unsolicited_bytes.rs
+++ b/crates/merlinreel/src/upstream/unsolicited_bytes.rs
@@ -1,7 +1,7 @@
 //! Bytes that servers send without a request: a second response behind the first one, or noise.
 //!
 //! On a connection that is reused at once such bytes may arrive after the next request is written, and nothing on the
-//! wire tells them from its response. Once any server has sent some, connections are reused only after they have been idle
+//! wire distinguishes them from its response. Once any server has sent some, connections are reused only after they have been idle
 //! for long enough to show them.
 
 use std::error::Error;
