--- a/crates/merlinreel/src/endpoints/failure_log.rs
+++ b/crates/merlinreel/src/endpoints/failure_log.rs
@@ -1,26 +1,34 @@
-//! Which of the calls that brought no list are told of in the log: guards it against an outage's hundreds of lines, and
-//! an operator against a trouble that hides behind another.
+//! Which failed calls are logged: an outage does not fill the log, and one kind of failure does not hide another.
 
-use super::DiscoveryError;
+use super::discovery_connection::DiscoveryError;
 use std::mem::{Discriminant, discriminant};
 use std::time::{Duration, Instant};
 
-/// In an outage each kind of trouble is told once in this time.
-const TELL_EVERY: Duration = Duration::from_secs(60);
+/// In an outage each kind of failure is logged once in this time.
+const LOG_INTERVAL: Duration = Duration::from_secs(60);
 
-/// What was told of an outage.
+#[derive(Debug)]
+struct LoggedFailure {
+    kind: Discriminant<DiscoveryError>,
+    at: Instant,
+}
+
+/// What was logged of an outage.
 #[derive(Debug, Default)]
-pub struct FailureLog(Vec<(Discriminant<DiscoveryError>, Instant)>);
+pub struct FailureLog(Vec<LoggedFailure>);
 
 impl FailureLog {
-    /// Whether this one is to be told, which is noted.
-    pub fn tells(&mut self, what: &DiscoveryError) -> bool {
-        self.0.retain(|(_, told)| told.elapsed() < TELL_EVERY);
-        let kind = discriminant(what);
-        let new = self.0.iter().all(|(told, _)| *told != kind);
-        if new {
-            self.0.push((kind, Instant::now()));
+    /// Whether this failure is to be logged, which is then recorded.
+    pub fn admits(&mut self, error: &DiscoveryError) -> bool {
+        self.0.retain(|logged| logged.at.elapsed() < LOG_INTERVAL);
+        let kind = discriminant(error);
+        let is_new = self.0.iter().all(|logged| logged.kind != kind);
+        if is_new {
+            self.0.push(LoggedFailure {
+                kind,
+                at: Instant::now(),
+            });
         }
-        new
+        is_new
     }
 }
--- a/crates/merlinreel/src/endpoints/tests.rs
+++ b/crates/merlinreel/src/endpoints/tests.rs
@@ -1,6 +1,15 @@
 mod wire;
 
+use super::address_watch::{CallTasks, first_result};
+use super::call_timing::{CallKind, CallTiming};
+use super::discovery_connection::DiscoveryConnection;
+use super::failure_log::FailureLog;
+use super::open_calls::{OpenCalls, Progress};
 use super::*;
+use crate::messages::Event;
+use merlinreel_discovery::{DiscoveryUpdate, decode};
+use std::time::Duration;
+use tokio::time::timeout;
 
 use test_case::test_case;
 
@@ -10,48 +19,54 @@
     let settings = paths
         .and_then(|paths| merlinreel_settings::Settings::read(&paths))
         .expect("sound");
-    Limits::new(1024, 192, &settings).expect("room")
+    Limits::new(1024, 192, &settings).expect("enough memory")
 }
 
-/// From a watch's falling silent, at worst as it begins, to the answer of a call that discovery takes: so many
-/// calls are silent in a row. Guards the clock of 6 s by which a change counts as told.
+/// A watch's next call behind so many that failed or were silent.
+fn timing(limits: &Limits, failed: u32) -> CallTiming {
+    CallTiming::new(CallKind::next(Some(1), false, failed), &limits.endpoints)
+}
+
+/// From a watch's falling silent, at worst as it begins, to the response to a call that discovery takes, with
+/// so many silent calls in between. A change counts as reported after 6 s.
 #[test_case(1 => true)]
 #[test_case(5 => true)]
 #[test_case(8 => true)]
 #[test_case(9 => false)]
-fn an_answer_comes_within_the_list_s_clock(silent: u32) -> bool {
+fn response_after_silent_calls_arrives_within_the_list_s_time_limit(silent: u32) -> bool {
     let limits = limits();
-    let each = |failed| Call::next(&limits, true, false, failed).silent;
+    let each = |failed| timing(&limits, failed).silent_after;
     (0..silent).map(each).sum::<Duration>() + limits.endpoints.immediate_timeout
         < Duration::from_millis(5500)
 }
 
-/// However long an outage lasted, a call is made within half of a drain's grace of its end: what the agent gets then
-/// counts as told at once, and a drain is over after its grace.
+/// However long an outage lasted, a call is made within half of a drain's grace of its end: the agent's list then counts
+/// as reported at once, and a drain is over after its grace.
 #[test_case(2.0, 0.5 ; "a long grace")]
 #[test_case(0.5, 0.25 ; "a short one")]
-fn an_outage_s_end_is_noticed_within_a_drain_s_grace(grace: f64, within: f64) {
+fn end_of_an_outage_is_noticed_within_a_drain_s_grace(grace: f64, within: f64) {
     let settings = serde_json::json!({"rules": {"drainGraceS": grace}});
     let paths = merlinreel_settings::Paths::from_json(&settings);
     let settings = paths
         .and_then(|paths| merlinreel_settings::Settings::read(&paths))
         .expect("sound");
-    let limits = Limits::new(1024, 192, &settings).expect("room");
+    let limits = Limits::new(1024, 192, &settings).expect("enough memory");
     for failed in 1..40 {
-        let call = Call::next(&limits, true, false, failed);
+        let call = timing(&limits, failed);
         assert!(
-            call.silent <= Duration::from_secs_f64(within) + limits.endpoints.immediate_timeout,
+            call.silent_after
+                <= Duration::from_secs_f64(within) + limits.endpoints.immediate_timeout,
             "{failed}"
         );
     }
 }
 
-/// An agent that says nothing at first: the call that was silent is answered only once another has come beside it.
-/// Guards a list on its way against being given up, and one that is there against a call of the outage.
+/// An agent that is silent at first: the silent call is answered only once another one is open beside it. A list on its
+/// way is not given up, and a list that is there does not wait for a call of the outage.
 #[test_case(true ; "the older call is answered")]
 #[test_case(false ; "the newer one")]
 #[tokio::test]
-async fn a_silent_call_is_kept_beside_the_next(older: bool) -> std::io::Result<()> {
+async fn silent_call_is_kept_beside_the_next_one(older: bool) -> std::io::Result<()> {
     const LIST: &str = r#"{"generation":7,"reset":true,"instances":[]}"#;
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await?;
     let at = listener.local_addr()?;
@@ -62,9 +77,9 @@
         changed
     };
     let (queue, mut events) = tokio::sync::mpsc::channel(4);
-    let (told, _first) = oneshot::channel();
-    let (_turn, discovery) = watch::channel(at);
-    let watching = tokio::spawn(super::watch(discovery, None, limits, queue, told));
+    let (first_list, _first) = oneshot::channel();
+    let (_address_sender, address) = watch::channel(at);
+    let watching = tokio::spawn(super::watch(address, None, limits, queue, first_list));
     let (mut one, _) = listener.accept().await?;
     let (mut other, _) = listener.accept().await?;
     let answering = if older { &mut one } else { &mut other };
@@ -88,39 +103,39 @@
     Ok(())
 }
 
-/// A call that was ended, for there were too many, is no answer: the newest still has its time. Guards discovery, and this
-/// limiter's processor, against call upon call with no pause between them.
+/// A call that was ended, as too many were open, is no response: the newest one still has its time. Else call would follow
+/// call without a pause.
 #[tokio::test]
-async fn a_call_that_was_ended_brings_nothing() {
-    let mut calls = Calls::new();
+async fn aborted_call_has_no_result() {
+    let mut calls = CallTasks::new();
     calls.spawn(std::future::pending()).abort();
     calls.spawn(std::future::pending());
     tokio::task::yield_now().await;
-    let brought = timeout(
+    let result = timeout(
         Duration::from_millis(30),
-        answered(&mut calls, Duration::from_secs(20)),
+        first_result(&mut calls, Duration::from_secs(20)),
     )
     .await;
-    assert!(brought.is_err());
+    assert!(result.is_err());
 }
 
-/// An agent that never says anything holds no more of this limiter's descriptors than a few.
+/// An agent that never responds holds only a few of this limiter's descriptors.
 #[tokio::test]
-async fn silent_calls_are_few() -> std::io::Result<()> {
+async fn silent_calls_are_bounded() -> std::io::Result<()> {
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await?;
     let limits = {
         let mut changed = limits();
         changed.endpoints.response_grace = Duration::from_millis(5);
         changed
     };
-    let most = limits.endpoints.max_open_calls;
-    let (queue, _news) = tokio::sync::mpsc::channel(4);
-    let (told, _first) = oneshot::channel();
-    let (_turn, discovery) = watch::channel(listener.local_addr()?);
-    let watching = tokio::spawn(super::watch(discovery, None, limits, queue, told));
+    let max_open = limits.endpoints.max_open_calls;
+    let (queue, _events) = tokio::sync::mpsc::channel(4);
+    let (first_list, _first) = oneshot::channel();
+    let (_address_sender, address) = watch::channel(listener.local_addr()?);
+    let watching = tokio::spawn(super::watch(address, None, limits, queue, first_list));
     let mut calls = Vec::new();
-    // The one after the most has come: the first was ended for it, at the latest as the next one comes.
-    for _ in 0..most + 2 {
+    // One more than the maximum has arrived: the first one was ended for it, at the latest as the next one arrives.
+    for _ in 0..max_open + 2 {
         calls.push(listener.accept().await?.0);
     }
     let mut rest = Vec::new();
@@ -137,16 +152,16 @@
 #[test_case(r#"{"generation":1,"instances":[{"instanceId":"s","hostPort":"127.0.0.1:1","lifecycle":"odd"}]}"#,
     "instances[0].lifecycle: unknown 'odd'" ; "unknown state")]
 #[test_case("{", "EOF" ; "cut short")]
-fn a_malformed_message_is_not_taken(text: &str, begins: &str) {
-    let complaint = decode(text.as_bytes()).expect_err("malformed").to_string();
-    assert!(complaint.starts_with(begins), "{complaint}");
+fn malformed_message_is_rejected(text: &str, begins: &str) {
+    let error = decode(text.as_bytes()).expect_err("malformed").to_string();
+    assert!(error.starts_with(begins), "{error}");
 }
 
-/// A list of that many servers as discovery writes it, each indented as some agents do.
+/// A list of that many servers as discovery writes it, indented as some agents do.
 fn long_list(servers: u32) -> String {
     let address = |i: u32| SocketAddr::from(([10, (i >> 16) as u8, (i >> 8) as u8, i as u8], 9000));
-    let listed = |i| merlinreel_testkit::listed(&format!("server-{i:06}"), address(i), "up");
-    let servers: Vec<_> = (0..servers).map(listed).collect();
+    let endpoint = |i| merlinreel_testkit::listed(&format!("server-{i:06}"), address(i), "up");
+    let servers: Vec<_> = (0..servers).map(endpoint).collect();
     serde_json::to_string_pretty(&merlinreel_testkit::server_list(7, true, &servers))
         .expect("a list")
 }
@@ -185,23 +200,23 @@
     )
 }
 
-fn in_pieces(body: &str) -> String {
-    let pieces = body
+fn in_chunks(body: &str) -> String {
+    let chunks = body
         .as_bytes()
         .chunks(1000)
-        .map(|piece| String::from_utf8_lossy(piece));
-    let pieces: String = pieces
-        .map(|piece| format!("{:x}\r\n{piece}\r\n", piece.len()))
+        .map(|chunk| String::from_utf8_lossy(chunk));
+    let chunks: String = chunks
+        .map(|chunk| format!("{:x}\r\n{chunk}\r\n", chunk.len()))
         .collect();
-    format!("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{pieces}0\r\n\r\n")
+    format!("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{chunks}0\r\n\r\n")
 }
 
-/// Lists of the size that is coming are taken whole with the memory that is usual.
+/// With the default memory lists of the sizes in sight are read completely.
 #[test_case(1_500 ; "more than a thousand")]
 #[test_case(20_000 ; "a large one")]
 #[test_case(160_000 ; "the largest in sight")]
 #[tokio::test]
-async fn a_long_list_is_taken_whole(servers: u32) -> std::io::Result<()> {
+async fn long_list_is_read_completely(servers: u32) -> std::io::Result<()> {
     let list = std::sync::Arc::new(with_length(&long_list(servers)));
     let at = discovery(move |_, mut stream| {
         let list = list.clone();
@@ -212,15 +227,15 @@
     });
     let at = at.await?;
     let (queue, mut events) = tokio::sync::mpsc::channel(4);
-    let (told, _first) = oneshot::channel();
-    let (_turn, discovery) = watch::channel(at);
+    let (first_list, _first) = oneshot::channel();
+    let (_address_sender, address) = watch::channel(at);
     // However slow the machine that tests is, no call counts as silent.
     let limits = {
         let mut changed = limits();
         changed.endpoints.response_grace = Duration::from_secs(60);
         changed
     };
-    let watching = tokio::spawn(super::watch(discovery, None, limits, queue, told));
+    let watching = tokio::spawn(super::watch(address, None, limits, queue, first_list));
     let list = timeout(Duration::from_secs(60), events.recv()).await;
     watching.abort();
     let Ok(Some(Event::EndpointUpdate(list))) = list else {
@@ -230,19 +245,19 @@
     Ok(())
 }
 
-/// A list is refused by name at its first byte too many, whether its length is told or not, and taken at its last that
-/// there is room for.
+/// A list is rejected at its first byte too many, whether its length is announced or not, and accepted at the last byte that
+/// there is memory for.
 #[test_case(with_length, 0 => true ; "just in")]
 #[test_case(with_length, 1 => false ; "one byte too many")]
-#[test_case(in_pieces, 0 => true ; "in pieces, just in")]
-#[test_case(in_pieces, 1 => false ; "in pieces, one byte too many")]
+#[test_case(in_chunks, 0 => true ; "in chunks, just in")]
+#[test_case(in_chunks, 1 => false ; "in chunks, one byte too many")]
 #[tokio::test]
-async fn a_list_is_as_long_as_there_is_room_for(
+async fn list_is_accepted_up_to_the_memory_for_it(
     written: fn(&str) -> String,
-    beyond: usize,
+    excess: usize,
 ) -> bool {
     let list = long_list(40);
-    let most = list.len() - beyond;
+    let max = list.len() - excess;
     let answer = written(&list);
     let at = discovery(move |_, mut stream| {
         let answer = answer.clone();
@@ -252,27 +267,22 @@
         }
     });
     let at = at.await.expect("a free port");
-    let mut line = dial(at, Duration::from_secs(20))
+    let mut connection = DiscoveryConnection::open(at, Duration::from_secs(20))
         .await
         .expect("a connection");
-    match ask(
-        &mut line,
-        at,
-        "/discovery/hosts".to_owned(),
-        most,
-        &Progress::default(),
-    )
-    .await
+    match connection
+        .fetch("/discovery/hosts".to_owned(), max, &Progress::default())
+        .await
     {
         Ok(list) => list.servers.len() == 40,
-        Err(DiscoveryError::TooLong { most: told }) if told == most => false,
+        Err(DiscoveryError::TooLong { max_bytes }) if max_bytes == max => false,
         Err(other) => panic!("{other}"),
     }
 }
 
-/// A list beyond the bound leaves the one before it standing; the next sound one is taken.
+/// A list over the bound leaves the last one in place; the next valid one is taken.
 #[tokio::test]
-async fn a_list_that_is_too_long_changes_nothing() -> std::io::Result<()> {
+async fn too_long_list_changes_nothing() -> std::io::Result<()> {
     let answers = [
         r#"{"generation":1,"reset":true}"#.to_owned(),
         long_list(40),
@@ -284,8 +294,8 @@
         async move {
             loop {
                 call(&mut stream).await?;
-                let turn = next.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
-                let Some(answer) = answers.get(turn) else {
+                let position = next.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
+                let Some(answer) = answers.get(position) else {
                     return std::future::pending().await;
                 };
                 tokio::io::AsyncWriteExt::write_all(&mut stream, with_length(answer).as_bytes())
@@ -295,15 +305,15 @@
     });
     let at = at.await?;
     let (queue, mut events) = tokio::sync::mpsc::channel(4);
-    let (told, _first) = oneshot::channel();
-    let (_turn, discovery) = watch::channel(at);
+    let (first_list, _first) = oneshot::channel();
+    let (_address_sender, address) = watch::channel(at);
     let limits = {
         let mut changed = limits();
         changed.endpoints.max_list_bytes = 1000;
         changed.endpoints.response_grace = Duration::from_secs(60);
         changed
     };
-    let watching = tokio::spawn(super::watch(discovery, None, limits, queue, told));
+    let watching = tokio::spawn(super::watch(address, None, limits, queue, first_list));
     for (version, servers) in [(1, 0), (7, 1)] {
         let list = timeout(Duration::from_secs(20), events.recv()).await;
         let Ok(Some(Event::EndpointUpdate(list))) = list else {
@@ -315,12 +325,12 @@
     Ok(())
 }
 
-/// An agent so slow that many more calls are made than may be out at once, each of which it answers as slowly, a piece
-/// at each further call: the list that is furthest on is waited for. Guards against a list that never comes whole, as
-/// each call is ended for one that begins anew.
+/// An agent so slow that many more calls are made than may be open at once, each of which it answers as slowly, a part
+/// at each further call: the list that is furthest on is waited for. Else each call would be ended for one that starts
+/// again.
 #[tokio::test]
-async fn a_list_that_trickles_comes_whole_at_last() -> std::io::Result<()> {
-    const PIECES: usize = 24;
+async fn slow_list_is_read_completely_in_the_end() -> std::io::Result<()> {
+    const PARTS: usize = 24;
     let (step, steps) = watch::channel(0);
     let at = discovery(move |number, mut stream| {
         step.send_replace(number + 1);
@@ -328,8 +338,8 @@
         async move {
             call(&mut stream).await?;
             let answer = with_length(&long_list(40));
-            for piece in answer.as_bytes().chunks(answer.len().div_ceil(PIECES)) {
-                tokio::io::AsyncWriteExt::write_all(&mut stream, piece).await?;
+            for part in answer.as_bytes().chunks(answer.len().div_ceil(PARTS)) {
+                tokio::io::AsyncWriteExt::write_all(&mut stream, part).await?;
                 let _ = steps.changed().await;
             }
             std::future::pending().await
@@ -342,22 +352,22 @@
         changed.endpoints.response_grace = Duration::from_millis(20);
         changed
     };
-    assert!(limits.endpoints.max_open_calls < PIECES / 2);
+    assert!(limits.endpoints.max_open_calls < PARTS / 2);
     let (queue, mut events) = tokio::sync::mpsc::channel(4);
-    let (told, _first) = oneshot::channel();
-    let (_turn, discovery) = watch::channel(at);
-    let watching = tokio::spawn(super::watch(discovery, None, limits, queue, told));
+    let (first_list, _first) = oneshot::channel();
+    let (_address_sender, address) = watch::channel(at);
+    let watching = tokio::spawn(super::watch(address, None, limits, queue, first_list));
     let list = timeout(Duration::from_secs(20), events.recv()).await;
     watching.abort();
     assert!(matches!(list, Ok(Some(Event::EndpointUpdate(list))) if list.servers.len() == 40));
     Ok(())
 }
 
-/// Of five calls one gives way: the oldest, but not where its answer is furthest on and still comes.
+/// Of five calls one is ended: the oldest, but not where its response is furthest on and still arriving.
 #[test_case(&[0, 0, 0, 0, 0] => 0 ; "all are silent")]
 #[test_case(&[9, 0, 3, 0, 0] => 1 ; "the oldest is furthest on")]
 #[test_case(&[3, 0, 9, 0, 0] => 0 ; "another is")]
-fn which_call_gives_way(reached: &[usize]) -> usize {
+fn oldest_call_is_ended_unless_it_is_furthest_on(reached: &[usize]) -> usize {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .build()
         .expect("a runtime");
@@ -370,7 +380,7 @@
         for (task, &bytes) in tasks.iter().zip(reached) {
             let progress = Progress::default();
             if bytes > 0 {
-                progress.reached(bytes);
+                progress.record(bytes);
             }
             open.add(
                 task.abort_handle(),
@@ -387,16 +397,16 @@
     })
 }
 
-/// One that is furthest on but has stalled gives way like any other.
+/// A call that is furthest on but has stalled is ended like any other.
 #[tokio::test]
-async fn a_call_that_has_stalled_gives_way() {
+async fn stalled_call_is_ended() {
     let mut open = OpenCalls::default();
     let (first, second) = (
         tokio::spawn(std::future::pending::<()>()),
         tokio::spawn(std::future::pending::<()>()),
     );
     let progress = Progress::default();
-    progress.reached(9);
+    progress.record(9);
     open.add(first.abort_handle(), progress, 1, Duration::ZERO);
     open.add(
         second.abort_handle(),
@@ -407,14 +417,14 @@
     assert!(first.await.is_err_and(|error| error.is_cancelled()) && !second.is_finished());
 }
 
-/// In an outage each kind of trouble is told once, whatever came before it.
+/// In an outage each kind of failure is logged once, whatever came before it.
 #[test]
-fn trouble_that_repeats_is_told_once() {
+fn repeated_failure_is_logged_once() {
     let mut failure_log = FailureLog::default();
     let (silent, long) = (
         DiscoveryError::NoAnswer(Duration::ZERO),
-        DiscoveryError::TooLong { most: 9 },
+        DiscoveryError::TooLong { max_bytes: 9 },
     );
-    let told = [&silent, &silent, &long, &silent, &long].map(|what| failure_log.tells(what));
-    assert_eq!(told, [true, false, true, false, false]);
+    let logged = [&silent, &silent, &long, &silent, &long].map(|error| failure_log.admits(error));
+    assert_eq!(logged, [true, false, true, false, false]);
 }
--- a/crates/merlinreel/src/endpoints/tests/wire.rs
+++ b/crates/merlinreel/src/endpoints/tests/wire.rs
@@ -11,8 +11,7 @@
     Ok(String::from_utf8_lossy(&head).into_owned())
 }
 
-/// The first call asks for the whole list, the second one waits at the version that came, the third one is the first
-/// that may wait for long.
+/// The first call asks for the complete list, each further one waits for what changes after the version that arrived.
 #[tokio::test]
 async fn discovery_calls_have_these_bytes() -> std::io::Result<()> {
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await?;
@@ -23,9 +22,11 @@
         changed
     };
     let (queue, _events) = tokio::sync::mpsc::channel(4);
-    let (told, _first) = oneshot::channel();
-    let (_turn, discovery) = watch::channel(at);
-    let watching = tokio::spawn(super::super::watch(discovery, None, limits, queue, told));
+    let (first_list, _first) = oneshot::channel();
+    let (_address_sender, address) = watch::channel(at);
+    let watching = tokio::spawn(super::super::watch(
+        address, None, limits, queue, first_list,
+    ));
     let (mut stream, _) = listener.accept().await?;
     let targets = [
         "/discovery/hosts",
@@ -50,14 +51,14 @@
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await?;
     let at = listener.local_addr()?;
     let (queue, _events) = tokio::sync::mpsc::channel(4);
-    let (told, _first) = oneshot::channel();
-    let (_turn, discovery) = watch::channel(at);
+    let (first_list, _first) = oneshot::channel();
+    let (_address_sender, address) = watch::channel(at);
     let watching = tokio::spawn(super::super::watch(
-        discovery,
+        address,
         Some(5),
         limits(),
         queue,
-        told,
+        first_list,
     ));
     let (mut stream, _) = listener.accept().await?;
     assert_eq!(
--- a/crates/merlinreel/src/lib.rs
+++ b/crates/merlinreel/src/lib.rs
@@ -132,7 +132,12 @@
     let peer_sender = match peer_listen.filter(|_| settings.fleet.peer_messages) {
         Some(at) => {
             let peer_sender = bound(limits.listener.bind_timeout, async || {
-                peers::PeerSender::open(at, &peers, inherited).await
+                let sharing = if inherited {
+                    peers::PortSharing::Shared
+                } else {
+                    peers::PortSharing::Exclusive
+                };
+                peers::PeerSender::open(at, &peers, sharing).await
             })
             .await;
             Some(peer_sender.map_err(|error| named("peer_listen", at, error))?)
--- a/crates/merlinreel/src/peers/tests.rs
+++ b/crates/merlinreel/src/peers/tests.rs
@@ -4,7 +4,7 @@
 use tokio::time::timeout;
 
 #[tokio::test]
-async fn peer_messages_are_known_by_their_sender_and_a_stranger_s_are_dropped() {
+async fn peer_messages_of_known_senders_are_queued_and_others_dropped() {
     let free = SocketAddr::from(([127, 0, 0, 1], 0));
     let [one, two, stranger] = [
         UdpSocket::bind(free).await.expect("a port"),
