--- a/crates/merlinreel/src/config.rs
+++ b/crates/merlinreel/src/config.rs
@@ -1,272 +1,121 @@
-//! The one place where the configuration is read, checked and given defaults; a faulty key is named.
-//! Values of the environment stand in for keys that the file leaves out.
+//! The configuration: one place reads, checks and completes it, and an error names the key at fault. Values of the
+//! environment stand in for keys that the file leaves out.
 
+mod check;
+mod environment;
+mod error;
+mod file;
 pub mod limits;
+mod reload;
+#[cfg(test)]
+mod tests;
+
+pub use error::ConfigError;
+pub use reload::{ReloadOutcome, reload};
 
-use crate::config::limits::{CapacityError, Limits};
-use crate::log;
 use crate::mesh::Ground;
-use merlinreel_discovery::{DiscoveryUpdate, Message, MessageError};
+use check::{check_peers, check_settings};
+use environment::{ADMIN, CONFIG, DISCOVERY, LISTEN, NAME, address_or_variable};
+use file::ConfigFile;
+use limits::Limits;
+use merlinreel_discovery::DiscoveryUpdate;
 use merlinreel_settings::{Paths, Settings};
-use serde::Deserialize;
-use std::collections::HashSet;
 use std::net::SocketAddr;
-use thiserror::Error;
 
-/// What is wrong with a configuration: the key at fault first, then what it should be.
-#[derive(Debug, Error)]
-pub enum ConfigError {
-    #[error("PROXY_CONFIG is not set: it names the configuration file")]
-    NoFile,
-    #[error("{path}: {error}; the file must be there and readable by the limiter's user")]
-    Unread { path: String, error: std::io::Error },
-    #[error("{path}: {error}")]
-    In {
-        path: String,
-        error: Box<ConfigError>,
-    },
-    #[error("{0}")]
-    Json(#[from] serde_json::Error),
-    #[error("{key}: {error}")]
-    Key {
-        key: String,
-        error: serde_json::Error,
-    },
-    #[error("{key}: is missing, and {variable} is not set")]
-    Missing {
-        key: &'static str,
-        variable: &'static str,
-    },
-    #[error("{variable}: '{given}' is no address and port")]
-    NoAddress {
-        variable: &'static str,
-        given: String,
-    },
-    #[error("settings: is missing")]
-    NoSettings,
-    #[error("{0}")]
-    Settings(String),
-    #[error("setting {key}: is missing")]
-    SettingMissing { key: String },
-    #[error("setting {key}.name: is missing or stands there twice")]
-    Name { key: String },
-    #[error("setting {0}: is empty")]
-    Empty(&'static str),
-    #[error("setting familyInfo.hasCounter: this limiter speaks no counter's protocol")]
-    Counter,
-    #[error("peers: {given} addresses, but setting balancers says {wanted}")]
-    Peers { given: usize, wanted: usize },
-    #[error("peers: {0} stands there twice")]
-    PeerTwice(SocketAddr),
-    #[error("seed: '{0}' is not 16 hex digits")]
-    Seed(String),
-    #[error(transparent)]
-    Room(#[from] CapacityError),
-    #[error("known.{0}")]
-    Known(#[from] MessageError),
-}
+/// A limiter's name where neither the file nor the environment gives one.
+const DEFAULT_NAME: &str = "merlinreel";
+/// MiB of memory where the file gives none; enough for a small machine.
+const DEFAULT_MEMORY_MB: u32 = 192;
+/// Descriptors where the file gives none; enough for a small machine.
+const DEFAULT_SOCKETS: u32 = 1024;
 
 /// What a limiter is run with.
 #[derive(Clone, Debug)]
 pub struct GatewayConfig {
+    /// This limiter's name.
     pub name: String,
+    /// Where clients connect.
     pub listen: SocketAddr,
+    /// The discovery agent.
     pub discovery: SocketAddr,
-    /// The operators' door, where there is one.
-    pub ops: Option<SocketAddr>,
-    /// Where peer messages arrive, and every limiter's address by its number, this one's included.
+    /// The admin endpoint, where there is one.
+    pub admin: Option<SocketAddr>,
+    /// Where peer messages arrive.
     pub peer_listen: Option<SocketAddr>,
+    /// Where every limiter receives peer messages, by its index, this one's included.
     pub peers: Vec<SocketAddr>,
+    /// Seeds all random draws.
     pub seed: u64,
+    /// Sizes, counts and times that bound the sockets.
     pub limits: Limits,
+    /// The settings of the gateway.
     pub settings: Settings,
-    /// The server list as this limiter last had it.
+    /// The endpoints that a process before had from discovery.
     pub cached_endpoints: Option<DiscoveryUpdate>,
-    /// The mesh of limiters, where this one takes part.
+    /// The mesh of limiters, where this one is a member.
     pub mesh: Option<Ground>,
-    /// Keys of the file that mean nothing here: misspelt, or meant for another version.
+    /// Keys of the file that have no meaning here: misspelt, or meant for another version.
     pub unknown_keys: Vec<String>,
 }
 
-#[derive(Deserialize, Default)]
-struct File {
-    name: Option<String>,
-    listen: Option<SocketAddr>,
-    discovery: Option<SocketAddr>,
-    ops: Option<SocketAddr>,
-    seed: Option<Seed>,
-    #[serde(default)]
-    limits: Room,
-    peer_listen: Option<SocketAddr>,
-    #[serde(default)]
-    peers: Vec<SocketAddr>,
-    #[serde(rename = "known")]
-    cached_endpoints: Option<Message>,
-    settings: Option<serde_json::Value>,
-    mesh: Option<Ground>,
-    /// Peer messages go to one limiter at a time.
-    #[serde(rename = "peers_all")]
-    _peers_all: Option<serde_json::Value>,
-}
-
-#[derive(Deserialize)]
-#[serde(untagged)]
-enum Seed {
-    Number(u64),
-    Hex(String),
-}
-
-#[derive(Deserialize, Default)]
-struct Room {
-    memory_mb: Option<u32>,
-    sockets: Option<u32>,
-    /// One thread takes one core at most, as it is.
-    #[serde(rename = "cores")]
-    _cores: Option<serde_json::Value>,
-}
-
-/// Memory and descriptors where the file does not tell; enough for a small machine.
-const MEMORY_MB: u32 = 192;
-const SOCKETS: u32 = 1024;
-
-/// Reads the file named by `PROXY_CONFIG`, with the environment's own values where it leaves them out.
-pub fn read(variable: impl Fn(&str) -> Option<String>) -> Result<GatewayConfig, ConfigError> {
-    let path = variable("PROXY_CONFIG").ok_or(ConfigError::NoFile)?;
+/// Loads the file that `PROXY_CONFIG` names. `variable` looks up the environment.
+///
+/// # Errors
+///
+/// The file is not named, not readable or not valid.
+pub fn load(variable: impl Fn(&str) -> Option<String>) -> Result<GatewayConfig, ConfigError> {
+    let path = variable(CONFIG).ok_or(ConfigError::FileNotNamed)?;
     let text = match std::fs::read_to_string(&path) {
         Ok(text) => text,
-        Err(error) => return Err(ConfigError::Unread { path, error }),
+        Err(error) => return Err(ConfigError::Unreadable { path, error }),
     };
-    parse(&text, variable).map_err(|error| ConfigError::In {
+    parse(&text, variable).map_err(|error| ConfigError::InFile {
         path,
         error: Box::new(error),
     })
 }
 
-/// Reads the file again, for a limiter that runs. The address of discovery and the settings are taken over (of
-/// these the module takes classes and attempts), and the keys of the mesh; all else holds until the next start; a faulty file is named and changes nothing. Whether the file was taken.
-pub fn reread(present: &mut GatewayConfig, variable: impl Fn(&str) -> Option<String>) -> bool {
-    let new = match read(variable) {
-        Ok(new) => new,
-        Err(what) => {
-            log!("configuration, read again: {what}; the one before stands");
-            return false;
-        }
-    };
-    log!(
-        "configuration, read again: the server list is watched at {}",
-        new.discovery
-    );
-    let kept = [
-        ("name", new.name != present.name),
-        ("listen", new.listen != present.listen),
-        ("peer_listen", new.peer_listen != present.peer_listen),
-        ("peers", new.peers != present.peers),
-        ("limits", new.limits != present.limits),
-        ("mesh", but_keys(&new.mesh) != but_keys(&present.mesh)),
-    ];
-    for (key, _) in kept.iter().filter(|(_, changed)| *changed) {
-        log!("configuration, read again: {key} is another, which holds from the next start on");
-    }
-    if new.settings != present.settings {
-        log!(
-            "configuration, read again: settings taken over: classes and attempts now, the rest from the next start"
-        );
-    }
-    present.discovery = new.discovery;
-    present.settings = new.settings;
-    if let (Some(present), Some(new)) = (&mut present.mesh, new.mesh) {
-        (present.keys, present.sign_with) = (new.keys, new.sign_with);
-    }
-    true
-}
-
-/// The section without what is taken over while the limiter runs.
-fn but_keys(ground: &Option<Ground>) -> Option<Ground> {
-    ground.clone().map(|ground| Ground {
-        keys: Vec::new(),
-        sign_with: None,
-        ..ground
-    })
-}
-
-/// Checks a configuration; a complaint begins with the key at fault.
+/// Reads and checks the text of a configuration file. `variable` looks up the environment.
+///
+/// # Errors
+///
+/// The text is no valid configuration; the error's text begins with the key at fault.
 pub fn parse(
     text: &str,
     variable: impl Fn(&str) -> Option<String>,
 ) -> Result<GatewayConfig, ConfigError> {
-    let (mut json, mut track) = (
-        serde_json::Deserializer::from_str(text),
-        serde_path_to_error::Track::new(),
-    );
-    let mut unknown_keys = Vec::new();
-    let reader = serde_path_to_error::Deserializer::new(&mut json, &mut track);
-    let file = serde_ignored::deserialize(reader, |path| unknown_keys.push(path.to_string()));
-    let file: File = file
-        .and_then(|file| json.end().map(|()| file))
-        .map_err(|error| {
-            let key = track.path().to_string();
-            if key == "." {
-                ConfigError::Json(error)
-            } else {
-                ConfigError::Key { key, error }
-            }
-        })?;
-    // Discovery's lists may hold more than is read here.
-    unknown_keys.retain(|key| !key.starts_with("known."));
-    let address =
-        |key, given: Option<SocketAddr>, variable_named| match (given, variable(variable_named)) {
-            (Some(address), _) => Ok(address),
-            (None, Some(given)) => given.parse().map_err(|_| ConfigError::NoAddress {
-                variable: variable_named,
-                given,
-            }),
-            (None, None) => Err(ConfigError::Missing {
-                key,
-                variable: variable_named,
-            }),
-        };
-    let section = file.settings.ok_or(ConfigError::NoSettings)?;
-    let settings = Paths::from_json(&section).and_then(|paths| Settings::read(&paths));
-    let settings = settings.map_err(ConfigError::Settings)?;
-    checked(&settings)?;
+    let (file, unknown_keys) = ConfigFile::parse(text)?;
+    let section = file.settings.ok_or(ConfigError::SettingsMissing)?;
+    let settings = Paths::from_json(&section)
+        .and_then(|paths| Settings::read(&paths))
+        .map_err(|error| ConfigError::Settings(error.to_string()))?;
+    check_settings(&settings)?;
     if settings.fleet.peer_messages && file.peer_listen.is_some() {
-        let (given, wanted) = (file.peers.len(), settings.fleet.limiters as usize);
-        if given != wanted {
-            return Err(ConfigError::Peers { given, wanted });
-        }
-        let mut seen = HashSet::new();
-        if let Some(twice) = file.peers.iter().find(|&peer| !seen.insert(peer)) {
-            return Err(ConfigError::PeerTwice(*twice));
-        }
+        check_peers(&file.peers, settings.fleet.limiters as usize)?;
     }
     let seed = match file.seed {
         None => std::process::id().into(),
-        Some(Seed::Number(seed)) => seed,
-        Some(Seed::Hex(text)) => {
-            u64::from_str_radix(&text, 16).map_err(|_| ConfigError::Seed(text))?
-        }
+        Some(seed) => seed.value()?,
     };
+    let name = file.name.or_else(|| variable(NAME));
+    let has_admin = file.admin.is_some() || variable(ADMIN).is_some();
     Ok(GatewayConfig {
-        name: file
-            .name
-            .or_else(|| variable("PROXY_NAME"))
-            .unwrap_or_else(|| "merlinreel".to_owned()),
-        listen: address("listen", file.listen, "PROXY_LISTEN")?,
-        discovery: address("discovery", file.discovery, "PROXY_DISCOVERY")?,
-        ops: match (file.ops, variable("PROXY_OPS")) {
-            (None, None) => None,
-            (given, _) => Some(address("ops", given, "PROXY_OPS")?),
-        },
-        mesh: file.mesh.map(|ground| Ground {
+        name: name.unwrap_or_else(|| DEFAULT_NAME.to_owned()),
+        listen: address_or_variable("listen", file.listen, LISTEN, &variable)?,
+        discovery: address_or_variable("discovery", file.discovery, DISCOVERY, &variable)?,
+        admin: has_admin
+            .then(|| address_or_variable("ops", file.admin, ADMIN, &variable))
+            .transpose()?,
+        mesh: file.mesh.map(|mesh| Ground {
             limiters: settings.fleet.limiters as usize,
-            ..ground
+            ..mesh
         }),
         peer_listen: file.peer_listen,
         peers: file.peers,
         seed,
         limits: Limits::new(
-            file.limits.sockets.unwrap_or(SOCKETS),
-            file.limits.memory_mb.unwrap_or(MEMORY_MB),
+            file.limits.sockets.unwrap_or(DEFAULT_SOCKETS),
+            file.limits.memory_mb.unwrap_or(DEFAULT_MEMORY_MB),
             &settings,
         )?,
         cached_endpoints: file
@@ -277,38 +126,3 @@
         unknown_keys,
     })
 }
-
-/// What the bench may leave out, but sockets need.
-fn checked(settings: &Settings) -> Result<(), ConfigError> {
-    if settings.fleet.counter {
-        return Err(ConfigError::Counter);
-    }
-    let needed = [
-        ("classes", &settings.sockets.classes),
-        ("packages", &settings.sockets.plans),
-    ];
-    for (list, names) in needed {
-        if names.is_empty() {
-            return Err(ConfigError::Empty(list));
-        }
-        let mut seen = HashSet::new();
-        for (i, name) in names.iter().enumerate() {
-            if name == "-" || !seen.insert(name) {
-                return Err(ConfigError::Name {
-                    key: format!("{list}.{i}"),
-                });
-            }
-        }
-    }
-    for (i, class) in settings.classes.iter().enumerate() {
-        if class.deadline.is_zero() {
-            return Err(ConfigError::SettingMissing {
-                key: format!("classes.{i}.hardLimitS"),
-            });
-        }
-    }
-    Ok(())
-}
-
-#[cfg(test)]
-mod tests;
--- a/crates/merlinreel/src/config/limits/tests.rs
+++ b/crates/merlinreel/src/config/limits/tests.rs
@@ -4,31 +4,31 @@
 
 /// Servers that a list may name, at the 220 bytes each that one takes where an agent indents its lists.
 #[test_case(32 => true ; "a small machine, a thousand and more")]
-#[test_case(192 => true ; "the usual, a hundred and sixty thousand")]
-fn the_list_of_servers_has_room(memory_mb: u32) -> bool {
-    let terms = Paths::from_json(&serde_json::json!({}))
+#[test_case(192 => true ; "the default, a hundred and sixty thousand")]
+fn endpoint_list_fits_its_share_of_the_memory(memory_mb: u32) -> bool {
+    let settings = Paths::from_json(&serde_json::json!({}))
         .and_then(|paths| Settings::read(&paths))
-        .expect("sound");
-    let limits = Limits::new(256, memory_mb, &terms).expect("room");
+        .expect("valid");
+    let limits = Limits::new(256, memory_mb, &settings).expect("enough memory");
     limits.endpoints.max_list_bytes >= 220 * if memory_mb < 192 { 1024 } else { 160_000 }
 }
 
-#[test_case(1024, 192 ; "as scored")]
+#[test_case(1024, 192 ; "the default")]
 #[test_case(64, 192 ; "few descriptors")]
 #[test_case(65536, 40 ; "little memory")]
 #[test_case(256, 32 ; "a small machine")]
-fn all_descriptors_and_bytes_lie_within_what_is_given(sockets: u32, memory_mb: u32) {
-    let terms = Paths::from_json(&serde_json::json!({}))
+fn descriptors_and_bytes_stay_within_the_configured_limits(sockets: u32, memory_mb: u32) {
+    let settings = Paths::from_json(&serde_json::json!({}))
         .and_then(|paths| Settings::read(&paths))
-        .expect("sound");
-    let limits = Limits::new(sockets, memory_mb, &terms).expect("room");
+        .expect("valid");
+    let limits = Limits::new(sockets, memory_mb, &settings).expect("enough memory");
     let connections = limits.client.max_connections + limits.upstream.max_connections;
     assert!(
         limits.client.max_served_connections < limits.client.max_connections
             && limits.upstream.max_connections >= 12
     );
     assert!(connections + RESERVED_DESCRIPTORS <= sockets as usize);
-    // Bodies and buffers of both sides at their fullest, what is held back and read ahead, and the program itself.
+    // Bodies and buffers of both sides at their largest, what is buffered and read ahead, and the program itself.
     let buffers = connections * 2 * limits.max_head_bytes
         + limits.client.max_connections * 2 * limits.max_head_bytes
         + limits.upstream.max_connections * limits.max_body_bytes
@@ -36,12 +36,12 @@
         + limits.upstream.max_buffered_response_bytes;
     assert!(buffers + (PROGRAM_MB << 20) <= (memory_mb as usize) << 20);
     assert!(limits.event_loop.queue_length > 2 * connections);
-    // Never less than it was, nor than thousands of servers; and it leaves the memory to what is read of it.
+    // Enough for thousands of servers; and the memory is left to what is read of the list.
     assert!(
         limits.endpoints.max_list_bytes >= MIN_LIST_BYTES
             && limits.endpoints.max_list_bytes <= MIN_LIST_BYTES.max((memory_mb as usize) << 18)
     );
-    // What a page or a font takes flows; of those that are held there is room for some dozens at their largest.
+    // A page or a font may stream; some dozens of buffered responses fit at their largest.
     assert!(
         limits.upstream.max_streaming_bytes >= 1 << 20
             && limits.upstream.max_buffered_response_bytes >= 32 * limits.max_body_bytes
--- a/crates/merlinreel/src/config/tests.rs
+++ b/crates/merlinreel/src/config/tests.rs
@@ -1,63 +1,63 @@
 use super::*;
 use test_case::test_case;
 
-pub const GOOD: &str = r#"{"listen":"127.0.0.1:0","discovery":"127.0.0.1:9","seed":"8c1f","peers":["127.0.0.1:1"],
+pub const VALID: &str = r#"{"listen":"127.0.0.1:0","discovery":"127.0.0.1:9","seed":"8c1f","peers":["127.0.0.1:1"],
     "limits":{"memory_mb":64,"sockets":256},"settings":{"classes":[{"name":"look","idempotency":"read_like",
     "promiseS":0.5,"hardLimitS":1.5}],"packages":[{"name":"basic","unitsPerS":4.0,"mostAtOnce":8.0}],
     "balancers":1,"policyLimits":{"peers":true}}}"#;
 
-fn complaint(from: &str, to: &str) -> String {
-    assert!(GOOD.contains(from), "{from}");
-    parse(&GOOD.replace(from, to), |_| None)
-        .expect_err("this is faulty")
+fn error_text(from: &str, to: &str) -> String {
+    assert!(VALID.contains(from), "{from}");
+    parse(&VALID.replace(from, to), |_| None)
+        .expect_err("this is not valid")
         .to_string()
 }
 
 #[test]
-fn a_sound_file_is_read() {
-    let station = parse(GOOD, |_| None).expect("sound");
+fn valid_file_is_read() {
+    let config = parse(VALID, |_| None).expect("valid");
     assert_eq!(
-        (station.seed, station.name.as_str(), station.peers.len()),
+        (config.seed, config.name.as_str(), config.peers.len()),
         (0x8c1f, "merlinreel", 1)
     );
-    assert!(station.unknown_keys.is_empty());
+    assert!(config.unknown_keys.is_empty());
 }
 
 #[test]
-fn a_key_that_means_nothing_is_named() {
-    let text = GOOD.replace("\"memory_mb\"", "\"memory\"").replace(
+fn unknown_keys_are_named() {
+    let text = VALID.replace("\"memory_mb\"", "\"memory\"").replace(
         "\"peers\":[\"127.0.0.1:1\"]",
         "\"known\":\
         {\"generation\":1,\"odd\":1},\"peer\":[],\"peers_all\":\"127.0.0.1:1\"",
     );
-    let station = parse(&text, |_| None).expect("sound");
-    assert_eq!(station.unknown_keys, ["peer", "limits.memory"]);
+    let config = parse(&text, |_| None).expect("valid");
+    assert_eq!(config.unknown_keys, ["peer", "limits.memory"]);
 }
 
-/// Peers' addresses, and what the mesh holds of others, follow the settings' number of limiters.
+/// The number of peers' addresses, and the mesh's capacity, follow the settings' number of limiters.
 #[test_case(1 ; "alone")]
 #[test_case(2300 ; "a large fleet")]
-fn lists_of_limiters_follow_the_settings(limiters: u16) {
-    let mut file: serde_json::Value = serde_json::from_str(GOOD).expect("sound");
+fn lists_of_limiters_have_the_settings_length(limiters: u16) {
+    let mut file: serde_json::Value = serde_json::from_str(VALID).expect("valid");
     let address = |i: u16| format!("127.0.{}.{}:9000", i >> 8, i & 0xff);
     file["settings"]["balancers"] = limiters.into();
     file["peers"] = (0..limiters).map(address).collect();
     file["peer_listen"] = address(0).into();
     file["mesh"] = serde_json::json!({"listen": "127.0.0.1:1", "keys": []});
-    let station = parse(&file.to_string(), |_| None).expect("sound");
-    assert_eq!(station.peers.len(), usize::from(limiters));
+    let config = parse(&file.to_string(), |_| None).expect("valid");
+    assert_eq!(config.peers.len(), usize::from(limiters));
     assert_eq!(
-        station.mesh.map(|ground| ground.limiters),
+        config.mesh.map(|mesh| mesh.limiters),
         Some(usize::from(limiters))
     );
 }
 
 #[test]
-fn the_environment_stands_in_for_what_the_file_leaves_out() {
-    let text = GOOD.replace(r#""listen":"127.0.0.1:0","#, "");
-    let named = |name: &str| (name == "PROXY_LISTEN").then(|| "127.0.0.2:80".to_owned());
+fn environment_stands_in_for_missing_keys() {
+    let text = VALID.replace(r#""listen":"127.0.0.1:0","#, "");
+    let variable = |name: &str| (name == "PROXY_LISTEN").then(|| "127.0.0.2:80".to_owned());
     assert_eq!(
-        parse(&text, named).expect("sound").listen,
+        parse(&text, variable).expect("valid").listen,
         SocketAddr::from(([127, 0, 0, 2], 80))
     );
 }
@@ -68,17 +68,17 @@
 #[test_case("256", "20", "limits.sockets: 20 is too few" ; "too few descriptors")]
 #[test_case("64", "1", "limits.memory_mb: 1 is too little" ; "too little memory")]
 #[test_case("8c1f", "xyz", "seed: 'xyz' is not 16 hex digits" ; "seed")]
-#[test_case("\"look\"", "null", "setting classes.0.name: is missing or stands there twice" ; "nameless")]
+#[test_case("\"look\"", "null", "setting classes.0.name: is missing or stands there twice" ; "no name")]
 #[test_case("4.0", "-4.0", "setting packages.0.unitsPerS: '-4.0' is not a number from 0" ; "setting")]
 #[test_case("\"balancers\":1", "\"balancers\":1,\"familyInfo\":{\"hasCounter\":true}",
     "setting familyInfo.hasCounter: this limiter speaks no counter's protocol" ; "counter")]
 #[test_case("\"seed\"", "\"peer_listen\":\"127.0.0.1:1\",\"peers\":[],\"x\"", "duplicate field" ; "key twice")]
 #[test_case(r#""peers":["127.0.0.1:1"]"#, r#""peers":[],"peer_listen":"127.0.0.1:1""#,
-    "peers: 0 addresses, but setting balancers says 1" ; "peers amiss")]
+    "peers: 0 addresses, but setting balancers says 1" ; "wrong number of peers")]
 #[test_case("\"settings\"", "\"setting\"", "settings: is missing" ; "key misspelt")]
 #[test_case("{\"peers\":true}", "{\"peers\":true,\"sendCap\":0}",
     "setting policyLimits.sendCap: '0' is not a positive number" ; "no attempts allowed")]
-fn a_faulty_key_is_named(from: &str, to: &str, begins: &str) {
-    let complaint = complaint(from, to);
-    assert!(complaint.contains(begins), "{complaint}");
+fn invalid_key_is_named(from: &str, to: &str, expected: &str) {
+    let error = error_text(from, to);
+    assert!(error.contains(expected), "{error}");
 }
--- a/crates/merlinreel/src/lib.rs
+++ b/crates/merlinreel/src/lib.rs
@@ -1,5 +1,5 @@
-//! The limiter on sockets: clients' HTTP/1.1 in front of the decision module, servers behind it. Each file
-//! has one job; `driver` is the only one that knows the module.
+//! The limiter on sockets: clients' HTTP/1.1 in front of the policy, servers behind it. Each module has one concern;
+//! [`event_loop`] is the only one that knows the policy's state.
 
 pub mod admin;
 pub mod client;
@@ -10,250 +10,151 @@
 pub mod messages;
 pub mod net;
 pub mod peers;
+pub mod startup;
 pub mod telemetry;
 pub mod upstream;
 
-use net::backoff::Backoff;
-use net::system_errors::is_of_this_machine;
+pub use startup::reload_channels::ReloadChannels;
+
+use client::ClientListener;
+use config::GatewayConfig;
+use event_loop::{Clock, EventLoop};
+use messages::{ActiveSettings, Queue};
+use startup::admin_status::GatewayStatus;
+use startup::background_tasks::BackgroundTasks;
+use startup::sockets::Sockets;
 use std::future::Future;
 use std::io;
-use std::net::SocketAddr;
 use std::sync::Arc;
-use std::time::{Duration, Instant};
-use tokio::net::{TcpListener, TcpSocket};
-use tokio::sync::{mpsc, oneshot, watch};
+use telemetry::metrics::Metrics;
+use tokio::sync::{mpsc, oneshot};
 use tokio::task::JoinHandle;
-use tokio::time::timeout;
+use tokio::time::{Timeout, timeout};
+use upstream::UpstreamPool;
 
-/// Guards against a limiter that takes jobs and decides nothing: where the driver ends first, all does, to be
-/// started again.
-async fn attended(
-    client_listener: impl Future<Output = ()>,
-    driving: &mut JoinHandle<()>,
+/// Runs one limiter until `stop` ends and the requests in flight have their responses; `reloads` bring what the operators
+/// change meanwhile. Clients connect to `inherited` where the platform passes a listener on, else to the configured
+/// address. Needs a tokio runtime with time and I/O; one thread is enough.
+///
+/// # Errors
+///
+/// A socket can't be bound, the mesh can't be joined, or the event loop has ended.
+pub async fn run(
+    mut config: GatewayConfig,
+    inherited: Option<std::net::TcpListener>,
+    metrics: Arc<Metrics>,
+    reloads: ReloadChannels,
+    stop: impl Future<Output = ()>,
 ) -> io::Result<()> {
-    tokio::select! {
-        () = client_listener => Ok(()),
-        end = driving => Err(io::Error::other(match end {
-            Ok(()) => "the driver has ended".to_owned(),
-            Err(error) => format!("the driver has ended: {error}"),
-        })),
-    }
-}
+    let clock = Clock::start();
+    log_unknown_keys(&config);
+    let sockets = Sockets::bind(&config, inherited).await?;
+    let (queue, events) = mpsc::channel(config.limits.event_loop.queue_length);
+    let (settings_sender, active_settings) = ActiveSettings::channel(&config.settings);
+    let cached_endpoints = config.cached_endpoints.take();
+    let cached_version = cached_endpoints.as_ref().map(|update| update.version);
+    let event_loop = new_event_loop(&config, &sockets, clock, &queue, &metrics)
+        .with_settings_sender(settings_sender);
+    let mut event_loop = tokio::spawn(event_loop.run(cached_endpoints, events));
 
-/// Binds a socket, again and again for a while where this machine can't just then. Guards a start against a fault that
-/// is over in a moment, as an address that the process before still holds.
-async fn bound<T>(within: Duration, bind: impl AsyncFn() -> io::Result<T>) -> io::Result<T> {
-    let (begun, mut backoff) = (Instant::now(), Backoff::default());
-    loop {
-        match bind().await {
-            Err(error) if is_of_this_machine(&error) && begun.elapsed() < within => {
-                backoff.pause().await
-            }
-            result => return result,
-        }
+    let mut tasks = BackgroundTasks::default();
+    let first_list = tasks.watch_endpoints(&config, reloads.discovery, cached_version, &queue);
+    tasks.receive_peer_messages(&sockets.peer_sender, &queue);
+    tasks.forward_settings(reloads.settings, &queue);
+    sockets.log_address(&config);
+    let limits = config.limits.clone();
+    let first_list = timeout(limits.endpoints.first_list_timeout, first_list);
+    let client_listener = ClientListener::new(limits, active_settings, queue, metrics.clone());
+    let membership = join_mesh(&config, &client_listener).await?;
+    let status = GatewayStatus {
+        client_listener: client_listener.clone(),
+        mesh: membership
+            .as_ref()
+            .map(|membership| membership.mesh.clone()),
+        metrics,
+    };
+    tasks.reload_mesh_keys(reloads.mesh, status.mesh.clone());
+    tasks.serve_admin(&config, status).await?;
+
+    let serving = serve_clients(client_listener, sockets, first_list, stop);
+    let result = serve_while_event_loop_runs(serving, &mut event_loop).await;
+    if let Some(membership) = membership {
+        membership.end().await;
     }
+    tasks.abort();
+    event_loop.abort();
+    result
 }
 
-/// Listens at an address that a process before may have left just now, with so many connections waiting at most.
-fn listen_at(address: SocketAddr, backlog: u32) -> io::Result<TcpListener> {
-    let socket = TcpSocket::new_v4()?;
-    socket.set_reuseaddr(true)?;
-    socket.bind(address)?;
-    socket.listen(backlog)
+fn new_event_loop(
+    config: &GatewayConfig,
+    sockets: &Sockets,
+    clock: Clock,
+    queue: &Queue,
+    metrics: &Arc<Metrics>,
+) -> EventLoop {
+    let upstreams = UpstreamPool::new(
+        config.limits.clone(),
+        &config.settings,
+        queue.clone(),
+        metrics.clone(),
+    );
+    let limiter = config.settings.limiter(config.seed);
+    let peer_sender = sockets.peer_sender.clone();
+    EventLoop::new(limiter, upstreams, peer_sender, clock, metrics.clone())
 }
 
-/// What the operators' door tells.
-struct Told {
-    client_listener: Arc<client::ClientListener>,
-    mesh: Option<merlinreel_mesh::shell::Mesh>,
-    metrics: Arc<telemetry::metrics::Metrics>,
+/// Serves clients from the first endpoint list on. The agent's present list applies to the first request already, as servers
+/// may have left since the cached one. Clients wait on the socket meanwhile, and `/healthcheck` says no.
+async fn serve_clients(
+    client_listener: Arc<ClientListener>,
+    sockets: Sockets,
+    first_list: Timeout<oneshot::Receiver<()>>,
+    stop: impl Future<Output = ()>,
+) {
+    if first_list.await.is_err() {
+        log!("discovery: no response yet; starting with the cached endpoint list");
+    }
+    client_listener
+        .attend(sockets.listener, sockets.is_inherited, stop)
+        .await
 }
 
-impl admin::AdminStatus for Told {
-    fn is_serving(&self) -> bool {
-        self.client_listener.is_serving()
-    }
-    fn stats(&self) -> String {
-        self.metrics.text(self.client_listener.in_flight())
-    }
-    fn mesh(&self) -> Option<String> {
-        self.mesh.as_ref().map(|mesh| mesh::told(mesh).to_string())
+fn log_unknown_keys(config: &GatewayConfig) {
+    for key in &config.unknown_keys {
+        log!("configuration: key {key} is not known and has no effect");
     }
 }
 
-/// What may turn while a limiter runs, with the values at its start.
-#[derive(Debug)]
-pub struct ReloadChannels {
-    pub settings: watch::Receiver<merlinreel_settings::Settings>,
-    /// Where the server list is watched.
-    pub discovery: watch::Receiver<SocketAddr>,
-    /// The mesh's keys are read again at each word of it.
-    pub ground: watch::Receiver<Option<mesh::Ground>>,
+/// Joins the mesh of limiters, where the configuration has the section.
+async fn join_mesh(
+    config: &GatewayConfig,
+    client_listener: &Arc<ClientListener>,
+) -> io::Result<Option<mesh::Taking>> {
+    let Some(section) = &config.mesh else {
+        return Ok(None);
+    };
+    let client_listener = client_listener.clone();
+    let is_serving = move || client_listener.is_serving();
+    mesh::Taking::begin(section, config.name.clone(), config.seed, is_serving)
+        .await
+        .map(Some)
+        .map_err(io::Error::other)
 }
 
-/// Runs one limiter until `stop` ends and what it then holds is answered; `turns` tell what
-/// the operators change meanwhile. Clients come through `handed` where the platform holds their socket, else
-/// through `listen`. Needs a runtime of tokio's with time and I/O; one thread is enough.
-pub async fn run(
-    station: config::GatewayConfig,
-    handed: Option<std::net::TcpListener>,
-    metrics: Arc<telemetry::metrics::Metrics>,
-    turns: ReloadChannels,
-    stop: impl Future<Output = ()>,
+/// Serves clients until they are done. Without an event loop requests would be accepted and never decided: where it ends
+/// first, the process does, and is started again.
+async fn serve_while_event_loop_runs(
+    serving: impl Future<Output = ()>,
+    event_loop: &mut JoinHandle<()>,
 ) -> io::Result<()> {
-    let clock = event_loop::Clock::start();
-    let ReloadChannels {
-        settings: mut tunes,
-        discovery,
-        ground: mut grounds,
-    } = turns;
-    let config::GatewayConfig {
-        name,
-        listen,
-        ops,
-        peer_listen,
-        peers,
-        seed,
-        limits,
-        settings,
-        cached_endpoints,
-        unknown_keys,
-        mesh: ground,
-        ..
-    } = station;
-    unknown_keys
-        .iter()
-        .for_each(|key| log!("configuration: key {key} is not known and has no effect"));
-    let named = |what: &str, at, error: io::Error| {
-        io::Error::new(error.kind(), format!("{what}: {at}: {error}"))
-    };
-    let (queue, events) = mpsc::channel(limits.event_loop.queue_length);
-    let inherited = handed.is_some();
-    let peer_sender = match peer_listen.filter(|_| settings.fleet.peer_messages) {
-        Some(at) => {
-            let peer_sender = bound(limits.listener.bind_timeout, async || {
-                let sharing = if inherited {
-                    peers::PortSharing::Shared
-                } else {
-                    peers::PortSharing::Exclusive
-                };
-                peers::PeerSender::open(at, &peers, sharing).await
-            })
-            .await;
-            Some(peer_sender.map_err(|error| named("peer_listen", at, error))?)
-        }
-        None => None,
-    };
-    let listener = match handed {
-        Some(handed) => TcpListener::from_std(handed)
-            .map_err(|error| named("PROXY_LISTEN_FD", listen, error))?,
-        None => bound(limits.listener.bind_timeout, async || {
-            listen_at(listen, limits.listener.backlog)
-        })
-        .await
-        .map_err(|error| named("listen", listen, error))?,
-    };
-    let version = cached_endpoints.as_ref().map(|update| update.version);
-    let servers =
-        upstream::UpstreamPool::new(limits.clone(), &settings, queue.clone(), metrics.clone());
-    let (tune, active_settings) =
-        watch::channel(Arc::new(messages::ActiveSettings::first(settings.clone())));
-    let event_loop = event_loop::EventLoop::new(
-        settings.limiter(seed),
-        servers,
-        peer_sender.clone(),
-        clock,
-        metrics.clone(),
-    )
-    .with_settings_sender(tune);
-    let mut driving = tokio::spawn(event_loop.run(cached_endpoints, events));
-    let (told, first) = oneshot::channel();
-    let watching = endpoints::watch(discovery, version, limits.clone(), queue.clone(), told);
-    let mut others = vec![tokio::spawn(watching)];
-    others.extend(peer_sender.map(|peer_sender| tokio::spawn(peer_sender.receive(queue.clone()))));
-    let retuning = queue.clone();
-    others.push(tokio::spawn(async move {
-        while tunes.changed().await.is_ok() {
-            let settings = tunes.borrow_and_update().clone();
-            if retuning
-                .send(messages::Event::Reconfigure(Box::new(settings)))
-                .await
-                .is_err()
-            {
-                return;
-            }
-        }
-    }));
-    let at = listener
-        .local_addr()
-        .map_or_else(|_| listen.to_string(), |at| at.to_string());
-    log!(
-        "{name} takes jobs at {at}{}",
-        if inherited {
-            ", on the socket handed down"
-        } else {
-            ""
-        }
-    );
-    let client_listener =
-        client::ClientListener::new(limits.clone(), active_settings, queue, metrics.clone());
-    let first = timeout(limits.endpoints.first_list_timeout, first);
-    let taking = match &ground {
-        Some(ground) => {
-            let serving = client_listener.clone();
-            let taking =
-                mesh::Taking::begin(ground, name, seed, move || serving.is_serving()).await;
-            Some(taking.map_err(io::Error::other)?)
-        }
-        None => None,
-    };
-    if let Some(mesh) = taking.as_ref().map(|taking| taking.mesh.clone()) {
-        others.push(tokio::spawn(async move {
-            while grounds.changed().await.is_ok() {
-                let Some(ground) = grounds.borrow_and_update().clone() else {
-                    continue;
-                };
-                match ground.keys() {
-                    Ok(keys) => mesh.rekey(keys),
-                    Err(error) => log!("{error}; the keys before stand"),
-                }
-            }
-        }));
-    }
-    let told = taking.as_ref().map(|taking| taking.mesh.clone());
-    if let Some(at) = ops {
-        let listener = bound(limits.listener.bind_timeout, async || {
-            TcpListener::bind(at).await
-        })
-        .await
-        .map_err(|error| named("ops", at, error))?;
-        others.push(tokio::spawn(admin::attend(
-            listener,
-            limits,
-            Arc::new(Told {
-                client_listener: client_listener.clone(),
-                mesh: told,
-                metrics,
-            }),
-        )));
-    }
-    let client_listener = async {
-        // What the agent holds counts as told from the first moment on: guards against attempts to servers that left
-        // since `known` was written. Clients wait on the socket meanwhile, `/healthcheck` says no.
-        if first.await.is_err() {
-            log!("discovery: no word from discovery; starting with the list as last held");
-        }
-        client_listener.attend(listener, inherited, stop).await
-    };
-    let ended = attended(client_listener, &mut driving).await;
-    if let Some(taking) = taking {
-        taking.end().await;
+    tokio::select! {
+        () = serving => Ok(()),
+        end = event_loop => Err(io::Error::other(match end {
+            Ok(()) => "the driver has ended".to_owned(),
+            Err(error) => format!("the driver has ended: {error}"),
+        })),
     }
-    others
-        .iter()
-        .chain([&driving])
-        .for_each(|task| task.abort());
-    ended
 }
 
 #[cfg(test)]
--- a/crates/merlinreel/src/messages.rs
+++ b/crates/merlinreel/src/messages.rs
@@ -9,9 +9,10 @@
 use merlinreel_discovery::DiscoveryUpdate;
 use merlinreel_policy::{AttemptOutcome, HealthCheckResult, LoadReport, PeerMessage, Request};
 use merlinreel_settings::Settings;
+use std::sync::Arc;
 use std::time::{Duration, Instant};
 use streaming_body::StreamingBody;
-use tokio::sync::{mpsc, oneshot};
+use tokio::sync::{mpsc, oneshot, watch};
 
 /// Identifies one attempt within this process; never used again.
 #[derive(Clone, Copy, Debug, Default, Eq, Hash, PartialEq)]
@@ -134,4 +135,14 @@
             settings,
         }
     }
+
+    /// A channel that holds the settings of the start.
+    pub fn channel(
+        settings: &Settings,
+    ) -> (
+        watch::Sender<Arc<ActiveSettings>>,
+        watch::Receiver<Arc<ActiveSettings>>,
+    ) {
+        watch::channel(Arc::new(ActiveSettings::first(settings.clone())))
+    }
 }
--- /dev/null
+++ b/crates/merlinreel/src/startup/admin_status.rs
@@ -0,0 +1,32 @@
+//! What the admin endpoint reports.
+
+use crate::admin::AdminStatus;
+use crate::client::ClientListener;
+use crate::mesh;
+use crate::telemetry::metrics::Metrics;
+use merlinreel_mesh::shell::Mesh;
+use std::sync::Arc;
+
+/// The state of a limiter that runs.
+pub struct GatewayStatus {
+    /// Knows whether requests are accepted.
+    pub client_listener: Arc<ClientListener>,
+    /// The mesh, where this limiter is a member.
+    pub mesh: Option<Mesh>,
+    /// Counts what happens.
+    pub metrics: Arc<Metrics>,
+}
+
+impl AdminStatus for GatewayStatus {
+    fn is_serving(&self) -> bool {
+        self.client_listener.is_serving()
+    }
+
+    fn stats(&self) -> String {
+        self.metrics.text(self.client_listener.in_flight())
+    }
+
+    fn mesh(&self) -> Option<String> {
+        self.mesh.as_ref().map(|mesh| mesh::told(mesh).to_string())
+    }
+}
--- /dev/null
+++ b/crates/merlinreel/src/startup/background_tasks.rs
@@ -0,0 +1,113 @@
+//! The tasks that run beside the event loop and the client listener.
+
+use super::admin_status::GatewayStatus;
+use super::sockets::bind_admin;
+use crate::config::GatewayConfig;
+use crate::mesh::Ground;
+use crate::messages::{Event, Queue};
+use crate::peers::PeerSender;
+use crate::{admin, endpoints, log};
+use merlinreel_mesh::shell::Mesh;
+use merlinreel_settings::Settings;
+use std::io;
+use std::net::SocketAddr;
+use std::sync::Arc;
+use tokio::sync::{oneshot, watch};
+use tokio::task::JoinHandle;
+
+/// Tasks that run until they are aborted.
+#[derive(Default)]
+pub struct BackgroundTasks(Vec<JoinHandle<()>>);
+
+impl BackgroundTasks {
+    /// Watches discovery for the list of servers, from the list of `version` on. The receiver is notified once the queue
+    /// has the first update.
+    pub fn watch_endpoints(
+        &mut self,
+        config: &GatewayConfig,
+        discovery: watch::Receiver<SocketAddr>,
+        version: Option<u64>,
+        queue: &Queue,
+    ) -> oneshot::Receiver<()> {
+        let (first_list_sender, first_list) = oneshot::channel();
+        let watch = endpoints::watch(
+            discovery,
+            version,
+            config.limits.clone(),
+            queue.clone(),
+            first_list_sender,
+        );
+        self.0.push(tokio::spawn(watch));
+        first_list
+    }
+
+    /// Passes peer messages on to the event loop.
+    pub fn receive_peer_messages(&mut self, peer_sender: &Option<PeerSender>, queue: &Queue) {
+        if let Some(peer_sender) = peer_sender.clone() {
+            self.0
+                .push(tokio::spawn(peer_sender.receive(queue.clone())));
+        }
+    }
+
+    /// Passes reloaded settings on to the event loop.
+    pub fn forward_settings(&mut self, mut settings: watch::Receiver<Settings>, queue: &Queue) {
+        let queue = queue.clone();
+        self.0.push(tokio::spawn(async move {
+            while settings.changed().await.is_ok() {
+                let settings = settings.borrow_and_update().clone();
+                let event = Event::Reconfigure(Box::new(settings));
+                if queue.send(event).await.is_err() {
+                    return;
+                }
+            }
+        }));
+    }
+
+    /// Passes reloaded keys on to the mesh, where this limiter is a member.
+    pub fn reload_mesh_keys(
+        &mut self,
+        mut section: watch::Receiver<Option<Ground>>,
+        mesh: Option<Mesh>,
+    ) {
+        let Some(mesh) = mesh else {
+            return;
+        };
+        self.0.push(tokio::spawn(async move {
+            while section.changed().await.is_ok() {
+                let Some(section) = section.borrow_and_update().clone() else {
+                    continue;
+                };
+                match section.keys() {
+                    Ok(keys) => mesh.rekey(keys),
+                    Err(error) => log!("{error}; the last keys are kept"),
+                }
+            }
+        }));
+    }
+
+    /// Serves the admin endpoint, where the configuration has its address.
+    ///
+    /// # Errors
+    ///
+    /// The address can't be bound.
+    pub async fn serve_admin(
+        &mut self,
+        config: &GatewayConfig,
+        status: GatewayStatus,
+    ) -> io::Result<()> {
+        let Some(address) = config.admin else {
+            return Ok(());
+        };
+        let listener = bind_admin(address, config.limits.listener.bind_timeout).await?;
+        let serving = admin::attend(listener, config.limits.clone(), Arc::new(status));
+        self.0.push(tokio::spawn(serving));
+        Ok(())
+    }
+
+    /// Ends all tasks, in the order in which they were started.
+    pub fn abort(&self) {
+        for task in &self.0 {
+            task.abort();
+        }
+    }
+}
--- /dev/null
+++ b/crates/merlinreel/src/startup/sockets.rs
@@ -0,0 +1,130 @@
+//! The sockets that a limiter listens at.
+
+use crate::config::GatewayConfig;
+use crate::log;
+use crate::net::backoff::Backoff;
+use crate::net::system_errors::is_of_this_machine;
+use crate::peers::{PeerSender, PortSharing};
+use std::io;
+use std::net::SocketAddr;
+use std::time::{Duration, Instant};
+use tokio::net::{TcpListener, TcpSocket};
+
+/// The sockets for clients and peers.
+pub struct Sockets {
+    /// Where clients connect.
+    pub listener: TcpListener,
+    /// Whether the listener comes from the platform, which keeps it open.
+    pub is_inherited: bool,
+    /// Where peer messages arrive; none where limiters exchange none.
+    pub peer_sender: Option<PeerSender>,
+}
+
+impl Sockets {
+    /// Binds the configured addresses. Clients connect to `inherited` where the platform passes a listener on.
+    ///
+    /// # Errors
+    ///
+    /// A socket can't be bound; the error's text begins with the key of its address.
+    pub async fn bind(
+        config: &GatewayConfig,
+        inherited: Option<std::net::TcpListener>,
+    ) -> io::Result<Sockets> {
+        let is_inherited = inherited.is_some();
+        let peer_sender = bind_peers(config, is_inherited).await?;
+        let listener = match inherited {
+            Some(listener) => TcpListener::from_std(listener)
+                .map_err(|error| with_address("PROXY_LISTEN_FD", config.listen, error))?,
+            None => bind_clients(config).await?,
+        };
+        Ok(Sockets {
+            listener,
+            is_inherited,
+            peer_sender,
+        })
+    }
+
+    /// Logs where clients connect.
+    pub fn log_address(&self, config: &GatewayConfig) {
+        let address = self
+            .listener
+            .local_addr()
+            .map_or_else(|_| config.listen.to_string(), |address| address.to_string());
+        let origin = if self.is_inherited {
+            ", on the inherited socket"
+        } else {
+            ""
+        };
+        log!("{} accepts requests at {address}{origin}", config.name);
+    }
+}
+
+async fn bind_peers(config: &GatewayConfig, is_inherited: bool) -> io::Result<Option<PeerSender>> {
+    let Some(address) = config
+        .peer_listen
+        .filter(|_| config.settings.fleet.peer_messages)
+    else {
+        return Ok(None);
+    };
+    let sharing = if is_inherited {
+        PortSharing::Shared
+    } else {
+        PortSharing::Exclusive
+    };
+    bind_with_retry(config.limits.listener.bind_timeout, async || {
+        PeerSender::open(address, &config.peers, sharing).await
+    })
+    .await
+    .map(Some)
+    .map_err(|error| with_address("peer_listen", address, error))
+}
+
+async fn bind_clients(config: &GatewayConfig) -> io::Result<TcpListener> {
+    let limits = &config.limits.listener;
+    bind_with_retry(limits.bind_timeout, async || {
+        listen(config.listen, limits.backlog)
+    })
+    .await
+    .map_err(|error| with_address("listen", config.listen, error))
+}
+
+/// Binds the admin endpoint.
+///
+/// # Errors
+///
+/// The address can't be bound.
+pub async fn bind_admin(address: SocketAddr, bind_timeout: Duration) -> io::Result<TcpListener> {
+    bind_with_retry(bind_timeout, async || TcpListener::bind(address).await)
+        .await
+        .map_err(|error| with_address("ops", address, error))
+}
+
+/// Binds a socket, and tries again for a while where the fault is this machine's and may be over in a moment, as with an
+/// address that the process before still holds.
+async fn bind_with_retry<T>(
+    within: Duration,
+    bind: impl AsyncFn() -> io::Result<T>,
+) -> io::Result<T> {
+    let started = Instant::now();
+    let mut backoff = Backoff::default();
+    loop {
+        match bind().await {
+            Err(error) if is_of_this_machine(&error) && started.elapsed() < within => {
+                backoff.pause().await
+            }
+            result => return result,
+        }
+    }
+}
+
+/// Listens at an address that a process before may have released just now, with at most `backlog` connections waiting.
+fn listen(address: SocketAddr, backlog: u32) -> io::Result<TcpListener> {
+    let socket = TcpSocket::new_v4()?;
+    socket.set_reuseaddr(true)?;
+    socket.bind(address)?;
+    socket.listen(backlog)
+}
+
+fn with_address(key: &str, address: SocketAddr, error: io::Error) -> io::Error {
+    io::Error::new(error.kind(), format!("{key}: {address}: {error}"))
+}
--- a/crates/merlinreel/src/tests.rs
+++ b/crates/merlinreel/src/tests.rs
@@ -1,9 +1,9 @@
 use super::*;
 
 #[tokio::test]
-async fn the_end_of_the_driver_is_the_end_of_all() {
-    let mut driving = tokio::spawn(async { panic!("a fault in a decision") });
-    let error = attended(std::future::pending(), &mut driving)
+async fn end_of_the_event_loop_ends_the_limiter() {
+    let mut event_loop = tokio::spawn(async { panic!("a fault in a decision") });
+    let error = serve_while_event_loop_runs(std::future::pending(), &mut event_loop)
         .await
         .expect_err("a fault");
     assert!(
--- a/crates/merlinreel/tests/sockets/stop.rs
+++ b/crates/merlinreel/tests/sockets/stop.rs
@@ -176,7 +176,7 @@
         let turns = merlinreel::ReloadChannels {
             settings,
             discovery,
-            ground,
+            mesh: ground,
         };
         let runtime = tokio::runtime::Builder::new_current_thread()
             .enable_all()
