--- a/crates/merlinreel/src/config/limits.rs
+++ b/crates/merlinreel/src/config/limits.rs
@@ -36,7 +36,7 @@
 pub struct Limits {
     /// A connection to a server or to the discovery agent must be up within this.
     pub connect_timeout: Duration,
-    /// Bytes of a body that is held whole, of a request or of a response.
+    /// Bytes of a body that is buffered completely, of a request or of a response.
     pub max_body_bytes: usize,
     /// Bytes of the head of a message.
     pub max_head_bytes: usize,
@@ -61,7 +61,7 @@
 pub struct ListenerLimits {
     /// A socket that can't be bound at the start is tried again for this long.
     pub bind_timeout: Duration,
-    /// Connections that wait to be accepted; the kernel drops those beyond, whose clients try again after a second.
+    /// Connections that wait to be accepted; the kernel drops further ones, whose clients try again after a second.
     pub backlog: u32,
 }
 
@@ -72,7 +72,7 @@
     pub max_served_connections: usize,
     /// Connections held at once.
     pub max_connections: usize,
-    /// Beyond this many connections idle ones that carried one request at most are evicted.
+    /// Above this many connections, idle ones that carried one request at most are evicted.
     pub max_idle_connections: usize,
     /// Bytes of all request bodies that are held at once.
     pub max_buffered_body_bytes: usize,
@@ -93,7 +93,7 @@
     pub evict_partial_after: Duration,
     /// After the limiter has ended its side of a connection it waits this long for the client's end.
     pub linger_timeout: Duration,
-    /// Bytes read ahead behind a request in flight; those beyond a head count against `max_buffered_body_bytes`.
+    /// Bytes read ahead behind a request in flight; those that exceed a head count against `max_buffered_body_bytes`.
     pub max_read_ahead_bytes: usize,
 }
 
@@ -146,7 +146,7 @@
     pub response_margin: Duration,
 }
 
-/// Bounds of a graceful shutdown; times count from the signal where nothing else is said.
+/// Bounds of a graceful shutdown; times count from the signal unless stated otherwise.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ShutdownLimits {
     /// Requests are served as before until then; from then on responses announce that their connection closes.
--- a/crates/merlinreel/src/upstream/connection_task.rs
+++ b/crates/merlinreel/src/upstream/connection_task.rs
@@ -4,10 +4,7 @@
 use super::connection::UpstreamConnection;
 use super::exchange::Exchange;
 use super::message::DecodedResponse;
-use super::open_connection::{
-    OpenConnection, connect, connect_deadline_outcome, connect_error_outcome,
-};
-use crate::log;
+use super::open_connection::{OpenConnection, connect};
 use crate::messages::streaming_body::StreamEnd;
 use crate::messages::{AttemptCompletion, AttemptId, Event};
 use merlinreel_policy::AttemptOutcome;
@@ -85,25 +82,22 @@
         }
     }
 
+    /// Opens a connection for an attempt.
     async fn open(&mut self, attempt: &Attempt) -> Result<OpenConnection, AttemptOutcome> {
-        let address = self.address;
-        let connecting = connect(address, self.limits.connect_timeout);
-        let result = tokio::select! {
+        let connecting = connect(self.address, self.limits.connect_timeout);
+        let stream = tokio::select! {
             biased;
             () = self.wait_for_cancellation(attempt.attempt_id, || false) => {
                 return Err(AttemptOutcome::NotSent);
             }
-            result = connecting => result,
+            result = connecting => result?,
             () = sleep_until(attempt.written_by().into()) => {
-                return Err(connect_deadline_outcome(attempt));
+                return Err(match attempt.write_deadline {
+                    Some(_) => AttemptOutcome::NotSent,
+                    None => AttemptOutcome::Unreachable,
+                });
             }
         };
-        let Ok(result) = result else {
-            let within = self.limits.connect_timeout;
-            log!("server at {address}: no connection within {within:?}");
-            return Err(AttemptOutcome::Unreachable);
-        };
-        let stream = result.map_err(|error| connect_error_outcome(address, &error))?;
         OpenConnection::new(stream, &self.limits, self.unsolicited_bytes.clone())
             .await
             .map_err(|_| AttemptOutcome::Unreachable)
--- a/crates/merlinreel/src/upstream/open_connection.rs
+++ b/crates/merlinreel/src/upstream/open_connection.rs
@@ -1,6 +1,5 @@
 //! A connection to a server that is up.
 
-use super::attempt::Attempt;
 use super::unsolicited_bytes::UnsolicitedBytes;
 use crate::config::limits::Limits;
 use crate::log;
@@ -19,7 +18,6 @@
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::time::Duration;
 use tokio::net::TcpStream;
-use tokio::time::error::Elapsed;
 use tokio::time::timeout;
 
 /// Counts the bytes that the kernel took, which proves that a request's last byte was not written.
@@ -88,11 +86,27 @@
 }
 
 /// Connects within this time.
-pub async fn connect(
-    address: SocketAddr,
-    within: Duration,
-) -> Result<io::Result<TcpStream>, Elapsed> {
-    timeout(within, connect_with_retry(address)).await
+///
+/// # Errors
+///
+/// What it proves about an attempt that no connection came up for it.
+pub async fn connect(address: SocketAddr, within: Duration) -> Result<TcpStream, AttemptOutcome> {
+    match timeout(within, connect_with_retry(address)).await {
+        Ok(Ok(stream)) => Ok(stream),
+        Ok(Err(error)) => {
+            log!("server at {address}: no connection: {error}");
+            Err(match error.kind() {
+                // The connection was up.
+                ErrorKind::ConnectionReset => AttemptOutcome::Rejected,
+                ErrorKind::ConnectionRefused => AttemptOutcome::ConnectionRefused,
+                _ => AttemptOutcome::Unreachable,
+            })
+        }
+        Err(_) => {
+            log!("server at {address}: no connection within {within:?}");
+            Err(AttemptOutcome::Unreachable)
+        }
+    }
 }
 
 /// Connects, and tries again while the fault is this machine's own: it says nothing about the server, and may be over in
@@ -110,25 +124,6 @@
     }
 }
 
-/// What it proves about an attempt that no connection came up for it.
-pub fn connect_error_outcome(address: SocketAddr, error: &io::Error) -> AttemptOutcome {
-    log!("server at {address}: no connection: {error}");
-    match error.kind() {
-        // The connection was up.
-        ErrorKind::ConnectionReset => AttemptOutcome::Rejected,
-        ErrorKind::ConnectionRefused => AttemptOutcome::ConnectionRefused,
-        _ => AttemptOutcome::Unreachable,
-    }
-}
-
-/// The outcome of an attempt whose time was over before a connection came up.
-pub fn connect_deadline_outcome(attempt: &Attempt) -> AttemptOutcome {
-    match attempt.write_deadline {
-        Some(_) => AttemptOutcome::NotSent,
-        None => AttemptOutcome::Unreachable,
-    }
-}
-
 impl OpenConnection {
     /// Prepares a stream for requests.
     ///
--- a/crates/merlinreel/src/upstream/tests.rs
+++ b/crates/merlinreel/src/upstream/tests.rs
@@ -55,10 +55,18 @@
     }
 }
 
-/// A pool with one server at that address.
+/// A pool with one server at that address, whose responses and health checks carry load reports.
 fn pool(address: SocketAddr, max_connections: usize) -> (UpstreamPool, mpsc::Receiver<Event>) {
-    let settings =
-        serde_json::json!({"report": {"how": "answers"}, "policyLimits": {"probes": true}});
+    pool_with_reports("answers", address, max_connections)
+}
+
+/// A pool with one server at that address; `how` says in the settings which responses carry load reports.
+fn pool_with_reports(
+    how: &str,
+    address: SocketAddr,
+    max_connections: usize,
+) -> (UpstreamPool, mpsc::Receiver<Event>) {
+    let settings = serde_json::json!({"report": {"how": how}, "policyLimits": {"probes": true}});
     let paths = merlinreel_settings::Paths::from_json(&settings);
     let settings = paths
         .and_then(|paths| merlinreel_settings::Settings::read(&paths))
--- a/crates/merlinreel/src/upstream/tests/wire.rs
+++ b/crates/merlinreel/src/upstream/tests/wire.rs
@@ -41,14 +41,17 @@
     assert_eq!(&body, b"xxx");
 }
 
+#[test_case("answers", "/metrics/load" ; "load reports in all responses")]
+#[test_case("probe", "/metrics/load" ; "load reports in health checks")]
+#[test_case("none", "/alive" ; "no load reports")]
 #[tokio::test]
-async fn health_check_has_these_bytes() {
+async fn health_check_has_these_bytes(how: &str, path: &str) {
     let (listener, address) = listener().await;
-    let (mut pool, _events) = pool(address, 4);
+    let (mut pool, _events) = pool_with_reports(how, address, 4);
     pool.start_health_check(0);
     let mut stream = accept(&listener).await;
     assert_eq!(
         read_head(&mut stream).await,
-        format!("GET /metrics/load HTTP/1.1\r\nhost: {address}\r\nconnection: close\r\n\r\n")
+        format!("GET {path} HTTP/1.1\r\nhost: {address}\r\nconnection: close\r\n\r\n")
     );
 }
