--- a/crates/merlinreel/src/upstream/tests/wire.rs
+++ b/crates/merlinreel/src/upstream/tests/wire.rs
@@ -1,6 +1,7 @@
 //! The bytes that servers receive.
 
 use super::*;
+use test_case::test_case;
 
 /// Reads the head of one message.
 async fn read_head(stream: &mut TcpStream) -> String {
