--- a/crates/merlinreel/src/config/check.rs
+++ b/crates/merlinreel/src/config/check.rs
@@ -1,4 +1,4 @@
-//! Checks beyond the types of single keys: what a simulation may leave out but sockets need.
+//! Checks that no single key's type expresses: what a simulation may leave out but sockets need.
 
 use super::error::ConfigError;
 use merlinreel_settings::Settings;
