--- a/crates/merlinreel/src/client/in_flight.rs
+++ b/crates/merlinreel/src/client/in_flight.rs
@@ -3,9 +3,9 @@
 use super::connection::ClientConnection;
 use super::listener::ClientListener;
 use crate::messages::Event;
+use crate::messages::streaming_body::{StreamEnd, StreamObserver};
 use crate::sync::lock;
 use crate::telemetry::metrics::ResponseOutcome;
-use crate::upstream::streaming_body::Held;
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 
@@ -96,13 +96,12 @@
     }
 }
 
-impl Held for StreamingGuard {
+impl StreamObserver for StreamingGuard {
     /// A response that was begun and not completed has failed.
-    fn ended(self: Box<Self>, complete: bool) {
-        let outcome = if complete {
-            ResponseOutcome::Success
-        } else {
-            ResponseOutcome::Failed
+    fn stream_ended(self: Box<Self>, end: StreamEnd) {
+        let outcome = match end {
+            StreamEnd::Complete => ResponseOutcome::Success,
+            StreamEnd::Incomplete => ResponseOutcome::Failed,
         };
         self.client_listener
             .metrics
--- a/crates/merlinreel/src/client/request_reader.rs
+++ b/crates/merlinreel/src/client/request_reader.rs
@@ -9,9 +9,9 @@
 use super::response::{encode, with_connection_close};
 use crate::admission::AdmissionPermit;
 use crate::log;
+use crate::messages::streaming_body::ResponseBody;
 use crate::messages::{Event, IncomingRequest, UpstreamRequest};
 use crate::net::text_response::text_response;
-use crate::upstream::streaming_body::Reply;
 use crate::upstream::strip_hop_by_hop;
 use http_body_util::{Either, Full};
 use hyper::body::{Body, Bytes, Incoming};
@@ -40,7 +40,7 @@
         head: ObservedHead,
         sent_at: Instant,
         client_connection: &ClientConnection,
-    ) -> Response<Reply> {
+    ) -> Response<ResponseBody> {
         if let Err(error) = framing::check(request.headers(), head) {
             log!("clients: {error}: 400");
             let response = text_response(StatusCode::BAD_REQUEST, format!("{error}\n"));
@@ -73,10 +73,10 @@
         }
         // A shutdown has a deadline of its own: late requests are answered by then.
         let client_deadline = sent_at + complete.request.remaining_time;
-        let until = self
+        let deadline = self
             .shutdown_deadline()
             .map_or(client_deadline, |deadline| client_deadline.min(deadline));
-        self.submit(complete, until, client_connection).await
+        self.submit(complete, deadline, client_connection).await
     }
 
     /// Whether requests are accepted: 200 or 503.
@@ -141,17 +141,17 @@
     async fn submit(
         &self,
         complete: CompleteRequest,
-        until: Instant,
+        deadline: Instant,
         client_connection: &ClientConnection,
-    ) -> Response<Reply> {
+    ) -> Response<ResponseBody> {
         let request_id = self.next_id.fetch_add(1, Ordering::Relaxed);
-        let (answer, response) = oneshot::channel();
+        let (response_sender, response) = oneshot::channel();
         let incoming = IncomingRequest {
             request_id,
             request: complete.request,
-            until,
+            deadline,
             upstream_request: complete.upstream_request,
-            answer,
+            response_sender,
         };
         let mut disconnect = DisconnectGuard::new(client_connection, request_id);
         let queued = self.queue.send(Event::Request(Box::new(incoming))).await;
--- a/crates/merlinreel/src/client/response.rs
+++ b/crates/merlinreel/src/client/response.rs
@@ -1,8 +1,8 @@
 //! Encodes the response to a client.
 
 use crate::messages::ClientResponse;
+use crate::messages::streaming_body::ResponseBody;
 use crate::net::text_response::text_response;
-use crate::upstream::streaming_body::Reply;
 use http_body_util::{Either, Full};
 use hyper::body::Bytes;
 use hyper::header::{CONNECTION, HeaderValue, RETRY_AFTER};
@@ -18,10 +18,10 @@
 }
 
 /// The HTTP response of what the event loop decided.
-pub fn encode(response: ClientResponse) -> Response<Reply> {
+pub fn encode(response: ClientResponse) -> Response<ResponseBody> {
     match response {
         ClientResponse::Success(upstream_response) => {
-            let body = match upstream_response.flow {
+            let body = match upstream_response.streaming_body {
                 Some(streaming) => Either::Right(*streaming),
                 None => Either::Left(Full::new(upstream_response.body)),
             };
--- a/crates/merlinreel/src/client/serving.rs
+++ b/crates/merlinreel/src/client/serving.rs
@@ -6,9 +6,9 @@
 use super::request_reader::UP_PATH;
 use super::stream::ClientStream;
 use crate::log;
+use crate::messages::streaming_body::ResponseBody;
 use crate::sync::lock;
 use crate::telemetry::metrics::{ResponseOutcome, class_of};
-use crate::upstream::streaming_body::Reply;
 use http_body_util::Either;
 use hyper::body::{Bytes, Incoming};
 use hyper::header::{CONNECTION, HeaderValue};
@@ -122,7 +122,7 @@
         self: &Arc<ClientListener>,
         request: Request<Incoming>,
         client_connection: &Arc<ClientConnection>,
-    ) -> impl Future<Output = Result<Response<Reply>, Infallible>> + use<> {
+    ) -> impl Future<Output = Result<Response<ResponseBody>, Infallible>> + use<> {
         let client_listener = self.clone();
         let client_connection = client_connection.clone();
         let head = client_connection.last_head();
@@ -136,7 +136,7 @@
                 .await;
             let outcome = ResponseOutcome::from_status(response.status());
             match response.body_mut() {
-                Either::Right(streaming) => streaming.hold(Box::new(StreamingGuard::new(
+                Either::Right(streaming) => streaming.set_observer(Box::new(StreamingGuard::new(
                     client_listener.clone(),
                     client_connection.clone(),
                     class,
--- a/crates/merlinreel/src/client/tests/closing.rs
+++ b/crates/merlinreel/src/client/tests/closing.rs
@@ -27,10 +27,10 @@
     let upstream_response = UpstreamResponse {
         headers: Default::default(),
         body: Bytes::from(vec![b'x'; LENGTH]),
-        flow: None,
+        streaming_body: None,
     };
     incoming
-        .answer
+        .response_sender
         .send(ClientResponse::Success(upstream_response))
         .expect("a client that waits");
     let read = tokio::task::spawn_blocking(move || {
--- a/crates/merlinreel/src/client/tests/reading.rs
+++ b/crates/merlinreel/src/client/tests/reading.rs
@@ -36,7 +36,7 @@
         wait_for(&client_connection.overflowed).await;
     }
     first
-        .answer
+        .response_sender
         .send(crate::messages::ClientResponse::Failed)
         .expect("a client that waits");
     let requests = if is_flood {
@@ -46,7 +46,7 @@
             panic!("no second request")
         };
         second
-            .answer
+            .response_sender
             .send(crate::messages::ClientResponse::Failed)
             .expect("a client that waits");
         2
--- a/crates/merlinreel/src/client/tests/response_heads.rs
+++ b/crates/merlinreel/src/client/tests/response_heads.rs
@@ -45,7 +45,10 @@
         let Event::Request(incoming) = next(&mut events).await else {
             panic!("no request")
         };
-        incoming.answer.send(response).expect("a client that waits");
+        incoming
+            .response_sender
+            .send(response)
+            .expect("a client that waits");
     }
     let length = expected.len();
     let read = tokio::task::spawn_blocking(move || {
@@ -93,7 +96,7 @@
     let response = ClientResponse::Success(UpstreamResponse {
         headers,
         body: Bytes::from_static(b"done"),
-        flow: None,
+        streaming_body: None,
     });
     let request = request("GET /look?key=7", "8000m", "", "");
     let text = exchange(limits(), &request, Some(response), EXPECTED).await;
--- a/crates/merlinreel/src/client/tests/shutdown.rs
+++ b/crates/merlinreel/src/client/tests/shutdown.rs
@@ -70,7 +70,7 @@
     let Some(Event::Request(incoming)) = events.recv().await else {
         panic!("no request")
     };
-    assert_eq!(incoming.until, requested_at + until_deadline);
+    assert_eq!(incoming.deadline, requested_at + until_deadline);
     Ok(())
 }
 
