--- a/crates/merlinreel-settings/src/tests.rs
+++ b/crates/merlinreel-settings/src/tests.rs
@@ -44,6 +44,12 @@
 #[test_case(json!({"classes": [{"idempotency": "never"}]}), "setting classes.0.idempotency: unknown 'never'" ; "kind of repeat")]
 #[test_case(json!({"packages": [{}, {"price": "much"}]}), "setting packages.1.price: 'much' is not a number from 0" ; "second plan")]
 #[test_case(json!({"balancers": 2, "rank": 2}), "setting rank: 2 is not among 2" ; "rank")]
+#[test_case(json!({"classes": [{"idempotency": "idempotency_key", "group": "hall"}]}), "setting classes.0.group: unknown 'hall'" ; "scope")]
+#[test_case(json!({"classes": [{}]}), "setting classes.0.idempotency: unknown '-'" ; "absent kind of repeat")]
+#[test_case(json!({"rules": {"coldS": 2e19}}), "setting rules.coldS: 20000000000000000000 is no time" ; "no duration")]
+#[test_case(json!({"classes": {"count": 4097}}), "setting classes.count: 4097 is too many" ; "long list")]
+#[test_case(json!({"policyLimits": {"sendCap": 0}}), "setting policyLimits.sendCap: '0' is not a positive number" ; "no attempts")]
+#[test_case(json!({"policyLimits": {"sendCap": ""}}), "setting policyLimits.sendCap: '' is not a positive number" ; "empty attempts")]
 fn a_faulty_setting_is_named(value: Value, complaint: &str) {
     assert_eq!(terms(value).err().as_deref(), Some(complaint));
 }
@@ -56,3 +62,142 @@
     let terms = terms(json!({"balancers": limiters, "rank": rank}))?;
     Ok((terms.fleet.limiters, terms.fleet.me))
 }
+
+/// Every key with a value of its own, so that a key read into the wrong field shows.
+#[test]
+fn every_key_is_read_into_its_field() {
+    let settings = json!({
+        "zone": 2, "dcs": ["a", "b"], "discovery": "subscribe", "balancers": 9, "rank": 4,
+        "classes": [{"name": "read", "idempotency": "read_like", "promiseS": 0.25, "hardLimitS": 1.5, "worth": 5,
+                "lateShare": 0.125},
+            {"name": "keyed", "idempotency": "idempotency_key", "group": "all", "keyTtlS": 0.5},
+            {"name": "zoned", "idempotency": "idempotency_key", "group": "zone", "keyTtlS": 0.75},
+            {"name": "celled", "idempotency": "idempotency_key", "group": "cell", "keyTtlS": 1.25},
+            {"name": "write", "idempotency": "non_idempotent"}],
+        "packages": [{"name": "small", "unitsPerS": 1, "mostAtOnce": 2, "maxOut": 3, "ceilingRate": 4, "capDepth": 5,
+            "capSlack": 6, "price": 7, "overrunCost": 8, "beyondEarns": 9}],
+        "policyLimits": {"sendCap": 3, "secondCopies": true, "mayCancel": false, "retryAfter": true,
+            "maxRetryAfterS": 11, "mostHeld": 12, "peers": true, "probes": true, "connIdleS": 13,
+            "connectTimeoutS": 14},
+        "familyInfo": {"inboxPerS": 15, "hasCounter": false, "settles": true, "maxUnits": 16},
+        "rules": {"drainGraceS": 17, "startCapacity": 0.18, "coldS": 19, "overloadFactor": 20, "fallS": 21,
+            "askWithinS": 22},
+        "report": {"how": "probe"}});
+    let read = terms(settings).expect("every key is sound");
+    let seconds = Duration::from_secs;
+    assert_eq!(
+        read.plans,
+        [Plan {
+            rate: 1.0,
+            burst: 2.0,
+            max_concurrent: 3,
+            ceiling_rate: 4.0,
+            ceiling_burst: 5.0,
+            ceiling_slack: 6.0,
+            plan_weight: 7.0,
+            overage_cost: 8.0,
+            overage_value: 9.0,
+        }]
+    );
+    assert_eq!(
+        read.classes[0],
+        RequestClass {
+            latency_objective: Duration::from_millis(250),
+            deadline: Duration::from_millis(1500),
+            priority_weight: 5.0,
+            late_weight: 0.125,
+            repeats: Idempotency::Idempotent,
+        }
+    );
+    let key = |scope, ms| Idempotency::IdempotencyKey(scope, Duration::from_millis(ms));
+    assert_eq!(
+        read.classes[1..]
+            .iter()
+            .map(|class| class.repeats)
+            .collect::<Vec<_>>(),
+        [
+            key(IdempotencyScope::All, 500),
+            key(IdempotencyScope::Zone, 750),
+            key(IdempotencyScope::Cell, 1250),
+            Idempotency::NonIdempotent,
+        ]
+    );
+    assert_eq!(
+        read.fleet,
+        FleetConfig {
+            limiters: 9,
+            me: 4,
+            peer_messages: true,
+            peer_inbox_rate: 15.0,
+            counter: false,
+            settles: true,
+            max_units: 16.0,
+        }
+    );
+    assert_eq!(
+        read.endpoints,
+        EndpointConfig {
+            zone: 2,
+            drain_grace: seconds(17),
+            slow_start_fraction: 0.18,
+            slow_start_duration: seconds(19),
+            overload_factor: 20.0,
+            overload_window: seconds(21),
+            endpoint_polling: true,
+            poll_deadline: seconds(22),
+            health_checks: true,
+        }
+    );
+    assert_eq!(
+        read.request_limits,
+        RequestLimits {
+            max_attempts: 3,
+            hedging: true,
+            cancellation: false,
+            retry_after: true,
+            max_retry_after: seconds(11),
+            max_in_flight: 12,
+        }
+    );
+    assert_eq!(
+        read.sockets,
+        SocketSettings {
+            plans: vec!["small".to_owned()],
+            classes: ["read", "keyed", "zoned", "celled", "write"]
+                .map(str::to_owned)
+                .to_vec(),
+            zones: vec!["a".to_owned(), "b".to_owned()],
+            server_idle: seconds(13),
+            connect_within: seconds(14),
+            loads_in_answers: false,
+            loads_in_probes: true,
+        }
+    );
+}
+
+/// What is left out reads as nothing; a list of limiters or attempts has one at least.
+#[test]
+fn empty_settings_read_as_their_defaults() {
+    let read = terms(json!({})).expect("nothing is needed");
+    assert_eq!((read.plans, read.classes), (Vec::new(), Vec::new()));
+    assert_eq!(
+        read.fleet,
+        FleetConfig {
+            limiters: 1,
+            me: 0,
+            peer_messages: false,
+            peer_inbox_rate: 0.0,
+            counter: false,
+            settles: false,
+            max_units: 1.0,
+        }
+    );
+    assert_eq!(
+        (
+            read.request_limits.max_attempts,
+            read.request_limits.max_in_flight
+        ),
+        (1, 0)
+    );
+    assert_eq!(read.sockets, SocketSettings::default());
+}
