--- /dev/null
+++ b/crates/merlinreel-settings/src/error.rs
@@ -0,0 +1,84 @@
+//! Errors of reading settings.
+
+use thiserror::Error;
+
+/// A setting that cannot be used. The text names the path of the setting and the value that was given.
+#[derive(Clone, Debug, Error, PartialEq)]
+pub enum SettingsError {
+    /// A `path=value` pair has no equals sign.
+    #[error("settings: '{pair}' is no path=value")]
+    NotAPair {
+        /// The text that was given.
+        pair: String,
+    },
+    /// The settings are JSON, but not a JSON object.
+    #[error("settings: not an object")]
+    NotAnObject,
+    /// The value must be a finite number, zero or greater.
+    #[error("setting {path}: '{given}' is not a number from 0")]
+    NotANumber {
+        /// The setting.
+        path: String,
+        /// The text that was given.
+        given: String,
+    },
+    /// The value must be a finite number greater than zero, or be left out.
+    #[error("setting {path}: '{given}' is not a positive number")]
+    NotPositive {
+        /// The setting.
+        path: String,
+        /// The text that was given.
+        given: String,
+    },
+    /// The value must be a number of seconds that a [`Duration`](std::time::Duration) can hold.
+    #[error("setting {path}: {seconds} is no time")]
+    NotADuration {
+        /// The setting.
+        path: String,
+        /// The number that was given.
+        seconds: f64,
+    },
+    /// The value must be `true`, `false`, `1` or `0`.
+    #[error("setting {path}: '{given}' is neither true nor false")]
+    NotABoolean {
+        /// The setting.
+        path: String,
+        /// The text that was given.
+        given: String,
+    },
+    /// The value must be one of the words that this setting knows: `read_like`, `idempotency_key` or `non_idempotent` for a
+    /// class's `idempotency`; `all`, `zone` or `cell` for the `group` of a class with idempotency keys.
+    #[error("setting {path}: unknown '{given}'")]
+    UnknownValue {
+        /// The setting.
+        path: String,
+        /// The text that was given.
+        given: String,
+    },
+    /// A list must not be longer than 4096.
+    #[error("setting {path}: {count} is too many")]
+    ListTooLong {
+        /// The setting that holds the length.
+        path: String,
+        /// The length that was given.
+        count: f64,
+    },
+    /// The fleet must not have more than 65536 limiters.
+    #[error("setting {path}: {count} is out of range")]
+    FleetTooLarge {
+        /// The setting.
+        path: &'static str,
+        /// The number of limiters that was given.
+        count: f64,
+    },
+    /// This limiter's rank must be smaller than the number of limiters.
+    #[error("setting {path}: {rank} is not among {limiters}")]
+    RankOutOfRange {
+        /// The setting.
+        path: &'static str,
+        /// The rank that was given.
+        rank: f64,
+        /// The number of limiters in the fleet.
+        limiters: f64,
+    },
+}
--- a/crates/merlinreel-settings/src/tests.rs
+++ b/crates/merlinreel-settings/src/tests.rs
@@ -1,13 +1,17 @@
 use super::*;
-use serde_json::json;
+use merlinreel_policy::{
+    EndpointConfig, FleetConfig, Idempotency, IdempotencyScope, Plan, RequestClass, RequestLimits,
+};
+use serde_json::{Value, json};
+use std::time::Duration;
 use test_case::test_case;
 
-fn terms(value: Value) -> Result<Settings, String> {
-    Settings::read(&Paths::from_json(&value)?)
+fn read_json(value: Value) -> Result<Settings, SettingsError> {
+    Settings::read(&SettingsTree::from_json(&value)?)
 }
 
 #[test]
-fn nested_json_reads_as_the_pairs_of_the_bench_do() {
+fn nested_json_reads_like_the_pairs_of_the_simulator() {
     let nested = json!({"balancers": 3, "rank": 1, "dcs": ["hall-a", "hall-b"], "packages": [],
         "classes": [{"name": "lookup", "idempotency": "idempotency_key", "group": "zone", "keyTtlS": 0.6,
             "promiseS": 0.25, "hardLimitS": 1, "worth": 5.0}],
@@ -20,17 +24,17 @@
         report.how=answers report.fields=queue";
     let pairs: Vec<&str> = pairs.split_whitespace().collect();
     let (nested, paired) = (
-        terms(nested),
-        Paths::from_pairs(&pairs).and_then(|paths| Settings::read(&paths)),
+        read_json(nested),
+        SettingsTree::from_pairs(&pairs).and_then(|tree| Settings::read(&tree)),
     );
-    let Ok(terms) = &nested else {
+    let Ok(settings) = &nested else {
         panic!("{nested:?}")
     };
     assert_eq!(
         (
-            terms.classes.len(),
-            terms.sockets.zones.len(),
-            terms.request_limits.max_in_flight
+            settings.classes.len(),
+            settings.sockets.zones.len(),
+            settings.request_limits.max_in_flight
         ),
         (1, 2, 20000)
     );
@@ -41,31 +45,33 @@
 #[test_case(json!({"zone": "north"}), "setting zone: 'north' is not a number from 0" ; "no number")]
 #[test_case(json!({"policyLimits": {"peers": 2}}), "setting policyLimits.peers: '2' is neither true nor false" ; "no flag")]
 #[test_case(json!({"rules": {"coldS": -1}}), "setting rules.coldS: '-1' is not a number from 0" ; "negative")]
-#[test_case(json!({"classes": [{"idempotency": "never"}]}), "setting classes.0.idempotency: unknown 'never'" ; "kind of repeat")]
+#[test_case(json!({"classes": [{"idempotency": "never"}]}), "setting classes.0.idempotency: unknown 'never'" ; "unknown idempotency")]
 #[test_case(json!({"packages": [{}, {"price": "much"}]}), "setting packages.1.price: 'much' is not a number from 0" ; "second plan")]
 #[test_case(json!({"balancers": 2, "rank": 2}), "setting rank: 2 is not among 2" ; "rank")]
-#[test_case(json!({"classes": [{"idempotency": "idempotency_key", "group": "hall"}]}), "setting classes.0.group: unknown 'hall'" ; "scope")]
-#[test_case(json!({"classes": [{}]}), "setting classes.0.idempotency: unknown '-'" ; "absent kind of repeat")]
+#[test_case(json!({"classes": [{"idempotency": "idempotency_key", "group": "hall"}]}), "setting classes.0.group: unknown 'hall'" ; "unknown scope")]
+#[test_case(json!({"classes": [{}]}), "setting classes.0.idempotency: unknown '-'" ; "absent idempotency")]
 #[test_case(json!({"rules": {"coldS": 2e19}}), "setting rules.coldS: 20000000000000000000 is no time" ; "no duration")]
 #[test_case(json!({"classes": {"count": 4097}}), "setting classes.count: 4097 is too many" ; "long list")]
 #[test_case(json!({"policyLimits": {"sendCap": 0}}), "setting policyLimits.sendCap: '0' is not a positive number" ; "no attempts")]
 #[test_case(json!({"policyLimits": {"sendCap": ""}}), "setting policyLimits.sendCap: '' is not a positive number" ; "empty attempts")]
-fn a_faulty_setting_is_named(value: Value, complaint: &str) {
-    assert_eq!(terms(value).err().as_deref(), Some(complaint));
+fn faulty_setting_is_named_in_the_error(value: Value, expected: &str) {
+    let error = read_json(value).err().map(|error| error.to_string());
+    assert_eq!(error.as_deref(), Some(expected));
 }
 
-#[test_case(1024, 1023 => Ok((1024, 1023)) ; "as many as is asked of any list")]
+#[test_case(1024, 1023 => Ok((1024, 1023)) ; "a common size")]
 #[test_case(2300, 2299 => Ok((2300, 2299)) ; "a large fleet")]
 #[test_case(65_536, 65_535 => Ok((65_536, 65_535)) ; "the most")]
-#[test_case(65_537, 0 => Err("setting balancers: 65537 is out of range".to_owned()) ; "beyond")]
-fn a_fleet_of_any_size_in_sight_is_taken(limiters: u32, rank: u32) -> Result<(u32, u32), String> {
-    let terms = terms(json!({"balancers": limiters, "rank": rank}))?;
-    Ok((terms.fleet.limiters, terms.fleet.me))
+#[test_case(65_537, 0 => Err("setting balancers: 65537 is out of range".to_owned()) ; "more than the limit")]
+fn fleet_size_up_to_the_limit_is_accepted(limiters: u32, rank: u32) -> Result<(u32, u32), String> {
+    let settings = read_json(json!({"balancers": limiters, "rank": rank}));
+    let fleet = settings.map_err(|error| error.to_string())?.fleet;
+    Ok((fleet.limiters, fleet.me))
 }
 
-/// Every key with a value of its own, so that a key read into the wrong field shows.
+/// Every key with a value of its own, so that a key decoded into the wrong setting shows.
 #[test]
-fn every_key_is_read_into_its_field() {
+fn every_key_is_decoded_into_its_setting() {
     let settings = json!({
         "zone": 2, "dcs": ["a", "b"], "discovery": "subscribe", "balancers": 9, "rank": 4,
         "classes": [{"name": "read", "idempotency": "read_like", "promiseS": 0.25, "hardLimitS": 1.5, "worth": 5,
@@ -83,7 +89,7 @@
         "rules": {"drainGraceS": 17, "startCapacity": 0.18, "coldS": 19, "overloadFactor": 20, "fallS": 21,
             "askWithinS": 22},
         "report": {"how": "probe"}});
-    let read = terms(settings).expect("every key is sound");
+    let read = read_json(settings).expect("every key is sound");
     let seconds = Duration::from_secs;
     assert_eq!(
         read.plans,
@@ -167,18 +173,18 @@
                 .map(str::to_owned)
                 .to_vec(),
             zones: vec!["a".to_owned(), "b".to_owned()],
-            server_idle: seconds(13),
-            connect_within: seconds(14),
-            loads_in_answers: false,
-            loads_in_probes: true,
+            server_idle_timeout: seconds(13),
+            connect_timeout: seconds(14),
+            load_reports_in_responses: false,
+            load_reports_in_health_checks: true,
         }
     );
 }
 
-/// What is left out reads as nothing; a list of limiters or attempts has one at least.
+/// An absent value reads as zero, except that there is at least one limiter and one attempt.
 #[test]
 fn empty_settings_read_as_their_defaults() {
-    let read = terms(json!({})).expect("nothing is needed");
+    let read = read_json(json!({})).expect("nothing is needed");
     assert_eq!((read.plans, read.classes), (Vec::new(), Vec::new()));
     assert_eq!(
         read.fleet,
--- a/crates/merlinreel-simulator-adapter/src/host.rs
+++ b/crates/merlinreel-simulator-adapter/src/host.rs
@@ -4,7 +4,7 @@
 mod writer;
 
 use merlinreel_policy::*;
-use merlinreel_settings::{Paths, Settings};
+use merlinreel_settings::{Settings, SettingsTree};
 use std::collections::HashMap;
 use std::fmt::Write as _;
 use std::time::Duration;
@@ -111,7 +111,10 @@
         let seed = values.integer("entropy")?;
         let settings: Vec<&str> = values.0.by_ref().collect();
         let instance = Instance {
-            limiter: Settings::read(&Paths::from_pairs(&settings)?)?.limiter(seed),
+            limiter: SettingsTree::from_pairs(&settings)
+                .and_then(|tree| Settings::read(&tree))
+                .map_err(|error| error.to_string())?
+                .limiter(seed),
             servers: NameTable::default(),
             requests: NameTable::default(),
             states: Vec::new(),
--- a/crates/merlinreel-testkit/src/scale/configuration.rs
+++ b/crates/merlinreel-testkit/src/scale/configuration.rs
@@ -4,7 +4,7 @@
 use crate::scale::{Emit, MeasureRequest, Meter, ScaleError, Sheet, Unit};
 use merlinreel_policy::RequestClass;
 use merlinreel_policy::decide::Limiter;
-use merlinreel_settings::{Paths, Settings};
+use merlinreel_settings::{Settings, SettingsTree};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use serde_json::{Value, json};
@@ -98,7 +98,9 @@
 /// The settings as a limiter reads them from the file's text.
 pub fn read(text: &str) -> Result<Settings, String> {
     let value: Value = serde_json::from_str(text).map_err(|error| error.to_string())?;
-    Settings::read(&Paths::from_json(&value)?)
+    SettingsTree::from_json(&value)
+        .and_then(|tree| Settings::read(&tree))
+        .map_err(|error| error.to_string())
 }
 
 /// Varies the routes, each with rules of its own.
@@ -182,7 +184,7 @@
 /// What is held of a file as it is read.
 struct FileRead {
     _value: Value,
-    _paths: Paths,
+    _paths: SettingsTree,
     terms: Result<Settings, String>,
 }
 
@@ -201,8 +203,8 @@
         let parse = || serde_json::from_str::<Value>(text).map_err(|error| error.to_string());
         let (json, value) = repeated(repeats, parse);
         let value = value?;
-        let (flat, paths) = repeated(repeats, || Paths::from_json(&value));
-        let paths = paths?;
+        let (flat, paths) = repeated(repeats, || SettingsTree::from_json(&value));
+        let paths = paths.map_err(|error| error.to_string())?;
         let (read, terms) = repeated(repeats, || Settings::read(&paths));
         self.json.push(json);
         self.paths.push(flat);
@@ -211,7 +213,7 @@
         Ok(FileRead {
             _value: value,
             _paths: paths,
-            terms,
+            terms: terms.map_err(|error| error.to_string()),
         })
     }
 }
--- a/crates/merlinreel-testkit/src/scale/quotas/setting.rs
+++ b/crates/merlinreel-testkit/src/scale/quotas/setting.rs
@@ -1,6 +1,6 @@
 //! What a fleet of hollow limiters is made of, and the limiters' settings that follow from it.
 
-use merlinreel_settings::{Paths, Settings};
+use merlinreel_settings::{Settings, SettingsTree};
 use serde_json::json;
 
 /// Plan of customers that ask for twice their quota.
@@ -91,7 +91,9 @@
             "policyLimits": {"connIdleS": 15, "connectTimeoutS": 0.25, "mayCancel": true,
                 "peers": self.peer_messages, "retryAfter": true, "sendCap": 5, "mostHeld": 1000},
             "rules": {"drainGraceS": 1, "startCapacity": 0.2, "coldS": 10, "fallS": 1, "overloadFactor": 2.5}});
-        Settings::read(&Paths::from_json(&settings)?)
+        SettingsTree::from_json(&settings)
+            .and_then(|tree| Settings::read(&tree))
+            .map_err(|error| error.to_string())
     }
 
     /// Said with each figure.
--- a/crates/merlinreel-testkit/src/scale/server_list/hollow.rs
+++ b/crates/merlinreel-testkit/src/scale/server_list/hollow.rs
@@ -5,7 +5,7 @@
 use merlinreel_policy::{
     Actions, AttemptOutcome, AttemptResult, EndpointUpdate, EventBatch, LoadReport, Request,
 };
-use merlinreel_settings::{Paths, Settings};
+use merlinreel_settings::{Settings, SettingsTree};
 use serde_json::{Value, json};
 use std::time::Duration;
 
@@ -91,7 +91,9 @@
 impl HollowLimiter {
     /// Its first round is made, so that what comes next lies between two beats.
     pub fn new(seed: u64) -> Result<HollowLimiter, String> {
-        let terms = Settings::read(&Paths::from_json(&settings())?)?;
+        let terms = SettingsTree::from_json(&settings())
+            .and_then(|tree| Settings::read(&tree))
+            .map_err(|error| error.to_string())?;
         let mut hollow = HollowLimiter {
             table: EndpointTable::new(terms.sockets.zones.clone()),
             limiter: terms.limiter(seed),
--- a/crates/merlinreel-testkit/src/scale/tenants/hollow.rs
+++ b/crates/merlinreel-testkit/src/scale/tenants/hollow.rs
@@ -6,7 +6,7 @@
     Actions, AttemptOutcome, AttemptResult, Endpoint, EndpointState, EndpointUpdate, EventBatch,
     LoadReport, PeerMessage, Request, ring_hash,
 };
-use merlinreel_settings::{Paths, Settings};
+use merlinreel_settings::{Settings, SettingsTree};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use serde_json::json;
@@ -99,7 +99,9 @@
     /// The last of its fleet, which all others have greeted; it knows no tenant yet.
     pub fn new(fleet: Fleet, seed: u64) -> Result<HollowLimiter, String> {
         let me = fleet.limiters - 1;
-        let terms = Settings::read(&Paths::from_json(&settings(fleet, me))?)?;
+        let terms = SettingsTree::from_json(&settings(fleet, me))
+            .and_then(|tree| Settings::read(&tree))
+            .map_err(|error| error.to_string())?;
         let mut chance = ChaCha8Rng::seed_from_u64(seed);
         let first_customer = u64::from(chance.random::<u32>());
         let mut hollow = HollowLimiter {
--- a/crates/merlinreel/src/client/decode/tests.rs
+++ b/crates/merlinreel/src/client/decode/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use merlinreel_settings::Paths;
+use merlinreel_settings::SettingsTree;
 use serde_json::json;
 use test_case::test_case;
 
@@ -17,7 +17,9 @@
     let settings = json!({"balancers": 3, "familyInfo": {"maxUnits": 8}, "packages": [{"name": "solo"}, {"name": "team"}], "classes": [
         {"name": "look", "idempotency": "read_like", "hardLimitS": 1},
         {"name": "put", "idempotency": "idempotency_key", "group": "all", "hardLimitS": 1}]});
-    let terms = Settings::read(&Paths::from_json(&settings)?)?;
+    let terms = SettingsTree::from_json(&settings)
+        .and_then(|tree| Settings::read(&tree))
+        .map_err(|error| error.to_string())?;
     let mut request = if changed.1 == "GET" {
         hyper::Request::get(uri)
     } else {
--- a/crates/merlinreel/src/client/tests.rs
+++ b/crates/merlinreel/src/client/tests.rs
@@ -5,7 +5,7 @@
 use crate::messages::Event;
 use crate::net::observed_stream::IoObserver;
 use hyper::body::Bytes;
-use merlinreel_settings::{Paths, Settings};
+use merlinreel_settings::{Settings, SettingsTree};
 use test_case::test_case;
 use tokio::sync::mpsc;
 
@@ -28,7 +28,7 @@
 }
 
 fn terms() -> Settings {
-    Paths::from_json(&serde_json::json!({}))
+    SettingsTree::from_json(&serde_json::json!({}))
         .and_then(|paths| Settings::read(&paths))
         .expect("sound")
 }
@@ -41,7 +41,7 @@
 fn looking() -> Settings {
     let settings = serde_json::json!({"packages": [{"name": "team"}], "balancers": 1, "classes":
         [{"name": "look", "idempotency": "read_like", "hardLimitS": 9}]});
-    Paths::from_json(&settings)
+    SettingsTree::from_json(&settings)
         .and_then(|paths| Settings::read(&paths))
         .expect("sound")
 }
--- a/crates/merlinreel/src/client/tests/reading.rs
+++ b/crates/merlinreel/src/client/tests/reading.rs
@@ -166,7 +166,7 @@
 fn paying() -> Settings {
     let settings = serde_json::json!({"packages": [{"name": "team"}], "balancers": 1, "classes":
         [{"name": "pay", "idempotency": "non_idempotent", "hardLimitS": 9}]});
-    Paths::from_json(&settings)
+    SettingsTree::from_json(&settings)
         .and_then(|paths| Settings::read(&paths))
         .expect("sound")
 }
--- a/crates/merlinreel/src/config.rs
+++ b/crates/merlinreel/src/config.rs
@@ -7,7 +7,7 @@
 use crate::log;
 use crate::mesh::Ground;
 use merlinreel_discovery::{DiscoveryUpdate, Message, MessageError};
-use merlinreel_settings::{Paths, Settings};
+use merlinreel_settings::{Settings, SettingsError, SettingsTree};
 use serde::Deserialize;
 use std::collections::HashSet;
 use std::net::SocketAddr;
@@ -45,7 +45,7 @@
     #[error("settings: is missing")]
     NoSettings,
     #[error("{0}")]
-    Settings(String),
+    Settings(#[from] SettingsError),
     #[error("setting {key}: is missing")]
     SettingMissing { key: String },
     #[error("setting {key}.name: is missing or stands there twice")]
@@ -225,8 +225,7 @@
             }),
         };
     let settings = file.settings.ok_or(ConfigError::NoSettings)?;
-    let terms = Paths::from_json(&settings).and_then(|paths| Settings::read(&paths));
-    let terms = terms.map_err(ConfigError::Settings)?;
+    let terms = Settings::read(&SettingsTree::from_json(&settings)?)?;
     checked(&terms)?;
     if terms.fleet.peer_messages && file.peer_listen.is_some() {
         let (given, wanted) = (file.peers.len(), terms.fleet.limiters as usize);
--- a/crates/merlinreel/src/config/limits.rs
+++ b/crates/merlinreel/src/config/limits.rs
@@ -138,12 +138,12 @@
         // A job holds its client's connection and at most one to a server; clients keep idle ones too.
         let servers = room * 2 / 5;
         let clients_most = room - servers;
-        let idle = if terms.sockets.server_idle.is_zero() {
+        let idle = if terms.sockets.server_idle_timeout.is_zero() {
             Duration::from_secs(15)
         } else {
-            terms.sockets.server_idle
+            terms.sockets.server_idle_timeout
         };
-        let connect = terms.sockets.connect_within;
+        let connect = terms.sockets.connect_timeout;
         Ok(Limits {
             // A quarter is kept for who comes and goes, and to tell newcomers that it is busy.
             clients: clients_most - clients_most / 4,
--- a/crates/merlinreel/src/config/limits/tests.rs
+++ b/crates/merlinreel/src/config/limits/tests.rs
@@ -1,12 +1,12 @@
 use super::*;
-use merlinreel_settings::Paths;
+use merlinreel_settings::SettingsTree;
 use test_case::test_case;
 
 /// UpstreamPool that a list may name, at the 220 bytes each that one takes where an agent indents its lists.
 #[test_case(32 => true ; "a small machine, a thousand and more")]
 #[test_case(192 => true ; "the usual, a hundred and sixty thousand")]
 fn the_list_of_servers_has_room(memory_mb: u32) -> bool {
-    let terms = Paths::from_json(&serde_json::json!({}))
+    let terms = SettingsTree::from_json(&serde_json::json!({}))
         .and_then(|paths| Settings::read(&paths))
         .expect("sound");
     let limits = Limits::new(256, memory_mb, &terms).expect("room");
@@ -18,7 +18,7 @@
 #[test_case(65536, 40 ; "little memory")]
 #[test_case(256, 32 ; "a small machine")]
 fn all_descriptors_and_bytes_lie_within_what_is_given(sockets: u32, memory_mb: u32) {
-    let terms = Paths::from_json(&serde_json::json!({}))
+    let terms = SettingsTree::from_json(&serde_json::json!({}))
         .and_then(|paths| Settings::read(&paths))
         .expect("sound");
     let limits = Limits::new(sockets, memory_mb, &terms).expect("room");
--- a/crates/merlinreel/src/endpoints/tests.rs
+++ b/crates/merlinreel/src/endpoints/tests.rs
@@ -3,8 +3,9 @@
 use test_case::test_case;
 
 fn limits() -> Limits {
-    let paths =
-        merlinreel_settings::Paths::from_json(&serde_json::json!({"rules": {"drainGraceS": 2}}));
+    let paths = merlinreel_settings::SettingsTree::from_json(
+        &serde_json::json!({"rules": {"drainGraceS": 2}}),
+    );
     let terms = paths
         .and_then(|paths| merlinreel_settings::Settings::read(&paths))
         .expect("sound");
@@ -29,7 +30,7 @@
 #[test_case(0.5, 0.25 ; "a short one")]
 fn an_outage_s_end_is_noticed_within_a_drain_s_grace(grace: f64, within: f64) {
     let settings = serde_json::json!({"rules": {"drainGraceS": grace}});
-    let paths = merlinreel_settings::Paths::from_json(&settings);
+    let paths = merlinreel_settings::SettingsTree::from_json(&settings);
     let terms = paths
         .and_then(|paths| merlinreel_settings::Settings::read(&paths))
         .expect("sound");
--- a/crates/merlinreel/src/event_loop/tests.rs
+++ b/crates/merlinreel/src/event_loop/tests.rs
@@ -22,7 +22,7 @@
     let settings = serde_json::json!({"classes": [{"idempotency": "non_idempotent", "promiseS": 30.0,
         "hardLimitS": 60.0}], "packages": [{"unitsPerS": 9.0, "mostAtOnce": 9.0}],
         "policyLimits": {"mostHeld": 1, "mayCancel": true}});
-    let paths = merlinreel_settings::Paths::from_json(&settings);
+    let paths = merlinreel_settings::SettingsTree::from_json(&settings);
     let terms = paths
         .and_then(|paths| merlinreel_settings::Settings::read(&paths))
         .expect("sound");
--- a/crates/merlinreel/src/upstream.rs
+++ b/crates/merlinreel/src/upstream.rs
@@ -124,9 +124,9 @@
         UpstreamPool {
             figures,
             unasked: Arc::default(),
-            loads_in_answers: terms.sockets.loads_in_answers,
+            loads_in_answers: terms.sockets.load_reports_in_responses,
             memory: AnswerMemory::new(&limits),
-            loads_in_probes: terms.sockets.loads_in_probes,
+            loads_in_probes: terms.sockets.load_reports_in_health_checks,
             probes: terms.endpoints.health_checks,
             table: EndpointTable::new(terms.sockets.zones.clone()),
             idle: Vec::new(),
--- a/crates/merlinreel/src/upstream/tests.rs
+++ b/crates/merlinreel/src/upstream/tests.rs
@@ -50,7 +50,7 @@
 fn servers(address: SocketAddr, slots: usize) -> (UpstreamPool, mpsc::Receiver<Event>) {
     let settings =
         serde_json::json!({"report": {"how": "answers"}, "policyLimits": {"probes": true}});
-    let paths = merlinreel_settings::Paths::from_json(&settings);
+    let paths = merlinreel_settings::SettingsTree::from_json(&settings);
     let terms = paths
         .and_then(|paths| merlinreel_settings::Settings::read(&paths))
         .expect("sound");
