--- a/crates/merlinreel-discovery/src/message/tests.rs
+++ b/crates/merlinreel-discovery/src/message/tests.rs
@@ -1,4 +1,5 @@
 use super::*;
+use test_case::test_case;
 
 #[test]
 fn a_message_is_decoded() {
@@ -24,3 +25,100 @@
         })
     );
 }
+
+#[test]
+fn a_snapshot_with_all_lifecycles_is_decoded() {
+    let decoded = decode(
+        br#"{"generation":7,"reset":true,"instances":[
+        {"instanceId":"s-1","hostPort":"10.0.0.1:80","zone":"a","cell":1,"lifecycle":"up","weight":2,"startedAtMs":1},
+        {"instanceId":"s-2","hostPort":"10.0.0.2:80","zone":"a","cell":1,"lifecycle":"draining","weight":0,"startedAtMs":0},
+        {"instanceId":"s-3","hostPort":"[::1]:80","zone":"a","cell":1,"lifecycle":"removed","weight":null}]}"#,
+    )
+    .expect("sound");
+    assert_eq!((decoded.version, decoded.complete), (7, true));
+    let listed: Vec<_> = decoded
+        .servers
+        .iter()
+        .map(|server| {
+            (
+                server.name.as_str(),
+                server.address.to_string(),
+                server.state,
+                server.weight,
+                server.started_at,
+            )
+        })
+        .collect();
+    assert_eq!(
+        listed,
+        [
+            (
+                "s-1",
+                "10.0.0.1:80".to_owned(),
+                EndpointState::Ready,
+                2.0,
+                Some(Duration::from_millis(1))
+            ),
+            (
+                "s-2",
+                "10.0.0.2:80".to_owned(),
+                EndpointState::Draining,
+                0.0,
+                None
+            ),
+            (
+                "s-3",
+                "[::1]:80".to_owned(),
+                EndpointState::Removed,
+                1.0,
+                None
+            ),
+        ]
+    );
+}
+
+#[test]
+fn absent_fields_read_as_their_defaults() {
+    let text = br#"{"generation":1,"instances":[{"instanceId":"s","hostPort":"10.0.0.1:80","lifecycle":"up"}]}"#;
+    let endpoint = DiscoveredEndpoint {
+        name: "s".to_owned(),
+        address: SocketAddr::from(([10, 0, 0, 1], 80)),
+        zone: String::new(),
+        cell: 0,
+        state: EndpointState::Ready,
+        weight: 1.0,
+        started_at: None,
+    };
+    assert_eq!(
+        decode(text).ok(),
+        Some(DiscoveryUpdate {
+            version: 1,
+            complete: false,
+            servers: vec![endpoint]
+        })
+    );
+    assert_eq!(
+        decode(br#"{"generation":9}"#).ok(),
+        Some(DiscoveryUpdate {
+            version: 9,
+            complete: false,
+            servers: Vec::new()
+        })
+    );
+}
+
+#[test_case(r#"{"reset":true}"#, "missing field `generation` at line 1 column 14; the agent's answer is no list" ; "no version")]
+#[test_case("7", "invalid type: integer `7`, expected struct Message at line 1 column 1; the agent's answer is no list" ; "no object")]
+#[test_case(r#"{"generation":1,"instances":[7]}"#,
+    "invalid type: integer `7`, expected struct Instance at line 1 column 30; the agent's answer is no list" ; "no instance")]
+#[test_case(r#"{"generation":1,"instances":[{"hostPort":"10.0.0.1:80","lifecycle":"up"}]}"#,
+    "missing field `instanceId` at line 1 column 72; the agent's answer is no list" ; "no name")]
+#[test_case(r#"{"generation":1,"instances":[{"instanceId":"s","hostPort":"here","lifecycle":"up"}]}"#,
+    "instances[0].hostPort: 'here' is no address and port" ; "no address")]
+#[test_case(r#"{"generation":1,"instances":[{"instanceId":"r","hostPort":"10.0.0.1:80","lifecycle":"up"},
+    {"instanceId":"s","hostPort":"10.0.0.1:80","lifecycle":"odd"}]}"#,
+    "instances[1].lifecycle: unknown 'odd'; up, draining and removed are known" ; "unknown lifecycle")]
+fn a_malformed_message_is_named_in_the_error(text: &str, expected: &str) {
+    let error = decode(text.as_bytes()).err().map(|error| error.to_string());
+    assert_eq!(error.as_deref(), Some(expected));
+}
