--- a/crates/merlinreel-discovery/src/lib.rs
+++ b/crates/merlinreel-discovery/src/lib.rs
@@ -1,5 +1,9 @@
-//! The list of servers as discovery tells it and as a limiter holds it: decoding of messages, and the table that gives
-//! each server an index. No I/O and no clock; nothing is decided here.
+//! The server list that the discovery agent publishes.
+//!
+//! [`decode`] checks a message of the agent and gives a [`DiscoveryUpdate`]; [`EndpointTable`] applies updates and gives
+//! each endpoint the index by which the policy knows it. Neither does I/O, reads a clock or makes decisions.
+
+#![warn(missing_docs)]
 
 mod message;
 mod table;
--- a/crates/merlinreel-discovery/src/message.rs
+++ b/crates/merlinreel-discovery/src/message.rs
@@ -1,4 +1,4 @@
-//! Discovery's messages: JSON in, a checked list out.
+//! Decodes and checks the discovery agent's messages. The agent's JSON names are mapped here and nowhere else.
 
 use merlinreel_policy::EndpointState;
 use serde::Deserialize;
@@ -6,91 +6,122 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// Why a message is no list. The list before stands.
+/// Weight of an endpoint whose message gives none.
+const DEFAULT_WEIGHT: f64 = 1.0;
+
+/// Why a message cannot be used. The list received before it stays in use.
 #[derive(Debug, Error)]
 pub enum MessageError {
+    /// The message is not JSON of the agent's form.
     #[error("{0}; the agent's answer is no list")]
     Malformed(#[from] serde_json::Error),
-    #[error("instances[{place}].hostPort: '{given}' is no address and port")]
-    Address { place: usize, given: String },
-    #[error("instances[{place}].lifecycle: unknown '{given}'; up, draining and removed are known")]
-    Lifecycle { place: usize, given: String },
+    /// An instance's address must be an IP address and a port.
+    #[error("instances[{index}].hostPort: '{given}' is no address and port")]
+    Address {
+        /// Position of the instance in the message.
+        index: usize,
+        /// The text that was given.
+        given: String,
+    },
+    /// An instance's lifecycle must be one of the known ones.
+    #[error("instances[{index}].lifecycle: unknown '{given}'; up, draining and removed are known")]
+    Lifecycle {
+        /// Position of the instance in the message.
+        index: usize,
+        /// The text that was given.
+        given: String,
+    },
 }
 
-/// A message, checked.
+/// A checked message.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DiscoveryUpdate {
+    /// The agent's number for this state of the list.
     pub version: u64,
-    /// A complete list: who is not on it is gone. Else only what changed.
+    /// The message is a snapshot: an endpoint that it leaves out is removed. Otherwise it holds only changes.
     pub complete: bool,
+    /// The endpoints, in the order of the message.
     pub servers: Vec<DiscoveredEndpoint>,
 }
 
-/// A server as discovery lists it.
+/// An endpoint as the agent describes it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DiscoveredEndpoint {
+    /// The name by which all limiters know it.
     pub name: String,
+    /// Where it accepts connections.
     pub address: SocketAddr,
+    /// Name of its zone; empty if the agent gives none.
     pub zone: String,
+    /// Its cell.
     pub cell: u32,
+    /// Whether it takes requests.
     pub state: EndpointState,
+    /// Its capacity relative to other endpoints.
     pub weight: f64,
-    /// Unix time of its last start, if that was not long ago.
+    /// Unix time of its last start, if the agent reports one.
     pub started_at: Option<Duration>,
 }
 
-/// A message as it stands on the wire.
+/// A message as the agent sends it, not yet checked; [`DiscoveryUpdate`] is made from it.
 #[derive(Deserialize)]
 pub struct Message {
-    generation: u64,
-    #[serde(default)]
-    reset: bool,
+    #[serde(rename = "generation")]
+    version: u64,
+    #[serde(rename = "reset", default)]
+    complete: bool,
     #[serde(default)]
     instances: Vec<Instance>,
 }
 
+/// The name of this type is part of the texts of errors.
 #[derive(Deserialize)]
-#[serde(rename_all = "camelCase")]
 struct Instance {
-    instance_id: String,
-    host_port: String,
+    #[serde(rename = "instanceId")]
+    name: String,
+    #[serde(rename = "hostPort")]
+    address: String,
     #[serde(default)]
     zone: String,
     #[serde(default)]
     cell: u32,
-    lifecycle: String,
+    #[serde(rename = "lifecycle")]
+    state: String,
     weight: Option<f64>,
-    #[serde(default)]
+    #[serde(rename = "startedAtMs", default)]
     started_at_ms: u64,
 }
 
 impl Instance {
-    /// `place` is where it stands in the message, for the error.
-    fn check(self, place: usize) -> Result<DiscoveredEndpoint, MessageError> {
-        let state = match self.lifecycle.as_str() {
+    /// `index` is the instance's position in the message.
+    fn check(self, index: usize) -> Result<DiscoveredEndpoint, MessageError> {
+        let state = match self.state.as_str() {
             "up" => EndpointState::Ready,
             "draining" => EndpointState::Draining,
             "removed" => EndpointState::Removed,
-            other => {
+            _ => {
                 return Err(MessageError::Lifecycle {
-                    place,
-                    given: other.to_owned(),
+                    index,
+                    given: self.state,
                 });
             }
         };
-        let address = self.host_port.parse();
-        let address = address.map_err(|_| MessageError::Address {
-            place,
-            given: self.host_port,
-        })?;
+        let Ok(address) = self.address.parse() else {
+            return Err(MessageError::Address {
+                index,
+                given: self.address,
+            });
+        };
+        // The agent writes 0 for a start that it does not know.
+        let started_at = Some(Duration::from_millis(self.started_at_ms)).filter(|at| !at.is_zero());
         Ok(DiscoveredEndpoint {
-            name: self.instance_id,
+            name: self.name,
             address,
             zone: self.zone,
             cell: self.cell,
             state,
-            weight: self.weight.unwrap_or(1.0),
-            started_at: Some(Duration::from_millis(self.started_at_ms)).filter(|at| !at.is_zero()),
+            weight: self.weight.unwrap_or(DEFAULT_WEIGHT),
+            started_at,
         })
     }
 }
@@ -101,16 +132,21 @@
     fn try_from(message: Message) -> Result<DiscoveryUpdate, MessageError> {
         let instances = message.instances.into_iter().enumerate();
         let servers = instances
-            .map(|(place, instance)| instance.check(place))
+            .map(|(index, instance)| instance.check(index))
             .collect::<Result<_, _>>()?;
         Ok(DiscoveryUpdate {
-            version: message.generation,
-            complete: message.reset,
+            version: message.version,
+            complete: message.complete,
             servers,
         })
     }
 }
 
+/// Decodes and checks a message.
+///
+/// # Errors
+///
+/// The first thing wrong with the message. One faulty instance fails all of the message.
 pub fn decode(bytes: &[u8]) -> Result<DiscoveryUpdate, MessageError> {
     let message: Message = serde_json::from_slice(bytes)?;
     message.try_into()
--- a/crates/merlinreel-discovery/src/message/tests.rs
+++ b/crates/merlinreel-discovery/src/message/tests.rs
@@ -2,12 +2,12 @@
 use test_case::test_case;
 
 #[test]
-fn a_message_is_decoded() {
-    let news = decode(
+fn update_with_all_values_is_decoded() {
+    let decoded = decode(
         br#"{"generation":43,"reset":false,"new":1,"instances":[{"instanceId":"s-5b","hostPort":"127.1.0.18:9000",
         "zone":"b","machineType":"m2","cell":3,"lifecycle":"draining","weight":1.5,"startedAtMs":1800000000250}]}"#,
     );
-    let listed = DiscoveredEndpoint {
+    let endpoint = DiscoveredEndpoint {
         name: "s-5b".to_owned(),
         address: SocketAddr::from(([127, 1, 0, 18], 9000)),
         zone: "b".to_owned(),
@@ -17,17 +17,17 @@
         started_at: Some(Duration::from_millis(1_800_000_000_250)),
     };
     assert_eq!(
-        news.ok(),
+        decoded.ok(),
         Some(DiscoveryUpdate {
             version: 43,
             complete: false,
-            servers: vec![listed]
+            servers: vec![endpoint]
         })
     );
 }
 
 #[test]
-fn a_snapshot_with_all_lifecycles_is_decoded() {
+fn snapshot_with_every_lifecycle_is_decoded() {
     let decoded = decode(
         br#"{"generation":7,"reset":true,"instances":[
         {"instanceId":"s-1","hostPort":"10.0.0.1:80","zone":"a","cell":1,"lifecycle":"up","weight":2,"startedAtMs":1},
@@ -36,7 +36,7 @@
     )
     .expect("sound");
     assert_eq!((decoded.version, decoded.complete), (7, true));
-    let listed: Vec<_> = decoded
+    let endpoints: Vec<_> = decoded
         .servers
         .iter()
         .map(|server| {
@@ -50,7 +50,7 @@
         })
         .collect();
     assert_eq!(
-        listed,
+        endpoints,
         [
             (
                 "s-1",
@@ -118,7 +118,7 @@
 #[test_case(r#"{"generation":1,"instances":[{"instanceId":"r","hostPort":"10.0.0.1:80","lifecycle":"up"},
     {"instanceId":"s","hostPort":"10.0.0.1:80","lifecycle":"odd"}]}"#,
     "instances[1].lifecycle: unknown 'odd'; up, draining and removed are known" ; "unknown lifecycle")]
-fn a_malformed_message_is_named_in_the_error(text: &str, expected: &str) {
+fn malformed_message_is_described_in_the_error(text: &str, expected: &str) {
     let error = decode(text.as_bytes()).err().map(|error| error.to_string());
     assert_eq!(error.as_deref(), Some(expected));
 }
--- a/crates/merlinreel-discovery/src/table.rs
+++ b/crates/merlinreel-discovery/src/table.rs
@@ -1,38 +1,40 @@
-//! The table of servers: names and addresses to the indices by which the decision module knows them.
+//! The endpoints by the index under which the policy knows them.
 
 use crate::message::{DiscoveredEndpoint, DiscoveryUpdate};
 use merlinreel_policy::{Endpoint, EndpointState, EndpointUpdate, ring_hash};
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
+/// What is held for an index.
 #[derive(Debug)]
-struct Place {
+struct TableEntry {
     name: String,
-    /// As it was listed last.
-    entry: Endpoint,
+    /// As the last message described it.
+    endpoint: Endpoint,
     address: SocketAddr,
 }
 
-impl Place {
-    fn stands(&self) -> bool {
-        self.entry.state != EndpointState::Removed
+impl TableEntry {
+    fn is_listed(&self) -> bool {
+        self.endpoint.state != EndpointState::Removed
     }
 }
 
-/// The servers by index. A server keeps its index until it is forgotten; the index is then another's.
+/// The endpoints by index. An endpoint keeps its index until it is released; the index is then given to another one.
 #[derive(Debug, Default)]
 pub struct EndpointTable {
     zones: Vec<String>,
-    names: HashMap<String, u32>,
-    /// By address, the server that took it last. It may be gone since.
-    addresses: HashMap<SocketAddr, u32>,
-    places: Vec<Place>,
-    /// Indices of servers that were forgotten.
-    free: Vec<u32>,
+    index_by_name: HashMap<String, u32>,
+    /// The endpoint that was last found at an address. It may have been removed since.
+    index_by_address: HashMap<SocketAddr, u32>,
+    entries: Vec<TableEntry>,
+    /// Indices of released endpoints.
+    free_indices: Vec<u32>,
 }
 
 impl EndpointTable {
-    /// `zones` by their index in the settings; others are added as lists name them.
+    /// An empty table. `zones` are the zones' names by their index in the settings; names that messages add get the next
+    /// indices.
     pub fn new(zones: Vec<String>) -> EndpointTable {
         EndpointTable {
             zones,
@@ -40,139 +42,145 @@
         }
     }
 
-    /// How many indices are in use or free.
+    /// Number of indices, used and free.
     pub fn indices(&self) -> usize {
-        self.places.len()
+        self.entries.len()
     }
 
+    /// Where an endpoint accepts connections; `None` if the index was never used.
     pub fn address(&self, server: u32) -> Option<SocketAddr> {
-        self.places.get(server as usize).map(|place| place.address)
+        self.entry(server).map(|entry| entry.address)
     }
 
-    /// Whether it is listed, be it up or draining.
-    pub fn stands(&self, server: u32) -> bool {
-        self.places.get(server as usize).is_some_and(Place::stands)
+    /// Whether an endpoint is listed, ready or draining.
+    pub fn is_listed(&self, server: u32) -> bool {
+        self.entry(server).is_some_and(TableEntry::is_listed)
     }
 
-    /// Whether it is listed as up.
-    pub fn is_up(&self, server: u32) -> bool {
-        self.places
-            .get(server as usize)
-            .is_some_and(|place| place.entry.state == EndpointState::Ready)
+    /// Whether an endpoint is listed as ready.
+    pub fn is_ready(&self, server: u32) -> bool {
+        self.entry(server)
+            .is_some_and(|entry| entry.endpoint.state == EndpointState::Ready)
     }
 
-    /// Takes a message in, and gives it back with indices in the place of names.
-    pub fn apply(&mut self, news: DiscoveryUpdate, cached: bool) -> EndpointUpdate {
-        let mut endpoints = Vec::with_capacity(news.servers.len());
-        if news.complete {
-            self.places
-                .iter_mut()
-                .for_each(|place| place.entry.state = EndpointState::Removed);
+    /// Applies a message and gives it with indices in place of names. An endpoint whose address another one has taken over
+    /// comes before that one, as removed. `cached` marks a list that was stored before this limiter's start.
+    pub fn apply(&mut self, update: DiscoveryUpdate, cached: bool) -> EndpointUpdate {
+        let mut endpoints = Vec::with_capacity(update.servers.len());
+        if update.complete {
+            for entry in &mut self.entries {
+                entry.endpoint.state = EndpointState::Removed;
+            }
         }
-        for listed in news.servers {
-            self.take(listed, &mut endpoints);
+        for discovered in update.servers {
+            self.apply_endpoint(discovered, &mut endpoints);
         }
         EndpointUpdate {
-            complete: news.complete,
+            complete: update.complete,
             cached,
             unavailable: false,
             endpoints,
         }
     }
 
-    fn take(&mut self, listed: DiscoveredEndpoint, endpoints: &mut Vec<Endpoint>) {
-        let mut entry = Endpoint {
+    /// Frees an endpoint's index for another one, so that memory does not grow with every endpoint that is ever listed.
+    pub fn release(&mut self, server: u32) {
+        let Some(entry) = self.entries.get_mut(server as usize) else {
+            return;
+        };
+        entry.endpoint.state = EndpointState::Removed;
+        let name = std::mem::take(&mut entry.name);
+        let address = entry.address;
+        if self.index_by_name.get(&name) == Some(&server) {
+            self.index_by_name.remove(&name);
+        }
+        self.clear_address(server, address);
+        self.free_indices.push(server);
+    }
+
+    fn entry(&self, server: u32) -> Option<&TableEntry> {
+        self.entries.get(server as usize)
+    }
+
+    fn apply_endpoint(&mut self, discovered: DiscoveredEndpoint, endpoints: &mut Vec<Endpoint>) {
+        let mut endpoint = Endpoint {
             server: 0,
-            ring_hash: ring_hash(&listed.name),
-            zone: self.zone(listed.zone),
-            cell: listed.cell,
-            state: listed.state,
-            weight: listed.weight,
-            started_at: listed.started_at,
+            ring_hash: ring_hash(&discovered.name),
+            zone: self.zone_index(discovered.zone),
+            cell: discovered.cell,
+            state: discovered.state,
+            weight: discovered.weight,
+            started_at: discovered.started_at,
         };
-        entry.server = match self.names.get(&listed.name) {
+        endpoint.server = match self.index_by_name.get(&discovered.name) {
             Some(&server) => server,
             None => {
-                endpoints.extend(self.replace(listed.address));
-                self.add(listed.name, entry, listed.address)
+                endpoints.extend(self.remove_at(discovered.address));
+                self.insert(discovered.name, endpoint, discovered.address)
             }
         };
-        self.take_address(entry.server, listed.address);
-        self.places[entry.server as usize].entry = entry;
-        endpoints.push(entry);
-    }
-
-    fn zone(&mut self, name: String) -> u32 {
-        let zone = self
-            .zones
-            .iter()
-            .position(|zone| *zone == name)
-            .unwrap_or_else(|| {
-                self.zones.push(name);
-                self.zones.len() - 1
-            });
-        zone as u32
-    }
-
-    /// The server that stands at an address as far as is known.
-    fn standing_at(&self, address: SocketAddr) -> Option<u32> {
-        let server = *self.addresses.get(&address)?;
-        let place = &self.places[server as usize];
-        (place.address == address && place.stands()).then_some(server)
-    }
-
-    /// Guards against attempts at a server that is gone, but not told so yet, where another took its address.
-    fn replace(&mut self, address: SocketAddr) -> Option<Endpoint> {
-        let before = self.standing_at(address)?;
-        let place = &mut self.places[before as usize];
-        place.entry.state = EndpointState::Removed;
-        Some(place.entry)
-    }
-
-    fn add(&mut self, name: String, entry: Endpoint, address: SocketAddr) -> u32 {
-        let server = self.free.pop().unwrap_or(self.places.len() as u32);
-        self.names.insert(name.clone(), server);
-        let place = Place {
+        self.set_address(endpoint.server, discovered.address);
+        self.entries[endpoint.server as usize].endpoint = endpoint;
+        endpoints.push(endpoint);
+    }
+
+    fn zone_index(&mut self, name: String) -> u32 {
+        let known = self.zones.iter().position(|zone| *zone == name);
+        let index = known.unwrap_or_else(|| {
+            self.zones.push(name);
+            self.zones.len() - 1
+        });
+        index as u32
+    }
+
+    /// The listed endpoint that is known to be at an address.
+    fn listed_at(&self, address: SocketAddr) -> Option<u32> {
+        let server = *self.index_by_address.get(&address)?;
+        let entry = &self.entries[server as usize];
+        (entry.address == address && entry.is_listed()).then_some(server)
+    }
+
+    /// Removes the endpoint at an address that a new one has taken over. The agent may report its removal only later, and
+    /// attempts at it would reach the new one.
+    fn remove_at(&mut self, address: SocketAddr) -> Option<Endpoint> {
+        let server = self.listed_at(address)?;
+        let entry = &mut self.entries[server as usize];
+        entry.endpoint.state = EndpointState::Removed;
+        Some(entry.endpoint)
+    }
+
+    fn insert(&mut self, name: String, endpoint: Endpoint, address: SocketAddr) -> u32 {
+        let next = self.entries.len() as u32;
+        let server = self.free_indices.pop().unwrap_or(next);
+        self.index_by_name.insert(name.clone(), server);
+        let entry = TableEntry {
             name,
-            entry,
+            endpoint,
             address,
         };
-        match self.places.get_mut(server as usize) {
-            Some(old) => *old = place,
-            None => self.places.push(place),
+        match self.entries.get_mut(server as usize) {
+            Some(released) => *released = entry,
+            None => self.entries.push(entry),
         }
         server
     }
 
-    /// Notes where a server is, unless another that stands is known there.
-    fn take_address(&mut self, server: u32, address: SocketAddr) {
-        let before = std::mem::replace(&mut self.places[server as usize].address, address);
-        if before != address {
-            self.leave_address(server, before);
+    /// Records an endpoint's address, unless another listed endpoint is known to be there.
+    fn set_address(&mut self, server: u32, address: SocketAddr) {
+        let entry = &mut self.entries[server as usize];
+        let previous = std::mem::replace(&mut entry.address, address);
+        if previous != address {
+            self.clear_address(server, previous);
         }
-        if self.standing_at(address).is_none() {
-            self.addresses.insert(address, server);
+        if self.listed_at(address).is_none() {
+            self.index_by_address.insert(address, server);
         }
     }
 
-    fn leave_address(&mut self, server: u32, address: SocketAddr) {
-        if self.addresses.get(&address) == Some(&server) {
-            self.addresses.remove(&address);
-        }
-    }
-
-    /// Its index is free for another. Guards the memory against servers replaced without end.
-    pub fn forget(&mut self, server: u32) {
-        let Some(place) = self.places.get_mut(server as usize) else {
-            return;
-        };
-        place.entry.state = EndpointState::Removed;
-        let (name, address) = (std::mem::take(&mut place.name), place.address);
-        if self.names.get(&name) == Some(&server) {
-            self.names.remove(&name);
+    fn clear_address(&mut self, server: u32, address: SocketAddr) {
+        if self.index_by_address.get(&address) == Some(&server) {
+            self.index_by_address.remove(&address);
         }
-        self.leave_address(server, address);
-        self.free.push(server);
     }
 }
 
--- a/crates/merlinreel-discovery/src/table/tests.rs
+++ b/crates/merlinreel-discovery/src/table/tests.rs
@@ -1,8 +1,8 @@
 use super::*;
 
-/// A message that lists one server, up at that port.
-fn news(name: &str, port: u16, complete: bool) -> DiscoveryUpdate {
-    let listed = DiscoveredEndpoint {
+/// A message that lists one endpoint, ready at that port.
+fn update(name: &str, port: u16, complete: bool) -> DiscoveryUpdate {
+    let endpoint = DiscoveredEndpoint {
         name: name.to_owned(),
         address: SocketAddr::from(([127, 0, 0, 9], port)),
         zone: "a".to_owned(),
@@ -14,59 +14,63 @@
     DiscoveryUpdate {
         version: 1,
         complete,
-        servers: vec![listed],
+        servers: vec![endpoint],
     }
 }
 
-/// Guards against growth with every server ever listed, and against attempts at one whose address another took.
+/// An attempt at an endpoint whose address another one took would reach the other one.
 #[test]
-fn an_index_is_another_s_once_it_is_forgotten_and_an_address_once_it_is_taken() {
+fn released_index_and_taken_address_belong_to_the_next_endpoint() {
     let mut table = EndpointTable::new(Vec::new());
-    table.apply(news("s-1", 7, true), true);
-    let mut named = |name: &str, port: u16, complete: bool| {
-        let endpoints = table.apply(news(name, port, complete), false).endpoints;
+    table.apply(update("s-1", 7, true), true);
+    let mut apply = |name: &str, port: u16, complete: bool| {
+        let endpoints = table.apply(update(name, port, complete), false).endpoints;
         if complete {
-            table.forget(0);
+            table.release(0);
         }
         endpoints
             .iter()
-            .map(|entry| (entry.server, entry.state))
+            .map(|endpoint| (endpoint.server, endpoint.state))
             .collect::<Vec<_>>()
     };
-    assert_eq!(named("s-2", 1, false), [(1, EndpointState::Ready)]);
+    assert_eq!(apply("s-2", 1, false), [(1, EndpointState::Ready)]);
     assert_eq!(
-        named("s-3", 1, false),
+        apply("s-3", 1, false),
         [(1, EndpointState::Removed), (2, EndpointState::Ready)]
     );
-    // The list is whole, so the first server is gone, and forgotten.
-    assert_eq!(named("s-3", 1, true), [(2, EndpointState::Ready)]);
-    assert_eq!(named("s-4", 2, false), [(0, EndpointState::Ready)]);
+    // A snapshot without the first endpoint removes it, and it is released.
+    assert_eq!(apply("s-3", 1, true), [(2, EndpointState::Ready)]);
+    assert_eq!(apply("s-4", 2, false), [(0, EndpointState::Ready)]);
 }
 
-/// Nothing is kept of servers that are forgotten: neither their names nor their addresses.
+/// Neither names nor addresses of released endpoints are kept.
 #[test]
-fn servers_replaced_without_end_leave_nothing_behind() {
+fn replaced_endpoints_leave_no_memory_in_use() {
     let mut table = EndpointTable::new(Vec::new());
-    table.apply(news("s-0", 9000, true), true);
+    table.apply(update("s-0", 9000, true), true);
     for port in 1..500 {
         let endpoints = table
-            .apply(news(&format!("s-{port}"), port, false), false)
+            .apply(update(&format!("s-{port}"), port, false), false)
             .endpoints;
-        table.forget(1 - endpoints[0].server);
+        table.release(1 - endpoints[0].server);
     }
     assert_eq!(
-        (table.names.len(), table.addresses.len(), table.places.len()),
+        (
+            table.index_by_name.len(),
+            table.index_by_address.len(),
+            table.entries.len()
+        ),
         (1, 1, 2)
     );
 }
 
-/// A server that moves leaves its address to others.
+/// An endpoint that moves frees its address.
 #[test]
-fn a_server_that_moves_is_not_replaced_at_its_old_address() {
+fn moved_endpoint_is_not_removed_at_its_previous_address() {
     let mut table = EndpointTable::new(Vec::new());
-    table.apply(news("s-1", 1, true), false);
-    table.apply(news("s-1", 2, false), false);
-    let endpoints = table.apply(news("s-2", 1, false), false).endpoints;
+    table.apply(update("s-1", 1, true), false);
+    table.apply(update("s-1", 2, false), false);
+    let endpoints = table.apply(update("s-2", 1, false), false).endpoints;
     assert_eq!(endpoints.len(), 1);
-    assert!(table.stands(0) && table.stands(1));
+    assert!(table.is_listed(0) && table.is_listed(1));
 }
--- a/crates/merlinreel-testkit/src/scale/server_list/hollow.rs
+++ b/crates/merlinreel-testkit/src/scale/server_list/hollow.rs
@@ -120,7 +120,7 @@
     fn round(&mut self, round: &EventBatch) {
         self.limiter.round(self.now, round, &mut self.writer);
         for server in std::mem::take(&mut self.writer.forgotten) {
-            self.table.forget(server);
+            self.table.release(server);
         }
     }
 
--- a/crates/merlinreel/src/upstream.rs
+++ b/crates/merlinreel/src/upstream.rs
@@ -160,20 +160,20 @@
 
     fn close_idle_to_the_gone(&mut self) {
         let idle = self.idle.iter_mut().enumerate();
-        for (_, idle) in idle.filter(|(server, _)| !self.table.stands(*server as u32)) {
+        for (_, idle) in idle.filter(|(server, _)| !self.table.is_listed(*server as u32)) {
             idle.0.clear();
         }
     }
 
     /// Whether it is listed as up.
     pub fn is_up(&self, server: u32) -> bool {
-        self.table.is_up(server)
+        self.table.is_ready(server)
     }
 
     /// Nothing is kept of this server any more; its index may be another's.
     pub fn forget(&mut self, server: u32) {
         self.close_idle(server);
-        self.table.forget(server);
+        self.table.release(server);
     }
 
     /// Starts an attempt on an idle connection, else on a new one; none where all descriptors are taken.
