--- a/crates/merlinreel-simulator-adapter/src/host/tests.rs
+++ b/crates/merlinreel-simulator-adapter/src/host/tests.rs
@@ -99,6 +99,37 @@
 #[test_case("CONTEXT limiter/0\nINIT 5 balancers", "settings: 'balancers' is no path=value" ; "broken settings")]
 #[test_case("CONTEXT limiter/0\nINIT 5 balancers=1e9", "setting balancers: 1000000000 is out of range" ; "absurd size")]
 #[test_case("CONTEXT limiter/0\nINIT 5 balancers=2 rank=5", "setting rank: 5 is not among 2" ; "rank beyond")]
+#[test_case(" ", "message is missing" ; "empty line")]
+#[test_case("ROUND", "clock is missing" ; "batch without a time")]
+#[test_case("CONTEXT", "limiterId is missing" ; "nameless instance")]
+#[test_case("CONTEXT limiter/9\nTEARDOWN", "instance limiter/9 is not known" ; "end of an unknown instance")]
+#[test_case("ROUND 9\nTEARDOWN", "no instance is named" ; "end of nobody")]
+#[test_case("ROUND 9\nINIT 5", "no instance is named" ; "start of nobody")]
+#[test_case("CONTEXT limiter/0\nINIT x", "entropy: 'x' is not a whole number" ; "seed")]
+#[test_case("POOL 1 -1", "records: '-1' is not a whole number" ; "negative length")]
+#[test_case("POOL 1 1048576", "records: 1048576 is out of range" ; "list too long")]
+#[test_case("POOL 1 0\nENTRY server.q 0 0 0 U 1 -", "one entry more than the list states" ; "list too full")]
+#[test_case("POOL 1 1\nENTRY server.q 0 0 0 X 1 -", "readiness: unknown 'X'" ; "unknown readiness")]
+#[test_case("POOL 1 1\nENTRY server.q 0 0 0 U much -", "scale: 'much' is not a number" ; "weight")]
+#[test_case("CONTEXT limiter/0\nENDPOINTS delta 2 0", "form: unknown 'delta'" ; "unknown form")]
+#[test_case("CONTEXT limiter/0\nENDPOINTS update x 0", "serial: 'x' is not a whole number" ; "list version")]
+#[test_case("CONTEXT limiter/0\nJOB_IN j-1 2 1 77 0 4 0 0 1", "lane: 4 is out of range" ; "unknown class")]
+#[test_case("CONTEXT limiter/0\nJOB_IN j-1 65536 1 77 0 0 0 0 1", "spread: 65536 is out of range" ; "set too large")]
+#[test_case("CONTEXT limiter/0\nJOB_IN j-1 2 1 77 0 0 0 0 -1", "quotaUnits: -1 is below 0" ; "negative units")]
+#[test_case("CONTEXT limiter/0\nJOB_IN j-1 2 1 77 0 0 0 0 1\nJOB_IN j-1 2 1 77 0 0 0 0 1", "job j-1 came in twice" ; "twice")]
+#[test_case("CONTEXT limiter/0\nJOB_IN j-1 2 1 77 0 0 0 0 1\nREPLY j-1 1 0 server.abc delivered 0.1 0 0 -", "job j-1 has no attempt out" ; "answer to nothing")]
+#[test_case("CONTEXT limiter/0\nJOB_IN j-1 2 1 77 0 0 0 0 1\nREPLY j-1 2 0 server.abc delivered 0.1 0 0 -", "finished: '2' is neither 1 nor 0" ; "no flag")]
+#[test_case("CONTEXT limiter/0\nJOB_IN j-1 2 1 77 0 0 0 0 1\nREPLY j-1 1 0 server.zz delivered 0.1 0 0 -", "server server.zz is not known" ; "answer of an unknown server")]
+#[test_case("CONTEXT limiter/0\nJOB_IN j-1 2 1 77 0 0 0 0 1\nREPLY j-1 1 0 server.abc late 0.1 0 0 -", "stateCode: unknown 'late'" ; "unknown outcome")]
+#[test_case("CONTEXT limiter/0\nSAMPLED server.abc delivered 0.1 pending", "feedback: 'pending' is no pair" ; "load without a value")]
+#[test_case("CONTEXT limiter/0\nSAMPLED server.abc delivered 0.1 pending:many", "feedback: 'many' is not a number" ; "load not a number")]
+#[test_case("CONTEXT limiter/0\nSAMPLED server.abc delivered inf -", "waitTimeS: 'inf' is not a number" ; "endless time")]
+#[test_case("CONTEXT limiter/0\nSAMPLED server.abc delivered - -", "waitTimeS is missing" ; "absent time")]
+#[test_case("CONTEXT limiter/0\nMAIL 65536 00", "src: 65536 is out of range" ; "unknown sender")]
+#[test_case("CONTEXT limiter/0\nMAIL 1 000", "content: '000' is not hex" ; "half a byte")]
+#[test_case("CONTEXT limiter/0\nDUE", "token is missing" ; "nameless timer")]
+#[test_case("CONTEXT limiter/0\nLEDGER_REPLY 1 delivered 0.1 4d", "cname: unknown '4d'" ; "unknown counter")]
+#[test_case("CONTEXT limiter/0\nINIT 5 policyLimits.sendCap=0", "setting policyLimits.sendCap: '0' is not a positive number" ; "no attempts")]
 fn what_is_malformed_gets_one_plain_line(lines: &str, complaint: &str) {
     assert_eq!(play(&mut started(), lines).1, [complaint]);
 }
@@ -126,3 +157,254 @@
         Some((8_589_934_591, 100_020))
     );
 }
+
+#[test]
+fn a_list_that_came_in_broken_is_not_taken() {
+    let entry = "POOL 1 1\nENTRY server.q 0 0 0 X 1 -\nCONTEXT limiter/0\nENDPOINTS update 2 1";
+    assert_eq!(
+        play(&mut started(), entry).1,
+        ["readiness: unknown 'X'", "list 1 came in broken"]
+    );
+    // The line that ends a short list is lost with it.
+    let short = "CONTEXT limiter/0\nPOOL 1 1\nDUE sweep\nENDPOINTS update 2 1";
+    assert_eq!(
+        play(&mut started(), short).1,
+        ["list 1 is 1 entries short", "list 1 came in broken"]
+    );
+}
+
+/// Lines of the instance's batch, read but not yet given to its limiter.
+fn batch_of(lines: &str) -> EventBatch {
+    let mut host = started();
+    let lines = format!("ROUND 9\nCONTEXT limiter/0\n{lines}");
+    assert_eq!(play(&mut host, &lines).1, [""; 0]);
+    std::mem::take(&mut host.instances.get_mut("limiter/0").expect("started").round)
+}
+
+#[test]
+fn a_list_of_servers_is_read_with_every_value() {
+    let lines = "POOL 3 4\nENTRY server.abc 2 9 5 U 1.5 7.25\nENTRY server.b 0 0 0 L - -\n\
+        ENTRY server.c 0 0 0 D 0 0\nENTRY server.d 0 0 0 U 1\nENDPOINTS replace 8 3\n\
+        ENDPOINTS unavailable 9\nENDPOINTS update 10 3\nENDPOINTS restored 11 3";
+    let batch = batch_of(lines);
+    let forms: Vec<_> = batch
+        .endpoint_updates
+        .iter()
+        .map(|update| {
+            (
+                update.complete,
+                update.cached,
+                update.unavailable,
+                update.endpoints.len(),
+            )
+        })
+        .collect();
+    assert_eq!(
+        forms,
+        [
+            (true, false, false, 4),
+            (false, false, true, 0),
+            (false, false, false, 4),
+            (true, true, false, 4)
+        ]
+    );
+    let read: Vec<_> = batch.endpoint_updates[0]
+        .endpoints
+        .iter()
+        .map(|entry| {
+            (
+                entry.server,
+                entry.zone,
+                entry.cell,
+                entry.state,
+                entry.weight,
+                entry.started_at,
+            )
+        })
+        .collect();
+    assert_eq!(
+        read,
+        [
+            (
+                0,
+                2,
+                5,
+                EndpointState::Ready,
+                1.5,
+                Some(Duration::from_millis(7250))
+            ),
+            (1, 0, 0, EndpointState::Draining, 1.0, None),
+            (2, 0, 0, EndpointState::Removed, 0.0, None),
+            (3, 0, 0, EndpointState::Ready, 1.0, None),
+        ]
+    );
+    let endpoint = batch.endpoint_updates[0].endpoints[0];
+    assert_eq!(endpoint.ring_hash, ring_hash("server.abc"));
+}
+
+#[test]
+fn jobs_are_read_with_every_value() {
+    let lines = "JOB_IN j-1 2 1.25 77 0 0 2 1 4.5\nJOB_IN j-2 3 1 78 0 0 - - -\nJOB_IN j-3 1 0 79 0 0 5\n\
+        ACCEPTED j-2\nACCEPTED j-9\nLEFT j-3\nLEFT j-9\nDUE sweep";
+    let batch = batch_of(lines);
+    let read: Vec<_> = batch
+        .requests
+        .iter()
+        .map(|request| {
+            (
+                (request.id, request.customer, request.plan, request.class),
+                (request.units, request.remaining_time),
+                (request.set_size, request.set_first, request.is_retry),
+            )
+        })
+        .collect();
+    assert_eq!(
+        read,
+        [
+            (
+                (0, 77, 0, 0),
+                (4.5, Duration::from_millis(1250)),
+                (2, 1, true)
+            ),
+            ((1, 78, 0, 0), (1.0, Duration::from_secs(1)), (3, 0, false)),
+            ((2, 79, 0, 0), (1.0, Duration::ZERO), (1, 0, false)),
+        ]
+    );
+    assert_eq!(
+        (batch.streaming.as_slice(), batch.disconnects.as_slice()),
+        ([1].as_slice(), [2].as_slice())
+    );
+}
+
+#[test]
+fn an_answer_is_read_with_every_value() {
+    let mut host = started();
+    let sent = "ROUND 9\nCONTEXT limiter/0\nJOB_IN j-1 2 1.4 77 0 0 0 0 1\nOVER_TO_YOU";
+    assert!(play(&mut host, sent).0.contains("SUBMIT_TO j-1"));
+    let answer = "ROUND 9.5\nCONTEXT limiter/0\nREPLY j-1 0 2.5 server.abc shed 0.125 3 126 \
+        busy_reqs:1,pending:2,cpu_share:0.5,svc_ms:9,served_ps:10,failed_ps:11,more:12";
+    assert_eq!(play(&mut host, answer).1, [""; 0]);
+    let batch = &host.instances["limiter/0"].round;
+    let read = &batch.attempt_results[0];
+    assert_eq!((read.request, read.attempt, read.server), (0, 3, 0));
+    assert_eq!(
+        (read.outcome, read.latency, read.request_completed),
+        (AttemptOutcome::Rejected, Duration::from_millis(125), false)
+    );
+    assert_eq!(
+        (read.units, read.metered_usage),
+        (Some(2.5), Some((126.0 - 1.0) / 100.0))
+    );
+    let load = LoadReport {
+        in_flight: Some(1.0),
+        queued: Some(2.0),
+        utilization: Some(0.5),
+        service_time_ms: Some(9.0),
+        requests_per_second: Some(10.0),
+        errors_per_second: Some(11.0),
+    };
+    assert_eq!(read.load, load);
+}
+
+#[test_case("delivered" => Ok(AttemptOutcome::Success))]
+#[test_case("app_error" => Ok(AttemptOutcome::Error))]
+#[test_case("shed" => Ok(AttemptOutcome::Rejected))]
+#[test_case("expired" => Ok(AttemptOutcome::DeadlineExceeded))]
+#[test_case("dial_failed" => Ok(AttemptOutcome::ConnectionRefused))]
+#[test_case("dropped" => Ok(AttemptOutcome::ConnectionLost))]
+#[test_case("revoked" => Ok(AttemptOutcome::Cancelled))]
+#[test_case("unused" => Ok(AttemptOutcome::NotSent))]
+fn a_code_is_read_as_its_outcome(code: &str) -> Result<AttemptOutcome, String> {
+    outcome(code)
+}
+
+#[test]
+fn probes_messages_and_counts_are_read_with_every_value() {
+    let lines = "SAMPLED server.abc delivered 0.25 cpu_share:0.75\nSAMPLED server.abc dropped 1\nMAIL 1 00ff\n\
+        LEDGER_REPLY 12.5 delivered 0.1 4d.186b4\nLEDGER_REPLY 12.5 shed 0.1 4e.1\nLEDGER_REPLY - dropped 0.1 4f.2";
+    let batch = batch_of(lines);
+    let checks: Vec<_> = batch
+        .health_checks
+        .iter()
+        .map(|check| {
+            (
+                check.server,
+                check.answered,
+                check.latency,
+                check.load.utilization,
+            )
+        })
+        .collect();
+    assert_eq!(
+        checks,
+        [
+            (0, true, Duration::from_millis(250), Some(0.75)),
+            (0, false, Duration::from_secs(1), None)
+        ]
+    );
+    let message = &batch.peer_messages[0];
+    assert_eq!(
+        (message.from, message.bytes.as_slice()),
+        (1, [0, 0xff].as_slice())
+    );
+    let counts: Vec<_> = batch
+        .counter_replies
+        .iter()
+        .map(|reply| (reply.customer, reply.window, reply.total, reply.not_added))
+        .collect();
+    assert_eq!(
+        counts,
+        [
+            (0x4d, 100_020, Some(12.5), false),
+            (0x4e, 1, None, true),
+            (0x4f, 2, None, false)
+        ]
+    );
+}
+
+#[test]
+fn every_action_is_written_as_its_line() {
+    let (mut servers, mut requests) = (NameTable::default(), NameTable::default());
+    servers.add("server.abc");
+    for id in ["j-1", "j-2", "j-3"] {
+        requests.add(id);
+    }
+    let mut states = vec![RequestState::default(); 3];
+    let (mut out, mut freed, mut forgotten) = (String::new(), Vec::new(), Vec::new());
+    let mut actions = Reply {
+        out: &mut out,
+        servers: &servers,
+        requests: &requests,
+        states: &mut states,
+        freed: &mut freed,
+        forgotten: &mut forgotten,
+    };
+    actions.start_attempt(0, 0, None);
+    actions.start_attempt(0, 0, Some(Duration::from_secs(3)));
+    actions.reject(1, Some(Duration::from_micros(1_250_001)));
+    actions.reject(2, None);
+    actions.fail(0);
+    actions.cancel_attempt(0, 1);
+    actions.start_health_check(0);
+    actions.send_peer_message(7, &[0x00, 0xff, 0x1a]);
+    actions.send_peer_message(8, &[]);
+    actions.increment_counter(8_589_934_591, 100_020, 2.5, Duration::from_millis(4500));
+    actions.increment_counter(77, 1, 3.0, Duration::ZERO);
+    actions.set_endpoint_subscription(true);
+    actions.set_endpoint_subscription(false);
+    actions.poll_endpoints();
+    actions.close_idle_connections(0);
+    actions.release_endpoint(0);
+    actions.schedule_wakeup(Duration::from_micros(100_000));
+    actions.log("two\nlines");
+    assert_eq!(
+        out,
+        "SUBMIT_TO j-1 server.abc 0.000000\nSUBMIT_TO j-1 server.abc 0.000000\nNOT_NOW j-2 1.250001\n\
+        NOT_NOW j-3 0.000000\nFAIL j-1\nREVOKE j-1 1\nTOUCH server.abc\nMEMO_TO 7 00ff1a\nMEMO_TO 8 -\n\
+        POST_AMOUNT 4.500000 2.5 1ffffffff.186b4\nPOST_AMOUNT 0.000000 3 4d.1\nTRACK 1\nTRACK 0\nLOOKUP\n\
+        CLOSE_IDLE server.abc\nAFTER wake 0.100000\nSAY_LOG two lines\n"
+    );
+    // The first has attempts out, so its index is not free yet.
+    assert_eq!((freed, forgotten), (vec![1, 2], vec![0]));
+    assert_eq!((states[0].out, states[0].done), (2, true));
+}
