--- /dev/null
+++ b/crates/merlinreel-simulator-adapter/src/actions.rs
@@ -0,0 +1,133 @@
+//! Writes a limiter's actions as lines of the reply.
+
+use crate::encoding::{CounterKey, encode_counter_name, encode_hex};
+use crate::name_table::NameTable;
+use crate::protocol::{WAKEUP_TIMER, action};
+use crate::request_table::RequestTable;
+use merlinreel_policy::Actions;
+use std::fmt::Arguments;
+use std::fmt::Write as _;
+use std::time::Duration;
+
+/// Encodes each action as it is decided.
+pub struct ActionEncoder<'a> {
+    /// The reply.
+    pub output: &'a mut String,
+    /// The endpoints' names.
+    pub servers: &'a NameTable,
+    /// The requests in flight.
+    pub requests: &'a mut RequestTable,
+    /// Endpoints whose indices are to be freed after the batch.
+    pub released_servers: &'a mut Vec<u32>,
+}
+
+impl ActionEncoder<'_> {
+    fn line(&mut self, text: Arguments) {
+        // Writing to a string cannot fail.
+        let _ = self.output.write_fmt(text);
+        self.output.push('\n');
+    }
+}
+
+impl Actions for ActionEncoder<'_> {
+    /// The simulator starts the attempt at once (the last field is a delay), so it is never later than `within`.
+    fn start_attempt(&mut self, request: u32, server: u32, _within: Option<Duration>) {
+        let _ = writeln!(
+            self.output,
+            "{} {} {} 0.000000",
+            action::START_ATTEMPT,
+            self.requests.name(request),
+            self.servers.name(server)
+        );
+        self.requests.start_attempt(request);
+    }
+
+    fn reject(&mut self, request: u32, retry_after: Option<Duration>) {
+        let seconds = retry_after.unwrap_or_default().as_secs_f64();
+        let _ = writeln!(
+            self.output,
+            "{} {} {seconds:.6}",
+            action::REJECT,
+            self.requests.name(request)
+        );
+        self.requests.complete(request);
+    }
+
+    fn fail(&mut self, request: u32) {
+        let _ = writeln!(
+            self.output,
+            "{} {}",
+            action::FAIL,
+            self.requests.name(request)
+        );
+        self.requests.complete(request);
+    }
+
+    fn cancel_attempt(&mut self, request: u32, attempt: u32) {
+        let _ = writeln!(
+            self.output,
+            "{} {} {attempt}",
+            action::CANCEL_ATTEMPT,
+            self.requests.name(request)
+        );
+    }
+
+    fn start_health_check(&mut self, server: u32) {
+        let name = self.servers.name(server);
+        self.line(format_args!("{} {name}", action::START_HEALTH_CHECK));
+    }
+
+    fn send_peer_message(&mut self, limiter: u32, peer_message: &[u8]) {
+        let content = encode_hex(peer_message);
+        self.line(format_args!(
+            "{} {limiter} {content}",
+            action::SEND_PEER_MESSAGE
+        ));
+    }
+
+    fn increment_counter(&mut self, customer: u64, window: u64, amount: f64, keep: Duration) {
+        let name = encode_counter_name(CounterKey { customer, window });
+        self.line(format_args!(
+            "{} {:.6} {amount} {name}",
+            action::INCREMENT_COUNTER,
+            keep.as_secs_f64()
+        ));
+    }
+
+    fn set_endpoint_subscription(&mut self, on: bool) {
+        self.line(format_args!(
+            "{} {}",
+            action::SET_ENDPOINT_SUBSCRIPTION,
+            u8::from(on)
+        ));
+    }
+
+    fn poll_endpoints(&mut self) {
+        self.line(format_args!("{}", action::POLL_ENDPOINTS));
+    }
+
+    fn close_idle_connections(&mut self, server: u32) {
+        let name = self.servers.name(server);
+        self.line(format_args!("{} {name}", action::CLOSE_IDLE_CONNECTIONS));
+    }
+
+    fn release_endpoint(&mut self, server: u32) {
+        self.released_servers.push(server);
+    }
+
+    fn schedule_wakeup(&mut self, after: Duration) {
+        self.line(format_args!(
+            "{} {WAKEUP_TIMER} {:.6}",
+            action::SCHEDULE_WAKEUP,
+            after.as_secs_f64()
+        ));
+    }
+
+    fn log(&mut self, text: &str) {
+        let text = text.replace('\n', " ");
+        self.line(format_args!("{} {text}", action::LOG));
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/merlinreel-simulator-adapter/src/encoding.rs
@@ -0,0 +1,57 @@
+//! Bytes and counter names as text.
+
+use crate::protocol::ABSENT;
+use std::fmt::Write as _;
+
+/// A customer's counter for one quota window.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct CounterKey {
+    /// The customer's number.
+    pub customer: u64,
+    /// The window's number.
+    pub window: u64,
+}
+
+/// Bytes as lowercase hexadecimal digits.
+pub fn encode_hex(bytes: &[u8]) -> String {
+    if bytes.is_empty() {
+        return ABSENT.to_owned();
+    }
+    let mut text = String::new();
+    for byte in bytes {
+        // Writing to a string cannot fail.
+        let _ = write!(text, "{byte:02x}");
+    }
+    text
+}
+
+/// The bytes; `None` if the text is not pairs of hexadecimal digits.
+pub fn decode_hex(text: &str) -> Option<Vec<u8>> {
+    if text == ABSENT {
+        return Some(Vec::new());
+    }
+    if !text.len().is_multiple_of(2) || !text.is_ascii() {
+        return None;
+    }
+    (0..text.len())
+        .step_by(2)
+        .map(|start| u8::from_str_radix(&text[start..start + 2], 16).ok())
+        .collect()
+}
+
+/// The name under which the counter service keeps the counter.
+pub fn encode_counter_name(counter: CounterKey) -> String {
+    format!("{:x}.{:x}", counter.customer, counter.window)
+}
+
+/// The counter of that name; `None` if it is not a name made by [`encode_counter_name`].
+pub fn decode_counter_name(name: &str) -> Option<CounterKey> {
+    let (customer, window) = name.split_once('.')?;
+    Some(CounterKey {
+        customer: u64::from_str_radix(customer, 16).ok()?,
+        window: u64::from_str_radix(window, 16).ok()?,
+    })
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/merlinreel-simulator-adapter/src/endpoint_lists.rs
@@ -0,0 +1,142 @@
+//! The endpoint lists that the simulator sends once for all instances.
+
+use crate::error::ProtocolError;
+use crate::fields::Fields;
+use crate::protocol::{endpoint_state, field};
+use merlinreel_policy::{Endpoint, EndpointState, ring_hash};
+use std::collections::HashMap;
+use std::time::Duration;
+
+/// Weight of an endpoint whose entry gives none.
+const DEFAULT_WEIGHT: f64 = 1.0;
+
+/// An endpoint by its name on the wire; the index in `endpoint` is not set.
+pub struct ListEntry {
+    /// Name of the endpoint.
+    pub name: String,
+    /// What the list says of it.
+    pub endpoint: Endpoint,
+}
+
+/// One list.
+#[derive(Default)]
+struct EndpointList {
+    entries: Vec<ListEntry>,
+    /// Number of entries that have not come yet.
+    missing: usize,
+    /// An entry was faulty, or did not come before the list ended.
+    broken: bool,
+}
+
+/// The lists by their number.
+#[derive(Default)]
+pub struct EndpointLists {
+    lists: HashMap<u64, EndpointList>,
+    open: Option<u64>,
+}
+
+impl EndpointLists {
+    /// Begins a list of so many entries. It replaces an earlier one of that number.
+    pub fn open(&mut self, list: u64, length: usize) {
+        let empty = EndpointList {
+            missing: length,
+            ..EndpointList::default()
+        };
+        self.lists.insert(list, empty);
+        self.open = Some(list);
+    }
+
+    /// Reads an entry of the open list.
+    ///
+    /// # Errors
+    ///
+    /// If no list is open, the list is full or the entry is faulty. A faulty entry makes the list unusable.
+    pub fn read_entry(&mut self, fields: &mut Fields) -> Result<(), ProtocolError> {
+        let open = self.open.and_then(|list| self.lists.get_mut(&list));
+        let list = open.ok_or(ProtocolError::NoOpenList)?;
+        if list.missing == 0 {
+            return Err(ProtocolError::ListFull);
+        }
+        list.missing -= 1;
+        match decode_entry(fields) {
+            Ok(entry) => {
+                list.entries.push(entry);
+                Ok(())
+            }
+            Err(error) => {
+                list.broken = true;
+                Err(error)
+            }
+        }
+    }
+
+    /// Ends the open list, if there is one.
+    ///
+    /// # Errors
+    ///
+    /// If entries are missing. This makes the list unusable.
+    pub fn close(&mut self) -> Result<(), ProtocolError> {
+        let Some(number) = self.open.take() else {
+            return Ok(());
+        };
+        match self.lists.get_mut(&number) {
+            Some(list) if list.missing > 0 => {
+                list.broken = true;
+                Err(ProtocolError::ListTooShort {
+                    list: number,
+                    missing: list.missing,
+                })
+            }
+            _ => Ok(()),
+        }
+    }
+
+    /// The entries of a list.
+    ///
+    /// # Errors
+    ///
+    /// If there is no list of that number, or it is unusable.
+    pub fn entries(&self, number: u64) -> Result<&[ListEntry], ProtocolError> {
+        let list = self.lists.get(&number);
+        let list = list.ok_or(ProtocolError::UnknownList(number))?;
+        if list.broken || list.missing > 0 {
+            return Err(ProtocolError::BrokenList(number));
+        }
+        Ok(&list.entries)
+    }
+}
+
+fn decode_entry(fields: &mut Fields) -> Result<ListEntry, ProtocolError> {
+    let name = fields.text(field::SERVER)?.to_owned();
+    let zone = fields.integer(field::ZONE)? as u32;
+    fields.integer(field::MACHINE_TYPE)?;
+    let cell = fields.integer(field::CELL)? as u32;
+    let state = decode_state(fields.text(field::STATE)?)?;
+    let weight = fields.optional_number(field::WEIGHT)?;
+    let started_at = fields
+        .optional_number(field::STARTED_AT)?
+        .filter(|&seconds| seconds > 0.0)
+        .and_then(|seconds| Duration::try_from_secs_f64(seconds).ok());
+    let endpoint = Endpoint {
+        server: 0,
+        ring_hash: ring_hash(&name),
+        zone,
+        cell,
+        state,
+        weight: weight.unwrap_or(DEFAULT_WEIGHT),
+        started_at,
+    };
+    Ok(ListEntry { name, endpoint })
+}
+
+fn decode_state(text: &str) -> Result<EndpointState, ProtocolError> {
+    match text {
+        endpoint_state::READY => Ok(EndpointState::Ready),
+        endpoint_state::DRAINING => Ok(EndpointState::Draining),
+        endpoint_state::REMOVED => Ok(EndpointState::Removed),
+        other => Err(ProtocolError::UnknownValue {
+            field: field::STATE,
+            given: other.to_owned(),
+        }),
+    }
+}
--- /dev/null
+++ b/crates/merlinreel-simulator-adapter/src/events.rs
@@ -0,0 +1,308 @@
+//! Decodes the messages for an instance into events of its batch, one function for each message.
+
+use crate::encoding::{decode_counter_name, decode_hex};
+use crate::endpoint_lists::{EndpointLists, ListEntry};
+use crate::error::ProtocolError;
+use crate::fields::{Fields, parse_number};
+use crate::instance::Instance;
+use crate::protocol::{RETRY_FLAG, field, load, message, outcome, update_kind};
+use merlinreel_policy::{
+    AttemptOutcome, AttemptResult, CounterReply, Endpoint, EndpointUpdate, HealthCheckResult,
+    LoadReport, PeerMessage, Request,
+};
+
+/// Limiters in a fleet, at most.
+const MAX_LIMITERS: u64 = 1 << 16;
+
+/// A message for an instance.
+#[derive(Clone, Copy)]
+pub enum EventKind {
+    /// Discovery published an endpoint list, or could not be reached.
+    EndpointUpdate,
+    /// A client sent a request.
+    Request,
+    /// The response to a request has started to stream.
+    Streaming,
+    /// A client closed its connection.
+    Disconnect,
+    /// A health check ended.
+    HealthCheck,
+    /// Another limiter sent a message.
+    PeerMessage,
+    /// An attempt ended.
+    AttemptResult,
+    /// A timer fired.
+    Wakeup,
+    /// The counter service replied.
+    CounterReply,
+}
+
+impl EventKind {
+    /// The kind of event that a message is; `None` if it is not one.
+    pub fn from_message(name: &str) -> Option<EventKind> {
+        match name {
+            message::ENDPOINT_UPDATE => Some(EventKind::EndpointUpdate),
+            message::REQUEST => Some(EventKind::Request),
+            message::STREAMING => Some(EventKind::Streaming),
+            message::DISCONNECT => Some(EventKind::Disconnect),
+            message::HEALTH_CHECK => Some(EventKind::HealthCheck),
+            message::PEER_MESSAGE => Some(EventKind::PeerMessage),
+            message::ATTEMPT_RESULT => Some(EventKind::AttemptResult),
+            message::WAKEUP => Some(EventKind::Wakeup),
+            message::COUNTER_REPLY => Some(EventKind::CounterReply),
+            _ => None,
+        }
+    }
+}
+
+/// Decodes the fields of a message and adds the event to the instance's batch.
+///
+/// # Errors
+///
+/// The first field that cannot be used. Nothing is added then.
+pub fn add_event(
+    kind: EventKind,
+    fields: &mut Fields,
+    lists: &EndpointLists,
+    instance: &mut Instance,
+) -> Result<(), ProtocolError> {
+    match kind {
+        EventKind::EndpointUpdate => add_endpoint_update(fields, lists, instance),
+        EventKind::Request => add_request(fields, instance),
+        EventKind::Streaming => add_streaming(fields, instance),
+        EventKind::Disconnect => add_disconnect(fields, instance),
+        EventKind::HealthCheck => add_health_check(fields, instance),
+        EventKind::PeerMessage => add_peer_message(fields, instance),
+        EventKind::AttemptResult => add_attempt_result(fields, instance),
+        // The batch itself wakes the limiter.
+        EventKind::Wakeup => fields.text(field::TIMER).map(|_| ()),
+        EventKind::CounterReply => add_counter_reply(fields, instance),
+    }
+}
+
+fn add_endpoint_update(
+    fields: &mut Fields,
+    lists: &EndpointLists,
+    instance: &mut Instance,
+) -> Result<(), ProtocolError> {
+    let kind = fields.text(field::UPDATE_KIND)?;
+    fields.integer(field::LIST_VERSION)?;
+    let mut update = EndpointUpdate {
+        complete: false,
+        cached: false,
+        unavailable: false,
+        endpoints: Vec::new(),
+    };
+    if kind == update_kind::UNAVAILABLE {
+        update.unavailable = true;
+        instance.batch.endpoint_updates.push(update);
+        return Ok(());
+    }
+    let entries = lists.entries(fields.integer(field::LIST)?)?;
+    match kind {
+        update_kind::CHANGES => {}
+        update_kind::SNAPSHOT => update.complete = true,
+        update_kind::CACHED => {
+            update.complete = true;
+            update.cached = true;
+        }
+        other => return Err(unknown_value(field::UPDATE_KIND, other)),
+    }
+    let with_index = |entry: &ListEntry| Endpoint {
+        server: instance.servers.insert(&entry.name),
+        ..entry.endpoint
+    };
+    update.endpoints = entries.iter().map(with_index).collect();
+    instance.batch.endpoint_updates.push(update);
+    Ok(())
+}
+
+fn add_request(fields: &mut Fields, instance: &mut Instance) -> Result<(), ProtocolError> {
+    let name = fields.text(field::REQUEST)?;
+    let set_size = fields.index(field::SET_SIZE, MAX_LIMITERS)? as u32;
+    let remaining_time = fields.duration(field::REMAINING_TIME)?;
+    let customer = fields.integer(field::CUSTOMER)?;
+    let (plans, classes) = instance.limiter.sizes();
+    let plan = fields.index(field::PLAN, plans as u64)? as usize;
+    let class = fields.index(field::CLASS, classes as u64)? as usize;
+    let flags = fields.optional_number(field::REQUEST_FLAGS)?.unwrap_or(0.0) as u32;
+    let set_first = fields.optional_number(field::SET_FIRST)?.unwrap_or(0.0) as u32;
+    let units = fields.optional_number(field::UNITS)?.unwrap_or(1.0);
+    if units < 0.0 {
+        return Err(ProtocolError::Negative {
+            field: field::UNITS,
+            given: units,
+        });
+    }
+    if instance.requests.get(name).is_some() {
+        return Err(ProtocolError::DuplicateRequest(name.to_owned()));
+    }
+    let request = Request {
+        id: instance.requests.insert(name),
+        customer,
+        plan,
+        class,
+        units,
+        remaining_time,
+        set_size,
+        set_first,
+        is_retry: flags & RETRY_FLAG != 0,
+    };
+    instance.batch.requests.push(request);
+    Ok(())
+}
+
+/// A request that has ended before the message came is not an error.
+fn add_streaming(fields: &mut Fields, instance: &mut Instance) -> Result<(), ProtocolError> {
+    if let Some(request) = instance.requests.get(fields.text(field::REQUEST)?) {
+        instance.batch.streaming.push(request);
+    }
+    Ok(())
+}
+
+/// A request that has ended before the message came is not an error.
+fn add_disconnect(fields: &mut Fields, instance: &mut Instance) -> Result<(), ProtocolError> {
+    if let Some(request) = instance.requests.get(fields.text(field::REQUEST)?) {
+        instance.batch.disconnects.push(request);
+        instance.requests.complete(request);
+    }
+    Ok(())
+}
+
+fn add_health_check(fields: &mut Fields, instance: &mut Instance) -> Result<(), ProtocolError> {
+    let server = read_server(fields, instance)?;
+    let outcome = decode_outcome(fields.text(field::OUTCOME)?)?;
+    let latency = fields.duration(field::LATENCY)?;
+    let load = read_load_report(fields)?;
+    instance.batch.health_checks.push(HealthCheckResult {
+        server,
+        answered: outcome == AttemptOutcome::Success,
+        latency,
+        load,
+    });
+    Ok(())
+}
+
+fn add_peer_message(fields: &mut Fields, instance: &mut Instance) -> Result<(), ProtocolError> {
+    let from = fields.index(field::SENDER, MAX_LIMITERS)? as u32;
+    let content = fields.text(field::CONTENT)?;
+    let bytes = decode_hex(content).ok_or_else(|| ProtocolError::NotHex {
+        field: field::CONTENT,
+        given: content.to_owned(),
+    })?;
+    instance
+        .batch
+        .peer_messages
+        .push(PeerMessage { from, bytes });
+    Ok(())
+}
+
+fn add_attempt_result(fields: &mut Fields, instance: &mut Instance) -> Result<(), ProtocolError> {
+    let name = fields.text(field::REQUEST)?;
+    let request = instance.requests.get(name);
+    let request = request.ok_or_else(|| ProtocolError::UnknownRequest(name.to_owned()))?;
+    let is_final = fields.boolean(field::REQUEST_COMPLETED)?;
+    let units = fields.optional_number(field::USED_UNITS)?;
+    let server = read_server(fields, instance)?;
+    let outcome = decode_outcome(fields.text(field::OUTCOME)?)?;
+    let latency = fields.duration(field::LATENCY)?;
+    let attempt = fields.integer(field::ATTEMPT)? as u32;
+    let usage = fields.optional_number(field::METERED_USAGE)?;
+    let load = read_load_report(fields)?;
+    if instance.requests.attempts_in_flight(request) == 0 {
+        return Err(ProtocolError::NoAttempt(name.to_owned()));
+    }
+    instance.requests.end_attempt(request);
+    if is_final {
+        instance.requests.complete(request);
+    }
+    instance.batch.attempt_results.push(AttemptResult {
+        request,
+        attempt,
+        server,
+        outcome,
+        latency,
+        request_completed: instance.requests.is_completed(request),
+        units: units.filter(|&units| units > 0.0),
+        metered_usage: usage.and_then(decode_metered_usage),
+        load,
+    });
+    Ok(())
+}
+
+fn add_counter_reply(fields: &mut Fields, instance: &mut Instance) -> Result<(), ProtocolError> {
+    let total = fields.optional_number(field::COUNTER_TOTAL)?;
+    let code = fields.text(field::OUTCOME)?;
+    fields.duration(field::LATENCY)?;
+    let name = fields.text(field::COUNTER)?;
+    let counter = decode_counter_name(name).ok_or_else(|| unknown_value(field::COUNTER, name))?;
+    let outcome = decode_outcome(code)?;
+    instance.batch.counter_replies.push(CounterReply {
+        customer: counter.customer,
+        window: counter.window,
+        total: total.filter(|_| outcome == AttemptOutcome::Success),
+        not_added: outcome.never_ran(),
+    });
+    Ok(())
+}
+
+fn read_server(fields: &mut Fields, instance: &Instance) -> Result<u32, ProtocolError> {
+    let name = fields.text(field::SERVER)?;
+    let server = instance.servers.get(name);
+    server.ok_or_else(|| ProtocolError::UnknownServer(name.to_owned()))
+}
+
+fn read_load_report(fields: &mut Fields) -> Result<LoadReport, ProtocolError> {
+    let mut report = LoadReport::default();
+    let Some(text) = fields.optional_text() else {
+        return Ok(report);
+    };
+    for pair in text.split(',') {
+        let Some((name, value)) = pair.split_once(':') else {
+            return Err(ProtocolError::NotAPair {
+                field: field::LOAD_REPORT,
+                given: pair.to_owned(),
+            });
+        };
+        let value = Some(parse_number(field::LOAD_REPORT, value)?);
+        match name {
+            load::IN_FLIGHT => report.in_flight = value,
+            load::QUEUED => report.queued = value,
+            load::UTILIZATION => report.utilization = value,
+            load::SERVICE_TIME_MS => report.service_time_ms = value,
+            load::REQUESTS_PER_SECOND => report.requests_per_second = value,
+            load::ERRORS_PER_SECOND => report.errors_per_second = value,
+            _ => {}
+        }
+    }
+    Ok(report)
+}
+
+/// The wire has a share of the quota in hundredths, plus one; smaller values mean that nothing was metered.
+fn decode_metered_usage(value: f64) -> Option<f64> {
+    (value >= 1.0).then(|| (value - 1.0) / 100.0)
+}
+
+fn decode_outcome(code: &str) -> Result<AttemptOutcome, ProtocolError> {
+    match code {
+        outcome::SUCCESS => Ok(AttemptOutcome::Success),
+        outcome::ERROR => Ok(AttemptOutcome::Error),
+        outcome::REJECTED => Ok(AttemptOutcome::Rejected),
+        outcome::DEADLINE_EXCEEDED => Ok(AttemptOutcome::DeadlineExceeded),
+        outcome::CONNECTION_REFUSED => Ok(AttemptOutcome::ConnectionRefused),
+        outcome::CONNECTION_LOST => Ok(AttemptOutcome::ConnectionLost),
+        outcome::CANCELLED => Ok(AttemptOutcome::Cancelled),
+        outcome::NOT_SENT => Ok(AttemptOutcome::NotSent),
+        other => Err(unknown_value(field::OUTCOME, other)),
+    }
+}
+
+fn unknown_value(field: &'static str, given: &str) -> ProtocolError {
+    ProtocolError::UnknownValue {
+        field,
+        given: given.to_owned(),
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- a/crates/merlinreel-simulator-adapter/src/host.rs
+++ b/crates/merlinreel-simulator-adapter/src/host.rs
@@ -1,344 +1,131 @@
-//! Hosts the instances: decodes a batch into one call for each, and encodes the replies.
+//! Runs the instances of this process: gives each message to the instance it is for, and writes the reply to a batch.
 
-mod values;
-mod writer;
-
-use merlinreel_policy::*;
+use crate::endpoint_lists::EndpointLists;
+use crate::error::ProtocolError;
+use crate::events::{EventKind, add_event};
+use crate::fields::Fields;
+use crate::instance::Instance;
+use crate::protocol::{action, field, message};
 use merlinreel_settings::{Settings, SettingsTree};
 use std::collections::HashMap;
 use std::fmt::Write as _;
 use std::time::Duration;
-use values::{ListedEndpoint, Values, outcome, read_entry};
-use writer::{Instance, NameTable, Reply, RequestState, count_parts, unhex};
 
-/// A numbered list of the process; short while its entries still come in.
-#[derive(Default)]
-struct Pool {
-    lines: Vec<ListedEndpoint>,
-    missing: usize,
-    broken: bool,
-}
+/// Longest endpoint list.
+const MAX_LIST_LENGTH: u64 = 1 << 20;
 
-/// Every instance of this process, by its wire name; they share nothing but the lists.
+/// All instances of this process by their name on the wire. They share nothing but the endpoint lists.
 #[derive(Default)]
 pub struct Host {
     now: Duration,
-    in_round: bool,
+    in_batch: bool,
     instances: HashMap<String, Instance>,
-    order: Vec<String>,
+    /// Names of all instances that were ever started, in the order of their first start; the reply keeps it.
+    start_order: Vec<String>,
+    /// The instance that messages are for.
     current: Option<String>,
-    pools: HashMap<u64, Pool>,
-    filling: Option<u64>,
+    lists: EndpointLists,
 }
 
 impl Host {
-    /// Takes one line in. Gives the reply once the batch is over.
-    pub fn line(&mut self, line: &str) -> Result<Option<String>, String> {
-        let mut values = Values(line.split(' '));
-        let message = values.text("message")?;
-        if message != "ENTRY" {
-            self.end_list()?;
+    /// Handles one line. Gives the reply if the line ends a batch.
+    ///
+    /// # Errors
+    ///
+    /// Why the line cannot be used. If entries of an endpoint list are missing, the line after the list is skipped.
+    pub fn handle_line(&mut self, line: &str) -> Result<Option<String>, ProtocolError> {
+        let mut fields = Fields::new(line);
+        let name = fields.text(field::MESSAGE)?;
+        if name == message::LIST_ENTRY {
+            self.lists.read_entry(&mut fields)?;
+            return Ok(None);
         }
-        match message {
-            "ROUND" => {
-                self.current = None;
-                self.in_round = true;
-                self.now = values.time("clock")?;
-            }
-            "OVER_TO_YOU" if !self.in_round => return Err("no round has begun".to_owned()),
-            "OVER_TO_YOU" => return Ok(Some(self.reply())),
-            "CONTEXT" => {
-                self.current = None;
-                self.current = Some(values.text("limiterId")?.to_owned());
-            }
-            "POOL" => {
-                let list = values.integer("list")?;
-                let missing = values.index("records", 1 << 20)? as usize;
-                self.pools.insert(
-                    list,
-                    Pool {
-                        missing,
-                        ..Pool::default()
-                    },
-                );
-                self.filling = Some(list);
-            }
-            "ENTRY" => self.entry(&mut values)?,
-            "INIT" => self.init(&mut values)?,
-            "TEARDOWN" => {
-                let name = self.current.clone().ok_or("no instance is named")?;
-                self.instances
-                    .remove(&name)
-                    .ok_or(format!("instance {name} is not known"))?;
-            }
-            "ENDPOINTS" | "JOB_IN" | "ACCEPTED" | "LEFT" | "SAMPLED" | "MAIL" | "REPLY" | "DUE"
-            | "LEDGER_REPLY" => self.event(message, &mut values)?,
-            other => return Err(format!("unknown message '{other}'")),
+        self.lists.close()?;
+        match name {
+            message::BATCH_START => self.start_batch(&mut fields)?,
+            message::BATCH_END => return self.end_batch().map(Some),
+            message::INSTANCE => self.select_instance(&mut fields)?,
+            message::LIST => self.open_list(&mut fields)?,
+            message::INSTANCE_START => self.start_instance(fields)?,
+            message::INSTANCE_STOP => self.stop_instance()?,
+            event => self.add_event(event, &mut fields)?,
         }
         Ok(None)
     }
 
-    fn end_list(&mut self) -> Result<(), String> {
-        let Some(list) = self.filling.take() else {
-            return Ok(());
-        };
-        match self.pools.get_mut(&list) {
-            Some(pool) if pool.missing > 0 => {
-                pool.broken = true;
-                Err(format!("list {list} is {} entries short", pool.missing))
+    fn start_batch(&mut self, fields: &mut Fields) -> Result<(), ProtocolError> {
+        self.current = None;
+        self.in_batch = true;
+        self.now = fields.duration(field::CLOCK)?;
+        Ok(())
+    }
+
+    fn end_batch(&mut self) -> Result<String, ProtocolError> {
+        if !self.in_batch {
+            return Err(ProtocolError::NoBatch);
+        }
+        self.in_batch = false;
+        self.current = None;
+        let mut reply = String::new();
+        for name in &self.start_order {
+            let Some(instance) = self.instances.get_mut(name) else {
+                continue;
+            };
+            if !std::mem::take(&mut instance.is_addressed) {
+                continue;
             }
-            _ => Ok(()),
+            // Writing to a string cannot fail.
+            let _ = writeln!(reply, "{} {name}", action::INSTANCE);
+            instance.run_batch(self.now, &mut reply);
         }
+        reply.push_str(action::REPLY_END);
+        reply.push('\n');
+        Ok(reply)
     }
 
-    fn entry(&mut self, values: &mut Values) -> Result<(), String> {
-        let pool = self
-            .filling
-            .and_then(|list| self.pools.get_mut(&list))
-            .ok_or("no list is open")?;
-        if pool.missing == 0 {
-            return Err("one entry more than the list states".to_owned());
-        }
-        pool.missing -= 1;
-        let line = read_entry(values);
-        pool.broken |= line.is_err();
-        pool.lines.push(line?);
+    fn select_instance(&mut self, fields: &mut Fields) -> Result<(), ProtocolError> {
+        self.current = None;
+        self.current = Some(fields.text(field::INSTANCE)?.to_owned());
         Ok(())
     }
 
-    fn init(&mut self, values: &mut Values) -> Result<(), String> {
-        let name = self.current.clone().ok_or("no instance is named")?;
-        let seed = values.integer("entropy")?;
-        let settings: Vec<&str> = values.0.by_ref().collect();
-        let instance = Instance {
-            limiter: SettingsTree::from_pairs(&settings)
-                .and_then(|tree| Settings::read(&tree))
-                .map_err(|error| error.to_string())?
-                .limiter(seed),
-            servers: NameTable::default(),
-            requests: NameTable::default(),
-            states: Vec::new(),
-            round: EventBatch::default(),
-            touched: true,
-            freed: Vec::new(),
-            forgotten: Vec::new(),
-        };
-        if !self.order.contains(&name) {
-            self.order.push(name.clone());
-        }
-        self.instances.insert(name, instance);
+    fn open_list(&mut self, fields: &mut Fields) -> Result<(), ProtocolError> {
+        let list = fields.integer(field::LIST)?;
+        let length = fields.index(field::LIST_LENGTH, MAX_LIST_LENGTH)?;
+        self.lists.open(list, length as usize);
         Ok(())
     }
 
-    fn event(&mut self, message: &str, values: &mut Values) -> Result<(), String> {
-        let name = self.current.as_ref().ok_or("no instance is named")?;
-        let instance = self
-            .instances
-            .get_mut(name)
-            .ok_or(format!("instance {name} is not known"))?;
-        instance.touched = true;
-        match message {
-            "ENDPOINTS" => {
-                let form = values.text("form")?;
-                values.integer("serial")?;
-                if form == "unavailable" {
-                    instance.round.endpoint_updates.push(EndpointUpdate {
-                        complete: false,
-                        cached: false,
-                        unavailable: true,
-                        endpoints: Vec::new(),
-                    });
-                    return Ok(());
-                }
-                let list = values.integer("list")?;
-                let pool = self
-                    .pools
-                    .get(&list)
-                    .ok_or(format!("list {list} is not known"))?;
-                if pool.broken || pool.missing > 0 {
-                    return Err(format!("list {list} came in broken"));
-                }
-                let (complete, cached) = match form {
-                    "update" => (false, false),
-                    "replace" => (true, false),
-                    "restored" => (true, true),
-                    other => return Err(format!("form: unknown '{other}'")),
-                };
-                let endpoints = pool
-                    .lines
-                    .iter()
-                    .map(|line| Endpoint {
-                        server: instance.servers.add(&line.name),
-                        ..line.entry
-                    })
-                    .collect();
-                instance.round.endpoint_updates.push(EndpointUpdate {
-                    complete,
-                    cached,
-                    unavailable: false,
-                    endpoints,
-                });
-            }
-            "JOB_IN" => {
-                let id = values.text("req")?;
-                let set_size = values.index("spread", 1 << 16)? as u32;
-                let remaining_time = values.time("timeLeftS")?;
-                let customer = values.integer("clientId")?;
-                let (plans, classes) = instance.limiter.sizes();
-                let plan = values.index("package", plans as u64)? as usize;
-                let class = values.index("lane", classes as u64)? as usize;
-                let marks = values.optional("attrs")?.unwrap_or(0.0) as u32;
-                let set_first = values.optional("setFrom")?.unwrap_or(0.0) as u32;
-                let units = values.optional("quotaUnits")?.unwrap_or(1.0);
-                if units < 0.0 {
-                    return Err(format!("quotaUnits: {units} is below 0"));
-                }
-                if instance.requests.get(id).is_some() {
-                    return Err(format!("job {id} came in twice"));
-                }
-                let request = instance.requests.add(id);
-                *instance.state(request) = RequestState::default();
-                instance.round.requests.push(Request {
-                    id: request,
-                    customer,
-                    plan,
-                    class,
-                    units,
-                    remaining_time,
-                    set_size,
-                    set_first,
-                    is_retry: marks & 2 != 0,
-                });
-            }
-            "ACCEPTED" => {
-                if let Some(request) = instance.requests.get(values.text("req")?) {
-                    instance.round.streaming.push(request);
-                }
-            }
-            "LEFT" => {
-                if let Some(request) = instance.requests.get(values.text("req")?) {
-                    instance.round.disconnects.push(request);
-                    instance.state(request).done = true;
-                    instance.free_if_over(request);
-                }
-            }
-            "SAMPLED" => {
-                let name = values.text("server")?;
-                let server = instance
-                    .servers
-                    .get(name)
-                    .ok_or(format!("server {name} is not known"))?;
-                let answered = outcome(values.text("stateCode")?)? == AttemptOutcome::Success;
-                let took = values.time("waitTimeS")?;
-                let load = values.load()?;
-                instance.round.health_checks.push(HealthCheckResult {
-                    server,
-                    answered,
-                    latency: took,
-                    load,
-                });
-            }
-            "MAIL" => {
-                let from = values.index("src", 1 << 16)? as u32;
-                let content = values.text("content")?;
-                let bytes = unhex(content).ok_or(format!("content: '{content}' is not hex"))?;
-                instance
-                    .round
-                    .peer_messages
-                    .push(PeerMessage { from, bytes });
-            }
-            "REPLY" => {
-                let id = values.text("req")?;
-                let request = instance
-                    .requests
-                    .get(id)
-                    .ok_or(format!("job {id} is not known"))?;
-                let request_completed = values.flag("finished")?;
-                let units = values.optional("cost")?.filter(|&cost| cost > 0.0);
-                let name = values.text("server")?;
-                let server = instance
-                    .servers
-                    .get(name)
-                    .ok_or(format!("server {name} is not known"))?;
-                let outcome = outcome(values.text("stateCode")?)?;
-                let took = values.time("waitTimeS")?;
-                let attempt = values.integer("seqNo")? as u32;
-                let used = values.optional("quotaUse")?.filter(|&used| used >= 1.0);
-                let load = values.load()?;
-                let state = instance.state(request);
-                if state.out == 0 {
-                    return Err(format!("job {id} has no attempt out"));
-                }
-                state.out -= 1;
-                state.done |= request_completed;
-                let request_completed = state.done;
-                instance.free_if_over(request);
-                instance.round.attempt_results.push(AttemptResult {
-                    request,
-                    attempt,
-                    server,
-                    outcome,
-                    latency: took,
-                    request_completed,
-                    units,
-                    metered_usage: used.map(|used| (used - 1.0) / 100.0),
-                    load,
-                });
-            }
-            "DUE" => {
-                values.text("token")?;
-            }
-            _ => {
-                let total = values.optional("value")?;
-                let code = values.text("stateCode")?;
-                values.time("waitTimeS")?;
-                let name = values.text("cname")?;
-                let (customer, window) =
-                    count_parts(name).ok_or(format!("cname: unknown '{name}'"))?;
-                let outcome = outcome(code)?;
-                instance.round.counter_replies.push(CounterReply {
-                    customer,
-                    window,
-                    total: total.filter(|_| outcome == AttemptOutcome::Success),
-                    not_added: outcome.never_ran(),
-                });
-            }
+    fn start_instance(&mut self, mut fields: Fields) -> Result<(), ProtocolError> {
+        let name = self.current.clone().ok_or(ProtocolError::NoInstance)?;
+        let seed = fields.integer(field::SEED)?;
+        let tree = SettingsTree::from_pairs(&fields.into_remaining())?;
+        let instance = Instance::new(Settings::read(&tree)?.limiter(seed));
+        if !self.start_order.contains(&name) {
+            self.start_order.push(name.clone());
         }
+        self.instances.insert(name, instance);
         Ok(())
     }
 
-    fn reply(&mut self) -> String {
-        let mut out = String::new();
-        self.in_round = false;
-        self.current = None;
-        for name in &self.order {
-            let Some(instance) = self.instances.get_mut(name) else {
-                continue;
-            };
-            if !std::mem::take(&mut instance.touched) {
-                continue;
-            }
-            let round = std::mem::take(&mut instance.round);
-            let _ = writeln!(out, "FOR {name}");
-            let mut reply = Reply {
-                out: &mut out,
-                servers: &instance.servers,
-                requests: &instance.requests,
-                states: &mut instance.states,
-                freed: &mut instance.freed,
-                forgotten: &mut instance.forgotten,
-            };
-            instance.limiter.round(self.now, &round, &mut reply);
-            instance
-                .forgotten
-                .drain(..)
-                .for_each(|server| instance.servers.remove(server));
-            for request in instance.freed.drain(..) {
-                instance.requests.remove(request);
-            }
+    fn stop_instance(&mut self) -> Result<(), ProtocolError> {
+        let name = self.current.as_ref().ok_or(ProtocolError::NoInstance)?;
+        match self.instances.remove(name) {
+            Some(_) => Ok(()),
+            None => Err(ProtocolError::UnknownInstance(name.clone())),
         }
-        out.push_str("READY\n");
-        out
+    }
+
+    fn add_event(&mut self, name: &str, fields: &mut Fields) -> Result<(), ProtocolError> {
+        let Some(kind) = EventKind::from_message(name) else {
+            return Err(ProtocolError::UnknownMessage(name.to_owned()));
+        };
+        let current = self.current.as_ref().ok_or(ProtocolError::NoInstance)?;
+        let Some(instance) = self.instances.get_mut(current) else {
+            return Err(ProtocolError::UnknownInstance(current.clone()));
+        };
+        instance.is_addressed = true;
+        add_event(kind, fields, &self.lists, instance)
     }
 }
 
--- a/crates/merlinreel-simulator-adapter/src/main.rs
+++ b/crates/merlinreel-simulator-adapter/src/main.rs
@@ -1,13 +1,30 @@
-//! The bench's adapter: batches on standard input, one reply for each on standard output.
+//! Runs limiters inside the simulator.
+//!
+//! The simulator writes lines to standard input: a batch of messages for any number of limiters, and at its end the request
+//! for the actions. The reply to each batch goes to standard output. A line that cannot be used is reported on standard
+//! error and skipped. The wire's names appear only in the module `protocol`.
 
+#![warn(missing_docs)]
+
+mod actions;
+mod encoding;
+mod endpoint_lists;
+mod error;
+mod events;
+mod fields;
 mod host;
+mod instance;
+mod name_table;
+mod protocol;
+mod request_table;
 
+use host::Host;
 use std::io::{self, BufRead, Write};
 
 fn main() -> io::Result<()> {
     let mut input = io::stdin().lock();
     let mut output = io::stdout().lock();
-    let mut host = host::Host::default();
+    let mut host = Host::default();
     let mut bytes = Vec::new();
     let mut number = 0u64;
     loop {
@@ -18,13 +35,13 @@
         number += 1;
         let text = String::from_utf8_lossy(&bytes);
         let line = text.trim_end_matches(['\n', '\r']);
-        match host.line(line) {
+        match host.handle_line(line) {
             Ok(Some(reply)) => {
                 output.write_all(reply.as_bytes())?;
                 output.flush()?;
             }
             Ok(None) => {}
-            Err(what) => eprintln!("line {number}: {what}"),
+            Err(error) => eprintln!("line {number}: {error}"),
         }
     }
 }
--- /dev/null
+++ b/crates/merlinreel-simulator-adapter/src/request_table.rs
@@ -0,0 +1,89 @@
+//! The requests in flight at an instance.
+
+use crate::name_table::NameTable;
+
+/// What is known of a request on the wire.
+#[derive(Clone, Copy, Default)]
+struct RequestState {
+    attempts_in_flight: u32,
+    is_completed: bool,
+    is_unused: bool,
+}
+
+/// The requests by name and index. An index is unused once its request is completed and no attempt is in flight; the end of
+/// the batch frees it.
+#[derive(Default)]
+pub struct RequestTable {
+    names: NameTable,
+    states: Vec<RequestState>,
+    unused: Vec<u32>,
+}
+
+impl RequestTable {
+    /// The index of a request in flight.
+    pub fn get(&self, name: &str) -> Option<u32> {
+        self.names.get(name)
+    }
+
+    /// The name of a request in flight.
+    pub fn name(&self, request: u32) -> &str {
+        self.names.name(request)
+    }
+
+    /// Adds a request and gives its index.
+    pub fn insert(&mut self, name: &str) -> u32 {
+        let request = self.names.insert(name);
+        let index = request as usize;
+        if index >= self.states.len() {
+            self.states.resize(index + 1, RequestState::default());
+        }
+        self.states[index] = RequestState::default();
+        request
+    }
+
+    /// Whether the request has its final response, or its client has disconnected.
+    pub fn is_completed(&self, request: u32) -> bool {
+        self.states[request as usize].is_completed
+    }
+
+    /// Marks the request as completed.
+    pub fn complete(&mut self, request: u32) {
+        self.states[request as usize].is_completed = true;
+        self.mark_if_unused(request);
+    }
+
+    /// Number of the request's attempts in flight.
+    pub fn attempts_in_flight(&self, request: u32) -> u32 {
+        self.states[request as usize].attempts_in_flight
+    }
+
+    /// Counts an attempt that starts.
+    pub fn start_attempt(&mut self, request: u32) {
+        self.states[request as usize].attempts_in_flight += 1;
+    }
+
+    /// Counts an attempt that ended.
+    ///
+    /// # Panics
+    ///
+    /// If the request has no attempt in flight.
+    pub fn end_attempt(&mut self, request: u32) {
+        self.states[request as usize].attempts_in_flight -= 1;
+        self.mark_if_unused(request);
+    }
+
+    /// Frees the indices that are unused.
+    pub fn free_unused(&mut self) {
+        for request in self.unused.drain(..) {
+            self.names.remove(request);
+        }
+    }
+
+    fn mark_if_unused(&mut self, request: u32) {
+        let state = &mut self.states[request as usize];
+        if state.is_completed && state.attempts_in_flight == 0 && !state.is_unused {
+            state.is_unused = true;
+            self.unused.push(request);
+        }
+    }
+}
