--- a/crates/merlinreel-simulator-adapter/src/actions.rs
+++ b/crates/merlinreel-simulator-adapter/src/actions.rs
@@ -30,7 +30,7 @@
 }
 
 impl Actions for ActionEncoder<'_> {
-    /// The simulator starts the attempt at once (the last field is a delay), so it is never later than `within`.
+    /// The simulator starts the attempt at once (the last value is a delay), so it is never later than `within`.
     fn start_attempt(&mut self, request: u32, server: u32, _within: Option<Duration>) {
         let _ = writeln!(
             self.output,
--- a/crates/merlinreel-simulator-adapter/src/encoding/tests.rs
+++ b/crates/merlinreel-simulator-adapter/src/encoding/tests.rs
@@ -12,13 +12,14 @@
 
 #[test]
 fn counter_name_is_decoded_to_its_customer_and_window() {
-    let counter = CounterKey {
-        customer: 8_589_934_591,
-        window: 100_020,
-    };
-    let decoded = decode_counter_name(&encode_counter_name(counter));
     assert_eq!(
-        decoded.map(|counter| (counter.customer, counter.window)),
-        Some((8_589_934_591, 100_020))
+        decode_counter_name(&encode_counter_name(CounterKey {
+            customer: 8_589_934_591,
+            window: 100_020
+        })),
+        Some(CounterKey {
+            customer: 8_589_934_591,
+            window: 100_020
+        })
     );
 }
--- a/crates/merlinreel-simulator-adapter/src/endpoint_lists.rs
+++ b/crates/merlinreel-simulator-adapter/src/endpoint_lists.rs
@@ -1,8 +1,8 @@
 //! The endpoint lists that the simulator sends once for all instances.
 
 use crate::error::ProtocolError;
-use crate::fields::Fields;
-use crate::protocol::{endpoint_state, field};
+use crate::protocol::{endpoint_state, value_name};
+use crate::values::Values;
 use merlinreel_policy::{Endpoint, EndpointState, ring_hash};
 use std::collections::HashMap;
 use std::time::Duration;
@@ -51,14 +51,14 @@
     /// # Errors
     ///
     /// If no list is open, the list is full or the entry is faulty. A faulty entry makes the list unusable.
-    pub fn read_entry(&mut self, fields: &mut Fields) -> Result<(), ProtocolError> {
+    pub fn read_entry(&mut self, values: &mut Values) -> Result<(), ProtocolError> {
         let open = self.open.and_then(|list| self.lists.get_mut(&list));
         let list = open.ok_or(ProtocolError::NoOpenList)?;
         if list.missing == 0 {
             return Err(ProtocolError::ListFull);
         }
         list.missing -= 1;
-        match decode_entry(fields) {
+        match decode_entry(values) {
             Ok(entry) => {
                 list.entries.push(entry);
                 Ok(())
@@ -106,15 +106,15 @@
     }
 }
 
-fn decode_entry(fields: &mut Fields) -> Result<ListEntry, ProtocolError> {
-    let name = fields.text(field::SERVER)?.to_owned();
-    let zone = fields.integer(field::ZONE)? as u32;
-    fields.integer(field::MACHINE_TYPE)?;
-    let cell = fields.integer(field::CELL)? as u32;
-    let state = decode_state(fields.text(field::STATE)?)?;
-    let weight = fields.optional_number(field::WEIGHT)?;
-    let started_at = fields
-        .optional_number(field::STARTED_AT)?
+fn decode_entry(values: &mut Values) -> Result<ListEntry, ProtocolError> {
+    let name = values.text(value_name::SERVER)?.to_owned();
+    let zone = values.integer(value_name::ZONE)? as u32;
+    values.integer(value_name::MACHINE_TYPE)?;
+    let cell = values.integer(value_name::CELL)? as u32;
+    let state = decode_state(values.text(value_name::STATE)?)?;
+    let weight = values.optional_number(value_name::WEIGHT)?;
+    let started_at = values
+        .optional_number(value_name::STARTED_AT)?
         .filter(|&seconds| seconds > 0.0)
         .and_then(|seconds| Duration::try_from_secs_f64(seconds).ok());
     let endpoint = Endpoint {
@@ -135,7 +135,7 @@
         endpoint_state::DRAINING => Ok(EndpointState::Draining),
         endpoint_state::REMOVED => Ok(EndpointState::Removed),
         other => Err(ProtocolError::UnknownValue {
-            field: field::STATE,
+            name: value_name::STATE,
             given: other.to_owned(),
         }),
     }
--- a/crates/merlinreel-simulator-adapter/src/error.rs
+++ b/crates/merlinreel-simulator-adapter/src/error.rs
@@ -9,81 +9,81 @@
     /// No message has this name.
     #[error("unknown message '{0}'")]
     UnknownMessage(String),
-    /// The line ends before a field that must be given, or the field is empty.
-    #[error("{field} is missing")]
+    /// The line ends before a value that must be given, or the value is empty.
+    #[error("{name} is missing")]
     Missing {
-        /// The field.
-        field: &'static str,
+        /// Name of the value.
+        name: &'static str,
     },
-    /// The field must be a finite number.
-    #[error("{field}: '{given}' is not a number")]
+    /// The value must be a finite number.
+    #[error("{name}: '{given}' is not a number")]
     NotANumber {
-        /// The field.
-        field: &'static str,
+        /// Name of the value.
+        name: &'static str,
         /// The text that was given.
         given: String,
     },
-    /// The field must be an integer, zero or greater.
-    #[error("{field}: '{given}' is not a whole number")]
+    /// The value must be an integer, zero or greater.
+    #[error("{name}: '{given}' is not a whole number")]
     NotAnInteger {
-        /// The field.
-        field: &'static str,
+        /// Name of the value.
+        name: &'static str,
         /// The text that was given.
         given: String,
     },
     /// The integer must be smaller.
-    #[error("{field}: {given} is out of range")]
+    #[error("{name}: {given} is out of range")]
     OutOfRange {
-        /// The field.
-        field: &'static str,
+        /// Name of the value.
+        name: &'static str,
         /// The integer that was given.
         given: u64,
     },
-    /// The field must be a number of seconds, zero or greater.
-    #[error("{field}: {seconds} is no time")]
+    /// The value must be a number of seconds, zero or greater.
+    #[error("{name}: {seconds} is no time")]
     NotADuration {
-        /// The field.
-        field: &'static str,
+        /// Name of the value.
+        name: &'static str,
         /// The number that was given.
         seconds: f64,
     },
-    /// The field must be `1` or `0`.
-    #[error("{field}: '{given}' is neither 1 nor 0")]
+    /// The value must be `1` or `0`.
+    #[error("{name}: '{given}' is neither 1 nor 0")]
     NotABoolean {
-        /// The field.
-        field: &'static str,
+        /// Name of the value.
+        name: &'static str,
         /// The text that was given.
         given: String,
     },
-    /// The field must be zero or greater.
-    #[error("{field}: {given} is below 0")]
+    /// The value must be zero or greater.
+    #[error("{name}: {given} is below 0")]
     Negative {
-        /// The field.
-        field: &'static str,
+        /// Name of the value.
+        name: &'static str,
         /// The number that was given.
         given: f64,
     },
-    /// An item of the field must be a name and a value with a colon between them.
-    #[error("{field}: '{given}' is no pair")]
+    /// An item of the value must be a name and a value with a colon between them.
+    #[error("{name}: '{given}' is no pair")]
     NotAPair {
-        /// The field.
-        field: &'static str,
+        /// Name of the value.
+        name: &'static str,
         /// The item that was given.
         given: String,
     },
-    /// The field must be hexadecimal digits, two for each byte.
-    #[error("{field}: '{given}' is not hex")]
+    /// The value must be hexadecimal digits, two for each byte.
+    #[error("{name}: '{given}' is not hex")]
     NotHex {
-        /// The field.
-        field: &'static str,
+        /// Name of the value.
+        name: &'static str,
         /// The text that was given.
         given: String,
     },
-    /// The field must be one of the words that the protocol knows.
-    #[error("{field}: unknown '{given}'")]
+    /// The value must be one of the words that the protocol knows.
+    #[error("{name}: unknown '{given}'")]
     UnknownValue {
-        /// The field.
-        field: &'static str,
+        /// Name of the value.
+        name: &'static str,
         /// The text that was given.
         given: String,
     },
--- a/crates/merlinreel-simulator-adapter/src/events.rs
+++ b/crates/merlinreel-simulator-adapter/src/events.rs
@@ -3,9 +3,9 @@
 use crate::encoding::{decode_counter_name, decode_hex};
 use crate::endpoint_lists::{EndpointLists, ListEntry};
 use crate::error::ProtocolError;
-use crate::fields::{Fields, parse_number};
 use crate::instance::Instance;
-use crate::protocol::{RETRY_FLAG, field, load, message, outcome, update_kind};
+use crate::protocol::{RETRY_FLAG, load, message, outcome, update_kind, value_name};
+use crate::values::{Values, parse_number};
 use merlinreel_policy::{
     AttemptOutcome, AttemptResult, CounterReply, Endpoint, EndpointUpdate, HealthCheckResult,
     LoadReport, PeerMessage, Request,
@@ -55,38 +55,38 @@
     }
 }
 
-/// Decodes the fields of a message and adds the event to the instance's batch.
+/// Decodes the values of a message and adds the event to the instance's batch.
 ///
 /// # Errors
 ///
-/// The first field that cannot be used. Nothing is added then.
+/// The first value that cannot be used. Nothing is added then.
 pub fn add_event(
     kind: EventKind,
-    fields: &mut Fields,
+    values: &mut Values,
     lists: &EndpointLists,
     instance: &mut Instance,
 ) -> Result<(), ProtocolError> {
     match kind {
-        EventKind::EndpointUpdate => add_endpoint_update(fields, lists, instance),
-        EventKind::Request => add_request(fields, instance),
-        EventKind::Streaming => add_streaming(fields, instance),
-        EventKind::Disconnect => add_disconnect(fields, instance),
-        EventKind::HealthCheck => add_health_check(fields, instance),
-        EventKind::PeerMessage => add_peer_message(fields, instance),
-        EventKind::AttemptResult => add_attempt_result(fields, instance),
+        EventKind::EndpointUpdate => add_endpoint_update(values, lists, instance),
+        EventKind::Request => add_request(values, instance),
+        EventKind::Streaming => add_streaming(values, instance),
+        EventKind::Disconnect => add_disconnect(values, instance),
+        EventKind::HealthCheck => add_health_check(values, instance),
+        EventKind::PeerMessage => add_peer_message(values, instance),
+        EventKind::AttemptResult => add_attempt_result(values, instance),
         // The batch itself wakes the limiter.
-        EventKind::Wakeup => fields.text(field::TIMER).map(|_| ()),
-        EventKind::CounterReply => add_counter_reply(fields, instance),
+        EventKind::Wakeup => values.text(value_name::TIMER).map(|_| ()),
+        EventKind::CounterReply => add_counter_reply(values, instance),
     }
 }
 
 fn add_endpoint_update(
-    fields: &mut Fields,
+    values: &mut Values,
     lists: &EndpointLists,
     instance: &mut Instance,
 ) -> Result<(), ProtocolError> {
-    let kind = fields.text(field::UPDATE_KIND)?;
-    fields.integer(field::LIST_VERSION)?;
+    let kind = values.text(value_name::UPDATE_KIND)?;
+    values.integer(value_name::LIST_VERSION)?;
     let mut update = EndpointUpdate {
         complete: false,
         cached: false,
@@ -98,7 +98,7 @@
         instance.batch.endpoint_updates.push(update);
         return Ok(());
     }
-    let entries = lists.entries(fields.integer(field::LIST)?)?;
+    let entries = lists.entries(values.integer(value_name::LIST)?)?;
     match kind {
         update_kind::CHANGES => {}
         update_kind::SNAPSHOT => update.complete = true,
@@ -106,7 +106,7 @@
             update.complete = true;
             update.cached = true;
         }
-        other => return Err(unknown_value(field::UPDATE_KIND, other)),
+        other => return Err(unknown_value(value_name::UPDATE_KIND, other)),
     }
     let with_index = |entry: &ListEntry| Endpoint {
         server: instance.servers.insert(&entry.name),
@@ -117,20 +117,24 @@
     Ok(())
 }
 
-fn add_request(fields: &mut Fields, instance: &mut Instance) -> Result<(), ProtocolError> {
-    let name = fields.text(field::REQUEST)?;
-    let set_size = fields.index(field::SET_SIZE, MAX_LIMITERS)? as u32;
-    let remaining_time = fields.duration(field::REMAINING_TIME)?;
-    let customer = fields.integer(field::CUSTOMER)?;
+fn add_request(values: &mut Values, instance: &mut Instance) -> Result<(), ProtocolError> {
+    let name = values.text(value_name::REQUEST)?;
+    let set_size = values.index(value_name::SET_SIZE, MAX_LIMITERS)? as u32;
+    let remaining_time = values.duration(value_name::REMAINING_TIME)?;
+    let customer = values.integer(value_name::CUSTOMER)?;
     let (plans, classes) = instance.limiter.sizes();
-    let plan = fields.index(field::PLAN, plans as u64)? as usize;
-    let class = fields.index(field::CLASS, classes as u64)? as usize;
-    let flags = fields.optional_number(field::REQUEST_FLAGS)?.unwrap_or(0.0) as u32;
-    let set_first = fields.optional_number(field::SET_FIRST)?.unwrap_or(0.0) as u32;
-    let units = fields.optional_number(field::UNITS)?.unwrap_or(1.0);
+    let plan = values.index(value_name::PLAN, plans as u64)? as usize;
+    let class = values.index(value_name::CLASS, classes as u64)? as usize;
+    let flags = values
+        .optional_number(value_name::REQUEST_FLAGS)?
+        .unwrap_or(0.0) as u32;
+    let set_first = values
+        .optional_number(value_name::SET_FIRST)?
+        .unwrap_or(0.0) as u32;
+    let units = values.optional_number(value_name::UNITS)?.unwrap_or(1.0);
     if units < 0.0 {
         return Err(ProtocolError::Negative {
-            field: field::UNITS,
+            name: value_name::UNITS,
             given: units,
         });
     }
@@ -153,27 +157,27 @@
 }
 
 /// A request that has ended before the message came is not an error.
-fn add_streaming(fields: &mut Fields, instance: &mut Instance) -> Result<(), ProtocolError> {
-    if let Some(request) = instance.requests.get(fields.text(field::REQUEST)?) {
+fn add_streaming(values: &mut Values, instance: &mut Instance) -> Result<(), ProtocolError> {
+    if let Some(request) = instance.requests.get(values.text(value_name::REQUEST)?) {
         instance.batch.streaming.push(request);
     }
     Ok(())
 }
 
 /// A request that has ended before the message came is not an error.
-fn add_disconnect(fields: &mut Fields, instance: &mut Instance) -> Result<(), ProtocolError> {
-    if let Some(request) = instance.requests.get(fields.text(field::REQUEST)?) {
+fn add_disconnect(values: &mut Values, instance: &mut Instance) -> Result<(), ProtocolError> {
+    if let Some(request) = instance.requests.get(values.text(value_name::REQUEST)?) {
         instance.batch.disconnects.push(request);
         instance.requests.complete(request);
     }
     Ok(())
 }
 
-fn add_health_check(fields: &mut Fields, instance: &mut Instance) -> Result<(), ProtocolError> {
-    let server = read_server(fields, instance)?;
-    let outcome = decode_outcome(fields.text(field::OUTCOME)?)?;
-    let latency = fields.duration(field::LATENCY)?;
-    let load = read_load_report(fields)?;
+fn add_health_check(values: &mut Values, instance: &mut Instance) -> Result<(), ProtocolError> {
+    let server = read_server(values, instance)?;
+    let outcome = decode_outcome(values.text(value_name::OUTCOME)?)?;
+    let latency = values.duration(value_name::LATENCY)?;
+    let load = read_load_report(values)?;
     instance.batch.health_checks.push(HealthCheckResult {
         server,
         answered: outcome == AttemptOutcome::Success,
@@ -183,11 +187,11 @@
     Ok(())
 }
 
-fn add_peer_message(fields: &mut Fields, instance: &mut Instance) -> Result<(), ProtocolError> {
-    let from = fields.index(field::SENDER, MAX_LIMITERS)? as u32;
-    let content = fields.text(field::CONTENT)?;
+fn add_peer_message(values: &mut Values, instance: &mut Instance) -> Result<(), ProtocolError> {
+    let from = values.index(value_name::SENDER, MAX_LIMITERS)? as u32;
+    let content = values.text(value_name::CONTENT)?;
     let bytes = decode_hex(content).ok_or_else(|| ProtocolError::NotHex {
-        field: field::CONTENT,
+        name: value_name::CONTENT,
         given: content.to_owned(),
     })?;
     instance
@@ -197,18 +201,18 @@
     Ok(())
 }
 
-fn add_attempt_result(fields: &mut Fields, instance: &mut Instance) -> Result<(), ProtocolError> {
-    let name = fields.text(field::REQUEST)?;
+fn add_attempt_result(values: &mut Values, instance: &mut Instance) -> Result<(), ProtocolError> {
+    let name = values.text(value_name::REQUEST)?;
     let request = instance.requests.get(name);
     let request = request.ok_or_else(|| ProtocolError::UnknownRequest(name.to_owned()))?;
-    let is_final = fields.boolean(field::REQUEST_COMPLETED)?;
-    let units = fields.optional_number(field::USED_UNITS)?;
-    let server = read_server(fields, instance)?;
-    let outcome = decode_outcome(fields.text(field::OUTCOME)?)?;
-    let latency = fields.duration(field::LATENCY)?;
-    let attempt = fields.integer(field::ATTEMPT)? as u32;
-    let usage = fields.optional_number(field::METERED_USAGE)?;
-    let load = read_load_report(fields)?;
+    let is_final = values.boolean(value_name::REQUEST_COMPLETED)?;
+    let units = values.optional_number(value_name::USED_UNITS)?;
+    let server = read_server(values, instance)?;
+    let outcome = decode_outcome(values.text(value_name::OUTCOME)?)?;
+    let latency = values.duration(value_name::LATENCY)?;
+    let attempt = values.integer(value_name::ATTEMPT)? as u32;
+    let usage = values.optional_number(value_name::METERED_USAGE)?;
+    let load = read_load_report(values)?;
     if instance.requests.attempts_in_flight(request) == 0 {
         return Err(ProtocolError::NoAttempt(name.to_owned()));
     }
@@ -230,12 +234,13 @@
     Ok(())
 }
 
-fn add_counter_reply(fields: &mut Fields, instance: &mut Instance) -> Result<(), ProtocolError> {
-    let total = fields.optional_number(field::COUNTER_TOTAL)?;
-    let code = fields.text(field::OUTCOME)?;
-    fields.duration(field::LATENCY)?;
-    let name = fields.text(field::COUNTER)?;
-    let counter = decode_counter_name(name).ok_or_else(|| unknown_value(field::COUNTER, name))?;
+fn add_counter_reply(values: &mut Values, instance: &mut Instance) -> Result<(), ProtocolError> {
+    let total = values.optional_number(value_name::COUNTER_TOTAL)?;
+    let code = values.text(value_name::OUTCOME)?;
+    values.duration(value_name::LATENCY)?;
+    let name = values.text(value_name::COUNTER)?;
+    let counter =
+        decode_counter_name(name).ok_or_else(|| unknown_value(value_name::COUNTER, name))?;
     let outcome = decode_outcome(code)?;
     instance.batch.counter_replies.push(CounterReply {
         customer: counter.customer,
@@ -246,25 +251,25 @@
     Ok(())
 }
 
-fn read_server(fields: &mut Fields, instance: &Instance) -> Result<u32, ProtocolError> {
-    let name = fields.text(field::SERVER)?;
+fn read_server(values: &mut Values, instance: &Instance) -> Result<u32, ProtocolError> {
+    let name = values.text(value_name::SERVER)?;
     let server = instance.servers.get(name);
     server.ok_or_else(|| ProtocolError::UnknownServer(name.to_owned()))
 }
 
-fn read_load_report(fields: &mut Fields) -> Result<LoadReport, ProtocolError> {
+fn read_load_report(values: &mut Values) -> Result<LoadReport, ProtocolError> {
     let mut report = LoadReport::default();
-    let Some(text) = fields.optional_text() else {
+    let Some(text) = values.optional_text() else {
         return Ok(report);
     };
     for pair in text.split(',') {
         let Some((name, value)) = pair.split_once(':') else {
             return Err(ProtocolError::NotAPair {
-                field: field::LOAD_REPORT,
+                name: value_name::LOAD_REPORT,
                 given: pair.to_owned(),
             });
         };
-        let value = Some(parse_number(field::LOAD_REPORT, value)?);
+        let value = Some(parse_number(value_name::LOAD_REPORT, value)?);
         match name {
             load::IN_FLIGHT => report.in_flight = value,
             load::QUEUED => report.queued = value,
@@ -293,13 +298,13 @@
         outcome::CONNECTION_LOST => Ok(AttemptOutcome::ConnectionLost),
         outcome::CANCELLED => Ok(AttemptOutcome::Cancelled),
         outcome::NOT_SENT => Ok(AttemptOutcome::NotSent),
-        other => Err(unknown_value(field::OUTCOME, other)),
+        other => Err(unknown_value(value_name::OUTCOME, other)),
     }
 }
 
-fn unknown_value(field: &'static str, given: &str) -> ProtocolError {
+fn unknown_value(name: &'static str, given: &str) -> ProtocolError {
     ProtocolError::UnknownValue {
-        field,
+        name,
         given: given.to_owned(),
     }
 }
--- a/crates/merlinreel-simulator-adapter/src/host.rs
+++ b/crates/merlinreel-simulator-adapter/src/host.rs
@@ -3,9 +3,9 @@
 use crate::endpoint_lists::EndpointLists;
 use crate::error::ProtocolError;
 use crate::events::{EventKind, add_event};
-use crate::fields::Fields;
 use crate::instance::Instance;
-use crate::protocol::{action, field, message};
+use crate::protocol::{action, message, value_name};
+use crate::values::Values;
 use merlinreel_settings::{Settings, SettingsTree};
 use std::collections::HashMap;
 use std::fmt::Write as _;
@@ -34,29 +34,29 @@
     ///
     /// Why the line cannot be used. If entries of an endpoint list are missing, the line after the list is skipped.
     pub fn handle_line(&mut self, line: &str) -> Result<Option<String>, ProtocolError> {
-        let mut fields = Fields::new(line);
-        let name = fields.text(field::MESSAGE)?;
+        let mut values = Values::new(line);
+        let name = values.text(value_name::MESSAGE)?;
         if name == message::LIST_ENTRY {
-            self.lists.read_entry(&mut fields)?;
+            self.lists.read_entry(&mut values)?;
             return Ok(None);
         }
         self.lists.close()?;
         match name {
-            message::BATCH_START => self.start_batch(&mut fields)?,
+            message::BATCH_START => self.start_batch(&mut values)?,
             message::BATCH_END => return self.end_batch().map(Some),
-            message::INSTANCE => self.select_instance(&mut fields)?,
-            message::LIST => self.open_list(&mut fields)?,
-            message::INSTANCE_START => self.start_instance(fields)?,
+            message::INSTANCE => self.select_instance(&mut values)?,
+            message::LIST => self.open_list(&mut values)?,
+            message::INSTANCE_START => self.start_instance(values)?,
             message::INSTANCE_STOP => self.stop_instance()?,
-            event => self.add_event(event, &mut fields)?,
+            event => self.add_event(event, &mut values)?,
         }
         Ok(None)
     }
 
-    fn start_batch(&mut self, fields: &mut Fields) -> Result<(), ProtocolError> {
+    fn start_batch(&mut self, values: &mut Values) -> Result<(), ProtocolError> {
         self.current = None;
         self.in_batch = true;
-        self.now = fields.duration(field::CLOCK)?;
+        self.now = values.duration(value_name::CLOCK)?;
         Ok(())
     }
 
@@ -83,23 +83,23 @@
         Ok(reply)
     }
 
-    fn select_instance(&mut self, fields: &mut Fields) -> Result<(), ProtocolError> {
+    fn select_instance(&mut self, values: &mut Values) -> Result<(), ProtocolError> {
         self.current = None;
-        self.current = Some(fields.text(field::INSTANCE)?.to_owned());
+        self.current = Some(values.text(value_name::INSTANCE)?.to_owned());
         Ok(())
     }
 
-    fn open_list(&mut self, fields: &mut Fields) -> Result<(), ProtocolError> {
-        let list = fields.integer(field::LIST)?;
-        let length = fields.index(field::LIST_LENGTH, MAX_LIST_LENGTH)?;
+    fn open_list(&mut self, values: &mut Values) -> Result<(), ProtocolError> {
+        let list = values.integer(value_name::LIST)?;
+        let length = values.index(value_name::LIST_LENGTH, MAX_LIST_LENGTH)?;
         self.lists.open(list, length as usize);
         Ok(())
     }
 
-    fn start_instance(&mut self, mut fields: Fields) -> Result<(), ProtocolError> {
+    fn start_instance(&mut self, mut values: Values) -> Result<(), ProtocolError> {
         let name = self.current.clone().ok_or(ProtocolError::NoInstance)?;
-        let seed = fields.integer(field::SEED)?;
-        let tree = SettingsTree::from_pairs(&fields.into_remaining())?;
+        let seed = values.integer(value_name::SEED)?;
+        let tree = SettingsTree::from_pairs(&values.into_remaining())?;
         let instance = Instance::new(Settings::read(&tree)?.limiter(seed));
         if !self.start_order.contains(&name) {
             self.start_order.push(name.clone());
@@ -116,7 +116,7 @@
         }
     }
 
-    fn add_event(&mut self, name: &str, fields: &mut Fields) -> Result<(), ProtocolError> {
+    fn add_event(&mut self, name: &str, values: &mut Values) -> Result<(), ProtocolError> {
         let Some(kind) = EventKind::from_message(name) else {
             return Err(ProtocolError::UnknownMessage(name.to_owned()));
         };
@@ -125,7 +125,7 @@
             return Err(ProtocolError::UnknownInstance(current.clone()));
         };
         instance.is_addressed = true;
-        add_event(kind, fields, &self.lists, instance)
+        add_event(kind, values, &self.lists, instance)
     }
 }
 
--- a/crates/merlinreel-simulator-adapter/src/main.rs
+++ b/crates/merlinreel-simulator-adapter/src/main.rs
@@ -11,12 +11,12 @@
 mod endpoint_lists;
 mod error;
 mod events;
-mod fields;
 mod host;
 mod instance;
 mod name_table;
 mod protocol;
 mod request_table;
+mod values;
 
 use host::Host;
 use std::io::{self, BufRead, Write};
--- a/crates/merlinreel-simulator-adapter/src/protocol.rs
+++ b/crates/merlinreel-simulator-adapter/src/protocol.rs
@@ -1,4 +1,4 @@
-//! The names of the simulator's protocol. A line is a name and its fields, separated by single spaces.
+//! The names of the simulator's protocol. A line is a name and its values, separated by single spaces.
 
 /// Messages from the simulator.
 pub mod message {
@@ -68,8 +68,8 @@
     pub const LOG: &str = "SAY_LOG";
 }
 
-/// Names of the messages' fields, as errors show them.
-pub mod field {
+/// Names of the messages' values, as errors show them.
+pub mod value_name {
     /// The name of a message itself.
     pub const MESSAGE: &str = "message";
     /// Time of the batch, in seconds.
@@ -206,5 +206,5 @@
 pub const ABSENT: &str = "-";
 /// Name of the only timer that an instance uses.
 pub const WAKEUP_TIMER: &str = "wake";
-/// Bit of [`field::REQUEST_FLAGS`]: the client has sent this request before.
+/// Bit of [`value_name::REQUEST_FLAGS`]: the client has sent this request before.
 pub const RETRY_FLAG: u32 = 2;
--- a/crates/merlinreel-simulator-adapter/src/fields.rs
+++ b/crates/merlinreel-simulator-adapter/src/values.rs
@@ -1,33 +1,33 @@
-//! Reads the fields of a line.
+//! Reads the values of a line.
 
 use crate::error::ProtocolError;
 use crate::protocol::ABSENT;
 use std::str::Split;
 use std::time::Duration;
 
-/// The fields of a line, read from left to right. Each is named by its reader, for the error.
-pub struct Fields<'a> {
+/// The values of a line, read from left to right. Each is named by its reader, for the error.
+pub struct Values<'a> {
     remaining: Split<'a, char>,
 }
 
-impl<'a> Fields<'a> {
-    /// The fields of `line`; the first is the name of the message.
-    pub fn new(line: &'a str) -> Fields<'a> {
-        Fields {
+impl<'a> Values<'a> {
+    /// The values of `line`; the first is the name of the message.
+    pub fn new(line: &'a str) -> Values<'a> {
+        Values {
             remaining: line.split(' '),
         }
     }
 
-    /// All fields that were not read yet.
+    /// All values that were not read yet.
     pub fn into_remaining(self) -> Vec<&'a str> {
         self.remaining.collect()
     }
 
     /// A text that must be given.
-    pub fn text(&mut self, field: &'static str) -> Result<&'a str, ProtocolError> {
+    pub fn text(&mut self, name: &'static str) -> Result<&'a str, ProtocolError> {
         match self.remaining.next() {
             Some(text) if !text.is_empty() => Ok(text),
-            _ => Err(ProtocolError::Missing { field }),
+            _ => Err(ProtocolError::Missing { name }),
         }
     }
 
@@ -39,50 +39,50 @@
     }
 
     /// A finite number; `None` if it is absent or the line has ended.
-    pub fn optional_number(&mut self, field: &'static str) -> Result<Option<f64>, ProtocolError> {
+    pub fn optional_number(&mut self, name: &'static str) -> Result<Option<f64>, ProtocolError> {
         match self.optional_text() {
-            Some(text) => parse_number(field, text).map(Some),
+            Some(text) => parse_number(name, text).map(Some),
             None => Ok(None),
         }
     }
 
     /// A finite number that must be given.
-    pub fn number(&mut self, field: &'static str) -> Result<f64, ProtocolError> {
-        self.optional_number(field)?
-            .ok_or(ProtocolError::Missing { field })
+    pub fn number(&mut self, name: &'static str) -> Result<f64, ProtocolError> {
+        self.optional_number(name)?
+            .ok_or(ProtocolError::Missing { name })
     }
 
     /// An integer, zero or greater.
-    pub fn integer(&mut self, field: &'static str) -> Result<u64, ProtocolError> {
-        let text = self.text(field)?;
+    pub fn integer(&mut self, name: &'static str) -> Result<u64, ProtocolError> {
+        let text = self.text(name)?;
         text.parse().map_err(|_| ProtocolError::NotAnInteger {
-            field,
+            name,
             given: text.to_owned(),
         })
     }
 
     /// An integer smaller than `end`.
-    pub fn index(&mut self, field: &'static str, end: u64) -> Result<u64, ProtocolError> {
-        match self.integer(field)? {
+    pub fn index(&mut self, name: &'static str, end: u64) -> Result<u64, ProtocolError> {
+        match self.integer(name)? {
             value if value < end => Ok(value),
-            given => Err(ProtocolError::OutOfRange { field, given }),
+            given => Err(ProtocolError::OutOfRange { name, given }),
         }
     }
 
     /// A duration, given in seconds.
-    pub fn duration(&mut self, field: &'static str) -> Result<Duration, ProtocolError> {
-        let seconds = self.number(field)?;
+    pub fn duration(&mut self, name: &'static str) -> Result<Duration, ProtocolError> {
+        let seconds = self.number(name)?;
         Duration::try_from_secs_f64(seconds)
-            .map_err(|_| ProtocolError::NotADuration { field, seconds })
+            .map_err(|_| ProtocolError::NotADuration { name, seconds })
     }
 
     /// A boolean, given as `1` or `0`.
-    pub fn boolean(&mut self, field: &'static str) -> Result<bool, ProtocolError> {
-        match self.text(field)? {
+    pub fn boolean(&mut self, name: &'static str) -> Result<bool, ProtocolError> {
+        match self.text(name)? {
             "1" => Ok(true),
             "0" => Ok(false),
             text => Err(ProtocolError::NotABoolean {
-                field,
+                name,
                 given: text.to_owned(),
             }),
         }
@@ -90,11 +90,11 @@
 }
 
 /// A finite number.
-pub fn parse_number(field: &'static str, text: &str) -> Result<f64, ProtocolError> {
+pub fn parse_number(name: &'static str, text: &str) -> Result<f64, ProtocolError> {
     match text.parse::<f64>() {
         Ok(value) if value.is_finite() => Ok(value),
         _ => Err(ProtocolError::NotANumber {
-            field,
+            name,
             given: text.to_owned(),
         }),
     }
