--- a/crates/merlinreel-simulator-adapter/src/instance.rs
+++ b/crates/merlinreel-simulator-adapter/src/instance.rs
@@ -7,7 +7,7 @@
 use merlinreel_policy::decide::Limiter;
 use std::time::Duration;
 
-/// A limiter, the names it is spoken to with, and the events that came in for it since its last batch.
+/// A limiter, the names of its endpoints and requests on the wire, and the events since its last batch.
 pub struct Instance {
     /// The limiter.
     pub limiter: Limiter,
@@ -33,7 +33,7 @@
         }
     }
 
-    /// Hands the batch to the limiter and writes its actions to `output`.
+    /// Runs the limiter on the batch and writes its actions to `output`.
     pub fn run_batch(&mut self, now: Duration, output: &mut String) {
         let batch = std::mem::take(&mut self.batch);
         let mut released_servers = Vec::new();
