--- a/crates/merlinreel/src/admin/tests.rs
+++ b/crates/merlinreel/src/admin/tests.rs
@@ -40,7 +40,7 @@
     body: &str,
 ) {
     use tokio::io::{AsyncReadExt, AsyncWriteExt};
-    let settings = merlinreel_settings::Paths::from_json(&serde_json::json!({}))
+    let settings = merlinreel_settings::SettingsTree::from_json(&serde_json::json!({}))
         .and_then(|paths| merlinreel_settings::Settings::read(&paths))
         .expect("sound");
     let limits = Limits::new(1024, 192, &settings).expect("enough for the least");
--- a/crates/merlinreel/src/client/tests.rs
+++ b/crates/merlinreel/src/client/tests.rs
@@ -11,7 +11,7 @@
 use crate::sync::lock;
 use crate::telemetry::metrics::Metrics;
 use hyper::body::Bytes;
-use merlinreel_settings::{Paths, Settings};
+use merlinreel_settings::{Settings, SettingsTree};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
@@ -43,7 +43,7 @@
 
 /// Settings without a class.
 fn settings() -> Settings {
-    Paths::from_json(&serde_json::json!({}))
+    SettingsTree::from_json(&serde_json::json!({}))
         .and_then(|paths| Settings::read(&paths))
         .expect("sound")
 }
@@ -56,7 +56,7 @@
 fn settings_of_look() -> Settings {
     let settings = serde_json::json!({"packages": [{"name": "team"}], "balancers": 1, "classes":
         [{"name": "look", "idempotency": "read_like", "hardLimitS": 9}]});
-    Paths::from_json(&settings)
+    SettingsTree::from_json(&settings)
         .and_then(|paths| Settings::read(&paths))
         .expect("sound")
 }
--- a/crates/merlinreel/src/client/tests/reading.rs
+++ b/crates/merlinreel/src/client/tests/reading.rs
@@ -173,7 +173,7 @@
 fn settings_of_pay() -> Settings {
     let settings = serde_json::json!({"packages": [{"name": "team"}], "balancers": 1, "classes":
         [{"name": "pay", "idempotency": "non_idempotent", "hardLimitS": 9}]});
-    Paths::from_json(&settings)
+    SettingsTree::from_json(&settings)
         .and_then(|paths| Settings::read(&paths))
         .expect("sound")
 }
--- a/crates/merlinreel/src/client/tests/response_heads.rs
+++ b/crates/merlinreel/src/client/tests/response_heads.rs
@@ -14,7 +14,7 @@
     let settings = serde_json::json!({"packages": [{"name": "team"}], "balancers": 1, "classes": [
         {"name": "look", "idempotency": "read_like", "hardLimitS": 9},
         {"name": "pay", "idempotency": "non_idempotent", "hardLimitS": 9}]});
-    Paths::from_json(&settings)
+    SettingsTree::from_json(&settings)
         .and_then(|paths| Settings::read(&paths))
         .expect("sound")
 }
--- a/crates/merlinreel/src/config.rs
+++ b/crates/merlinreel/src/config.rs
@@ -19,7 +19,7 @@
 use file::ConfigFile;
 use limits::Limits;
 use merlinreel_discovery::DiscoveryUpdate;
-use merlinreel_settings::{Paths, Settings};
+use merlinreel_settings::{Settings, SettingsTree};
 use std::net::SocketAddr;
 
 /// A limiter's name where neither the file nor the environment gives one.
@@ -86,9 +86,7 @@
 ) -> Result<GatewayConfig, ConfigError> {
     let (file, unknown_keys) = ConfigFile::parse(text)?;
     let section = file.settings.ok_or(ConfigError::SettingsMissing)?;
-    let settings = Paths::from_json(&section)
-        .and_then(|paths| Settings::read(&paths))
-        .map_err(|error| ConfigError::Settings(error.to_string()))?;
+    let settings = Settings::read(&SettingsTree::from_json(&section)?)?;
     check_settings(&settings)?;
     if settings.fleet.peer_messages && file.peer_listen.is_some() {
         check_peers(&file.peers, settings.fleet.limiters as usize)?;
--- a/crates/merlinreel/src/config/error.rs
+++ b/crates/merlinreel/src/config/error.rs
@@ -2,6 +2,7 @@
 
 use super::limits::CapacityError;
 use merlinreel_discovery::MessageError;
+use merlinreel_settings::SettingsError;
 use std::net::SocketAddr;
 use thiserror::Error;
 
@@ -59,7 +60,7 @@
     SettingsMissing,
     /// A setting has no valid value.
     #[error("{0}")]
-    Settings(String),
+    Settings(#[from] SettingsError),
     /// A setting without a default is missing.
     #[error("setting {key}: is missing")]
     SettingMissing {
--- a/crates/merlinreel/src/config/limits.rs
+++ b/crates/merlinreel/src/config/limits.rs
@@ -258,7 +258,7 @@
     pub fn new(sockets: u32, memory_mb: u32, settings: &Settings) -> Result<Limits, CapacityError> {
         let budget = Budget::new(sockets, memory_mb)?;
         Ok(Limits {
-            connect_timeout: given_or(settings.sockets.connect_within, DEFAULT_CONNECT_TIMEOUT),
+            connect_timeout: given_or(settings.sockets.connect_timeout, DEFAULT_CONNECT_TIMEOUT),
             max_body_bytes: 64 * 1024,
             max_head_bytes: 8 * 1024,
             listener: ListenerLimits::new(),
@@ -311,7 +311,10 @@
 
 impl UpstreamLimits {
     fn new(budget: &Budget, settings: &Settings) -> UpstreamLimits {
-        let server_idle = given_or(settings.sockets.server_idle, DEFAULT_SERVER_IDLE_TIMEOUT);
+        let server_idle = given_or(
+            settings.sockets.server_idle_timeout,
+            DEFAULT_SERVER_IDLE_TIMEOUT,
+        );
         UpstreamLimits {
             max_connections: budget.upstream_connections,
             max_buffered_response_bytes: budget.response_kb * 1024,
--- a/crates/merlinreel/src/config/limits/tests.rs
+++ b/crates/merlinreel/src/config/limits/tests.rs
@@ -1,12 +1,12 @@
 use super::*;
-use merlinreel_settings::Paths;
+use merlinreel_settings::SettingsTree;
 use test_case::test_case;
 
 /// Servers that a list may name, at the 220 bytes each that one takes where an agent indents its lists.
 #[test_case(32 => true ; "a small machine, a thousand and more")]
 #[test_case(192 => true ; "the default, a hundred and sixty thousand")]
 fn endpoint_list_fits_its_share_of_the_memory(memory_mb: u32) -> bool {
-    let settings = Paths::from_json(&serde_json::json!({}))
+    let settings = SettingsTree::from_json(&serde_json::json!({}))
         .and_then(|paths| Settings::read(&paths))
         .expect("valid");
     let limits = Limits::new(256, memory_mb, &settings).expect("enough memory");
@@ -18,7 +18,7 @@
 #[test_case(65536, 40 ; "little memory")]
 #[test_case(256, 32 ; "a small machine")]
 fn descriptors_and_bytes_stay_within_the_configured_limits(sockets: u32, memory_mb: u32) {
-    let settings = Paths::from_json(&serde_json::json!({}))
+    let settings = SettingsTree::from_json(&serde_json::json!({}))
         .and_then(|paths| Settings::read(&paths))
         .expect("valid");
     let limits = Limits::new(sockets, memory_mb, &settings).expect("enough memory");
--- a/crates/merlinreel/src/endpoints/tests.rs
+++ b/crates/merlinreel/src/endpoints/tests.rs
@@ -14,8 +14,9 @@
 use test_case::test_case;
 
 fn limits() -> Limits {
-    let paths =
-        merlinreel_settings::Paths::from_json(&serde_json::json!({"rules": {"drainGraceS": 2}}));
+    let paths = merlinreel_settings::SettingsTree::from_json(
+        &serde_json::json!({"rules": {"drainGraceS": 2}}),
+    );
     let settings = paths
         .and_then(|paths| merlinreel_settings::Settings::read(&paths))
         .expect("sound");
@@ -46,7 +47,7 @@
 #[test_case(0.5, 0.25 ; "a short one")]
 fn end_of_an_outage_is_noticed_within_a_drain_s_grace(grace: f64, within: f64) {
     let settings = serde_json::json!({"rules": {"drainGraceS": grace}});
-    let paths = merlinreel_settings::Paths::from_json(&settings);
+    let paths = merlinreel_settings::SettingsTree::from_json(&settings);
     let settings = paths
         .and_then(|paths| merlinreel_settings::Settings::read(&paths))
         .expect("sound");
--- a/crates/merlinreel/src/upstream/pool.rs
+++ b/crates/merlinreel/src/upstream/pool.rs
@@ -49,8 +49,8 @@
         metrics: Arc<Metrics>,
     ) -> UpstreamPool {
         UpstreamPool {
-            responses_carry_load: settings.sockets.loads_in_answers,
-            health_checks_carry_load: settings.sockets.loads_in_probes,
+            responses_carry_load: settings.sockets.load_reports_in_responses,
+            health_checks_carry_load: settings.sockets.load_reports_in_health_checks,
             health_checks: settings.endpoints.health_checks,
             response_memory: ResponseMemory::new(&limits),
             endpoints: EndpointTable::new(settings.sockets.zones.clone()),
@@ -98,7 +98,7 @@
 
     fn close_connections_of_removed_servers(&mut self) {
         for (server, idle) in self.idle.iter_mut().enumerate() {
-            if !self.endpoints.stands(server as u32) {
+            if !self.endpoints.is_listed(server as u32) {
                 idle.0.clear();
             }
         }
@@ -106,13 +106,13 @@
 
     /// Whether discovery lists the server as ready.
     pub fn is_ready(&self, server: u32) -> bool {
-        self.endpoints.is_up(server)
+        self.endpoints.is_ready(server)
     }
 
     /// Forgets a server; its index may be another's from now on.
     pub fn release_endpoint(&mut self, server: u32) {
         self.close_idle_connections(server);
-        self.endpoints.forget(server);
+        self.endpoints.release(server);
     }
 
     /// Starts an attempt on an idle connection, else on a new one. `None` where the server is not known or every
--- a/crates/merlinreel/src/upstream/tests.rs
+++ b/crates/merlinreel/src/upstream/tests.rs
@@ -67,7 +67,7 @@
     max_connections: usize,
 ) -> (UpstreamPool, mpsc::Receiver<Event>) {
     let settings = serde_json::json!({"report": {"how": how}, "policyLimits": {"probes": true}});
-    let paths = merlinreel_settings::Paths::from_json(&settings);
+    let paths = merlinreel_settings::SettingsTree::from_json(&settings);
     let settings = paths
         .and_then(|paths| merlinreel_settings::Settings::read(&paths))
         .expect("sound");
