--- a/crates/merlinreel-policy/src/peer_message.rs
+++ b/crates/merlinreel-policy/src/peer_message.rs
@@ -127,3 +127,6 @@
     }
     Some((head, rows))
 }
+
+#[cfg(test)]
+mod tests;
