--- a/crates/merlinreel-policy/src/decide.rs
+++ b/crates/merlinreel-policy/src/decide.rs
@@ -8,10 +8,10 @@
 mod servers;
 mod start_clock;
 
-use crate::peer_message::{self, CounterRow};
+use crate::peer_batch::{self, CounterRow};
 use crate::remote_counts::QuotaSnapshot;
 use crate::request::{Attempt, PendingRequest};
-use crate::ring::RollingWindow;
+use crate::rolling_window::RollingWindow;
 pub use crate::state::Limiter;
 use crate::state::{Account, Server, Subscriber, secs, slot, span};
 use crate::store::window_length;
@@ -22,9 +22,7 @@
 pub(crate) use start_clock::StartClock;
 
 /// Rows that surely fit into the one peer message that a peer's inbox takes: twelve bytes of head, nine a row.
-const ROWS: usize = (peer_message::MOST_BYTES - 12) / 9;
-/// Buckets of all rings: what is measured is then true to an eighth.
-pub(crate) const BUCKETS: usize = 8;
+const ROWS: usize = (peer_batch::MAX_BYTES - 12) / 9;
 
 impl Limiter {
     pub fn new(
--- a/crates/merlinreel-policy/src/decide/quotas.rs
+++ b/crates/merlinreel-policy/src/decide/quotas.rs
@@ -314,8 +314,8 @@
             let mut add = |to: u32, i: usize, total, asked, left| {
                 let row = CounterRow {
                     total,
-                    asked: Some(asked),
-                    left,
+                    demand: Some(asked),
+                    remaining: left,
                     ..account.row(i)
                 };
                 mail[to as usize].0 += need;
@@ -354,10 +354,10 @@
             let rows = &mut mail[p as usize].1;
             // Rows with two numbers more; what does not fit waits for the next peer message.
             rows.truncate(ROWS * 2 / 3);
-            self.owing[p as usize] += u32::from(rows.iter().any(|row| row.left.is_none()));
+            self.owing[p as usize] += u32::from(rows.iter().any(|row| row.remaining.is_none()));
             for row in rows.iter() {
                 let account = &mut self.accounts[self.by_customer[&row.customer]];
-                if row.left.is_some() {
+                if row.remaining.is_some() {
                     account
                         .listeners
                         .iter_mut()
@@ -379,7 +379,7 @@
 
     /// Malformed, stale and repeated peer messages change nothing.
     pub(super) fn read_peer_message(&mut self, now: Duration, peer_message: &PeerMessage) {
-        let Some((head, rows)) = peer_message::read(&peer_message.bytes) else {
+        let Some((head, rows)) = peer_batch::decode(&peer_message.bytes) else {
             return;
         };
         let from = peer_message.from as usize;
@@ -387,19 +387,19 @@
             return;
         }
         let (life, number) = self.last_peer_message[from];
-        if (head.life, head.number) <= (life, number) {
+        if (head.incarnation, head.sequence) <= (life, number) {
             return;
         }
-        self.last_peer_message[from] = (head.life, head.number);
+        self.last_peer_message[from] = (head.incarnation, head.sequence);
         self.word.add(
             now,
             f64::from(u8::from(
                 rows.iter()
-                    .any(|row| row.left.is_some() && row.age.is_none()),
+                    .any(|row| row.remaining.is_some() && row.age.is_none()),
             )),
         );
         self.owing[from] = 0;
-        if head.life > life {
+        if head.incarnation > life {
             // A peer that started again tells its totals from nothing; what it told before stays counted.
             for account in &mut self.accounts {
                 account.roll(now, &self.plans[account.plan]);
@@ -426,9 +426,9 @@
             let window = account
                 .window
                 .saturating_sub(account.window.wrapping_sub(row.window) & 3);
-            let Some(left) = row.left else {
+            let Some(left) = row.remaining else {
                 account.hear(now, plan, from, window, row.total, floor);
-                if let Some(asked) = row.asked {
+                if let Some(asked) = row.demand {
                     account.asked_units.add(now, asked);
                     // Who reported of late was told of every change since.
                     let known = account
@@ -447,7 +447,7 @@
                 continue;
             };
             let gatherer = account.gatherer(self.fleet, &self.owing);
-            if let (Some(age), Some(pace)) = (row.age, row.asked) {
+            if let (Some(age), Some(pace)) = (row.age, row.demand) {
                 if gatherer != self.fleet.me || account.set_size == 0 {
                     account.overhear(now, plan, QuotaSnapshot { left, pace, age }, LISTENED);
                 }
@@ -459,7 +459,7 @@
                 account.told_left = left - account.own[..=i].iter().sum::<f64>() + row.total;
                 account.spilled += account.left(now, plan) - account.told_left;
                 (account.told_at, account.pace, account.split_until) =
-                    (now, row.asked, Duration::ZERO);
+                    (now, row.demand, Duration::ZERO);
             }
         }
     }
--- a/crates/merlinreel-policy/src/decide/tests/gathering.rs
+++ b/crates/merlinreel-policy/src/decide/tests/gathering.rs
@@ -66,7 +66,7 @@
         1,
         1,
         &[CounterRow {
-            asked: Some(1.0),
+            demand: Some(1.0),
             ..row(0.0, Some(8.0))
         }],
     );
@@ -84,17 +84,17 @@
 fn who_reports_is_told_what_is_left() {
     let mut limiter = limiter(Idempotency::Idempotent, many());
     let report = CounterRow {
-        asked: Some(6.0),
+        demand: Some(6.0),
         ..row(3.0, None)
     };
     limiter.read_peer_message(at(1.0), &peer_message(1, 1, &[report]));
     let mut notes = Notes::default();
     limiter.sync(at(1.0), &mut notes);
-    let rows = peer_message::read(&notes.peer_messages[0].1)
+    let rows = peer_batch::decode(&notes.peer_messages[0].1)
         .map(|peer_message| peer_message.1)
         .unwrap_or_default();
     assert_eq!(
-        (notes.peer_messages[0].0, rows[0].total, rows[0].left),
+        (notes.peer_messages[0].0, rows[0].total, rows[0].remaining),
         (1, 3.0, Some(5.0))
     );
 }
@@ -109,7 +109,7 @@
     for (number, when, asked) in [(1, 1.0, 6.0), (2, 1.5, asked)] {
         notes.peer_messages.clear();
         let report = CounterRow {
-            asked: Some(asked),
+            demand: Some(asked),
             ..row(3.0, None)
         };
         limiter.read_peer_message(at(when), &peer_message(1, number, &[report]));
@@ -148,7 +148,7 @@
 fn messages_in_a_beat(words: f64) -> usize {
     let mut limiter = limiter(Idempotency::Idempotent, many());
     let report = CounterRow {
-        asked: Some(6.0),
+        demand: Some(6.0),
         ..row(3.0, None)
     };
     (1..31).for_each(|from| {
@@ -173,7 +173,7 @@
     let account = account(&mut limiter);
     (account.set_size, account.set_first, account.own[0]) = (1, 1 + first, 3.0);
     let told = CounterRow {
-        asked: Some(6.0),
+        demand: Some(6.0),
         ..row(2.0, Some(3.0))
     };
     limiter.read_peer_message(at(1.0), &peer_message(1, 1, &[told]));
@@ -190,7 +190,7 @@
     let (mut limiter, mut notes) = (limiter(Idempotency::Idempotent, many()), Notes::default());
     if let Some((left, age)) = reading {
         let row = CounterRow {
-            asked: Some(3.0),
+            demand: Some(3.0),
             age: Some(at(age)),
             ..row(0.0, Some(left))
         };
@@ -218,7 +218,7 @@
     (account.set_size, account.set_first) = (set_size, if set_size == 1 { 0 } else { 1 });
     for &(number, left, age) in told {
         let row = CounterRow {
-            asked: Some(20.0),
+            demand: Some(20.0),
             age: Some(at(age)),
             ..row(0.0, Some(left))
         };
@@ -244,7 +244,7 @@
     limiter.accounts[0].asked_units.add(at(1.0), asked);
     let other = CounterRow {
         customer: 1,
-        asked: Some(1.0),
+        demand: Some(1.0),
         ..row(1.0, None)
     };
     limiter.read_peer_message(at(1.0), &peer_message(1, 1, &[other]));
@@ -253,7 +253,7 @@
     let rows = notes
         .peer_messages
         .iter()
-        .flat_map(|(_, bytes)| peer_message::read(bytes).map(|peer_message| peer_message.1));
+        .flat_map(|(_, bytes)| peer_batch::decode(bytes).map(|peer_message| peer_message.1));
     rows.flatten()
         .filter(|row| row.customer == customer && row.age.is_some())
         .count()
--- a/crates/merlinreel-policy/src/decide/tests/helpers.rs
+++ b/crates/merlinreel-policy/src/decide/tests/helpers.rs
@@ -1,7 +1,7 @@
 //! What the tests share: a writer that notes decisions, and plain starting points.
 
 use super::*;
-use crate::peer_message::Head;
+use crate::peer_batch::BatchHeader;
 
 #[derive(Default)]
 pub struct Notes {
@@ -228,13 +228,20 @@
         plan: 0,
         window: 0,
         total,
-        asked: None,
-        left,
+        demand: None,
+        remaining: left,
         age: None,
     }
 }
 
 pub fn peer_message(life: u64, number: u64, rows: &[CounterRow]) -> PeerMessage {
-    let bytes = peer_message::write(Head { life, number }, rows).remove(0);
+    let bytes = peer_batch::encode(
+        BatchHeader {
+            incarnation: life,
+            sequence: number,
+        },
+        rows,
+    )
+    .remove(0);
     PeerMessage { from: 1, bytes }
 }
--- a/crates/merlinreel-policy/src/decide/tests/quotas.rs
+++ b/crates/merlinreel-policy/src/decide/tests/quotas.rs
@@ -159,7 +159,7 @@
     }
     let mut notes = Notes::default();
     limiter.sync(at(1.0), &mut notes);
-    let rows = peer_message::read(&notes.peer_messages[0].1)
+    let rows = peer_batch::decode(&notes.peer_messages[0].1)
         .map(|peer_message| peer_message.1)
         .unwrap_or_default();
     assert_eq!((notes.peer_messages.len(), rows[0].customer), (1, 59));
--- /dev/null
+++ b/crates/merlinreel-policy/src/model.rs
@@ -0,0 +1,10 @@
+//! The vocabulary of the interface: plans, request classes, endpoints, requests, attempts and the fleet.
+//!
+//! Plain data without behaviour; what arrives and what is decided is in [`crate::events`] and [`crate::actions`].
+
+pub mod attempt;
+pub mod endpoint;
+pub mod fleet;
+pub mod plan;
+pub mod request;
+pub mod request_class;
--- /dev/null
+++ b/crates/merlinreel-policy/src/peer_batch.rs
@@ -0,0 +1,180 @@
+//! The byte form of a peer message: a batch of window counters that one limiter sends to another.
+//!
+//! A message is a header and rows; all numbers are variable-length integers of seven bits a byte, the least significant
+//! first. A row is the customer, a kind (plan, flags and window number), the units admitted and, as the flags say, the
+//! demand and the remaining units.
+
+use crate::time;
+use std::time::Duration;
+
+/// The most bytes of a peer message.
+pub const MAX_BYTES: usize = 256;
+/// The most bytes of a header: two numbers.
+pub const MAX_HEADER_BYTES: usize = 12;
+/// The most bytes of a row that holds counts of the usual size.
+pub const TYPICAL_ROW_BYTES: usize = 9;
+/// Units are sent in steps of an eighth.
+const STEPS_PER_UNIT: f64 = 8.0;
+
+const REMAINING_FLAG: u64 = 1 << 2;
+const DEMAND_FLAG: u64 = 1 << 3;
+const WINDOW_MASK: u64 = 3;
+const PLAN_SHIFT: u32 = 4;
+
+/// One customer's counter in a peer message.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct CounterRow {
+    /// The customer.
+    pub customer: u64,
+    /// Index of the customer's plan.
+    pub plan: usize,
+    /// Number of the window; only its last two bits are sent, as older windows matter to nobody.
+    pub window: u64,
+    /// Units that the sender itself admitted in that window so far.
+    pub total: f64,
+    /// Units requested: since the sender's last row, or per second in a row that has `remaining`.
+    pub demand: Option<f64>,
+    /// Units that the sender believes are left of the customer's quota.
+    pub remaining: Option<f64>,
+    /// Age of the estimate where the sender relays another limiter's. A limiter that does not know such rows takes
+    /// them for an estimate by a limiter that is not the aggregator, which changes nothing.
+    pub age: Option<Duration>,
+}
+
+/// What stands before the rows of a peer message.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct BatchHeader {
+    /// When the sender started, in milliseconds: a later incarnation counts its totals from zero.
+    pub incarnation: u64,
+    /// Number of the message in this incarnation.
+    pub sequence: u64,
+}
+
+fn write_number(bytes: &mut Vec<u8>, mut value: u64) {
+    while value > 0x7f {
+        bytes.push(value as u8 | 0x80);
+        value >>= 7;
+    }
+    bytes.push(value as u8);
+}
+
+fn read_number(bytes: &mut &[u8]) -> Option<u64> {
+    let mut value = 0u64;
+    for shift in (0..63).step_by(7) {
+        let (&byte, rest) = bytes.split_first()?;
+        *bytes = rest;
+        value |= u64::from(byte & 0x7f) << shift;
+        if byte & 0x80 == 0 {
+            return Some(value);
+        }
+    }
+    None
+}
+
+/// Units as a number whose last bit is the sign.
+fn zigzag(units: f64) -> u64 {
+    let steps = (units * STEPS_PER_UNIT).round() as i64;
+    ((steps << 1) ^ (steps >> 63)) as u64
+}
+
+fn units(zigzag: u64) -> f64 {
+    ((zigzag >> 1) as i64 ^ -((zigzag & 1) as i64)) as f64 / STEPS_PER_UNIT
+}
+
+fn read_units(bytes: &mut &[u8]) -> Option<f64> {
+    read_number(bytes).map(units)
+}
+
+fn header_bytes(header: BatchHeader) -> Vec<u8> {
+    let mut bytes = Vec::with_capacity(MAX_BYTES);
+    write_number(&mut bytes, header.incarnation);
+    write_number(&mut bytes, header.sequence);
+    bytes
+}
+
+fn row_bytes(row: &CounterRow) -> Vec<u8> {
+    let mut bytes = Vec::new();
+    write_number(&mut bytes, row.customer);
+    let mut kind = (row.plan as u64) << PLAN_SHIFT | row.window & WINDOW_MASK;
+    if row.demand.is_some() {
+        kind |= DEMAND_FLAG;
+    }
+    if row.remaining.is_some() {
+        kind |= REMAINING_FLAG;
+    }
+    write_number(&mut bytes, kind);
+    // A relayed estimate has no total: its age stands in that place, as a number below zero.
+    let total = row.age.map_or(row.total, |age| {
+        -(time::seconds(age) + 1.0 / STEPS_PER_UNIT)
+    });
+    for units in [Some(total), row.demand, row.remaining]
+        .into_iter()
+        .flatten()
+    {
+        write_number(&mut bytes, zigzag(units));
+    }
+    bytes
+}
+
+/// Encodes rows into as many messages as they need, numbered from the header's number on.
+pub fn encode(mut header: BatchHeader, rows: &[CounterRow]) -> Vec<Vec<u8>> {
+    let mut messages = Vec::new();
+    let mut message = header_bytes(header);
+    for row in rows {
+        let bytes = row_bytes(row);
+        if message.len() + bytes.len() > MAX_BYTES {
+            header.sequence += 1;
+            messages.push(std::mem::replace(&mut message, header_bytes(header)));
+        }
+        message.extend(bytes);
+    }
+    messages.push(message);
+    messages
+}
+
+fn decode_row(bytes: &mut &[u8]) -> Option<CounterRow> {
+    let customer = read_number(bytes)?;
+    let kind = read_number(bytes)?;
+    let total = read_units(bytes)?;
+    let plan = usize::try_from(kind >> PLAN_SHIFT).ok()?;
+    let demand = if kind & DEMAND_FLAG != 0 {
+        Some(read_units(bytes)?)
+    } else {
+        None
+    };
+    let remaining = if kind & REMAINING_FLAG != 0 {
+        Some(read_units(bytes)?)
+    } else {
+        None
+    };
+    let relayed = remaining.is_some() && total < 0.0;
+    Some(CounterRow {
+        customer,
+        plan,
+        window: kind & WINDOW_MASK,
+        total: if remaining.is_some() {
+            total.max(0.0)
+        } else {
+            total
+        },
+        demand,
+        remaining,
+        age: relayed.then(|| time::from_seconds(-total - 1.0 / STEPS_PER_UNIT)),
+    })
+}
+
+/// Decodes a message; `None` where the bytes are not a complete message.
+pub fn decode(mut bytes: &[u8]) -> Option<(BatchHeader, Vec<CounterRow>)> {
+    let header = BatchHeader {
+        incarnation: read_number(&mut bytes)?,
+        sequence: read_number(&mut bytes)?,
+    };
+    let mut rows = Vec::new();
+    while !bytes.is_empty() {
+        rows.push(decode_row(&mut bytes)?);
+    }
+    Some((header, rows))
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/merlinreel-policy/src/peer_batch/tests.rs
@@ -0,0 +1,67 @@
+use super::*;
+use test_case::test_case;
+
+const HEADER: BatchHeader = BatchHeader {
+    incarnation: 300,
+    sequence: 5,
+};
+
+fn row() -> CounterRow {
+    CounterRow {
+        customer: 1000,
+        plan: 3,
+        window: 2,
+        total: 1.5,
+        demand: None,
+        remaining: None,
+        age: None,
+    }
+}
+
+/// The literal bytes of each form of a row, after the header's `ac 02 05`; what is read back is what was written.
+#[test_case(row(), &[0xe8, 0x07, 0x32, 0x18] ; "total only")]
+#[test_case(CounterRow { total: -2.0, ..row() }, &[0xe8, 0x07, 0x32, 0x1f] ; "negative total")]
+#[test_case(CounterRow { demand: Some(6.0), ..row() }, &[0xe8, 0x07, 0x3a, 0x18, 0x60] ; "total and demand")]
+#[test_case(CounterRow { remaining: Some(-0.5), ..row() }, &[0xe8, 0x07, 0x36, 0x18, 0x07] ; "total and remaining")]
+#[test_case(CounterRow { demand: Some(100.0), remaining: Some(8.0), ..row() }, &[0xe8, 0x07, 0x3e, 0x18, 0xc0, 0x0c, 0x80, 0x01] ; "total, demand and remaining")]
+#[test_case(CounterRow { demand: Some(100.0), remaining: Some(8.0), age: Some(Duration::from_millis(2500)), total: 0.0, ..row() }, &[0xe8, 0x07, 0x3e, 0x29, 0xc0, 0x0c, 0x80, 0x01] ; "relayed with its age")]
+#[test_case(CounterRow { demand: Some(1.0), remaining: Some(0.0), age: Some(Duration::ZERO), total: 0.0, ..row() }, &[0xe8, 0x07, 0x3e, 0x01, 0x10, 0x00] ; "relayed at once")]
+#[test_case(CounterRow { customer: u64::MAX >> 1, ..row() }, &[0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0x7f, 0x32, 0x18] ; "largest customer")]
+fn row_form_has_its_literal_bytes(row: CounterRow, bytes: &[u8]) {
+    let message = [&[0xac, 0x02, 0x05][..], bytes].concat();
+    assert_eq!(encode(HEADER, &[row]), [message.clone()]);
+    assert_eq!(decode(&message), Some((HEADER, vec![row])));
+}
+
+#[test]
+fn window_number_travels_by_its_last_two_bits() {
+    let long_window = CounterRow {
+        window: 0x1_0000_0002,
+        ..row()
+    };
+    assert_eq!(encode(HEADER, &[long_window]), encode(HEADER, &[row()]));
+}
+
+#[test]
+fn empty_batch_is_a_header_alone() {
+    assert_eq!(encode(HEADER, &[]), [[0xac, 0x02, 0x05]]);
+    assert_eq!(decode(&[0xac, 0x02, 0x05]), Some((HEADER, Vec::new())));
+}
+
+#[test]
+fn rows_beyond_a_message_follow_in_the_next_number() {
+    let messages = encode(HEADER, &[row(); 64]);
+    let lengths: Vec<usize> = messages.iter().map(Vec::len).collect();
+    assert_eq!(lengths, [255, 7]);
+    assert_eq!(messages[1], [0xac, 0x02, 0x06, 0xe8, 0x07, 0x32, 0x18]);
+}
+
+#[test_case(&[] ; "nothing")]
+#[test_case(&[0xac] ; "half a number")]
+#[test_case(&[0xac, 0x02] ; "half a header")]
+#[test_case(&[0xac, 0x02, 0x05, 0xe8, 0x07, 0x32] ; "no total")]
+#[test_case(&[0xac, 0x02, 0x05, 0xe8, 0x07, 0x3a, 0x18] ; "no demand where the row says one")]
+#[test_case(&[0x80, 0x80, 0x80, 0x80, 0x80, 0x80, 0x80, 0x80, 0x80, 0x01] ; "number of ten bytes")]
+fn bytes_that_are_no_whole_message_are_refused(bytes: &[u8]) {
+    assert_eq!(decode(bytes), None);
+}
--- a/crates/merlinreel-policy/src/state.rs
+++ b/crates/merlinreel-policy/src/state.rs
@@ -1,10 +1,10 @@
 //! The state that the module keeps, and how it is measured over time; nothing is decided here.
 
 use crate::decide::{ASKED_OVER, StartClock};
-use crate::peer_message::{self, CounterRow, Head};
+use crate::peer_batch::{self, BatchHeader, CounterRow};
 use crate::remote_counts::QuotaSnapshot;
 use crate::request::PendingRequest;
-use crate::ring::RollingWindow;
+use crate::rolling_window::RollingWindow;
 use crate::{
     Actions, Endpoint, EndpointConfig, EndpointState, FleetConfig, Plan, RequestClass,
     RequestLimits,
@@ -189,8 +189,8 @@
             plan: self.plan,
             window,
             total: self.own[i],
-            asked: None,
-            left: None,
+            demand: None,
+            remaining: None,
             age: None,
         }
     }
@@ -199,8 +199,8 @@
     pub fn passed_on(&self, reading: QuotaSnapshot) -> CounterRow {
         let QuotaSnapshot { left, pace, age } = reading;
         CounterRow {
-            asked: Some(pace),
-            left: Some(left),
+            demand: Some(pace),
+            remaining: Some(left),
             age: Some(age),
             ..self.row(0)
         }
@@ -359,10 +359,10 @@
         actions: &mut dyn Actions,
     ) {
         let life = self.started.unwrap_or(now).as_millis() as u64;
-        for peer_message in peer_message::write(
-            Head {
-                life,
-                number: self.peer_messages + 1,
+        for peer_message in peer_batch::encode(
+            BatchHeader {
+                incarnation: life,
+                sequence: self.peer_messages + 1,
             },
             rows,
         ) {
--- a/crates/merlinreel-policy/src/store.rs
+++ b/crates/merlinreel-policy/src/store.rs
@@ -1,7 +1,7 @@
 //! A customer's quota as a store counted by windows: what was used here and elsewhere, and what that leaves. Counting
 //! only; who is let in is decided in `decide`.
 
-use crate::ring::RollingWindow;
+use crate::rolling_window::RollingWindow;
 use crate::state::{Account, secs, span};
 use crate::{FleetConfig, Plan};
 use std::time::Duration;
--- a/crates/merlinreel-testkit/src/scale/quotas/tables.rs
+++ b/crates/merlinreel-testkit/src/scale/quotas/tables.rs
@@ -4,7 +4,7 @@
 use super::{FleetSetting, Point, START};
 use crate::scale::{Emit, MeasureRequest, Meter, ScaleError, Unit};
 use merlinreel_policy::decide::Limiter;
-use merlinreel_policy::peer_message::{CounterRow, Head, write};
+use merlinreel_policy::peer_batch::{BatchHeader, CounterRow, encode};
 use merlinreel_policy::{Actions, EventBatch, PeerMessage, Request};
 use std::time::Duration;
 
@@ -104,11 +104,11 @@
                 .iter()
                 .map(|&tenant| self.report_of(tenant))
                 .collect();
-            let head = Head {
-                life: 1,
-                number: number as u64 + 1,
+            let head = BatchHeader {
+                incarnation: 1,
+                sequence: number as u64 + 1,
             };
-            let messages = write(head, &rows).into_iter();
+            let messages = encode(head, &rows).into_iter();
             let peer_messages = messages
                 .map(|bytes| PeerMessage {
                     from: LIMITERS - 1,
@@ -131,8 +131,8 @@
             plan,
             window,
             total: 1.0,
-            asked: Some(1.0),
-            left: None,
+            demand: Some(1.0),
+            remaining: None,
             age: None,
         }
     }
@@ -140,7 +140,14 @@
     /// The first message of that life of each of so many peers; each time a later one.
     pub fn hear_new_lives(&mut self, life: u64, peers: u32) {
         for from in 1..=peers {
-            let bytes = write(Head { life, number: 1 }, &[]).concat();
+            let bytes = encode(
+                BatchHeader {
+                    incarnation: life,
+                    sequence: 1,
+                },
+                &[],
+            )
+            .concat();
             self.round(EventBatch {
                 peer_messages: vec![PeerMessage { from, bytes }],
                 ..EventBatch::default()
--- a/crates/merlinreel-testkit/src/scale/tenants/hollow.rs
+++ b/crates/merlinreel-testkit/src/scale/tenants/hollow.rs
@@ -1,7 +1,7 @@
 //! One limiter's decision module with many tenants and no sockets, on a clock that the caller moves.
 
 use merlinreel_policy::decide::Limiter;
-use merlinreel_policy::peer_message::{self, CounterRow, Head};
+use merlinreel_policy::peer_batch::{self, BatchHeader, CounterRow};
 use merlinreel_policy::{
     Actions, AttemptOutcome, AttemptResult, Endpoint, EndpointState, EndpointUpdate, EventBatch,
     LoadReport, PeerMessage, Request, ring_hash,
@@ -92,7 +92,7 @@
     first_customer: u64,
     decisions: Decisions,
     /// By peer: its life and the number of its last message.
-    heads: Vec<Head>,
+    heads: Vec<BatchHeader>,
 }
 
 impl HollowLimiter {
@@ -111,7 +111,13 @@
             chance,
             first_customer,
             decisions: Decisions::default(),
-            heads: vec![Head { life: 1, number: 0 }; fleet.limiters as usize],
+            heads: vec![
+                BatchHeader {
+                    incarnation: 1,
+                    sequence: 0
+                };
+                fleet.limiters as usize
+            ],
         };
         let round = EventBatch {
             endpoint_updates: vec![server_list()],
@@ -148,9 +154,9 @@
 
     fn messages(&mut self, from: u32, rows: &[CounterRow]) -> Vec<PeerMessage> {
         let head = &mut self.heads[from as usize];
-        head.number += 1;
-        let written = peer_message::write(*head, rows);
-        head.number += written.len() as u64 - 1;
+        head.sequence += 1;
+        let written = peer_batch::encode(*head, rows);
+        head.sequence += written.len() as u64 - 1;
         written
             .into_iter()
             .map(|bytes| PeerMessage { from, bytes })
@@ -253,9 +259,9 @@
 
     /// Another limiter says that it has started again.
     pub fn peer_restarts(&mut self, peer: u32) {
-        self.heads[peer as usize] = Head {
-            life: self.heads[peer as usize].life + 1,
-            number: 0,
+        self.heads[peer as usize] = BatchHeader {
+            incarnation: self.heads[peer as usize].incarnation + 1,
+            sequence: 0,
         };
         self.hear_from([peer]);
     }
@@ -300,8 +306,8 @@
         plan: 0,
         window: window & 3,
         total: UNITS,
-        asked: Some(UNITS),
-        left: None,
+        demand: Some(UNITS),
+        remaining: None,
         age: None,
     }
 }
--- a/crates/merlinreel/src/peers.rs
+++ b/crates/merlinreel/src/peers.rs
@@ -4,7 +4,7 @@
 use crate::messages::{Event, Queue};
 use crate::net::backoff::Backoff;
 use merlinreel_policy::PeerMessage;
-use merlinreel_policy::peer_message::MOST_BYTES;
+use merlinreel_policy::peer_batch::MAX_BYTES;
 use std::collections::HashMap;
 use std::io;
 use std::net::SocketAddr;
@@ -45,7 +45,7 @@
         let Some(&to) = self.peers.get(limiter as usize) else {
             return;
         };
-        if peer_message.len() > MOST_BYTES {
+        if peer_message.len() > MAX_BYTES {
             log!(
                 "peer messages: one of {} bytes was not sent",
                 peer_message.len()
@@ -62,11 +62,11 @@
     /// Takes peer messages in without end; a stranger's are dropped, as are those that find the queue full.
     pub async fn receive(self, queue: Queue) {
         let senders: HashMap<SocketAddr, u32> = self.peers.iter().copied().zip(0..).collect();
-        let mut buffer = [0; MOST_BYTES + 1];
+        let mut buffer = [0; MAX_BYTES + 1];
         let mut backoff = Backoff::default();
         loop {
             match self.socket.recv_from(&mut buffer).await {
-                Ok((length, from)) if length <= MOST_BYTES => {
+                Ok((length, from)) if length <= MAX_BYTES => {
                     backoff.reset();
                     if let Some(&from) = senders.get(&from) {
                         let bytes = buffer[..length].to_vec();
--- a/crates/merlinreel/src/peers/tests.rs
+++ b/crates/merlinreel/src/peers/tests.rs
@@ -23,7 +23,7 @@
     };
     tokio::spawn(receiver.receive(queue));
     let _ = stranger.send_to(b"odd", peers[0]).await;
-    sender.tell(0, &[0; MOST_BYTES + 1]);
+    sender.tell(0, &[0; MAX_BYTES + 1]);
     sender.tell(7, b"nobody");
     sender.tell(0, b"hello");
     let first = timeout(Duration::from_secs(5), news.recv())
