--- /dev/null
+++ b/crates/merlinreel-policy/src/expiry.rs
@@ -0,0 +1,72 @@
+//! Decides when accounts and servers that nothing needs any more are dropped: customers that come once and servers that
+//! are replaced without end would otherwise fill the memory.
+
+use crate::actions::Actions;
+use crate::model::endpoint::EndpointState;
+use crate::model::limiter_config::LimiterConfig;
+use crate::model::plan::Plan;
+use crate::quota::account::Account;
+use crate::quota::table::QuotaTable;
+use crate::quota::window::window_seconds;
+use crate::request_table::RequestTable;
+use crate::server::pool::ServerPool;
+use crate::server::server_state::Server;
+use std::time::Duration;
+
+/// Time between two checks for expiry.
+pub const CHECK_INTERVAL: Duration = Duration::from_secs(1);
+/// An account outlasts both windows...
+const ACCOUNT_WINDOWS: f64 = 2.0;
+/// ...and this many checks, as many customers come back.
+const LEAST_ACCOUNT_CHECKS: f64 = 30.0;
+const SERVER_CHECKS: u32 = 30;
+
+/// Drops what no request, window or peer message needs. To be called once in each [`CHECK_INTERVAL`].
+pub fn remove_expired(
+    now: Duration,
+    config: &LimiterConfig,
+    quotas: &mut QuotaTable,
+    servers: &mut ServerPool,
+    requests: &RequestTable,
+    actions: &mut dyn Actions,
+) {
+    let accounts_in_use = requests.pending.values().map(|pending| pending.account);
+    quotas.remove_expired(&config.plans, accounts_in_use, |account, plan| {
+        is_account_expired(now, account, plan)
+    });
+    let servers_in_use = requests
+        .pending
+        .values()
+        .flat_map(|pending| &pending.attempts)
+        .map(|attempt| attempt.server);
+    for server in servers.remove_expired(servers_in_use, is_server_expired) {
+        actions.release_endpoint(server);
+    }
+}
+
+/// Nothing is in flight or to be reported, and its bucket is as full as that of a new account.
+fn is_account_expired(now: Duration, account: &mut Account, plan: &Plan) -> bool {
+    account.idle_checks += 1;
+    let least_checks = (ACCOUNT_WINDOWS * window_seconds(plan)).max(LEAST_ACCOUNT_CHECKS);
+    let is_idle = f64::from(account.idle_checks) > least_checks
+        && !account.replication.dirty
+        && account.counter.in_flight.is_none()
+        && account.aggregation.subscribers.is_empty();
+    if !is_idle {
+        return false;
+    }
+    account.advance(now, plan);
+    account.remaining(now, plan) >= plan.burst
+}
+
+fn is_server_expired(server: &mut Server) -> bool {
+    server.removed_checks = if server.endpoint.state == EndpointState::Removed {
+        server.removed_checks + 1
+    } else {
+        0
+    };
+    server.removed_checks > SERVER_CHECKS
+}
+
+#[cfg(test)]
+mod tests;
--- a/crates/merlinreel-policy/src/peer_batch.rs
+++ b/crates/merlinreel-policy/src/peer_batch.rs
@@ -10,9 +10,11 @@
 /// The most bytes of a peer message.
 pub const MAX_BYTES: usize = 256;
 /// The most bytes of a header: two numbers.
-pub const MAX_HEADER_BYTES: usize = 12;
-/// The most bytes of a row that holds counts of the usual size.
-pub const TYPICAL_ROW_BYTES: usize = 9;
+const MAX_HEADER_BYTES: usize = 12;
+/// The most bytes of a row with a total of the usual size.
+const TYPICAL_ROW_BYTES: usize = 9;
+/// Rows with a total only that fit into one message.
+pub const ROWS_PER_MESSAGE: usize = (MAX_BYTES - MAX_HEADER_BYTES) / TYPICAL_ROW_BYTES;
 /// Units are sent in steps of an eighth.
 const STEPS_PER_UNIT: f64 = 8.0;
 
--- a/crates/merlinreel-policy/src/peer_batch/tests.rs
+++ b/crates/merlinreel-policy/src/peer_batch/tests.rs
@@ -29,7 +29,8 @@
 #[test_case(CounterRow { customer: u64::MAX >> 1, ..row() }, &[0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0x7f, 0x32, 0x18] ; "largest customer")]
 fn row_form_has_its_literal_bytes(row: CounterRow, bytes: &[u8]) {
     let message = [&[0xac, 0x02, 0x05][..], bytes].concat();
-    assert_eq!(encode(HEADER, &[row]), [message.clone()]);
+    let messages = encode(HEADER, &[row]);
+    assert_eq!(messages, [&message[..]]);
     assert_eq!(decode(&message), Some((HEADER, vec![row])));
 }
 
--- /dev/null
+++ b/crates/merlinreel-policy/src/quota/peer_reports.rs
@@ -0,0 +1,145 @@
+//! Decides what to make of another limiter's message. Malformed, old and duplicate messages change nothing.
+
+use super::account_parts::Subscriber;
+use super::aggregation::ESTIMATE_LIFETIME;
+use super::estimate::QuotaSnapshot;
+use super::peer_links::PeerLinks;
+use super::table::QuotaTable;
+use super::token_bucket::UsageSource;
+use super::window::{WindowAge, WindowNumber};
+use crate::events::PeerMessage;
+use crate::model::fleet::FleetConfig;
+use crate::model::plan::Plan;
+use crate::peer_batch::{self, BatchHeader, CounterRow};
+use std::time::Duration;
+
+/// A row with a total of more units is not believed.
+const MAX_TOTAL_UNITS: f64 = 1e9;
+/// A row's window is told by its last two bits.
+const WINDOW_MASK: u64 = 3;
+
+/// Takes over what a message reports.
+pub fn apply(
+    now: Duration,
+    peer_message: &PeerMessage,
+    fleet: &FleetConfig,
+    plans: &[Plan],
+    quotas: &mut QuotaTable,
+    peers: &mut PeerLinks,
+) {
+    let Some((header, rows)) = peer_batch::decode(&peer_message.bytes) else {
+        return;
+    };
+    let from = peer_message.from;
+    if from as usize >= peers.links.len() || from == fleet.me {
+        return;
+    }
+    let link = peers.link_mut(from);
+    let last = BatchHeader {
+        incarnation: link.incarnation,
+        sequence: link.sequence,
+    };
+    if (header.incarnation, header.sequence) <= (last.incarnation, last.sequence) {
+        return;
+    }
+    link.incarnation = header.incarnation;
+    link.sequence = header.sequence;
+    link.unanswered = 0;
+    let holds_estimate = rows
+        .iter()
+        .any(|row| row.remaining.is_some() && row.age.is_none());
+    let estimates = f64::from(u8::from(holds_estimate));
+    peers.estimates_received.add(now, estimates);
+    if header.incarnation > last.incarnation {
+        forget_totals_of(now, from, plans, quotas);
+    }
+    for row in &rows {
+        apply_row(now, from, row, fleet, plans, quotas, peers);
+    }
+}
+
+/// A limiter that has started again reports its totals from zero; what it reported before stays counted.
+fn forget_totals_of(now: Duration, limiter: u32, plans: &[Plan], quotas: &mut QuotaTable) {
+    for account in &mut quotas.accounts {
+        account.advance(now, &plans[account.plan]);
+        account.bucket.forget_totals_of(limiter);
+    }
+}
+
+fn apply_row(
+    now: Duration,
+    from: u32,
+    row: &CounterRow,
+    fleet: &FleetConfig,
+    plans: &[Plan],
+    quotas: &mut QuotaTable,
+    peers: &PeerLinks,
+) {
+    if row.plan >= plans.len() || row.total.abs() > MAX_TOTAL_UNITS {
+        return;
+    }
+    let index = quotas.find_or_create(now, row.customer, row.plan, plans);
+    let plan = &plans[row.plan];
+    let account = &mut quotas[index];
+    if account.plan != row.plan {
+        return;
+    }
+    account.advance(now, plan);
+    let current = account.bucket.window.0;
+    let window =
+        WindowNumber(current.saturating_sub(current.wrapping_sub(row.window) & WINDOW_MASK));
+    let Some(remaining) = row.remaining else {
+        // Units corrected by a response may leave a bucket below empty, by one large request at most.
+        let debt_limit = if fleet.settles { fleet.max_units } else { 0.0 };
+        let source = UsageSource::Peer(from);
+        account.set_usage_elsewhere(now, plan, source, window, row.total, debt_limit);
+        if let Some(demand) = row.demand {
+            account.aggregation.demand.add(now, demand);
+            subscribe(now, from, &mut account.aggregation.subscribers);
+        }
+        return;
+    };
+    let aggregator = account.aggregator(fleet, &peers.links);
+    if let (Some(age), Some(demand_rate)) = (row.age, row.demand) {
+        if aggregator != fleet.me || account.limiters.size == 0 {
+            let snapshot = QuotaSnapshot {
+                remaining,
+                demand_rate,
+                age,
+            };
+            account.apply_relayed(now, plan, snapshot, ESTIMATE_LIFETIME);
+        }
+        return;
+    }
+    let Some(age) = account.bucket.age(window) else {
+        return;
+    };
+    if aggregator != from {
+        return;
+    }
+    // The aggregator's estimate, less what it could not know of yet.
+    let own = account.bucket.own;
+    let own_units = match age {
+        WindowAge::Current => own.current,
+        WindowAge::Previous => own.current + own.previous,
+    };
+    let estimated = remaining - own_units + row.total;
+    account.bucket.overflowed += account.remaining(now, plan) - estimated;
+    account.aggregation.published.remaining = estimated;
+    account.aggregation.published.at = now;
+    account.aggregation.published.demand_rate = row.demand;
+    account.split_until = Duration::ZERO;
+}
+
+/// A limiter that reported is sent an estimate, unless it reported lately and so was sent each change since.
+fn subscribe(now: Duration, peer: u32, subscribers: &mut Vec<Subscriber>) {
+    let is_up_to_date = subscribers
+        .iter()
+        .any(|subscriber| subscriber.peer == peer && !subscriber.estimate_due);
+    subscribers.retain(|subscriber| subscriber.peer != peer);
+    subscribers.push(Subscriber {
+        peer,
+        reported_at: now,
+        estimate_due: !is_up_to_date,
+    });
+}
--- /dev/null
+++ b/crates/merlinreel-policy/src/quota/replication.rs
@@ -0,0 +1,116 @@
+//! Decides what limiters that are few enough report to each other directly, and whether the counter service is used.
+
+use super::aggregator_batch;
+use super::counter;
+use super::counter_client::CounterClient;
+use super::intervals::{message_interval, uses_aggregator};
+use super::peer_links::PeerLinks;
+use super::table::{DirtyAccount, QuotaTable};
+use super::window::WindowAge;
+use crate::actions::Actions;
+use crate::model::fleet::FleetConfig;
+use crate::model::plan::Plan;
+use crate::peer_batch::{CounterRow, ROWS_PER_MESSAGE};
+use std::cmp::Ordering;
+use std::time::Duration;
+
+/// Sends what other limiters are to know. Each of them is sent only the customers that it shares.
+pub fn send_updates(
+    now: Duration,
+    fleet: &FleetConfig,
+    plans: &[Plan],
+    quotas: &mut QuotaTable,
+    peers: &mut PeerLinks,
+    counter: &mut CounterClient,
+    actions: &mut dyn Actions,
+) {
+    if uses_aggregator(fleet) {
+        aggregator_batch::send(now, fleet, plans, quotas, peers, actions);
+        return;
+    }
+    let dirty = collect_dirty(now, fleet, plans, quotas);
+    if fleet.counter {
+        counter::send_updates(now, plans, quotas, counter, &dirty, actions);
+    }
+    // Beside a counter only while that cannot take all calls, as it is overloaded, slow or down.
+    let counter_suffices = fleet.counter && now >= counter.overloaded_until;
+    if !fleet.peer_messages || now < peers.next_broadcast_at || counter_suffices {
+        return;
+    }
+    peers.next_broadcast_at = now + message_interval(fleet);
+    broadcast(now, fleet, quotas, peers, &dirty, actions);
+}
+
+/// The accounts that have something to report, the emptiest first: what does not fit waits for the next time.
+fn collect_dirty(
+    now: Duration,
+    fleet: &FleetConfig,
+    plans: &[Plan],
+    quotas: &mut QuotaTable,
+) -> Vec<DirtyAccount> {
+    let QuotaTable {
+        accounts, dirty, ..
+    } = quotas;
+    let mut order = Vec::new();
+    dirty.retain(|&index| {
+        let account = &mut accounts[index.0];
+        let plan = &plans[account.plan];
+        account.advance(now, plan);
+        let replication = &mut account.replication;
+        let counter_update_due = fleet.counter && replication.has_update_due();
+        replication.dirty = replication.has_pending_broadcasts() || counter_update_due;
+        let is_dirty = replication.dirty;
+        if is_dirty {
+            order.push(DirtyAccount {
+                remaining_share: account.remaining(now, plan) / plan.burst.max(1.0),
+                account: index,
+            });
+        }
+        is_dirty
+    });
+    order.sort_by(|one, other| {
+        one.remaining_share
+            .partial_cmp(&other.remaining_share)
+            .map_or(Ordering::Equal, |order| {
+                order.then(one.account.cmp(&other.account))
+            })
+    });
+    order
+}
+
+/// One batch to each peer.
+fn broadcast(
+    now: Duration,
+    fleet: &FleetConfig,
+    quotas: &mut QuotaTable,
+    peers: &mut PeerLinks,
+    dirty: &[DirtyAccount],
+    actions: &mut dyn Actions,
+) {
+    let limiters = fleet.limiters;
+    let mut batches: Vec<Vec<CounterRow>> = vec![Vec::new(); limiters as usize];
+    for entry in dirty {
+        let account = &mut quotas[entry.account];
+        let limiter_set = account.limiters;
+        let receivers =
+            (0..limiters).filter(|&peer| peer != fleet.me && limiter_set.contains(peer, limiters));
+        for age in WindowAge::OLDEST_FIRST {
+            let is_full = receivers
+                .clone()
+                .any(|peer| batches[peer as usize].len() >= ROWS_PER_MESSAGE);
+            if account.replication.pending_broadcasts[age] == 0 || is_full {
+                continue;
+            }
+            for peer in receivers.clone() {
+                batches[peer as usize].push(account.row(age));
+            }
+            account.replication.pending_broadcasts[age] -= 1;
+            account.replication.unreported_units = 0.0;
+        }
+    }
+    for (peer, rows) in (0..).zip(&batches) {
+        if !rows.is_empty() {
+            peers.send(now, peer, rows, actions);
+        }
+    }
+}
--- /dev/null
+++ b/crates/merlinreel-policy/src/quota/table.rs
@@ -0,0 +1,120 @@
+//! The accounts of all customers that this limiter knows. Nothing is decided here.
+
+use super::account::Account;
+use crate::model::plan::Plan;
+use std::collections::HashMap;
+use std::ops::{Index, IndexMut};
+use std::time::Duration;
+
+/// Position of an account in the table.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct AccountIndex(pub usize);
+
+/// An account that has something to report.
+#[derive(Clone, Copy, Debug)]
+pub struct DirtyAccount {
+    /// What its token bucket has left, as a share of its capacity.
+    pub remaining_share: f64,
+    /// The account.
+    pub account: AccountIndex,
+}
+
+/// The accounts, by customer and by index.
+pub struct QuotaTable {
+    /// All accounts; those of free indices are empty.
+    pub accounts: Vec<Account>,
+    free: Vec<AccountIndex>,
+    /// The account of each customer.
+    pub by_customer: HashMap<u64, AccountIndex>,
+    /// Accounts that may have something to report.
+    pub dirty: Vec<AccountIndex>,
+    /// Time over which demand is measured.
+    demand_window: Duration,
+}
+
+impl Index<AccountIndex> for QuotaTable {
+    type Output = Account;
+
+    fn index(&self, index: AccountIndex) -> &Account {
+        &self.accounts[index.0]
+    }
+}
+
+impl IndexMut<AccountIndex> for QuotaTable {
+    fn index_mut(&mut self, index: AccountIndex) -> &mut Account {
+        &mut self.accounts[index.0]
+    }
+}
+
+impl QuotaTable {
+    /// An empty table, whose accounts measure demand over this time.
+    pub fn new(demand_window: Duration) -> QuotaTable {
+        QuotaTable {
+            accounts: Vec::new(),
+            free: Vec::new(),
+            by_customer: HashMap::new(),
+            dirty: Vec::new(),
+            demand_window,
+        }
+    }
+
+    /// The account of a customer, which is created if there is none.
+    pub fn find_or_create(
+        &mut self,
+        now: Duration,
+        customer: u64,
+        plan_index: usize,
+        plans: &[Plan],
+    ) -> AccountIndex {
+        let index = match self.by_customer.get(&customer) {
+            Some(&index) => index,
+            None => {
+                let plan = &plans[plan_index];
+                let account = Account::new(customer, plan_index, plan, now, self.demand_window);
+                self.insert(account)
+            }
+        };
+        self.mark_dirty(index);
+        index
+    }
+
+    fn insert(&mut self, account: Account) -> AccountIndex {
+        let index = self.free.pop().unwrap_or(AccountIndex(self.accounts.len()));
+        self.by_customer.insert(account.customer, index);
+        if index.0 < self.accounts.len() {
+            self[index] = account;
+        } else {
+            self.accounts.push(account);
+        }
+        index
+    }
+
+    /// Something concerned an account: it may have something to report, and does not expire yet.
+    pub fn mark_dirty(&mut self, index: AccountIndex) {
+        let account = &mut self[index];
+        account.idle_checks = 0;
+        if !std::mem::replace(&mut account.replication.dirty, true) {
+            self.dirty.push(index);
+        }
+    }
+
+    /// Drops the accounts that are not in use and that are expired; the condition is called for each account not in use.
+    pub fn remove_expired(
+        &mut self,
+        plans: &[Plan],
+        in_use: impl Iterator<Item = AccountIndex>,
+        mut is_expired: impl FnMut(&mut Account, &Plan) -> bool,
+    ) {
+        let mut keep = vec![false; self.accounts.len()];
+        for index in in_use.chain(self.free.iter().copied()) {
+            keep[index.0] = true;
+        }
+        for (index, account) in self.accounts.iter_mut().enumerate() {
+            if !keep[index] && is_expired(account, &plans[account.plan]) {
+                self.by_customer.remove(&account.customer);
+                *account = Account::default();
+                self.free.push(AccountIndex(index));
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/merlinreel-policy/src/request/completion.rs
@@ -0,0 +1,154 @@
+//! Decides what follows the end of an attempt: the final response, another attempt, or a rejection.
+
+use super::retry::{client_may_retry, may_attempt};
+use crate::actions::Actions;
+use crate::model::attempt::AttemptResult;
+use crate::model::limiter_config::LimiterConfig;
+use crate::model::request::RequestLimits;
+use crate::quota::table::QuotaTable;
+use crate::request_table::RequestTable;
+use crate::server::pool::ServerPool;
+use crate::time;
+use std::time::Duration;
+
+/// Goes on with a request of which an attempt has ended.
+pub fn continue_request(
+    now: Duration,
+    result: &AttemptResult,
+    config: &LimiterConfig,
+    quotas: &mut QuotaTable,
+    requests: &mut RequestTable,
+    actions: &mut dyn Actions,
+) {
+    settle_units(now, result, config, quotas, requests);
+    let Some(pending) = requests.pending.get(result.request) else {
+        return;
+    };
+    if result.request_completed || pending.completed {
+        complete(
+            result.request,
+            &config.request_limits,
+            quotas,
+            requests,
+            actions,
+        );
+        return;
+    }
+    if pending.queued || pending.has_attempt_in_flight() {
+        return;
+    }
+    if may_attempt(now, config, pending) {
+        requests.enqueue(result.request);
+    } else {
+        reject_or_fail(now, result.request, config, quotas, requests, actions);
+    }
+}
+
+/// Corrects the units that were charged by those that the response tells.
+fn settle_units(
+    now: Duration,
+    result: &AttemptResult,
+    config: &LimiterConfig,
+    quotas: &mut QuotaTable,
+    requests: &RequestTable,
+) {
+    let Some(pending) = requests.pending.get(result.request) else {
+        return;
+    };
+    let (Some(units), Some(window), true) = (result.units, pending.window, config.fleet.settles)
+    else {
+        return;
+    };
+    let account = &mut quotas[pending.account];
+    account.advance(now, &config.plans[account.plan]);
+    let correction = (units - pending.request.units) * pending.sampling_factor;
+    account.charge(window, correction);
+    quotas.mark_dirty(pending.account);
+}
+
+/// A streamed response has begun: its server does answer, and the attempt is never cancelled.
+pub fn response_started(
+    now: Duration,
+    request: u32,
+    servers: &mut ServerPool,
+    requests: &mut RequestTable,
+) {
+    let Some(pending) = requests.pending.get_mut(request) else {
+        return;
+    };
+    for attempt in &mut pending.attempts {
+        if !attempt.in_flight {
+            continue;
+        }
+        attempt.cancelled = true;
+        if let Some(server) = servers.servers.get_mut(attempt.server) {
+            server.health.unanswered_since = now;
+        }
+    }
+}
+
+/// Ends a request without a response, at once: a rejection where the client may retry, else a failure.
+pub fn reject_or_fail(
+    now: Duration,
+    request: u32,
+    config: &LimiterConfig,
+    quotas: &mut QuotaTable,
+    requests: &mut RequestTable,
+    actions: &mut dyn Actions,
+) {
+    let Some(pending) = requests.pending.get(request) else {
+        return;
+    };
+    if pending.completed {
+        return;
+    }
+    let account = &mut quotas[pending.account];
+    let plan = &config.plans[account.plan];
+    if pending.attempts.is_empty() {
+        account.advance(now, plan);
+        if let Some(window) = pending.window {
+            account.charge(window, -pending.request.units * pending.sampling_factor);
+        }
+        account.ceiling.units += pending.request.units;
+        quotas.mark_dirty(pending.account);
+    }
+    if client_may_retry(now, config, pending) {
+        // At the end of the window rather than as refill allows: servers that are overloaded need a pause.
+        let window = quotas[pending.account].bucket.window;
+        let wait_seconds = window.end_seconds(plan) - time::seconds(now);
+        let retry_after = config.request_limits.retry_after;
+        actions.reject(
+            request,
+            retry_after.then(|| time::from_seconds(wait_seconds)),
+        );
+    } else {
+        actions.fail(request);
+    }
+    complete(request, &config.request_limits, quotas, requests, actions);
+}
+
+/// The client has its final response or is gone: attempts in flight are cancelled, and nothing more is sent.
+pub fn complete(
+    request: u32,
+    limits: &RequestLimits,
+    quotas: &mut QuotaTable,
+    requests: &mut RequestTable,
+    actions: &mut dyn Actions,
+) {
+    let Some(pending) = requests.pending.get_mut(request) else {
+        return;
+    };
+    if !std::mem::replace(&mut pending.completed, true) {
+        let account = &mut quotas[pending.account];
+        account.in_progress = account.in_progress.saturating_sub(1);
+    }
+    for (number, attempt) in (0..).zip(&mut pending.attempts) {
+        let may_cancel = attempt.in_flight && limits.cancellation;
+        if may_cancel && !std::mem::replace(&mut attempt.cancelled, true) {
+            actions.cancel_attempt(request, number);
+        }
+    }
+    if !pending.has_attempt_in_flight() {
+        requests.pending.remove(request);
+    }
+}
--- /dev/null
+++ b/crates/merlinreel-policy/src/request/queue.rs
@@ -0,0 +1,160 @@
+//! Decides which of the waiting requests get an attempt now.
+
+use super::completion::reject_or_fail;
+use super::retry::{may_attempt, must_arrive_within};
+use crate::actions::Actions;
+use crate::model::limiter_config::LimiterConfig;
+use crate::quota::table::QuotaTable;
+use crate::request_table::{PendingAttempt, PendingRequest, RequestTable};
+use crate::server::fleet_latency::FleetLatency;
+use crate::server::pool::ServerPool;
+use crate::server::selection::Selection;
+use crate::time;
+use nanorand::WyRand;
+use std::cmp::Reverse;
+use std::time::Duration;
+
+const LEAST_OBJECTIVE_SECONDS: f64 = 0.001;
+const LEAST_VALUE: f64 = 1e-9;
+/// Typical latencies that must remain until the latency objective.
+const NEEDED_TYPICAL_LATENCIES: f64 = 1.5;
+/// More than this part of the latency objective is never asked for: slow responses must not stop all attempts for good.
+const NEEDED_OBJECTIVE_DIVISOR: f64 = 2.0;
+
+/// What the queue reads and writes.
+pub struct Dispatch<'a> {
+    /// The limiter's configuration.
+    pub config: &'a LimiterConfig,
+    /// The accounts, for requests that are given back.
+    pub quotas: &'a mut QuotaTable,
+    /// The servers.
+    pub servers: &'a mut ServerPool,
+    /// What is known of all servers together.
+    pub latency: &'a mut FleetLatency,
+    /// The requests and their queue.
+    pub requests: &'a mut RequestTable,
+    /// The source of chance.
+    pub random: &'a mut WyRand,
+}
+
+impl Dispatch<'_> {
+    /// Starts attempts for the requests that wait, as far as servers have capacity.
+    pub fn run(&mut self, now: Duration, actions: &mut dyn Actions) {
+        let queue = std::mem::take(&mut self.requests.queue);
+        let responses_seen = self.latency.successes.sum(now) > 0.0;
+        for request in self.sorted(now, queue) {
+            let Some(pending) = self.requests.pending.get(request) else {
+                continue;
+            };
+            if pending.completed || !pending.queued {
+                continue;
+            }
+            let cannot_meet_deadline = self.cannot_meet_deadline(now, pending, responses_seen);
+            if cannot_meet_deadline || !may_attempt(now, self.config, pending) {
+                reject_or_fail(
+                    now,
+                    request,
+                    self.config,
+                    self.quotas,
+                    self.requests,
+                    actions,
+                );
+                continue;
+            }
+            match self.select(now, request) {
+                Some(server) => self.start_attempt(now, request, server, actions),
+                None => self.requests.queue.push(request),
+            }
+        }
+    }
+
+    /// The most valuable requests first, and among near equals the one that arrived last: under overload the newest are
+    /// answered in time, where the oldest first would make all late.
+    fn sorted(&self, now: Duration, mut queue: Vec<u32>) -> Vec<u32> {
+        let max_value = queue
+            .iter()
+            .filter_map(|&request| self.requests.pending.get(request))
+            .map(|pending| self.value(pending))
+            .fold(0.0, f64::max);
+        queue.sort_by_cached_key(|&request| match self.requests.pending.get(request) {
+            Some(pending) => {
+                let ratio = max_value / self.value(pending).max(LEAST_VALUE);
+                (ratio.log2() as u32, Reverse(pending.arrived_at))
+            }
+            None => (0, Reverse(now)),
+        });
+        queue
+    }
+
+    /// What the request earns per second of its latency objective.
+    fn value(&self, pending: &PendingRequest) -> f64 {
+        let class = &self.config.classes[pending.request.class];
+        let plan = &self.config.plans[pending.request.plan];
+        let objective_seconds = time::seconds(class.latency_objective);
+        class.priority_weight * plan.plan_weight / objective_seconds.max(LEAST_OBJECTIVE_SECONDS)
+    }
+
+    /// Whether a response would come too late. Before any response was seen nobody knows, and attempts are made: a limiter
+    /// whose requests all have little time left would otherwise never learn how fast its servers are.
+    fn cannot_meet_deadline(
+        &self,
+        now: Duration,
+        pending: &PendingRequest,
+        responses_seen: bool,
+    ) -> bool {
+        let class = &self.config.classes[pending.request.class];
+        let longest = time::seconds(class.latency_objective) / NEEDED_OBJECTIVE_DIVISOR;
+        let needed_seconds = if responses_seen {
+            (self.latency.typical_seconds * NEEDED_TYPICAL_LATENCIES).min(longest)
+        } else {
+            0.0
+        };
+        let ends_at = pending.objective_at.min(pending.deadline_at);
+        now + time::from_seconds(needed_seconds) >= ends_at
+    }
+
+    /// The server for the request's next attempt, if one has capacity.
+    pub fn select(&mut self, now: Duration, request: u32) -> Option<u32> {
+        let pending = self.requests.pending.get(request)?;
+        let selection = Selection {
+            now,
+            fleet: &self.config.fleet,
+            config: &self.config.endpoints,
+            latency: self.latency,
+            request: pending,
+            idempotency: self.config.classes[pending.request.class].repeats,
+            queue_is_empty: self.requests.queue.is_empty(),
+        };
+        selection.select(self.servers, self.random)
+    }
+
+    fn start_attempt(
+        &mut self,
+        now: Duration,
+        request: u32,
+        server: u32,
+        actions: &mut dyn Actions,
+    ) {
+        let Some(pending) = self.requests.pending.get_mut(request) else {
+            return;
+        };
+        let Some(upstream) = self.servers.servers.get_mut(server) else {
+            return;
+        };
+        pending.queued = false;
+        pending.attempts.push(PendingAttempt {
+            server,
+            sent_at: now,
+            in_flight: true,
+            cancelled: false,
+            overdue: false,
+        });
+        if upstream.limit.in_flight == 0 {
+            upstream.health.unanswered_since = now;
+        }
+        upstream.limit.in_flight += 1;
+        upstream.recent_attempts.add(now, 1.0);
+        let within = must_arrive_within(now, self.config, pending);
+        actions.start_attempt(request, server, within);
+    }
+}
--- /dev/null
+++ b/crates/merlinreel-policy/src/request/tests.rs
@@ -0,0 +1,5 @@
+mod admission;
+mod completion;
+mod queue;
+mod retry;
+mod time_spent;
--- /dev/null
+++ b/crates/merlinreel-policy/src/request/tests/completion.rs
@@ -0,0 +1,63 @@
+use crate::limiter::Limiter;
+use crate::model::attempt::{AttemptOutcome, AttemptResult};
+use crate::model::request_class::{Idempotency, IdempotencyScope};
+use crate::request::completion::{reject_or_fail, response_started};
+use crate::request_table::FirstRun;
+use crate::tests::helpers::*;
+use std::time::Duration;
+use test_case::test_case;
+
+const ZONE: Idempotency =
+    Idempotency::IdempotencyKey(IdempotencyScope::Zone, Duration::from_millis(600));
+
+fn give_up(limiter: &mut Limiter) -> Vec<String> {
+    let mut actions = RecordedActions::default();
+    reject_or_fail(
+        at(1.0),
+        0,
+        &limiter.config,
+        &mut limiter.quotas,
+        &mut limiter.requests,
+        &mut actions,
+    );
+    actions.lines
+}
+
+#[test_case(Idempotency::Idempotent => "reject 0 3.0" ; "the client may retry")]
+#[test_case(Idempotency::NonIdempotent => "fail 0" ; "it must not where it may have run")]
+#[test_case(ZONE => "fail 0" ; "nor outside the scope that knows its key")]
+fn request_without_a_response_is_rejected_or_fails(repeats: Idempotency) -> String {
+    let mut limiter = with_attempt(repeats);
+    pending_mut(&mut limiter, 0).first_run = Some(FirstRun {
+        server: 0,
+        sent_at: at(1.0),
+    });
+    give_up(&mut limiter).remove(0)
+}
+
+#[test]
+fn request_never_sent_returns_its_units() {
+    let mut limiter = with_attempt(Idempotency::NonIdempotent);
+    pending_mut(&mut limiter, 0).attempts.clear();
+    give_up(&mut limiter);
+    assert_eq!(first_account(&mut limiter).bucket.own.current, 0.0);
+}
+
+#[test]
+fn streaming_server_counts_as_answering() {
+    let mut limiter = with_attempt(Idempotency::Idempotent);
+    response_started(at(4.0), 0, &mut limiter.servers, &mut limiter.requests);
+    assert!(server_mut(&mut limiter, 0).health.unanswered_since == at(4.0));
+}
+
+#[test]
+fn response_corrects_the_units() {
+    let mut limiter = with_attempt(Idempotency::Idempotent);
+    limiter.config.fleet.settles = true;
+    let result = AttemptResult {
+        units: Some(3.0),
+        ..attempt_result(AttemptOutcome::Success, true)
+    };
+    limiter.handle_attempt_result(at(1.1), &result, &mut RecordedActions::default());
+    assert_eq!(first_account(&mut limiter).bucket.own.current, 3.0);
+}
--- /dev/null
+++ b/crates/merlinreel-policy/src/server.rs
@@ -0,0 +1,22 @@
+//! Servers: how much each is sent, whether it is healthy, how it starts, and which one an attempt goes to.
+//!
+//! State: [`server_state`], [`pool`], [`fleet_latency`] and [`subscription`]. Decisions: [`endpoint_updates`],
+//! [`start_clock`], [`slow_start`], [`concurrency_limit`], [`outlier_ejection`], [`attempt_results`], [`subset`],
+//! [`selection`] and [`overdue_attempts`].
+
+pub mod attempt_results;
+pub mod concurrency_limit;
+pub mod endpoint_updates;
+pub mod fleet_latency;
+pub mod outlier_ejection;
+pub mod overdue_attempts;
+pub mod pool;
+pub mod selection;
+pub mod server_state;
+pub mod slow_start;
+pub mod start_clock;
+pub mod subscription;
+pub mod subset;
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/merlinreel-policy/src/server/tests.rs
@@ -0,0 +1,9 @@
+mod concurrency_limit;
+mod endpoint_updates;
+mod outlier_ejection;
+mod overdue_attempts;
+mod selection;
+mod slow_start;
+mod start_clock;
+mod starting_server;
+mod subset;
--- /dev/null
+++ b/crates/merlinreel-policy/src/server/tests/selection.rs
@@ -0,0 +1,93 @@
+use crate::model::fleet::FleetConfig;
+use crate::model::request_class::{Idempotency, IdempotencyScope};
+use crate::request_table::FirstRun;
+use crate::server::server_state::Server;
+use crate::tests::helpers::*;
+use std::time::Duration;
+use test_case::test_case;
+
+const ZONE: Idempotency =
+    Idempotency::IdempotencyKey(IdempotencyScope::Zone, Duration::from_millis(600));
+
+#[test_case(|_| () => Some(0) ; "the nearer of two that are alike")]
+#[test_case(|s| s.eligible = false => Some(1) ; "one that drains or is removed")]
+#[test_case(|s| s.health.ejected_until = at(9.0) => Some(1) ; "one that failed")]
+#[test_case(|s| s.limit.in_flight = 2 => Some(1) ; "one at its limit")]
+#[test_case(|s| s.health.error_rate = 0.2 => Some(1) ; "one that fails fast and so looks idle")]
+fn selection_avoids_the_worse_server(impair: fn(&mut Server)) -> Option<u32> {
+    let mut limiter = with_servers(with_attempt(Idempotency::Idempotent));
+    server_mut(&mut limiter, 1).latency_seconds = 0.25;
+    server_mut(&mut limiter, 0).latency_seconds = 0.2;
+    pending_mut(&mut limiter, 0).attempts.clear();
+    impair(server_mut(&mut limiter, 0));
+    limiter.dispatch().select(at(2.0), 0)
+}
+
+#[test_case(false ; "starting")]
+#[test_case(true ; "failed and on trial")]
+fn many_limiters_do_not_all_try_a_weak_server_at_once(failed: bool) {
+    let tries = |me: u32| {
+        let fleet = FleetConfig {
+            me,
+            ..large_fleet()
+        };
+        let mut limiter = limiter(Idempotency::Idempotent, fleet);
+        limiter.servers.servers = (0..2).map(|index| server(index, 90)).collect();
+        *limiter.requests.pending.slot(0) = Some(pending_request());
+        pending_mut(&mut limiter, 0).attempts.clear();
+        let weak = server_mut(&mut limiter, 0);
+        weak.slow_start_since = (!failed).then_some(at(1.9));
+        weak.health.consecutive_failures = u32::from(failed);
+        server_mut(&mut limiter, 1).limit.in_flight = 1;
+        limiter.servers.warm_server_attempts = 3.0;
+        limiter.dispatch().select(at(2.0), 0).is_some()
+    };
+    assert!((0..90).filter(|&me| tries(me)).count() <= 4);
+}
+
+#[test]
+fn part_of_an_attempt_goes_by_turns() {
+    let sends = |me: u32| {
+        let mut limiter = with_attempt(Idempotency::Idempotent);
+        limiter.config.fleet.me = me;
+        for server in limiter.servers.servers.values_mut() {
+            server.limit.attempts = 1.0 / 3.0;
+            server.limit.in_flight = 0;
+        }
+        pending_mut(&mut limiter, 0).attempts.clear();
+        limiter.dispatch().select(at(2.0), 0) == Some(0)
+    };
+    assert_eq!((0..3).filter(|&me| sends(me)).count(), 1);
+}
+
+#[test_case(ZONE => Some(0) ; "one with a key stays in the zone of its first attempt")]
+#[test_case(Idempotency::Idempotent => Some(1) ; "an idempotent one goes elsewhere")]
+fn retry_stays_in_its_scope(repeats: Idempotency) -> Option<u32> {
+    let mut limiter = with_attempt(repeats);
+    let pending = pending_mut(&mut limiter, 0);
+    pending.attempts[0].in_flight = false;
+    pending.first_run = Some(FirstRun {
+        server: 0,
+        sent_at: at(1.0),
+    });
+    limiter.dispatch().select(at(1.1), 0)
+}
+
+/// Limits are learned at the servers of the subset, but attempts are counted at all servers.
+#[test]
+fn subset_limits_stand_for_all_servers() {
+    let mut limiter = with_attempt(Idempotency::NonIdempotent);
+    for index in 2..20 {
+        let mut other = server(9, 100);
+        other.outside_subset = true;
+        *limiter.servers.servers.slot(index) = Some(other);
+    }
+    // One attempt is in flight, and two servers with limits of 0.2 each stand for twenty.
+    server_mut(&mut limiter, 0).limit.attempts = 0.2;
+    server_mut(&mut limiter, 1).limit.attempts = 0.2;
+    let selected = [1.0, 10.0].map(|subset_scale| {
+        limiter.servers.subset_scale = subset_scale;
+        limiter.dispatch().select(at(1.1), 0)
+    });
+    assert_eq!(selected, [None, Some(1)]);
+}
--- /dev/null
+++ b/crates/merlinreel-policy/src/server/tests/slow_start.rs
@@ -0,0 +1,38 @@
+use crate::model::request_class::Idempotency;
+use crate::tests::helpers::*;
+use test_case::test_case;
+
+#[test_case(3.0 => None ; "it had its share")]
+#[test_case(30.0 => Some(0) ; "it did not")]
+fn starting_server_gets_its_share_of_a_warm_servers_load(warm_load: f64) -> Option<u32> {
+    let mut limiter = with_attempt(Idempotency::Idempotent);
+    pending_mut(&mut limiter, 0).attempts.clear();
+    limiter.servers.warm_server_attempts = warm_load;
+    let starting = server_mut(&mut limiter, 0);
+    starting.slow_start_since = Some(at(1.0));
+    starting.limit.in_flight = 0;
+    starting.limit.attempts = 8.0;
+    starting.recent_attempts.add(at(2.0), 1.0);
+    let other = server_mut(&mut limiter, 1);
+    other.limit.attempts = 9.0;
+    other.limit.in_flight = 9;
+    limiter.dispatch().select(at(2.0), 0)
+}
+
+#[test_case(true, 7.0 => 12.0 ; "what the one with full capacity gets")]
+#[test_case(false, 7.0 => 7.0 ; "what was seen last while none has full capacity")]
+#[test_case(false, 0.0 => 5.0 ; "enough for an attempt where nothing was seen")]
+fn warm_load_is_measured(has_full_capacity: bool, seen: f64) -> f64 {
+    let mut limiter = with_servers(limiter(Idempotency::Idempotent, fleet()));
+    limiter.servers.warm_server_attempts = seen;
+    for server in limiter.servers.servers.values_mut() {
+        server.slow_start_since = Some(at(1.0));
+    }
+    let other = server_mut(&mut limiter, 1);
+    other.slow_start_since = (!has_full_capacity).then_some(at(1.0));
+    other.recent_attempts.add(at(2.0), 12.0);
+    limiter
+        .servers
+        .measure_warm_load(at(2.0), &endpoint_config());
+    limiter.servers.warm_server_attempts
+}
--- /dev/null
+++ b/crates/merlinreel-policy/src/tests.rs
@@ -0,0 +1,3 @@
+//! What the tests of all modules share.
+
+pub mod helpers;
--- a/crates/merlinreel-settings/src/lib.rs
+++ b/crates/merlinreel-settings/src/lib.rs
@@ -1,9 +1,9 @@
 //! Reads the operators' settings, given by path, into what the module is started with. The bench gives
 //! `path=value` pairs, the limiter's configuration nested JSON; both name the same things.
 
-use merlinreel_policy::decide::Limiter;
 use merlinreel_policy::{
-    EndpointConfig, FleetConfig, Idempotency, IdempotencyScope, Plan, RequestClass, RequestLimits,
+    EndpointConfig, FleetConfig, Idempotency, IdempotencyScope, Limiter, LimiterConfig, Plan,
+    RequestClass, RequestLimits,
 };
 use serde_json::Value;
 use std::collections::HashMap;
@@ -215,15 +215,14 @@
     }
 
     pub fn limiter(&self, seed: u64) -> Limiter {
-        let (plans, classes) = (self.plans.clone(), self.classes.clone());
-        Limiter::new(
-            seed,
-            plans,
-            classes,
-            self.fleet,
-            self.endpoints,
-            self.request_limits,
-        )
+        let config = LimiterConfig {
+            plans: self.plans.clone(),
+            classes: self.classes.clone(),
+            fleet: self.fleet,
+            endpoints: self.endpoints,
+            request_limits: self.request_limits,
+        };
+        Limiter::new(seed, config)
     }
 }
 
--- a/crates/merlinreel-simulator-adapter/src/host.rs
+++ b/crates/merlinreel-simulator-adapter/src/host.rs
@@ -181,7 +181,8 @@
                 let set_size = values.index("spread", 1 << 16)? as u32;
                 let remaining_time = values.time("timeLeftS")?;
                 let customer = values.integer("clientId")?;
-                let (plans, classes) = instance.limiter.sizes();
+                let plans = instance.limiter.plan_count();
+                let classes = instance.limiter.class_count();
                 let plan = values.index("package", plans as u64)? as usize;
                 let class = values.index("lane", classes as u64)? as usize;
                 let marks = values.optional("attrs")?.unwrap_or(0.0) as u32;
@@ -325,7 +326,7 @@
                 freed: &mut instance.freed,
                 forgotten: &mut instance.forgotten,
             };
-            instance.limiter.round(self.now, &round, &mut reply);
+            instance.limiter.process(self.now, &round, &mut reply);
             instance
                 .forgotten
                 .drain(..)
--- a/crates/merlinreel-simulator-adapter/src/host/writer.rs
+++ b/crates/merlinreel-simulator-adapter/src/host/writer.rs
@@ -1,6 +1,5 @@
 //! Instances of this process, and their decisions as lines of the wire.
 
-use merlinreel_policy::decide::Limiter;
 use merlinreel_policy::*;
 use std::collections::HashMap;
 use std::fmt::Write as _;
--- a/crates/merlinreel-testkit/src/scale/configuration.rs
+++ b/crates/merlinreel-testkit/src/scale/configuration.rs
@@ -2,8 +2,8 @@
 //! classes that were changed.
 
 use crate::scale::{Emit, MeasureRequest, Meter, ScaleError, Sheet, Unit};
+use merlinreel_policy::Limiter;
 use merlinreel_policy::RequestClass;
-use merlinreel_policy::decide::Limiter;
 use merlinreel_settings::{Paths, Settings};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -162,7 +162,7 @@
         }
         let last = last.read().cpu_seconds / size.min(LAST_RELOADS) as f64;
         let used = meter.read();
-        emit(sheet.counted("classes_kept", Unit::Count, limiter.sizes().1 as f64))?;
+        emit(sheet.counted("classes_kept", Unit::Count, limiter.class_count() as f64))?;
         let kernel = [
             ("growth_memory", Unit::Bytes, used.memory_bytes as f64),
             ("last_retune_cpu", Unit::CpuSeconds, last),
@@ -304,7 +304,7 @@
         .transpose()?;
     classes[0] = distinct_class(size);
     reconfigure(&mut limiter, &classes);
-    emit(sheet.counted("classes_kept", Unit::Count, limiter.sizes().1 as f64))?;
+    emit(sheet.counted("classes_kept", Unit::Count, limiter.class_count() as f64))?;
     let repeats = (COMPARISONS_MEASURED / (size * size)).clamp(1, MOST_RETUNES);
     let runs = if size > ONCE_BEYOND { 1 } else { request.runs };
     let times: Vec<f64> = (0..runs)
--- a/crates/merlinreel-testkit/src/scale/quotas/fleet.rs
+++ b/crates/merlinreel-testkit/src/scale/quotas/fleet.rs
@@ -9,7 +9,7 @@
 use super::inbox::Inbox;
 use super::setting::{CALM, FleetSetting, INBOX_PER_S, PRESSED, PROBED};
 use crate::scale::{Delivery, Network, Traffic, Ways};
-use merlinreel_policy::decide::Limiter;
+use merlinreel_policy::Limiter;
 use merlinreel_policy::{Actions, EventBatch, PeerMessage, Request};
 use merlinreel_settings::Settings;
 use rand::{RngExt, SeedableRng};
@@ -314,7 +314,7 @@
         let hollow = &mut self.limiters[rank as usize];
         let left = std::mem::take(&mut hollow.leaving);
         let mut decisions = Decisions::default();
-        hollow.limiter.round(
+        hollow.limiter.process(
             self.now,
             &EventBatch {
                 disconnects: left,
--- a/crates/merlinreel-testkit/src/scale/quotas/tables.rs
+++ b/crates/merlinreel-testkit/src/scale/quotas/tables.rs
@@ -3,7 +3,7 @@
 
 use super::{FleetSetting, Point, START};
 use crate::scale::{Emit, MeasureRequest, Meter, ScaleError, Unit};
-use merlinreel_policy::decide::Limiter;
+use merlinreel_policy::Limiter;
 use merlinreel_policy::peer_batch::{BatchHeader, CounterRow, encode};
 use merlinreel_policy::{Actions, EventBatch, PeerMessage, Request};
 use std::time::Duration;
@@ -66,7 +66,7 @@
     }
 
     fn round(&mut self, round: EventBatch) {
-        self.limiter.round(self.now, &round, &mut Unheeded);
+        self.limiter.process(self.now, &round, &mut Unheeded);
     }
 
     /// Each of so many tenants asks once, and leaves.
--- a/crates/merlinreel-testkit/src/scale/server_list/hollow.rs
+++ b/crates/merlinreel-testkit/src/scale/server_list/hollow.rs
@@ -1,7 +1,7 @@
 //! A hollow limiter: the real table of servers and the real decision module, without sockets and on a test's clock.
 
 use merlinreel_discovery::{EndpointTable, MessageError, decode};
-use merlinreel_policy::decide::Limiter;
+use merlinreel_policy::Limiter;
 use merlinreel_policy::{
     Actions, AttemptOutcome, AttemptResult, EndpointUpdate, EventBatch, LoadReport, Request,
 };
@@ -112,11 +112,11 @@
 
     /// Servers listed and not gone, as the decision module knows them.
     pub fn servers_known(&self) -> u64 {
-        self.limiter.endpoint_counts(self.now).0 as u64
+        self.limiter.endpoint_counts(self.now).known as u64
     }
 
     fn round(&mut self, round: &EventBatch) {
-        self.limiter.round(self.now, round, &mut self.writer);
+        self.limiter.process(self.now, round, &mut self.writer);
         for server in std::mem::take(&mut self.writer.forgotten) {
             self.table.forget(server);
         }
--- a/crates/merlinreel-testkit/src/scale/tenants/hollow.rs
+++ b/crates/merlinreel-testkit/src/scale/tenants/hollow.rs
@@ -1,6 +1,6 @@
 //! One limiter's decision module with many tenants and no sockets, on a clock that the caller moves.
 
-use merlinreel_policy::decide::Limiter;
+use merlinreel_policy::Limiter;
 use merlinreel_policy::peer_batch::{self, BatchHeader, CounterRow};
 use merlinreel_policy::{
     Actions, AttemptOutcome, AttemptResult, Endpoint, EndpointState, EndpointUpdate, EventBatch,
@@ -137,7 +137,7 @@
     }
 
     fn run(&mut self, round: &EventBatch) {
-        self.limiter.round(self.now, round, &mut self.decisions);
+        self.limiter.process(self.now, round, &mut self.decisions);
     }
 
     /// A message without rows from each of these.
--- a/crates/merlinreel-testkit/tests/scale_configuration.rs
+++ b/crates/merlinreel-testkit/tests/scale_configuration.rs
@@ -23,7 +23,7 @@
         let terms = configuration::read(&entries.text()).expect("sound");
         limiter.reconfigure(&terms.classes, terms.request_limits);
     }
-    (limiter.sizes().1 - entries.classes()) as f64
+    (limiter.class_count() - entries.classes()) as f64
 }
 
 type Emit<'a> = &'a mut dyn FnMut(Figure) -> Result<(), ScaleError>;
--- a/crates/merlinreel/src/event_loop.rs
+++ b/crates/merlinreel/src/event_loop.rs
@@ -12,7 +12,6 @@
 use crate::upstream::UpstreamPool;
 use action_executor::{ActionExecutor, InFlightRequest};
 use merlinreel_discovery::DiscoveryUpdate;
-use merlinreel_policy::decide::Limiter;
 use merlinreel_policy::*;
 use merlinreel_settings::Settings;
 use std::collections::HashMap;
@@ -176,14 +175,14 @@
                 desk.wake_at = None;
             }
             let now = desk.clock.at(desk.now);
-            self.limiter.round(now, &round, desk);
-            let (known, excluded) = self.limiter.endpoint_counts(now);
+            self.limiter.process(now, &round, desk);
+            let endpoints = self.limiter.endpoint_counts(now);
             self.figures
                 .servers_known
-                .store(known as u64, Ordering::Relaxed);
+                .store(endpoints.known as u64, Ordering::Relaxed);
             self.figures
                 .servers_excluded
-                .store(excluded as u64, Ordering::Relaxed);
+                .store(endpoints.avoided as u64, Ordering::Relaxed);
             for job in std::mem::take(&mut desk.closed) {
                 desk.free_if_over(job);
             }
