--- a/crates/merlinreel-policy/src/lib.rs
+++ b/crates/merlinreel-policy/src/lib.rs
@@ -1,5 +1,5 @@
 //! All decisions of a merlinreel limiter, without I/O: who is admitted, which server a request goes to, when it is tried
-//! again, and what limiters tell each other of their customers' quotas.
+//! again, and what limiters report to each other about their customers' quotas.
 //!
 //! # How to call it
 //!
@@ -20,6 +20,8 @@
 //! The files listed under `policy` in `deploy/balancer.toml` decide; their module comments begin with "Decides", but for
 //! `limiter.rs`, which composes them. All others hold state, count and convert.
 
+#![warn(missing_docs)]
+
 mod actions;
 mod events;
 mod expiry;
--- a/crates/merlinreel-policy/src/limiter.rs
+++ b/crates/merlinreel-policy/src/limiter.rs
@@ -173,7 +173,7 @@
             objective_seconds: time::seconds(class.latency_objective),
             requests_waiting,
             limiters: fleet.limiters,
-            // Where limiters are few, their own limits tell more than a server's report.
+            // Where limiters are few, their own limits say more than a server's report.
             load: if uses_aggregator(fleet) {
                 result.load
             } else {
@@ -236,7 +236,7 @@
             fleet, endpoints, ..
         } = &self.config;
         self.servers.rebuild_subset(now, endpoints, fleet);
-        self.servers.measure_warm_load(now, endpoints);
+        self.servers.measure_full_capacity_load(now, endpoints);
         if now >= self.schedule.last_expiry_check + expiry::CHECK_INTERVAL {
             self.schedule.last_expiry_check = now;
             expiry::remove_expired(
@@ -262,7 +262,7 @@
         );
     }
 
-    /// How many servers there are and how many of them are avoided now, for the operators' figures.
+    /// How many servers there are and how many of them are avoided now, for the operators' metrics.
     pub fn endpoint_counts(&self, now: Duration) -> EndpointCounts {
         self.servers.counts(now)
     }
--- a/crates/merlinreel-policy/src/model/endpoint.rs
+++ b/crates/merlinreel-policy/src/model/endpoint.rs
@@ -18,7 +18,7 @@
     pub overload_factor: f64,
     /// ...if that goes on for this long.
     pub overload_window: Duration,
-    /// The endpoint list must be asked for; it is not sent unasked.
+    /// The endpoint list must be asked for; discovery does not push it.
     pub endpoint_polling: bool,
     /// A limiter that asks for no endpoint list counts as up to date for this long.
     pub poll_deadline: Duration,
@@ -26,7 +26,7 @@
     pub health_checks: bool,
 }
 
-/// Where a server stands in its life cycle.
+/// Where a server stands in its lifecycle.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum EndpointState {
     /// Takes new requests.
@@ -49,7 +49,7 @@
     pub zone: u32,
     /// Cell that the server is in.
     pub cell: u32,
-    /// Where it stands in its life cycle.
+    /// Where it stands in its lifecycle.
     pub state: EndpointState,
     /// Relative capacity.
     pub weight: f64,
--- a/crates/merlinreel-policy/src/model/plan.rs
+++ b/crates/merlinreel-policy/src/model/plan.rs
@@ -1,4 +1,4 @@
-//! A plan: the quota that each of its customers has over the whole fleet.
+//! A plan: the quota that each of its customers has over all limiters.
 
 /// What each customer of the plan may use, over all limiters together.
 #[derive(Clone, Debug, Default, PartialEq)]
--- a/crates/merlinreel-policy/src/model/request_class.rs
+++ b/crates/merlinreel-policy/src/model/request_class.rs
@@ -31,7 +31,7 @@
     pub latency_objective: Duration,
     /// The client abandons the request after this time, over all its own retries.
     pub deadline: Duration,
-    /// What a response within the latency objective is worth, relative to other classes.
+    /// Value of a response within the latency objective, relative to other classes.
     pub priority_weight: f64,
     /// Share of the priority weight for a response after the latency objective.
     pub late_weight: f64,
--- a/crates/merlinreel-policy/src/peer_batch.rs
+++ b/crates/merlinreel-policy/src/peer_batch.rs
@@ -11,7 +11,7 @@
 pub const MAX_BYTES: usize = 256;
 /// The most bytes of a header: two numbers.
 const MAX_HEADER_BYTES: usize = 12;
-/// The most bytes of a row with a total of the usual size.
+/// The most bytes of a row with a total of typical size.
 const TYPICAL_ROW_BYTES: usize = 9;
 /// Rows with a total only that fit into one message.
 pub const ROWS_PER_MESSAGE: usize = (MAX_BYTES - MAX_HEADER_BYTES) / TYPICAL_ROW_BYTES;
--- a/crates/merlinreel-policy/src/peer_batch/tests.rs
+++ b/crates/merlinreel-policy/src/peer_batch/tests.rs
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn rows_beyond_a_message_follow_in_the_next_number() {
+fn rows_that_exceed_a_message_follow_in_the_next_one() {
     let messages = encode(HEADER, &[row(); 64]);
     let lengths: Vec<usize> = messages.iter().map(Vec::len).collect();
     assert_eq!(lengths, [255, 7]);
@@ -63,6 +63,6 @@
 #[test_case(&[0xac, 0x02, 0x05, 0xe8, 0x07, 0x32] ; "no total")]
 #[test_case(&[0xac, 0x02, 0x05, 0xe8, 0x07, 0x3a, 0x18] ; "no demand where the row says one")]
 #[test_case(&[0x80, 0x80, 0x80, 0x80, 0x80, 0x80, 0x80, 0x80, 0x80, 0x01] ; "number of ten bytes")]
-fn bytes_that_are_no_whole_message_are_refused(bytes: &[u8]) {
+fn bytes_that_are_no_complete_message_are_rejected(bytes: &[u8]) {
     assert_eq!(decode(bytes), None);
 }
--- a/crates/merlinreel-policy/src/quota/admission.rs
+++ b/crates/merlinreel-policy/src/quota/admission.rs
@@ -39,7 +39,7 @@
 
     /// Number of limiters that the quota is split over while they do not know of each other's admissions: those that
     /// used it lately, as far as they are likely to use it in that time. A slow customer's quota is hardly split.
-    pub fn active_sharers(
+    pub fn active_limiters(
         &self,
         now: Duration,
         plan: &Plan,
@@ -91,8 +91,9 @@
             return remaining >= units && context.sample <= probability;
         }
         let unreported = self.replication.unreported_units;
-        let sharers = self.active_sharers(now, plan, context.staleness_seconds, &context.fleet);
-        let share = (remaining + unreported) / sharers - unreported;
+        let active_limiters =
+            self.active_limiters(now, plan, context.staleness_seconds, &context.fleet);
+        let share = (remaining + unreported) / active_limiters - unreported;
         let is_first = now < self.split_until && unreported == 0.0;
         remaining >= units && (is_first || units <= share)
     }
--- a/crates/merlinreel-policy/src/quota/aggregator_batch.rs
+++ b/crates/merlinreel-policy/src/quota/aggregator_batch.rs
@@ -182,12 +182,12 @@
     }
 }
 
-/// Whether a limiter that only rejected requests reports its demand. The limiters of a customer take turns, as hundreds
+/// Whether a limiter that only rejected requests reports its demand. A customer's limiters report in rotation, as hundreds
 /// of them would fill the aggregator's inbox with such reports.
 fn is_demand_report_due(now: Duration, fleet: &FleetConfig, account: &Account) -> bool {
-    let turn_seconds = DEMAND_REPORT_INBOX_DIVISOR * f64::from(account.limiters.size)
+    let rotation_seconds = DEMAND_REPORT_INBOX_DIVISOR * f64::from(account.limiters.size)
         / fleet.peer_inbox_rate.max(1.0);
-    let interval = time::from_seconds(turn_seconds).max(ESTIMATE_LIFETIME * 3 / 4);
+    let interval = time::from_seconds(rotation_seconds).max(ESTIMATE_LIFETIME * 3 / 4);
     account.replication.update_due.current && now >= account.aggregation.reported_at + interval
 }
 
@@ -223,7 +223,7 @@
     }
 }
 
-/// Adds estimates of customers that come through the receiver too, by turns from message to message.
+/// Adds estimates of customers that come through the receiver too, in rotation from message to message.
 fn relay(
     fleet: &FleetConfig,
     peer: u32,
@@ -233,8 +233,8 @@
     rows: &mut Vec<CounterRow>,
 ) {
     let start = (messages_sent as usize * RELAYED_PER_MESSAGE) % relayable.len().max(1);
-    let by_turns = relayable[start..].iter().chain(&relayable[..start]);
-    let relayed = by_turns
+    let rotated = relayable[start..].iter().chain(&relayable[..start]);
+    let relayed = rotated
         .filter(|entry| {
             quotas[entry.account]
                 .limiters
--- a/crates/merlinreel-policy/src/quota/peer_links.rs
+++ b/crates/merlinreel-policy/src/quota/peer_links.rs
@@ -26,7 +26,7 @@
 pub struct PeerLinks {
     /// The link to each limiter, by its index.
     pub links: Vec<PeerLink>,
-    /// When this limiter started, which tells its incarnations apart.
+    /// When this limiter started, which distinguishes its incarnations.
     pub started_at: Option<Duration>,
     /// Messages sent by this incarnation.
     pub sent: u64,
--- a/crates/merlinreel-policy/src/quota/peer_reports.rs
+++ b/crates/merlinreel-policy/src/quota/peer_reports.rs
@@ -1,5 +1,6 @@
 //! Decides what to make of another limiter's message. Malformed, old and duplicate messages change nothing.
 
+use super::account::Account;
 use super::account_parts::Subscriber;
 use super::aggregation::ESTIMATE_LIFETIME;
 use super::estimate::QuotaSnapshot;
@@ -15,7 +16,7 @@
 
 /// A row with a total of more units is not believed.
 const MAX_TOTAL_UNITS: f64 = 1e9;
-/// A row's window is told by its last two bits.
+/// A row holds the last two bits of its window's number.
 const WINDOW_MASK: u64 = 3;
 
 /// Takes over what a message reports.
@@ -85,18 +86,8 @@
         return;
     }
     account.advance(now, plan);
-    let current = account.bucket.window.0;
-    let window =
-        WindowNumber(current.saturating_sub(current.wrapping_sub(row.window) & WINDOW_MASK));
     let Some(remaining) = row.remaining else {
-        // Units corrected by a response may leave a bucket below empty, by one large request at most.
-        let debt_limit = if fleet.settles { fleet.max_units } else { 0.0 };
-        let source = UsageSource::Peer(from);
-        account.set_usage_elsewhere(now, plan, source, window, row.total, debt_limit);
-        if let Some(demand) = row.demand {
-            account.aggregation.demand.add(now, demand);
-            subscribe(now, from, &mut account.aggregation.subscribers);
-        }
+        apply_report(now, from, row, fleet, plan, account);
         return;
     };
     let aggregator = account.aggregator(fleet, &peers.links);
@@ -109,15 +100,49 @@
             };
             account.apply_relayed(now, plan, snapshot, ESTIMATE_LIFETIME);
         }
-        return;
+    } else if aggregator == from {
+        apply_estimate(now, row, remaining, plan, account);
     }
-    let Some(age) = account.bucket.age(window) else {
+}
+
+/// The window of a row, of which only the last bits are known: the latest one that has begun.
+fn window_of(row: &CounterRow, account: &Account) -> WindowNumber {
+    let current = account.bucket.window.0;
+    let windows_ago = current.wrapping_sub(row.window) & WINDOW_MASK;
+    WindowNumber(current.saturating_sub(windows_ago))
+}
+
+/// Another limiter's own use, and its demand where this limiter aggregates.
+fn apply_report(
+    now: Duration,
+    from: u32,
+    row: &CounterRow,
+    fleet: &FleetConfig,
+    plan: &Plan,
+    account: &mut Account,
+) {
+    // Units corrected by a response may leave a bucket below empty, by one large request at most.
+    let debt_limit = if fleet.settles { fleet.max_units } else { 0.0 };
+    let window = window_of(row, account);
+    let source = UsageSource::Peer(from);
+    account.set_usage_elsewhere(now, plan, source, window, row.total, debt_limit);
+    if let Some(demand) = row.demand {
+        account.aggregation.demand.add(now, demand);
+        subscribe(now, from, &mut account.aggregation.subscribers);
+    }
+}
+
+/// The aggregator's estimate, less what it could not know of yet.
+fn apply_estimate(
+    now: Duration,
+    row: &CounterRow,
+    remaining: f64,
+    plan: &Plan,
+    account: &mut Account,
+) {
+    let Some(age) = account.bucket.age(window_of(row, account)) else {
         return;
     };
-    if aggregator != from {
-        return;
-    }
-    // The aggregator's estimate, less what it could not know of yet.
     let own = account.bucket.own;
     let own_units = match age {
         WindowAge::Current => own.current,
@@ -125,9 +150,10 @@
     };
     let estimated = remaining - own_units + row.total;
     account.bucket.overflowed += account.remaining(now, plan) - estimated;
-    account.aggregation.published.remaining = estimated;
-    account.aggregation.published.at = now;
-    account.aggregation.published.demand_rate = row.demand;
+    let published = &mut account.aggregation.published;
+    published.remaining = estimated;
+    published.demand_rate = row.demand;
+    published.at = now;
     account.split_until = Duration::ZERO;
 }
 
--- a/crates/merlinreel-policy/src/quota/tests/admission.rs
+++ b/crates/merlinreel-policy/src/quota/tests/admission.rs
@@ -17,7 +17,7 @@
 
 #[test_case(0.0, 8.0, 0.0 => true ; "the first of a new customer")]
 #[test_case(0.0, 8.0, 4.0 => false ; "a new customer is split over its limiters")]
-#[test_case(1.0, 8.0, 4.0 => true ; "after one interval the whole quota stands")]
+#[test_case(1.0, 8.0, 4.0 => true ; "after one interval all of the quota counts")]
 #[test_case(1.0, 0.5, 0.0 => false ; "nothing above the quota")]
 fn new_customer_is_admitted_by_its_share(after: f64, remaining: f64, unreported: f64) -> bool {
     let mut account = lone_account(0.0);
--- a/crates/merlinreel-policy/src/quota/tests/aggregation.rs
+++ b/crates/merlinreel-policy/src/quota/tests/aggregation.rs
@@ -90,7 +90,7 @@
 }
 
 /// A new quota stays split over its sixty limiters past a tick, until the aggregator sends an estimate: else each of
-/// hundreds of limiters would take the whole bucket.
+/// hundreds of limiters would use up the bucket.
 #[test_case(false => 1 ; "past a tick, no estimate yet: the first request only")]
 #[test_case(true => 4 ; "the aggregator reports a full bucket: all of them")]
 fn requests_before_the_first_estimate_are_split(estimated: bool) -> usize {
--- a/crates/merlinreel-policy/src/quota/tests/replication.rs
+++ b/crates/merlinreel-policy/src/quota/tests/replication.rs
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn rows_beyond_a_message_wait_with_the_fullest_buckets_last() {
+fn rows_that_exceed_a_message_wait_with_the_fullest_buckets_last() {
     let mut limiter = limiter(Idempotency::Idempotent, fleet());
     for customer in 0..60 {
         let account = account_of(&mut limiter, customer);
--- a/crates/merlinreel-policy/src/quota/token_bucket.rs
+++ b/crates/merlinreel-policy/src/quota/token_bucket.rs
@@ -86,7 +86,7 @@
 
 /// A token bucket of a plan's rate and burst, shared by all limiters of the customer.
 ///
-/// A window begins with what the bucket held then, and refill comes evenly over it: a quota that began whole with each
+/// A window begins with what the bucket held then, and refill comes evenly over it: a quota that was full again with each
 /// window would let all limiters admit a burst at once when the window changes.
 #[derive(Debug, Default)]
 pub struct TokenBucket {
--- a/crates/merlinreel-policy/src/request/admission.rs
+++ b/crates/merlinreel-policy/src/request/admission.rs
@@ -62,11 +62,11 @@
             .find_or_create(now, request.customer, request.plan, &config.plans);
         let account = &mut self.quotas[index];
         let plan = &config.plans[account.plan];
-        count_arrival(now, request, plan, timing.split, account);
+        count_request(now, request, plan, timing.split, account);
         let class = &config.classes[request.class];
         let remaining_times = &mut self.remaining_times[request.class];
         let spent = time_already_spent(request.remaining_time, class.deadline, remaining_times);
-        let is_worth_it = spent < class.latency_objective
+        let earns_enough = spent < class.latency_objective
             || class.late_weight > 0.0
                 && account.remaining(now, plan) > plan.burst / LATE_BUCKET_DIVISOR;
         // Where a plan earns more by overage than it costs, spare capacity serves requests that find the bucket empty;
@@ -79,7 +79,7 @@
             staleness_seconds: timing.staleness_seconds,
             sample: self.random.generate::<f64>(),
         };
-        let is_admitted = is_worth_it
+        let is_admitted = earns_enough
             && (is_overage || account.admits(now, plan, request.units, &context))
             && account.is_under_ceiling(now, plan, request.units);
         if !is_admitted {
@@ -115,7 +115,7 @@
         };
         ReportTiming {
             staleness_seconds: time::seconds(interval) + NETWORK_SECONDS,
-            // With an aggregator no limiter hears of the others directly: to each of hundreds a new quota would seem whole.
+            // With an aggregator no limiter hears of the others directly: to each of hundreds a new quota would seem unused.
             split: if aggregates {
                 ESTIMATE_LIFETIME
             } else {
@@ -125,7 +125,7 @@
     }
 }
 
-fn count_arrival(
+fn count_request(
     now: Duration,
     request: &Request,
     plan: &Plan,
--- a/crates/merlinreel-policy/src/request/completion.rs
+++ b/crates/merlinreel-policy/src/request/completion.rs
@@ -44,7 +44,7 @@
     }
 }
 
-/// Corrects the units that were charged by those that the response tells.
+/// Corrects the units that were charged by those that the response reports.
 fn settle_units(
     now: Duration,
     result: &AttemptResult,
@@ -127,7 +127,7 @@
     complete(request, &config.request_limits, quotas, requests, actions);
 }
 
-/// The client has its final response or is gone: attempts in flight are cancelled, and nothing more is sent.
+/// The client has its final response or has disconnected: attempts in flight are cancelled, and nothing more is sent.
 pub fn complete(
     request: u32,
     limits: &RequestLimits,
--- a/crates/merlinreel-policy/src/request/tests/time_spent.rs
+++ b/crates/merlinreel-policy/src/request/tests/time_spent.rs
@@ -14,7 +14,7 @@
 #[test_case(1.4, 1.0, 0.0 ; "a common remaining time is a first attempt's")]
 #[test_case(0.5, 1.0, 1.5 ; "a rare one is what the deadline leaves")]
 #[test_case(0.5, 0.1, 0.0 ; "nothing is known where few are common")]
-fn time_spent_is_told_by_rare_remaining_times(remaining: f64, first_share: f64, spent: f64) {
+fn time_spent_follows_from_a_rare_remaining_time(remaining: f64, first_share: f64, spent: f64) {
     let mut histogram = histogram(50);
     histogram.first_attempt_share = first_share;
     assert_eq!(
--- a/crates/merlinreel-policy/src/request/time_spent.rs
+++ b/crates/merlinreel-policy/src/request/time_spent.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 const LEAST_DEADLINE_SECONDS: f64 = 0.001;
-/// Requests that are enough to tell which remaining times are common.
+/// Requests that are enough to know which remaining times are common.
 const LEAST_REQUESTS: f64 = 30.0;
 /// First attempts make up more than this share of all requests even in a storm of retries.
 const COMMON_SHARE: f64 = 0.1;
--- a/crates/merlinreel-policy/src/server/attempt_results.rs
+++ b/crates/merlinreel-policy/src/server/attempt_results.rs
@@ -1,4 +1,4 @@
-//! Decides what the result of an attempt tells of its server and of all servers.
+//! Decides what the result of an attempt says about its server and about all servers.
 
 use super::concurrency_limit::{least_limit, long_seconds, next_limit_multiplier};
 use super::fleet_latency::FleetLatency;
@@ -10,7 +10,7 @@
 use crate::time;
 use std::time::Duration;
 
-/// Responses in a bucket that are enough to tell their mean time.
+/// Responses in a bucket that are enough for their mean time.
 const BASELINE_RESPONSES: f64 = 20.0;
 const PRESSURE_GAIN: f64 = 0.03;
 /// A client that gave up would have waited longer: this multiple of a long time stands for it.
@@ -40,8 +40,8 @@
         time::seconds(self.result.latency)
     }
 
-    /// Whether its time tells how fast the server is.
-    fn tells_latency(&self) -> bool {
+    /// Whether its time says how fast the server is.
+    fn is_latency_observation(&self) -> bool {
         let outcome = self.result.outcome;
         let counted = !self.ended.overdue || outcome == AttemptOutcome::Success;
         !outcome.never_ran() && counted
@@ -75,7 +75,7 @@
         if observed.ended_by_server() {
             server.health.unanswered_since = now;
         }
-        if observed.tells_latency() {
+        if observed.is_latency_observation() {
             adjust_limits(now, observed, server, latency);
         }
         record_outcome(now, observed, server, latency, all_unreachable_at);
@@ -133,8 +133,8 @@
             record_latency(observed, server, latency);
             server.record_success(now, latency, all_unreachable_at);
         }
-        AttemptOutcome::Error => server.record_error(now, latency, false),
-        AttemptOutcome::ConnectionLost => server.record_error(now, latency, true),
+        AttemptOutcome::Error => server.record_error(now, latency),
+        AttemptOutcome::ConnectionLost => server.record_lost_connection(now, latency),
         AttemptOutcome::Rejected => {
             server.reduce_limit_on_rejection(least_limit(observed.limiters));
             server.pause_after_rejection(now);
--- a/crates/merlinreel-policy/src/server/concurrency_limit.rs
+++ b/crates/merlinreel-policy/src/server/concurrency_limit.rs
@@ -19,7 +19,7 @@
 const REJECTION_FACTOR: f64 = 0.7;
 /// Share of the latency objective that counts as long, so that a second attempt has time.
 const LONG_OBJECTIVE_SHARE: f64 = 0.4;
-/// Beyond this multiple of the baseline latency servers only queue.
+/// Above this multiple of the baseline latency servers only queue requests.
 const LONG_BASELINE_FACTOR: f64 = 2.5;
 const LEAST_LONG_SECONDS: f64 = 0.001;
 
@@ -81,7 +81,7 @@
     max: f64,
 }
 
-/// From what a server reports: this tells of all limiters' requests, so a few reports suffice. Up to eight times, for a
+/// From what a server reports: this covers all limiters' requests, so a few reports suffice. Up to eight times, for a
 /// limiter that takes over its neighbours' clients in a site with few servers left.
 fn change_by_report(utilization: f64, queued: f64) -> MultiplierChange {
     MultiplierChange {
--- a/crates/merlinreel-policy/src/server/fleet_latency.rs
+++ b/crates/merlinreel-policy/src/server/fleet_latency.rs
@@ -6,7 +6,7 @@
 /// Outlasts most bursts.
 const SUCCESS_WINDOW: Duration = Duration::from_secs(32);
 
-/// What attempts tell of all servers together.
+/// What attempts say about all servers together.
 pub struct FleetLatency {
     /// Time of a typical response, in seconds.
     pub typical_seconds: f64,
--- a/crates/merlinreel-policy/src/server/outlier_ejection.rs
+++ b/crates/merlinreel-policy/src/server/outlier_ejection.rs
@@ -59,19 +59,17 @@
         }
     }
 
+    /// The connection broke before the response was complete.
+    pub fn record_lost_connection(&mut self, now: Duration, latency: &mut FleetLatency) {
+        self.health.lost_connections += 1;
+        self.record_error(now, latency);
+    }
+
     /// The server returned an error, or the connection broke.
-    pub fn record_error(
-        &mut self,
-        now: Duration,
-        latency: &mut FleetLatency,
-        connection_lost: bool,
-    ) {
+    pub fn record_error(&mut self, now: Duration, latency: &mut FleetLatency) {
         let health = &mut self.health;
         health.error_rate += (1.0 - health.error_rate) * ERROR_GAIN;
         latency.error_rate += (1.0 - latency.error_rate) * FLEET_ERROR_GAIN;
-        if connection_lost {
-            health.lost_connections += 1;
-        }
         let losses = health.lost_connections;
         let losses_are_its_own = losses >= LEAST_LOST_CONNECTIONS
             && latency.error_rate.powi(losses as i32) < MAX_CHANCE_OF_LOSSES;
--- a/crates/merlinreel-policy/src/server/overdue_attempts.rs
+++ b/crates/merlinreel-policy/src/server/overdue_attempts.rs
@@ -23,7 +23,7 @@
 /// Part of the time for which a key is known in which the request is retried.
 const KEY_LIFETIME_DIVISOR: u32 = 2;
 
-/// Time after which an attempt is overdue. Waiting is worth less where many more are lost than slow ones make up.
+/// Time after which an attempt is overdue. Where many more are lost than slow ones make up, waiting pays off less.
 pub fn overdue_after(typical_seconds: f64, loss_rate: f64) -> Duration {
     let losses = (loss_rate - SLOW_RATE).max(0.0);
     let seconds = typical_seconds * OVERDUE_TYPICAL_LATENCIES / (1.0 + LOSS_FACTOR * losses);
--- a/crates/merlinreel-policy/src/server/pool.rs
+++ b/crates/merlinreel-policy/src/server/pool.rs
@@ -6,7 +6,7 @@
 use crate::slots::Slots;
 use std::time::Duration;
 
-/// Numbers of servers, for the operators' figures.
+/// Numbers of servers, for the operators' metrics.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct EndpointCounts {
     /// Servers that are not removed.
@@ -22,7 +22,7 @@
     /// The capacity of all eligible servers over that of the subset's.
     pub subset_scale: f64,
     /// Mean number of attempts that a server with full capacity was sent lately.
-    pub warm_server_attempts: f64,
+    pub full_capacity_attempts: f64,
     /// At the last selection less than half of the concurrency limits was in use and no request waited.
     pub has_spare_capacity: bool,
     /// How long ago servers started.
@@ -36,7 +36,7 @@
         ServerPool {
             servers: Slots::default(),
             subset_scale: 1.0,
-            warm_server_attempts: 0.0,
+            full_capacity_attempts: 0.0,
             has_spare_capacity: false,
             start_clock: StartClock::default(),
             all_unreachable_at: None,
--- a/crates/merlinreel-policy/src/server/selection.rs
+++ b/crates/merlinreel-policy/src/server/selection.rs
@@ -11,15 +11,15 @@
 use nanorand::{Rng, WyRand};
 use std::time::Duration;
 
-/// Less than this share of the limits in use leaves room for what comes within the quotas.
+/// Less than this share of the limits in use leaves capacity for what comes within the quotas.
 const SPARE_SHARE: f64 = 0.5;
-/// Parts of the limiters' turns: the golden ratio spreads servers evenly, and each turn moves on by the rest of it.
-const TURN_PER_SERVER: f64 = 0.618;
-const TURN_PER_INTERVAL: f64 = 0.382;
+/// The golden ratio spreads the phases of servers evenly, and each interval moves them on by the rest of it.
+const PHASE_PER_SERVER: f64 = 0.618;
+const PHASE_PER_INTERVAL: f64 = 0.382;
 /// Outlasts most attempts.
-const TURN_SECONDS: f64 = 0.5;
+const PHASE_INTERVAL_SECONDS: f64 = 0.5;
 /// An attempt in this share of an overload window in which a part of an attempt is due.
-const SLOW_START_TURN_SHARE: f64 = 0.5;
+const SLOW_START_PHASE_SHARE: f64 = 0.5;
 const OTHER_ZONE_FACTOR: f64 = 1.02;
 const RANDOM_SPREAD: f64 = 0.05;
 const LEAST_SUCCESS_RATE: f64 = 0.05;
@@ -62,7 +62,7 @@
             .and_then(|server| pool.servers.get(server))
             .map(|server| server.endpoint);
         let subset_scale = pool.subset_scale;
-        let warm_server_attempts = pool.warm_server_attempts;
+        let full_capacity_attempts = pool.full_capacity_attempts;
         let mut best: Option<Candidate> = None;
         for (index, server) in pool.servers.iter_mut() {
             if !self.is_allowed(index, server, origin.as_ref()) {
@@ -72,10 +72,10 @@
             if capacity >= 1.0 {
                 server.slow_start_since = None;
             }
-            let turn = self.turn(index);
-            let limit = self.limit(server, capacity, subset_scale, turn);
+            let phase = self.phase(index);
+            let limit = self.limit(server, capacity, subset_scale, phase);
             if f64::from(server.limit.in_flight) + 1.0 > limit
-                || self.is_slow_start_share_used(server, capacity, warm_server_attempts, turn)
+                || self.is_slow_start_share_used(server, capacity, full_capacity_attempts, phase)
             {
                 continue;
             }
@@ -131,16 +131,16 @@
     }
 
     /// A number from 0 to 1 that is different at each limiter, server and interval of time, and evenly spread.
-    fn turn(&self, server: u32) -> f64 {
-        let interval = time::seconds(self.now).div_euclid(TURN_SECONDS);
-        let turn = f64::from(server) * TURN_PER_SERVER + interval * TURN_PER_INTERVAL;
+    fn phase(&self, server: u32) -> f64 {
+        let interval = time::seconds(self.now).div_euclid(PHASE_INTERVAL_SECONDS);
+        let phase = f64::from(server) * PHASE_PER_SERVER + interval * PHASE_PER_INTERVAL;
         let limiter = f64::from(self.fleet.me) / f64::from(self.fleet.limiters);
-        (turn + limiter).fract()
+        (phase + limiter).fract()
     }
 
-    /// Attempts that the server may have in flight now. A part of an attempt is a whole one for part of the time, by
-    /// turns among the limiters, so that not all send to one server at once.
-    fn limit(&self, server: &Server, capacity: f64, subset_scale: f64, turn: f64) -> f64 {
+    /// Attempts that the server may have in flight now. A fraction of an attempt is a full one for that
+    /// fraction of the time, at one limiter after the other, so that not all send to one server at once.
+    fn limit(&self, server: &Server, capacity: f64, subset_scale: f64, phase: f64) -> f64 {
         let is_on_trial =
             server.health.consecutive_failures > 0 || server.is_failing(self.latency.error_rate);
         let full_limit = if is_on_trial {
@@ -149,27 +149,27 @@
             server.limit.attempts * self.latency.limit_multiplier * subset_scale
         };
         let limit = full_limit * capacity;
-        let whole = limit.floor();
-        if turn < limit.fract() {
-            whole + 1.0
+        let full_attempts = limit.floor();
+        if phase < limit.fract() {
+            full_attempts + 1.0
         } else {
-            whole
+            full_attempts
         }
     }
 
     /// Whether a starting server was already sent its share. All limiters together send it what a server with full
-    /// capacity is sent, times its fraction of capacity, far below its overload factor. Here too a part of an attempt is
-    /// a whole one in some of the limiter's turns.
+    /// capacity is sent, times its fraction of capacity, far below its overload factor. Here too a fraction of an attempt is
+    /// a full one in some of the limiter's phases.
     fn is_slow_start_share_used(
         &self,
         server: &mut Server,
         capacity: f64,
-        warm_server_attempts: f64,
-        turn: f64,
+        full_capacity_attempts: f64,
+        phase: f64,
     ) -> bool {
-        let left = warm_server_attempts * capacity - server.recent_attempts.sum(self.now);
+        let left = full_capacity_attempts * capacity - server.recent_attempts.sum(self.now);
         let window_seconds = time::seconds(self.config.overload_window);
-        capacity < 1.0 && left < 1.0 && turn * window_seconds >= left * SLOW_START_TURN_SHARE
+        capacity < 1.0 && left < 1.0 && phase * window_seconds >= left * SLOW_START_PHASE_SHARE
     }
 
     /// The time that the attempt is expected to take there, with a malus for other zones, errors and servers where the
--- a/crates/merlinreel-policy/src/server/server_state.rs
+++ b/crates/merlinreel-policy/src/server/server_state.rs
@@ -15,7 +15,7 @@
     pub next_reduction_at: Duration,
 }
 
-/// What attempts tell of a server's health.
+/// What attempts say about a server's health.
 #[derive(Debug, Default)]
 pub struct ServerHealth {
     /// Share of attempts that end with an error.
@@ -49,7 +49,7 @@
     pub latency_seconds: f64,
     /// Mean time of its responses over the time that is long for the class.
     pub latency_ratio: f64,
-    /// What attempts tell of its health.
+    /// What attempts say about its health.
     pub health: ServerHealth,
     /// When it started, while it is starting.
     pub slow_start_since: Option<Duration>,
--- a/crates/merlinreel-policy/src/server/slow_start.rs
+++ b/crates/merlinreel-policy/src/server/slow_start.rs
@@ -28,7 +28,7 @@
     /// clock one has. For the first endpoint list: a limiter that starts again soon after its servers would otherwise
     /// have none to send to.
     pub fn trust_wall_clock(&mut self, now: Duration, config: &EndpointConfig) {
-        let any_warm = self
+        let any_has_full_capacity = self
             .eligible()
             .any(|server| server.capacity_fraction(now, config) >= 1.0);
         let started_long_ago =
@@ -36,7 +36,7 @@
         let any_old = self
             .eligible()
             .any(|server| server.endpoint.started_at.is_some_and(started_long_ago));
-        if any_warm || !any_old {
+        if any_has_full_capacity || !any_old {
             return;
         }
         for server in self.eligible_mut() {
@@ -48,23 +48,23 @@
     /// Measures what a server with full capacity was sent lately, by which servers that start are sent their share.
     /// While no server has full capacity the last figure holds, and is enough for an attempt at a server that starts:
     /// else a fleet that all starts at once would be sent nothing.
-    pub fn measure_warm_load(&mut self, now: Duration, config: &EndpointConfig) {
-        let mut warm_servers = 0.0;
+    pub fn measure_full_capacity_load(&mut self, now: Duration, config: &EndpointConfig) {
+        let mut server_count = 0.0;
         let mut attempts = 0.0;
         for server in self.servers.values_mut() {
-            let is_warm = server.is_subset_member()
+            let has_full_capacity = server.is_subset_member()
                 && server.slow_start_since.is_none()
                 && !server.is_ejected(now);
-            if is_warm {
-                warm_servers += 1.0;
+            if has_full_capacity {
+                server_count += 1.0;
                 attempts += server.recent_attempts.sum(now);
             }
         }
         let least = 1.0 / config.slow_start_fraction.max(LEAST_INITIAL_FRACTION);
-        self.warm_server_attempts = if warm_servers > 0.0 {
-            attempts / warm_servers
+        self.full_capacity_attempts = if server_count > 0.0 {
+            attempts / server_count
         } else {
-            self.warm_server_attempts.max(least)
+            self.full_capacity_attempts.max(least)
         };
     }
 }
--- a/crates/merlinreel-policy/src/server/subset.rs
+++ b/crates/merlinreel-policy/src/server/subset.rs
@@ -18,7 +18,7 @@
     /// starting servers count for the capacity that they have.
     ///
     /// Without a subset each of many limiters would open a connection for each attempt, and would see too few responses
-    /// from a server to tell a good one from a bad one.
+    /// from a server to distinguish a good one from a bad one.
     pub fn rebuild_subset(&mut self, now: Duration, config: &EndpointConfig, fleet: &FleetConfig) {
         let capacity = |server: &Server| {
             if server.is_ejected(now) {
--- a/crates/merlinreel-policy/src/server/tests/selection.rs
+++ b/crates/merlinreel-policy/src/server/tests/selection.rs
@@ -39,14 +39,14 @@
         weak.slow_start_since = (!failed).then_some(at(1.9));
         weak.health.consecutive_failures = u32::from(failed);
         server_mut(&mut limiter, 1).limit.in_flight = 1;
-        limiter.servers.warm_server_attempts = 3.0;
+        limiter.servers.full_capacity_attempts = 3.0;
         limiter.dispatch().select(at(2.0), 0).is_some()
     };
     assert!((0..90).filter(|&me| tries(me)).count() <= 4);
 }
 
 #[test]
-fn part_of_an_attempt_goes_by_turns() {
+fn fraction_of_an_attempt_rotates_among_limiters() {
     let sends = |me: u32| {
         let mut limiter = with_attempt(Idempotency::Idempotent);
         limiter.config.fleet.me = me;
--- a/crates/merlinreel-policy/src/server/tests/slow_start.rs
+++ b/crates/merlinreel-policy/src/server/tests/slow_start.rs
@@ -4,10 +4,10 @@
 
 #[test_case(3.0 => None ; "it had its share")]
 #[test_case(30.0 => Some(0) ; "it did not")]
-fn starting_server_gets_its_share_of_a_warm_servers_load(warm_load: f64) -> Option<u32> {
+fn starting_server_gets_its_share_of_a_full_servers_load(full_capacity_load: f64) -> Option<u32> {
     let mut limiter = with_attempt(Idempotency::Idempotent);
     pending_mut(&mut limiter, 0).attempts.clear();
-    limiter.servers.warm_server_attempts = warm_load;
+    limiter.servers.full_capacity_attempts = full_capacity_load;
     let starting = server_mut(&mut limiter, 0);
     starting.slow_start_since = Some(at(1.0));
     starting.limit.in_flight = 0;
@@ -22,9 +22,9 @@
 #[test_case(true, 7.0 => 12.0 ; "what the one with full capacity gets")]
 #[test_case(false, 7.0 => 7.0 ; "what was seen last while none has full capacity")]
 #[test_case(false, 0.0 => 5.0 ; "enough for an attempt where nothing was seen")]
-fn warm_load_is_measured(has_full_capacity: bool, seen: f64) -> f64 {
+fn full_capacity_load_is_measured(has_full_capacity: bool, seen: f64) -> f64 {
     let mut limiter = with_servers(limiter(Idempotency::Idempotent, fleet()));
-    limiter.servers.warm_server_attempts = seen;
+    limiter.servers.full_capacity_attempts = seen;
     for server in limiter.servers.servers.values_mut() {
         server.slow_start_since = Some(at(1.0));
     }
@@ -33,6 +33,6 @@
     other.recent_attempts.add(at(2.0), 12.0);
     limiter
         .servers
-        .measure_warm_load(at(2.0), &endpoint_config());
-    limiter.servers.warm_server_attempts
+        .measure_full_capacity_load(at(2.0), &endpoint_config());
+    limiter.servers.full_capacity_attempts
 }
