--- a/crates/merlinreel-policy/src/model/request_class.rs
+++ b/crates/merlinreel-policy/src/model/request_class.rs
@@ -36,5 +36,5 @@
     /// Share of the priority weight for a response after the latency objective.
     pub late_weight: f64,
     /// Whether a request of the class may run again.
-    pub repeats: Idempotency,
+    pub idempotency: Idempotency,
 }
--- a/crates/merlinreel-policy/src/request/queue.rs
+++ b/crates/merlinreel-policy/src/request/queue.rs
@@ -122,7 +122,7 @@
             config: &self.config.endpoints,
             latency: self.latency,
             request: pending,
-            idempotency: self.config.classes[pending.request.class].repeats,
+            idempotency: self.config.classes[pending.request.class].idempotency,
             queue_is_empty: self.requests.queue.is_empty(),
         };
         selection.select(self.servers, self.random)
--- a/crates/merlinreel-policy/src/request/retry.rs
+++ b/crates/merlinreel-policy/src/request/retry.rs
@@ -13,7 +13,7 @@
     let class = &config.classes[pending.request.class];
     let before_objective = now < pending.objective_at;
     let is_in_time = before_objective || class.late_weight > 0.0 && now < pending.deadline_at;
-    let may_run = match (class.repeats, pending.first_run) {
+    let may_run = match (class.idempotency, pending.first_run) {
         (_, None) | (Idempotency::Idempotent, _) => true,
         (Idempotency::IdempotencyKey(_, lifetime), Some(first_run)) => {
             now + MAX_HOLD_UP < first_run.sent_at + lifetime
@@ -32,7 +32,8 @@
     pending: &PendingRequest,
 ) -> Option<Duration> {
     let first_run = pending.first_run?;
-    let Idempotency::IdempotencyKey(_, lifetime) = config.classes[pending.request.class].repeats
+    let Idempotency::IdempotencyKey(_, lifetime) =
+        config.classes[pending.request.class].idempotency
     else {
         return None;
     };
@@ -43,7 +44,7 @@
 /// known at every server then, as the client's retry may go to any.
 pub fn client_may_retry(now: Duration, config: &LimiterConfig, pending: &PendingRequest) -> bool {
     match (
-        config.classes[pending.request.class].repeats,
+        config.classes[pending.request.class].idempotency,
         pending.first_run,
     ) {
         (_, None) | (Idempotency::Idempotent, _) => true,
--- a/crates/merlinreel-policy/src/request/tests/completion.rs
+++ b/crates/merlinreel-policy/src/request/tests/completion.rs
@@ -26,8 +26,8 @@
 #[test_case(Idempotency::Idempotent => "reject 0 3.0" ; "the client may retry")]
 #[test_case(Idempotency::NonIdempotent => "fail 0" ; "it must not where it may have run")]
 #[test_case(ZONE => "fail 0" ; "nor outside the scope that knows its key")]
-fn request_without_a_response_is_rejected_or_fails(repeats: Idempotency) -> String {
-    let mut limiter = with_attempt(repeats);
+fn request_without_a_response_is_rejected_or_fails(idempotency: Idempotency) -> String {
+    let mut limiter = with_attempt(idempotency);
     pending_mut(&mut limiter, 0).first_run = Some(FirstRun {
         server: 0,
         sent_at: at(1.0),
--- a/crates/merlinreel-policy/src/request/tests/retry.rs
+++ b/crates/merlinreel-policy/src/request/tests/retry.rs
@@ -14,11 +14,11 @@
 #[test_case(ZONE, AttemptOutcome::ConnectionLost, 1.7 => (vec![], 1) ; "one whose key is not")]
 #[test_case(Idempotency::Idempotent, AttemptOutcome::DeadlineExceeded, 3.0 => (vec![], 1) ; "none after the client's deadline")]
 fn ended_attempt_is_retried_where_it_may(
-    repeats: Idempotency,
+    idempotency: Idempotency,
     outcome: AttemptOutcome,
     now: f64,
 ) -> (Vec<u32>, usize) {
-    let mut limiter = with_attempt(repeats);
+    let mut limiter = with_attempt(idempotency);
     let mut actions = RecordedActions::default();
     limiter.handle_attempt_result(at(now), &attempt_result(outcome, false), &mut actions);
     (limiter.requests.queue, actions.lines.len())
@@ -29,8 +29,8 @@
 #[test_case(1.40 => "attempt 0 at 1 within 0.05" ; "just in time")]
 #[test_case(1.46 => "fail 0" ; "a hold-up might make it late")]
 fn retry_with_a_key_allows_for_a_hold_up(now: f64) -> String {
-    let repeats = Idempotency::IdempotencyKey(IdempotencyScope::Zone, at(0.6));
-    let mut limiter = with_attempt(repeats);
+    let idempotency = Idempotency::IdempotencyKey(IdempotencyScope::Zone, at(0.6));
+    let mut limiter = with_attempt(idempotency);
     let mut actions = RecordedActions::default();
     // All in one zone.
     server_mut(&mut limiter, 1).endpoint.zone = 0;
@@ -47,8 +47,11 @@
 #[test_case(Idempotency::IdempotencyKey(IdempotencyScope::All, at(0.6)), AttemptOutcome::ConnectionLost => "attempt 0 at 1 within 0.25" ; "with a key, it may have run")]
 #[test_case(Idempotency::IdempotencyKey(IdempotencyScope::All, at(0.6)), AttemptOutcome::NotSent => "attempt 0 at 1" ; "with a key, it never ran")]
 #[test_case(Idempotency::Idempotent, AttemptOutcome::ConnectionLost => "attempt 0 at 1" ; "an idempotent one")]
-fn retry_arrives_while_its_key_is_known(repeats: Idempotency, outcome: AttemptOutcome) -> String {
-    let mut limiter = with_attempt(repeats);
+fn retry_arrives_while_its_key_is_known(
+    idempotency: Idempotency,
+    outcome: AttemptOutcome,
+) -> String {
+    let mut limiter = with_attempt(idempotency);
     let mut actions = RecordedActions::default();
     limiter.handle_attempt_result(at(1.2), &attempt_result(outcome, false), &mut actions);
     limiter.dispatch().run(at(1.2), &mut actions);
--- a/crates/merlinreel-policy/src/server/overdue_attempts.rs
+++ b/crates/merlinreel-policy/src/server/overdue_attempts.rs
@@ -78,7 +78,7 @@
 
 /// Whether a request whose attempt is cancelled may be sent to another server.
 fn may_run_elsewhere(now: Duration, config: &LimiterConfig, pending: &PendingRequest) -> bool {
-    let may_repeat = match config.classes[pending.request.class].repeats {
+    let may_repeat = match config.classes[pending.request.class].idempotency {
         Idempotency::Idempotent => true,
         Idempotency::IdempotencyKey(_, lifetime) => pending
             .attempts
--- a/crates/merlinreel-policy/src/server/tests/overdue_attempts.rs
+++ b/crates/merlinreel-policy/src/server/tests/overdue_attempts.rs
@@ -19,8 +19,8 @@
 
 #[test_case(Idempotency::Idempotent => 1 ; "an idempotent request's is cancelled")]
 #[test_case(Idempotency::NonIdempotent => 0 ; "another request waits")]
-fn overdue_attempt_is_cancelled_for_a_retry(repeats: Idempotency) -> usize {
-    let mut limiter = with_attempt(repeats);
+fn overdue_attempt_is_cancelled_for_a_retry(idempotency: Idempotency) -> usize {
+    let mut limiter = with_attempt(idempotency);
     pending_mut(&mut limiter, 0).objective_at = at(9.0);
     detect(&mut limiter, 4.0).lines.len()
 }
--- a/crates/merlinreel-policy/src/server/tests/selection.rs
+++ b/crates/merlinreel-policy/src/server/tests/selection.rs
@@ -62,8 +62,8 @@
 
 #[test_case(ZONE => Some(0) ; "one with a key stays in the zone of its first attempt")]
 #[test_case(Idempotency::Idempotent => Some(1) ; "an idempotent one goes elsewhere")]
-fn retry_stays_in_its_scope(repeats: Idempotency) -> Option<u32> {
-    let mut limiter = with_attempt(repeats);
+fn retry_stays_in_its_scope(idempotency: Idempotency) -> Option<u32> {
+    let mut limiter = with_attempt(idempotency);
     let pending = pending_mut(&mut limiter, 0);
     pending.attempts[0].in_flight = false;
     pending.first_run = Some(FirstRun {
--- a/crates/merlinreel-policy/src/tests/helpers.rs
+++ b/crates/merlinreel-policy/src/tests/helpers.rs
@@ -150,13 +150,13 @@
     }
 }
 
-pub fn request_class(repeats: Idempotency) -> RequestClass {
+pub fn request_class(idempotency: Idempotency) -> RequestClass {
     RequestClass {
         latency_objective: at(0.5),
         deadline: at(2.0),
         priority_weight: 1.0,
         late_weight: 0.0,
-        repeats,
+        idempotency,
     }
 }
 
@@ -171,10 +171,10 @@
     }
 }
 
-pub fn limiter(repeats: Idempotency, fleet: FleetConfig) -> Limiter {
+pub fn limiter(idempotency: Idempotency, fleet: FleetConfig) -> Limiter {
     let config = LimiterConfig {
         plans: vec![plan()],
-        classes: vec![request_class(repeats)],
+        classes: vec![request_class(idempotency)],
         fleet,
         endpoints: endpoint_config(),
         request_limits: request_limits(),
@@ -283,8 +283,8 @@
 }
 
 /// A limiter with two servers and the pending request.
-pub fn with_attempt(repeats: Idempotency) -> Limiter {
-    let mut limiter = with_servers(limiter(repeats, fleet()));
+pub fn with_attempt(idempotency: Idempotency) -> Limiter {
+    let mut limiter = with_servers(limiter(idempotency, fleet()));
     account(&mut limiter).charge(WindowNumber(0), 1.0);
     *limiter.requests.pending.slot(0) = Some(pending_request());
     let server = server_mut(&mut limiter, 0);
--- a/crates/merlinreel-settings/src/lib.rs
+++ b/crates/merlinreel-settings/src/lib.rs
@@ -227,7 +227,7 @@
 }
 
 fn class(paths: &Paths, at: &str) -> Result<RequestClass, String> {
-    let repeats = match paths.text(&format!("{at}.idempotency")) {
+    let idempotency = match paths.text(&format!("{at}.idempotency")) {
         "read_like" => Idempotency::Idempotent,
         "idempotency_key" => {
             let group = match paths.text(&format!("{at}.group")) {
@@ -246,7 +246,7 @@
         deadline: paths.time(&format!("{at}.hardLimitS"))?,
         priority_weight: paths.number(&format!("{at}.worth"))?,
         late_weight: paths.number(&format!("{at}.lateShare"))?,
-        repeats,
+        idempotency,
     })
 }
 
--- a/crates/merlinreel-testkit/src/scale/configuration.rs
+++ b/crates/merlinreel-testkit/src/scale/configuration.rs
@@ -352,7 +352,7 @@
         deadline,
         priority_weight: 1.0,
         late_weight: 0.5,
-        repeats: merlinreel_policy::Idempotency::Idempotent,
+        idempotency: merlinreel_policy::Idempotency::Idempotent,
     }
 }
 
--- a/crates/merlinreel/src/client/decode.rs
+++ b/crates/merlinreel/src/client/decode.rs
@@ -116,9 +116,11 @@
     let plan = plan.ok_or("x-plan: unknown")?;
     text(&head.headers, &TXN)?;
     let RequestClass {
-        repeats, deadline, ..
+        idempotency,
+        deadline,
+        ..
     } = &terms.classes[class];
-    let method = if *repeats == Idempotency::Idempotent {
+    let method = if *idempotency == Idempotency::Idempotent {
         Method::GET
     } else {
         Method::POST
@@ -130,7 +132,7 @@
     if method == Method::GET && length.is_some_and(|length| length != "0") {
         return Err(format!("class '{lane}' comes without a body"));
     }
-    if matches!(repeats, Idempotency::IdempotencyKey(..)) {
+    if matches!(idempotency, Idempotency::IdempotencyKey(..)) {
         text(&head.headers, &IDEMPOTENCY_KEY)?;
     }
     let pairs = head.uri.query().unwrap_or_default().split('&');
