--- a/crates/merlinreel-policy/src/limiter.rs
+++ b/crates/merlinreel-policy/src/limiter.rs
@@ -85,9 +85,8 @@
 
     /// Handles all that came in since the last batch, and writes what is to be done.
     ///
-    /// `now` is the time since the zero of a clock that all limiters share (Unix time, or a simulation's), and must not go
-    /// back. A request index is free again after its final response, a server index after
-    /// [`Actions::release_endpoint`].
+    /// `now` is the time since the zero of a clock that all limiters share: Unix time, or a simulation's. A server's index
+    /// may be given to another one after [`Actions::release_endpoint`].
     ///
     /// # Panics
     ///
--- a/crates/merlinreel-policy/src/model/attempt.rs
+++ b/crates/merlinreel-policy/src/model/attempt.rs
@@ -41,9 +41,9 @@
 /// A server's own report of its load; a value that it does not report is absent.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
-    /// Requests that it is working on.
+    /// Requests in progress there.
     pub in_flight: Option<f64>,
-    /// Requests that wait there for each core.
+    /// Requests that wait there.
     pub queued: Option<f64>,
     /// Share of its cores that is busy, 0 to 1.
     pub utilization: Option<f64>,
--- a/crates/merlinreel-policy/src/model/endpoint.rs
+++ b/crates/merlinreel-policy/src/model/endpoint.rs
@@ -20,7 +20,7 @@
     pub overload_window: Duration,
     /// The endpoint list must be asked for; discovery does not push it.
     pub endpoint_polling: bool,
-    /// A limiter that asks for no endpoint list counts as up to date for this long.
+    /// A limiter that has not asked for the endpoint list counts as informed after this time.
     pub poll_deadline: Duration,
     /// Servers answer health checks.
     pub health_checks: bool,
--- a/crates/merlinreel-policy/src/model/request.rs
+++ b/crates/merlinreel-policy/src/model/request.rs
@@ -22,7 +22,7 @@
 /// A request that a client has just sent.
 #[derive(Clone, Copy, Debug)]
 pub struct Request {
-    /// Index of the request, as all events and actions name it; free for another one after the final response.
+    /// Index of the request, as all events and actions name it.
     pub id: u32,
     /// The customer whose quota it counts against.
     pub customer: u64,
