--- a/crates/merlinreel-settings/src/sections.rs
+++ b/crates/merlinreel-settings/src/sections.rs
@@ -48,13 +48,13 @@
 }
 
 fn class(tree: &SettingsTree, path: &str) -> Result<RequestClass, SettingsError> {
-    let repeats = idempotency(tree, path)?;
+    let idempotency = idempotency(tree, path)?;
     Ok(RequestClass {
         latency_objective: tree.duration(&format!("{path}.promiseS"))?,
         deadline: tree.duration(&format!("{path}.hardLimitS"))?,
         priority_weight: tree.number(&format!("{path}.worth"))?,
         late_weight: tree.number(&format!("{path}.lateShare"))?,
-        repeats,
+        idempotency,
     })
 }
 
--- a/crates/merlinreel-settings/src/settings.rs
+++ b/crates/merlinreel-settings/src/settings.rs
@@ -3,8 +3,8 @@
 use crate::error::SettingsError;
 use crate::sections;
 use crate::tree::SettingsTree;
-use merlinreel_policy::decide::Limiter;
 use merlinreel_policy::{EndpointConfig, FleetConfig, Plan, RequestClass, RequestLimits};
+use merlinreel_policy::{Limiter, LimiterConfig};
 use std::time::Duration;
 
 /// Everything that the operators' settings say to a limiter.
@@ -64,13 +64,13 @@
 
     /// A limiter with these settings. `seed` starts its random draws.
     pub fn limiter(&self, seed: u64) -> Limiter {
-        Limiter::new(
-            seed,
-            self.plans.clone(),
-            self.classes.clone(),
-            self.fleet,
-            self.endpoints,
-            self.request_limits,
-        )
+        let config = LimiterConfig {
+            plans: self.plans.clone(),
+            classes: self.classes.clone(),
+            fleet: self.fleet,
+            endpoints: self.endpoints,
+            request_limits: self.request_limits,
+        };
+        Limiter::new(seed, config)
     }
 }
--- a/crates/merlinreel-settings/src/tests.rs
+++ b/crates/merlinreel-settings/src/tests.rs
@@ -112,14 +112,14 @@
             deadline: Duration::from_millis(1500),
             priority_weight: 5.0,
             late_weight: 0.125,
-            repeats: Idempotency::Idempotent,
+            idempotency: Idempotency::Idempotent,
         }
     );
     let key = |scope, ms| Idempotency::IdempotencyKey(scope, Duration::from_millis(ms));
     assert_eq!(
         read.classes[1..]
             .iter()
-            .map(|class| class.repeats)
+            .map(|class| class.idempotency)
             .collect::<Vec<_>>(),
         [
             key(IdempotencyScope::All, 500),
--- a/crates/merlinreel-simulator-adapter/src/events.rs
+++ b/crates/merlinreel-simulator-adapter/src/events.rs
@@ -122,7 +122,8 @@
     let set_size = values.index(value_name::SET_SIZE, MAX_LIMITERS)? as u32;
     let remaining_time = values.duration(value_name::REMAINING_TIME)?;
     let customer = values.integer(value_name::CUSTOMER)?;
-    let (plans, classes) = instance.limiter.sizes();
+    let plans = instance.limiter.plan_count();
+    let classes = instance.limiter.class_count();
     let plan = values.index(value_name::PLAN, plans as u64)? as usize;
     let class = values.index(value_name::CLASS, classes as u64)? as usize;
     let flags = values
--- a/crates/merlinreel-simulator-adapter/src/instance.rs
+++ b/crates/merlinreel-simulator-adapter/src/instance.rs
@@ -4,7 +4,7 @@
 use crate::name_table::NameTable;
 use crate::request_table::RequestTable;
 use merlinreel_policy::EventBatch;
-use merlinreel_policy::decide::Limiter;
+use merlinreel_policy::Limiter;
 use std::time::Duration;
 
 /// A limiter, the names of its endpoints and requests on the wire, and the events since its last batch.
@@ -43,7 +43,7 @@
             requests: &mut self.requests,
             released_servers: &mut released_servers,
         };
-        self.limiter.round(now, &batch, &mut actions);
+        self.limiter.process(now, &batch, &mut actions);
         for server in released_servers {
             self.servers.remove(server);
         }
--- a/crates/merlinreel/src/client/decode.rs
+++ b/crates/merlinreel/src/client/decode.rs
@@ -281,7 +281,7 @@
     let plan = decode_plan(&head.headers, settings)?;
     required(&head.headers, &REQUEST_ID)?;
     let rules = &settings.classes[class];
-    check_method(head, class_name, &rules.repeats)?;
+    check_method(head, class_name, &rules.idempotency)?;
     let customer = decode_customer(head.uri.query().unwrap_or_default())?;
     let quota = Quota::parse(required(&head.headers, &QUOTA)?, &settings.fleet)?;
     let remaining_time = parse_remaining_time(required(&head.headers, &REMAINING_TIME)?)
--- a/crates/merlinreel/src/event_loop.rs
+++ b/crates/merlinreel/src/event_loop.rs
@@ -17,7 +17,7 @@
 use action_executor::ActionExecutor;
 use in_flight::InFlightRequest;
 use merlinreel_discovery::DiscoveryUpdate;
-use merlinreel_policy::decide::Limiter;
+use merlinreel_policy::Limiter;
 use merlinreel_policy::{EventBatch, Request};
 use merlinreel_settings::Settings;
 use std::sync::Arc;
@@ -183,14 +183,14 @@
                 executor.wake_at = None;
             }
             let now = executor.clock.at(executor.now);
-            self.limiter.round(now, &batch, executor);
-            let (known, excluded) = self.limiter.endpoint_counts(now);
+            self.limiter.process(now, &batch, executor);
+            let endpoints = self.limiter.endpoint_counts(now);
             self.metrics
                 .servers_known
-                .store(known as u64, Ordering::Relaxed);
+                .store(endpoints.known as u64, Ordering::Relaxed);
             self.metrics
                 .servers_excluded
-                .store(excluded as u64, Ordering::Relaxed);
+                .store(endpoints.avoided as u64, Ordering::Relaxed);
             executor.release_finished_requests();
             if executor.not_sent.is_empty() {
                 return;
--- a/crates/merlinreel/src/peers.rs
+++ b/crates/merlinreel/src/peers.rs
@@ -4,7 +4,7 @@
 use crate::messages::{Event, Queue};
 use crate::net::backoff::Backoff;
 use merlinreel_policy::PeerMessage;
-use merlinreel_policy::peer_message::MOST_BYTES;
+use merlinreel_policy::peer_batch::MAX_BYTES;
 use socket2::{Domain, Socket, Type};
 use std::collections::HashMap;
 use std::io;
@@ -56,7 +56,7 @@
         let Some(&to) = self.peers.get(limiter as usize) else {
             return;
         };
-        if peer_message.len() > MOST_BYTES {
+        if peer_message.len() > MAX_BYTES {
             let length = peer_message.len();
             log!("peer messages: one of {length} bytes was not sent");
             return;
@@ -72,11 +72,11 @@
     /// that find the queue full.
     pub async fn receive(self, queue: Queue) {
         let senders: HashMap<SocketAddr, u32> = self.peers.iter().copied().zip(0..).collect();
-        let mut buffer = [0; MOST_BYTES + 1];
+        let mut buffer = [0; MAX_BYTES + 1];
         let mut backoff = Backoff::default();
         loop {
             match self.socket.recv_from(&mut buffer).await {
-                Ok((length, sender)) if length <= MOST_BYTES => {
+                Ok((length, sender)) if length <= MAX_BYTES => {
                     backoff.reset();
                     if let Some(&from) = senders.get(&sender) {
                         let bytes = buffer[..length].to_vec();
--- a/crates/merlinreel/src/peers/tests.rs
+++ b/crates/merlinreel/src/peers/tests.rs
@@ -23,7 +23,7 @@
     };
     tokio::spawn(receiver.receive(queue));
     let _ = stranger.send_to(b"odd", peers[0]).await;
-    sender.send(0, &[0; MOST_BYTES + 1]);
+    sender.send(0, &[0; MAX_BYTES + 1]);
     sender.send(7, b"nobody");
     sender.send(0, b"hello");
     let first = timeout(Duration::from_secs(5), events.recv())
