--- a/crates/merlinreel-discovery/src/table.rs
+++ b/crates/merlinreel-discovery/src/table.rs
@@ -112,12 +112,11 @@
             weight: discovered.weight,
             started_at: discovered.started_at,
         };
-        endpoint.server = match self.index_by_name.get(&discovered.name) {
-            Some(&server) => server,
-            None => {
-                endpoints.extend(self.remove_at(discovered.address));
-                self.insert(discovered.name, endpoint, discovered.address)
-            }
+        endpoint.server = if let Some(&server) = self.index_by_name.get(&discovered.name) {
+            server
+        } else {
+            endpoints.extend(self.remove_at(discovered.address));
+            self.insert(discovered.name, endpoint, discovered.address)
         };
         self.set_address(endpoint.server, discovered.address);
         self.entries[endpoint.server as usize].endpoint = endpoint;
--- a/crates/merlinreel-mesh/src/authenticator/tests.rs
+++ b/crates/merlinreel-mesh/src/authenticator/tests.rs
@@ -105,7 +105,7 @@
 #[test_case(|b| b.truncate(10) => DropReason::Malformed ; "truncated")]
 #[test_case(|b| b.truncate(b.len() - 1) => DropReason::InvalidSignature ; "last byte missing")]
 #[test_case(|b| b.resize(MAX_DATAGRAM_BYTES + 1, 0) => DropReason::Oversized ; "oversized")]
-#[test_case(|b| b.clear() => DropReason::Malformed ; "empty")]
+#[test_case(std::vec::Vec::clear => DropReason::Malformed ; "empty")]
 #[test_case(|b| b[0] = 9 => DropReason::UnsupportedVersion ; "another format version")]
 #[test_case(|b| b[1] = 9 => DropReason::UnknownKey ; "unknown key")]
 #[test_case(|b| *b.last_mut().expect("bytes") ^= 1 => DropReason::InvalidSignature ; "forged")]
--- a/crates/merlinreel-mesh/src/records/tests.rs
+++ b/crates/merlinreel-mesh/src/records/tests.rs
@@ -326,7 +326,7 @@
                 }
                 Operation::Late { of, to } => {
                     if let Some((sent, update)) = kept.iter().find(|(_, update)| update.digest.owner == address(of as u16)) {
-                        delays[to] = delays[to].max(now - *sent);
+                        delays[to] = delays[to].max(now.checked_sub(*sent).unwrap());
                         all[to].apply_update(update.clone(), now).expect("capacity");
                     }
                 }
@@ -350,7 +350,7 @@
                     prop_assert!(index >= reached[holder][of], "{holder} returned to an earlier version of {of}");
                     reached[holder][of] = index;
                     if let Some(next) = written_at(&written, of, index + 1) {
-                        prop_assert!(held.age + delays[holder] >= now - next, "{holder} underestimates the age of {of}");
+                        prop_assert!(held.age + delays[holder] >= now.checked_sub(next).unwrap(), "{holder} underestimates the age of {of}");
                     }
                 }
             }
--- a/crates/merlinreel-policy/src/limiter.rs
+++ b/crates/merlinreel-policy/src/limiter.rs
@@ -73,7 +73,11 @@
             servers: ServerPool::default(),
             latency: FleetLatency::new(expected_seconds),
             requests: RequestTable::default(),
-            remaining_times: config.classes.iter().map(|_| Default::default()).collect(),
+            remaining_times: config
+                .classes
+                .iter()
+                .map(|_| RemainingTimeHistogram::default())
+                .collect(),
             peers: PeerLinks::new(&config.fleet),
             counter: CounterClient::new(calls_per_tick),
             subscription: EndpointSubscription::default(),
@@ -288,7 +292,7 @@
             return index;
         }
         classes.push(class.clone());
-        self.remaining_times.push(Default::default());
+        self.remaining_times.push(RemainingTimeHistogram::default());
         classes.len() - 1
     }
 
--- a/crates/merlinreel-policy/src/quota/aggregation.rs
+++ b/crates/merlinreel-policy/src/quota/aggregation.rs
@@ -4,7 +4,7 @@
 use super::account::Account;
 use super::estimate::QuotaSnapshot;
 use super::peer_links::PeerLink;
-use super::window::window_seconds;
+use super::window::{CurrentAndPrevious, window_seconds};
 use crate::model::fleet::FleetConfig;
 use crate::model::plan::Plan;
 use std::time::Duration;
@@ -83,7 +83,7 @@
 
     /// Nothing is left to report: the counts of this limiter have reached the aggregator, or are its own.
     pub fn mark_reported(&mut self) {
-        self.replication.pending_broadcasts = Default::default();
+        self.replication.pending_broadcasts = CurrentAndPrevious::default();
         self.replication.update_due.current = false;
         self.aggregation.unreported_demand = 0.0;
     }
--- a/crates/merlinreel-policy/src/quota/table.rs
+++ b/crates/merlinreel-policy/src/quota/table.rs
@@ -66,13 +66,12 @@
         plan_index: usize,
         plans: &[Plan],
     ) -> AccountIndex {
-        let index = match self.by_customer.get(&customer) {
-            Some(&index) => index,
-            None => {
-                let plan = &plans[plan_index];
-                let account = Account::new(customer, plan_index, plan, now, self.demand_window);
-                self.insert(account)
-            }
+        let index = if let Some(&index) = self.by_customer.get(&customer) {
+            index
+        } else {
+            let plan = &plans[plan_index];
+            let account = Account::new(customer, plan_index, plan, now, self.demand_window);
+            self.insert(account)
         };
         self.mark_dirty(index);
         index
--- a/crates/merlinreel-policy/src/quota/tests/aggregation.rs
+++ b/crates/merlinreel-policy/src/quota/tests/aggregation.rs
@@ -229,7 +229,7 @@
     let mut limiter = limiter(Idempotency::Idempotent, large_fleet());
     account(&mut limiter).limiters = LimiterSet {
         size: set_size,
-        first: if set_size == 1 { 0 } else { 1 },
+        first: u32::from(set_size != 1),
     };
     for &(sequence, remaining, age) in estimates {
         let message = peer_message(1, sequence, &[relayed(20.0, remaining, age)]);
--- a/crates/merlinreel-policy/src/request/remaining_time.rs
+++ b/crates/merlinreel-policy/src/request/remaining_time.rs
@@ -24,13 +24,15 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Step(usize);
 
-impl RemainingTimeHistogram {
+impl Step {
     /// The step of a share of the deadline.
-    pub fn step(&self, share: f64) -> Step {
+    pub fn of(share: f64) -> Step {
         let step = (share * STEPS as f64) as usize;
         Step(1 + step.min(STEPS - 1))
     }
+}
 
+impl RemainingTimeHistogram {
     /// All requests counted.
     pub fn total(&self) -> f64 {
         self.requests.iter().sum()
--- a/crates/merlinreel-policy/src/request/tests/time_spent.rs
+++ b/crates/merlinreel-policy/src/request/tests/time_spent.rs
@@ -1,4 +1,4 @@
-use crate::request::remaining_time::RemainingTimeHistogram;
+use crate::request::remaining_time::{RemainingTimeHistogram, Step};
 use crate::request::time_spent::time_already_spent;
 use crate::tests::helpers::*;
 use test_case::test_case;
@@ -6,7 +6,7 @@
 /// So many requests of a class whose deadline is 2 s arrived with some 1.4 s left.
 fn histogram(requests: u32) -> RemainingTimeHistogram {
     let mut histogram = RemainingTimeHistogram::default();
-    let step = histogram.step(89.5 / 128.0);
+    let step = Step::of(89.5 / 128.0);
     (0..requests).for_each(|_| histogram.add(step));
     histogram
 }
--- a/crates/merlinreel-policy/src/request/time_spent.rs
+++ b/crates/merlinreel-policy/src/request/time_spent.rs
@@ -1,6 +1,6 @@
 //! Decides whether a request is a client's retry, and how long the client has waited then.
 
-use super::remaining_time::RemainingTimeHistogram;
+use super::remaining_time::{RemainingTimeHistogram, Step};
 use crate::time;
 use std::time::Duration;
 
@@ -26,7 +26,7 @@
     histogram: &mut RemainingTimeHistogram,
 ) -> Duration {
     let deadline_seconds = time::seconds(deadline).max(LEAST_DEADLINE_SECONDS);
-    let step = histogram.step(time::seconds(remaining) / deadline_seconds);
+    let step = Step::of(time::seconds(remaining) / deadline_seconds);
     let total = histogram.total();
     histogram.add(step);
     let is_common = total < LEAST_REQUESTS || histogram.near(step) >= COMMON_SHARE * total;
--- a/crates/merlinreel-settings/src/tests.rs
+++ b/crates/merlinreel-settings/src/tests.rs
@@ -70,8 +70,7 @@
 }
 
 /// Every key with a value of its own, so that a key decoded into the wrong setting shows.
-#[test]
-fn every_key_is_decoded_into_its_setting() {
+fn settings_with_every_key() -> Settings {
     let settings = json!({
         "zone": 2, "dcs": ["a", "b"], "discovery": "subscribe", "balancers": 9, "rank": 4,
         "classes": [{"name": "read", "idempotency": "read_like", "promiseS": 0.25, "hardLimitS": 1.5, "worth": 5,
@@ -89,8 +88,12 @@
         "rules": {"drainGraceS": 17, "startCapacity": 0.18, "coldS": 19, "overloadFactor": 20, "fallS": 21,
             "askWithinS": 22},
         "report": {"how": "probe"}});
-    let read = read_json(settings).expect("every key is sound");
-    let seconds = Duration::from_secs;
+    read_json(settings).expect("every key is sound")
+}
+
+#[test]
+fn every_key_of_plans_and_classes_is_decoded_into_its_setting() {
+    let read = settings_with_every_key();
     assert_eq!(
         read.plans,
         [Plan {
@@ -128,6 +131,12 @@
             Idempotency::NonIdempotent,
         ]
     );
+}
+
+#[test]
+fn every_key_of_fleet_endpoints_requests_and_sockets_is_decoded_into_its_setting() {
+    let read = settings_with_every_key();
+    let seconds = Duration::from_secs;
     assert_eq!(
         read.fleet,
         FleetConfig {
--- a/crates/merlinreel-simulator-adapter/src/name_table.rs
+++ b/crates/merlinreel-simulator-adapter/src/name_table.rs
@@ -16,15 +16,12 @@
         if let Some(index) = self.get(name) {
             return index;
         }
-        let index = match self.free_indices.pop() {
-            Some(index) => {
-                self.names[index as usize] = name.to_owned();
-                index
-            }
-            None => {
-                self.names.push(name.to_owned());
-                self.names.len() as u32 - 1
-            }
+        let index = if let Some(index) = self.free_indices.pop() {
+            name.clone_into(&mut self.names[index as usize]);
+            index
+        } else {
+            self.names.push(name.to_owned());
+            self.names.len() as u32 - 1
         };
         self.indices.insert(name.to_owned(), index);
         index
--- a/crates/merlinreel/src/client/accept.rs
+++ b/crates/merlinreel/src/client/accept.rs
@@ -107,7 +107,7 @@
                     log!(
                         "clients: all {} places are taken; new connections wait",
                         self.limits.client.max_connections
-                    )
+                    );
                 }
             }
         };
--- a/crates/merlinreel/src/client/stream.rs
+++ b/crates/merlinreel/src/client/stream.rs
@@ -142,12 +142,11 @@
         let Some(missing) = bytes.checked_sub(available).filter(|&missing| missing > 0) else {
             return true;
         };
-        match &mut self.reserved {
-            Some(reserved) => self.permits.extend_body(reserved, missing),
-            None => {
-                self.reserved = self.permits.reserve_body(missing);
-                self.reserved.is_some()
-            }
+        if let Some(reserved) = &mut self.reserved {
+            self.permits.extend_body(reserved, missing)
+        } else {
+            self.reserved = self.permits.reserve_body(missing);
+            self.reserved.is_some()
         }
     }
 
--- a/crates/merlinreel/src/client/tests.rs
+++ b/crates/merlinreel/src/client/tests.rs
@@ -30,7 +30,11 @@
     client_connection
         .requests
         .store(requests, Ordering::Relaxed);
-    let ago = |seconds: f64| Instant::now() - Duration::from_secs_f64(seconds);
+    let ago = |seconds: f64| {
+        Instant::now()
+            .checked_sub(Duration::from_secs_f64(seconds))
+            .unwrap()
+    };
     *lock(&client_connection.times) = ConnectionTimes {
         head_arrived_at: Instant::now(),
         body_due: None,
--- a/crates/merlinreel/src/client/tests/closing.rs
+++ b/crates/merlinreel/src/client/tests/closing.rs
@@ -25,7 +25,7 @@
         panic!("no request")
     };
     let upstream_response = UpstreamResponse {
-        headers: Default::default(),
+        headers: hyper::HeaderMap::default(),
         body: Bytes::from(vec![b'x'; LENGTH]),
         streaming_body: None,
     };
--- a/crates/merlinreel/src/client/tests/eviction.rs
+++ b/crates/merlinreel/src/client/tests/eviction.rs
@@ -28,8 +28,11 @@
 #[test_case(11.0 => true ; "counts as disconnected")]
 fn write_blocked_connection_is_evictable_after_the_idle_timeout(blocked_s: f64) -> bool {
     let client_connection = client_connection(1, 20.0, None);
-    lock(&client_connection.times).write_blocked_since =
-        Some(Instant::now() - Duration::from_secs_f64(blocked_s));
+    lock(&client_connection.times).write_blocked_since = Some(
+        Instant::now()
+            .checked_sub(Duration::from_secs_f64(blocked_s))
+            .unwrap(),
+    );
     client_connection.on_write_blocked();
     client_connection.is_evictable(&limits())
 }
--- a/crates/merlinreel/src/client/tests/shutdown.rs
+++ b/crates/merlinreel/src/client/tests/shutdown.rs
@@ -65,7 +65,7 @@
     tokio::spawn(async move {
         client_listener
             .serve_connection(stream, client_connection(0, 0.0, None))
-            .await
+            .await;
     });
     let Some(Event::Request(incoming)) = events.recv().await else {
         panic!("no request")
--- a/crates/merlinreel/src/config/reload.rs
+++ b/crates/merlinreel/src/config/reload.rs
@@ -39,7 +39,10 @@
         ("peer_listen", new.peer_listen != present.peer_listen),
         ("peers", new.peers != present.peers),
         ("limits", new.limits != present.limits),
-        ("mesh", mesh_needs_restart(&present.mesh, &new.mesh)),
+        (
+            "mesh",
+            mesh_needs_restart(present.mesh.as_ref(), new.mesh.as_ref()),
+        ),
     ];
     for (key, has_changed) in changes {
         if has_changed {
@@ -54,7 +57,7 @@
 }
 
 /// Whether the section has changed in what a reload does not apply.
-fn mesh_needs_restart(present: &Option<MeshConfig>, new: &Option<MeshConfig>) -> bool {
+fn mesh_needs_restart(present: Option<&MeshConfig>, new: Option<&MeshConfig>) -> bool {
     match (present, new) {
         (Some(present), Some(new)) => present.needs_restart(new),
         (present, new) => present.is_some() != new.is_some(),
--- a/crates/merlinreel/src/lib.rs
+++ b/crates/merlinreel/src/lib.rs
@@ -118,7 +118,7 @@
     }
     client_listener
         .serve(sockets.listener, sockets.origin, stop)
-        .await
+        .await;
 }
 
 fn log_unknown_keys(config: &GatewayConfig) {
--- a/crates/merlinreel/src/startup/sockets.rs
+++ b/crates/merlinreel/src/startup/sockets.rs
@@ -116,7 +116,7 @@
     loop {
         match bind().await {
             Err(error) if is_of_this_machine(&error) && started.elapsed() < within => {
-                backoff.pause().await
+                backoff.pause().await;
             }
             result => return result,
         }
--- a/crates/merlinreel/src/telemetry/metrics/tests.rs
+++ b/crates/merlinreel/src/telemetry/metrics/tests.rs
@@ -41,7 +41,7 @@
             metrics.count_response(
                 "look",
                 ResponseOutcome::from_status(StatusCode::from_u16(status).expect("a status")),
-            )
+            );
         });
     }
     metrics.count_attempt("look");
--- a/crates/merlinreel/src/upstream/health_check.rs
+++ b/crates/merlinreel/src/upstream/health_check.rs
@@ -72,7 +72,7 @@
         };
         let drive_connection = async {
             let _ = connection.await;
-            std::future::pending::<()>().await
+            std::future::pending::<()>().await;
         };
         // The connection ends with the response, or with the time for it.
         tokio::select! {
--- a/crates/merlinreel/src/upstream/tests/idle_connections.rs
+++ b/crates/merlinreel/src/upstream/tests/idle_connections.rs
@@ -16,7 +16,7 @@
     let connection = |ms: &u64| {
         let address = SocketAddr::from(([127, 0, 0, 1], *ms as u16));
         IdleConnection {
-            since: now - Duration::from_millis(*ms),
+            since: now.checked_sub(Duration::from_millis(*ms)).unwrap(),
             handle: ConnectionHandle {
                 commands: mpsc::channel(1).0,
                 address,
@@ -42,9 +42,9 @@
         request(stream).await;
         completed(stream, &mut events).await;
     }
-    connections
-        .into_iter()
-        .for_each(|connection| pool.return_connection(0, connection));
+    for connection in connections {
+        pool.return_connection(0, connection);
+    }
     let _connection = pool
         .start_attempt(0, attempt(3, 1, LONG))
         .expect("an idle one");
--- a/crates/merlinreel/tests/sockets/graceful_shutdown.rs
+++ b/crates/merlinreel/tests/sockets/graceful_shutdown.rs
@@ -263,7 +263,6 @@
     let text = server_list(2, true, &[listed("s-2", new.address, "up")]).to_string();
     let calls = AtomicUsize::new(0);
     let discovery = StandIn::start(move |_| match calls.fetch_add(1, Ordering::Relaxed) {
-        0 => React::Hang,
         1 => React::Answer(
             "HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n{\"generation\":".to_owned(),
         ),
--- a/crates/merlinreel/tests/sockets/mesh.rs
+++ b/crates/merlinreel/tests/sockets/mesh.rs
@@ -13,7 +13,7 @@
     configs: Vec<Value>,
     programs: Vec<Option<Program>>,
     links: HashMap<(usize, usize), UdpLink>,
-    _keys: KeyFolder,
+    keys: KeyFolder,
 }
 
 /// A folder of key files that is removed with the test.
@@ -87,7 +87,7 @@
             configs,
             programs,
             links,
-            _keys: keys,
+            keys,
         }
     }
 
@@ -209,7 +209,7 @@
     let mut cluster = Cluster::start(3, 0);
     cluster.wait_until_alive(&[0, 1, 2], &[0, 1, 2]);
     let first = cluster.configs[0]["mesh"]["keys"][0]["file"].clone();
-    let second = cluster._keys.write("second", SECOND);
+    let second = cluster.keys.write("second", SECOND);
     let mut outsider = cluster.configs[2].clone();
     (outsider["listen"], outsider["ops"]) = (
         free_address().to_string().into(),
--- a/crates/merlinreel/tests/sockets/startup.rs
+++ b/crates/merlinreel/tests/sockets/startup.rs
@@ -302,7 +302,7 @@
     assert_eq!(process.client().request("look", 1, 1).status(), 200);
     assert_eq!(old.next().first, "GET /look?key=0000000000000001 HTTP/1.1");
     let until = Instant::now() + PATIENCE;
-    let taken = (2..).find(|&customer: &u32| {
+    let taken = (2..=u32::MAX).find(|&customer| {
         assert_eq!(process.client().request("look", customer, 1).status(), 200);
         new.seen.try_iter().count() > 0 || Instant::now() >= until
     });
--- a/crates/merlinreel/tests/sockets/truncated_responses.rs
+++ b/crates/merlinreel/tests/sockets/truncated_responses.rs
@@ -1,4 +1,4 @@
-//! UpstreamPool whose answers break off at each step, for each class's effect. An answer is passed on once it is whole or
+//! `UpstreamPool` whose answers break off at each step, for each class's effect. An answer is passed on once it is whole or
 //! once more than [`PASSED_ON_BEYOND`] of its body has come: broken off before that, it is a failed attempt that may
 //! have run; behind that, the client can tell that it is cut.
 
@@ -266,7 +266,7 @@
     assert_eq!(outcome, class.after_broken_attempt());
 }
 
-/// UpstreamPool may have forgotten the key: a repeat could run a second time.
+/// `UpstreamPool` may have forgotten the key: a repeat could run a second time.
 #[test_matrix(["all", "zone"], [ConnectionEnd::Reset, ConnectionEnd::Orderly])]
 fn a_keyed_request_is_not_sent_again_after_its_window(group: &str, end: ConnectionEnd) {
     const WINDOW: Duration = Duration::from_millis(200);
