--- a/crates/merlinreel-testkit/src/scale/configuration/decision_module.rs
+++ b/crates/merlinreel-testkit/src/scale/configuration/decision_module.rs
@@ -4,7 +4,7 @@
 use super::file::repeat;
 use super::{Entries, FEW, RELOADS, check_memory, read, share_of_change_interval};
 use crate::scale::{Emit, MeasureRequest, Meter, Report, ScaleError, Unit};
-use merlinreel_policy::decide::Limiter;
+use merlinreel_policy::Limiter;
 use merlinreel_policy::{Idempotency, RequestClass, RequestLimits};
 use merlinreel_settings::Settings;
 use std::time::Duration;
@@ -81,7 +81,7 @@
 }
 
 fn report_classes_kept(report: &mut Report, limiter: &Limiter) -> Result<(), ScaleError> {
-    report.counted("classes_kept", Unit::Count, limiter.sizes().1 as f64)
+    report.counted("classes_kept", Unit::Count, limiter.class_count() as f64)
 }
 
 fn reconfigure(limiter: &mut Limiter, classes: &[RequestClass]) {
@@ -107,7 +107,7 @@
         deadline: Duration::from_secs(1) + Duration::from_micros(number),
         priority_weight: 1.0,
         late_weight: 0.5,
-        repeats: Idempotency::Idempotent,
+        idempotency: Idempotency::Idempotent,
     }
 }
 
--- a/crates/merlinreel-testkit/src/scale/configuration/file.rs
+++ b/crates/merlinreel-testkit/src/scale/configuration/file.rs
@@ -3,7 +3,7 @@
 use super::{Entries, check_memory, share_of_change_interval};
 use crate::scale::simulated::InvalidSettings;
 use crate::scale::{Meter, Report, ScaleError, Unit};
-use merlinreel_settings::{Paths, Settings};
+use merlinreel_settings::{Settings, SettingsTree};
 use serde_json::Value;
 
 /// Entries read in one measurement, over as many repetitions as the size needs: the kernel counts processor time in
@@ -13,7 +13,7 @@
 /// All that is held of a file while it is read.
 pub struct FileRead {
     _value: Value,
-    _paths: Paths,
+    _tree: SettingsTree,
     settings: Result<Settings, InvalidSettings>,
 }
 
@@ -31,9 +31,9 @@
     fn measure(&mut self, text: &str, repetitions: u64) -> Result<FileRead, InvalidSettings> {
         let json = repeat(repetitions, || serde_json::from_str::<Value>(text));
         let value = json.output.map_err(InvalidSettings::new)?;
-        let flat = repeat(repetitions, || Paths::from_json(&value));
-        let paths = flat.output.map_err(InvalidSettings::new)?;
-        let read = repeat(repetitions, || Settings::read(&paths));
+        let flat = repeat(repetitions, || SettingsTree::from_json(&value));
+        let tree = flat.output.map_err(InvalidSettings::new)?;
+        let read = repeat(repetitions, || Settings::read(&tree));
         self.json.push(json.cpu_seconds);
         self.paths.push(flat.cpu_seconds);
         self.settings.push(read.cpu_seconds);
@@ -42,7 +42,7 @@
         Ok(FileRead {
             settings: read.output.map_err(InvalidSettings::new),
             _value: value,
-            _paths: paths,
+            _tree: tree,
         })
     }
 }
--- a/crates/merlinreel-testkit/src/scale/membership.rs
+++ b/crates/merlinreel-testkit/src/scale/membership.rs
@@ -6,7 +6,8 @@
 mod propagation;
 mod record_watch;
 
-pub use fleet::{Fleet, FleetCounts, FleetSetting, Knowledge, Urgency};
+pub use fleet::{Fleet, FleetCounts, FleetSetting, Knowledge};
+pub use merlinreel_mesh::Urgency;
 pub use record_watch::RecordWatch;
 
 use super::{Emit, MeasureRequest, Meter, Report, ScaleError, Unit, Variable};
--- a/crates/merlinreel-testkit/src/scale/membership/fleet.rs
+++ b/crates/merlinreel-testkit/src/scale/membership/fleet.rs
@@ -7,7 +7,10 @@
 
 use super::record_watch::{RecordWatch, body_with};
 use crate::scale::{LinkConditions, Network};
-use merlinreel_mesh::{Capacity, Event, Keys, Kind, Member, MeshError, Node, Part, PublishError};
+use merlinreel_mesh::{
+    Capacity, Datagram, Event, Key, Keys, Kind, Member, MeshError, Node, NodeConfig, PublishError,
+    Urgency,
+};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::collections::BTreeSet;
@@ -28,15 +31,6 @@
 /// How often it is checked whether the fleet has converged.
 const CONVERGENCE_CHECK: Duration = Duration::from_secs(1);
 
-/// How fast a record must reach all limiters.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Urgency {
-    /// Sent at once.
-    Urgent,
-    /// Sent with the next periodic exchange.
-    Routine,
-}
-
 /// The conditions of a fleet.
 #[derive(Clone, Copy, Debug)]
 pub struct FleetSetting {
@@ -104,7 +98,7 @@
             .collect();
         Ok(Fleet {
             setting,
-            keys: Keys::new(vec![(1, vec![7; 32])], None)?,
+            keys: Keys::new(vec![Key::new(1, vec![7; 32])], None)?,
             network: Network::new(setting.limiters, random.random(), setting.link_conditions),
             random,
             nodes: std::iter::repeat_with(|| None)
@@ -144,10 +138,10 @@
     pub fn counts(&self) -> FleetCounts {
         let mut all = FleetCounts::default();
         for node in self.nodes.iter().flatten() {
-            let counts = node.counts();
-            all.sent += counts.sent;
-            all.held_back += counts.held_back;
-            all.dropped += counts.dropped.values().sum::<u64>();
+            let counters = node.counters();
+            all.sent += counters.sent;
+            all.held_back += counters.held_back;
+            all.dropped += counters.dropped.values().sum::<u64>();
         }
         all
     }
@@ -185,7 +179,7 @@
                 WATCHED_KIND,
                 body_with(self.published),
                 WATCHED_RECORD_TTL,
-                urgency == Urgency::Urgent,
+                urgency,
                 now,
             )?;
         }
@@ -265,19 +259,19 @@
         let unix = UNIX_START + self.now;
         let incarnation = u64::try_from(unix.as_millis()).unwrap_or(u64::MAX);
         self.incarnations[limiter as usize] = incarnation;
-        let part = Part {
+        let config = NodeConfig {
             own: Member {
-                at: address(limiter),
+                address: address(limiter),
                 incarnation,
             },
             seeds: (0..self.setting.seeds as u32).map(address).collect(),
             keys: self.keys.clone(),
-            seed: self.random.random(),
-            bytes_a_second: self.setting.bytes_per_second,
-            bytes_at_once: self.setting.bytes_per_second * 4,
+            random_seed: self.random.random(),
+            bytes_per_second: self.setting.bytes_per_second,
+            burst_bytes: self.setting.bytes_per_second * 4,
             capacity: Capacity::for_limiters(self.setting.limiters),
         };
-        let mut node = Node::new(part, self.now, unix);
+        let mut node = Node::new(config, self.now, unix);
         let own =
             format!("{{\"name\":\"limiter-{limiter:05}\",\"program\":\"0.1.0\",\"serves\":true}}");
         // A short first record of its kind is never rejected.
@@ -285,7 +279,7 @@
             LIMITER_KIND,
             own.into_bytes(),
             LIMITER_RECORD_TTL,
-            false,
+            Urgency::Routine,
             self.now,
         );
         self.nodes[limiter as usize] = Some(node);
@@ -299,7 +293,7 @@
         self.wakeup_at[limiter as usize] = None;
         let now = self.now;
         if let Some(node) = self.nodes[limiter as usize].as_mut() {
-            node.turn(now, UNIX_START + now);
+            node.tick(now, UNIX_START + now);
         }
         self.after_call(limiter);
     }
@@ -321,13 +315,13 @@
         let Some(node) = self.nodes[limiter as usize].as_mut() else {
             return;
         };
-        while let Some((to, bytes)) = node.outgoing() {
+        while let Some(Datagram { to, bytes }) = node.next_datagram() {
             if let Some(to) = limiter_at(to) {
                 self.network.send(self.now, limiter, to, bytes);
             }
         }
-        while let Some(event) = node.event() {
-            if let Event::Records(owner) = event {
+        while let Some(event) = node.next_event() {
+            if let Event::RecordsUpdated(owner) = event {
                 for watch in &mut self.watches {
                     watch.check(owner, limiter, node, self.now);
                 }
@@ -342,7 +336,7 @@
             self.wakeups.remove(&(before, limiter));
         }
         if let Some(node) = &self.nodes[limiter as usize] {
-            let at = node.wakes_at().max(self.now);
+            let at = node.next_tick().max(self.now);
             *planned = Some(at);
             self.wakeups.insert((at, limiter));
         }
--- a/crates/merlinreel-testkit/src/scale/membership/fleet/knowledge.rs
+++ b/crates/merlinreel-testkit/src/scale/membership/fleet/knowledge.rs
@@ -82,7 +82,7 @@
     }
 
     fn is_present(&self, member: &Member) -> bool {
-        let Some(limiter) = limiter_at(member.at) else {
+        let Some(limiter) = limiter_at(member.address) else {
             return false;
         };
         let limiter = limiter as usize;
--- a/crates/merlinreel-testkit/src/scale/membership/record_watch.rs
+++ b/crates/merlinreel-testkit/src/scale/membership/record_watch.rs
@@ -50,7 +50,7 @@
         let held = node
             .view(now)
             .raw(WATCHED_KIND)
-            .find(|held| held.owner.at == owner);
+            .find(|held| held.owner.address == owner);
         if held.is_some_and(|held| number_in(held.body) >= Some(self.number)) {
             self.add_holder(limiter, now);
         }
--- a/crates/merlinreel-testkit/src/scale/quotas/fleet.rs
+++ b/crates/merlinreel-testkit/src/scale/quotas/fleet.rs
@@ -16,7 +16,7 @@
 use crate::scale::simulated::{ActionObserver, InvalidSettings, Observed};
 use crate::scale::{Datagram, LinkConditions, Network, Traffic};
 use event_queue::{Cause, Event, EventQueue};
-use merlinreel_policy::decide::Limiter;
+use merlinreel_policy::Limiter;
 use merlinreel_policy::{EventBatch, PeerMessage, Request};
 use merlinreel_settings::Settings;
 use rand::{RngExt, SeedableRng};
@@ -289,7 +289,7 @@
             ..batch
         };
         let mut observer = Observed::<BatchActions>::default();
-        simulated.limiter.round(self.now, &batch, &mut observer);
+        simulated.limiter.process(self.now, &batch, &mut observer);
         let incarnation = simulated.incarnation;
         let actions = observer.0;
         for (to, bytes) in actions.peer_messages {
--- a/crates/merlinreel-testkit/src/scale/quotas/tenant_tables.rs
+++ b/crates/merlinreel-testkit/src/scale/quotas/tenant_tables.rs
@@ -5,8 +5,8 @@
 use super::{FleetSetting, START};
 use crate::scale::simulated::{ActionObserver, InvalidSettings, Observed};
 use crate::scale::{Emit, MeasureRequest, Meter, Report, ScaleError, Unit, Variable};
-use merlinreel_policy::decide::Limiter;
-use merlinreel_policy::peer_message::{CounterRow, Head, write};
+use merlinreel_policy::Limiter;
+use merlinreel_policy::peer_batch::{BatchHeader, CounterRow, encode};
 use merlinreel_policy::{EventBatch, PeerMessage, Request};
 use std::time::Duration;
 
@@ -77,7 +77,7 @@
 
     fn run_batch(&mut self, batch: EventBatch) {
         let mut observer = Observed(IgnoreActions);
-        self.limiter.round(self.now, &batch, &mut observer);
+        self.limiter.process(self.now, &batch, &mut observer);
     }
 
     /// Each of the tenants sends a request and disconnects.
@@ -115,11 +115,11 @@
                 .iter()
                 .map(|&tenant| self.report_of(tenant))
                 .collect();
-            let head = Head {
-                life: 1,
-                number: number as u64 + 1,
+            let header = BatchHeader {
+                incarnation: 1,
+                sequence: number as u64 + 1,
             };
-            let peer_messages = write(head, &rows)
+            let peer_messages = encode(header, &rows)
                 .into_iter()
                 .map(|bytes| PeerMessage {
                     from: LIMITERS - 1,
@@ -141,8 +141,8 @@
             plan,
             window: (self.now.as_secs_f64() / window_seconds) as u64,
             total: 1.0,
-            asked: Some(1.0),
-            left: None,
+            demand: Some(1.0),
+            remaining: None,
             age: None,
         }
     }
@@ -150,11 +150,11 @@
     /// The first message of that incarnation of each of the peers.
     pub fn receive_restarts(&mut self, incarnation: u64, peers: u32) {
         for from in 1..=peers {
-            let head = Head {
-                life: incarnation,
-                number: 1,
+            let header = BatchHeader {
+                incarnation,
+                sequence: 1,
             };
-            let bytes = write(head, &[]).concat();
+            let bytes = encode(header, &[]).concat();
             self.run_batch(EventBatch {
                 peer_messages: vec![PeerMessage { from, bytes }],
                 ..EventBatch::default()
--- a/crates/merlinreel-testkit/src/scale/server_list/simulated_limiter.rs
+++ b/crates/merlinreel-testkit/src/scale/server_list/simulated_limiter.rs
@@ -4,7 +4,7 @@
     ActionObserver, InvalidSettings, Observed, read_settings, successful_attempt,
 };
 use merlinreel_discovery::{EndpointTable, MessageError, decode};
-use merlinreel_policy::decide::Limiter;
+use merlinreel_policy::Limiter;
 use merlinreel_policy::{EndpointUpdate, EventBatch, Request};
 use serde_json::{Value, json};
 use std::time::Duration;
@@ -102,13 +102,13 @@
 
     /// Servers that are listed and not removed, as the decision module knows them.
     pub fn servers_known(&self) -> u64 {
-        self.limiter.endpoint_counts(self.now).0 as u64
+        self.limiter.endpoint_counts(self.now).known as u64
     }
 
     fn run_batch(&mut self, batch: &EventBatch) {
-        self.limiter.round(self.now, batch, &mut self.observer);
+        self.limiter.process(self.now, batch, &mut self.observer);
         for server in std::mem::take(&mut self.observer.0.released) {
-            self.table.forget(server);
+            self.table.release(server);
         }
     }
 
--- a/crates/merlinreel-testkit/src/scale/simulated.rs
+++ b/crates/merlinreel-testkit/src/scale/simulated.rs
@@ -2,7 +2,7 @@
 //! a simulated clock.
 
 use merlinreel_policy::{Actions, AttemptOutcome, AttemptResult, LoadReport};
-use merlinreel_settings::{Paths, Settings};
+use merlinreel_settings::{Settings, SettingsTree};
 use serde_json::Value;
 use std::time::Duration;
 use thiserror::Error;
@@ -25,8 +25,9 @@
 
 /// The settings of a JSON value, as the program reads them.
 pub fn read_settings(value: &Value) -> Result<Settings, InvalidSettings> {
-    let paths = Paths::from_json(value).map_err(InvalidSettings::new)?;
-    Settings::read(&paths).map_err(InvalidSettings::new)
+    SettingsTree::from_json(value)
+        .and_then(|tree| Settings::read(&tree))
+        .map_err(InvalidSettings::new)
 }
 
 /// The result of an attempt that succeeded, of request 0.
--- a/crates/merlinreel-testkit/src/scale/tenants/simulated_limiter.rs
+++ b/crates/merlinreel-testkit/src/scale/tenants/simulated_limiter.rs
@@ -3,8 +3,8 @@
 use crate::scale::simulated::{
     ActionObserver, InvalidSettings, Observed, read_settings, successful_attempt,
 };
-use merlinreel_policy::decide::Limiter;
-use merlinreel_policy::peer_message::{self, CounterRow, Head};
+use merlinreel_policy::Limiter;
+use merlinreel_policy::peer_batch::{self, BatchHeader, CounterRow};
 use merlinreel_policy::{
     Endpoint, EndpointState, EndpointUpdate, EventBatch, PeerMessage, Request, ring_hash,
 };
@@ -93,7 +93,7 @@
     first_customer: u64,
     observer: Observed<DecisionObserver>,
     /// By peer, its incarnation and the number of its last message.
-    peer_heads: Vec<Head>,
+    peer_headers: Vec<BatchHeader>,
 }
 
 impl SimulatedLimiter {
@@ -106,6 +106,10 @@
         let settings = read_settings(&settings(fleet, rank))?;
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         let first_customer = u64::from(random.random::<u32>());
+        let first_header = BatchHeader {
+            incarnation: 1,
+            sequence: 0,
+        };
         let mut simulated = SimulatedLimiter {
             limiter: settings.limiter(seed),
             fleet,
@@ -115,7 +119,7 @@
             random,
             first_customer,
             observer: Observed::default(),
-            peer_heads: vec![Head { life: 1, number: 0 }; fleet.limiters as usize],
+            peer_headers: vec![first_header; fleet.limiters as usize],
         };
         simulated.run_batch(&EventBatch {
             endpoint_updates: vec![server_list()],
@@ -136,7 +140,7 @@
     }
 
     fn run_batch(&mut self, batch: &EventBatch) {
-        self.limiter.round(self.now, batch, &mut self.observer);
+        self.limiter.process(self.now, batch, &mut self.observer);
     }
 
     /// A message without rows from each of these peers.
@@ -152,10 +156,10 @@
     }
 
     fn messages_from(&mut self, peer: u32, rows: &[CounterRow]) -> Vec<PeerMessage> {
-        let head = &mut self.peer_heads[peer as usize];
-        head.number += 1;
-        let messages = peer_message::write(*head, rows);
-        head.number += messages.len() as u64 - 1;
+        let header = &mut self.peer_headers[peer as usize];
+        header.sequence += 1;
+        let messages = peer_batch::encode(*header, rows);
+        header.sequence += messages.len() as u64 - 1;
         messages
             .into_iter()
             .map(|bytes| PeerMessage { from: peer, bytes })
@@ -260,9 +264,9 @@
 
     /// Receives a message of a peer that has restarted.
     pub fn restart_peer(&mut self, peer: u32) {
-        let head = &mut self.peer_heads[peer as usize];
-        head.life += 1;
-        head.number = 0;
+        let header = &mut self.peer_headers[peer as usize];
+        header.incarnation += 1;
+        header.sequence = 0;
         self.receive_acknowledgements([peer]);
     }
 
@@ -305,8 +309,8 @@
         plan: 0,
         window: window & 3,
         total: UNITS,
-        asked: Some(UNITS),
-        left: None,
+        demand: Some(UNITS),
+        remaining: None,
         age: None,
     }
 }
--- a/crates/merlinreel-testkit/tests/scale_configuration.rs
+++ b/crates/merlinreel-testkit/tests/scale_configuration.rs
@@ -23,7 +23,7 @@
         let settings = configuration::read(&entries.text()).expect("valid");
         limiter.reconfigure(&settings.classes, settings.request_limits);
     }
-    (limiter.sizes().1 - entries.classes()) as f64
+    (limiter.class_count() - entries.classes()) as f64
 }
 
 fn counted(
