--- a/crates/merlinreel-testkit/src/bin/scale.rs
+++ b/crates/merlinreel-testkit/src/bin/scale.rs
@@ -68,7 +68,10 @@
 
 fn run(command: Command) -> Result<(), ScaleError> {
     match command {
-        Command::List => list(),
+        Command::List => {
+            list();
+            Ok(())
+        }
         Command::Measure {
             role,
             variable,
@@ -91,11 +94,10 @@
     }
 }
 
-fn list() -> Result<(), ScaleError> {
+fn list() {
     for one in measurements() {
         println!("{:14} {:15} {:?}", one.role, one.variable, one.sizes);
     }
-    Ok(())
 }
 
 /// Validates all requests before the first measurement begins.
--- a/crates/merlinreel-testkit/src/checker.rs
+++ b/crates/merlinreel-testkit/src/checker.rs
@@ -239,7 +239,7 @@
     let mut last = Duration::ZERO;
     let mut overage = 0.0f64;
     for &at in times {
-        let refill = quota.units_per_second * (at - last).as_secs_f64();
+        let refill = quota.units_per_second * at.saturating_sub(last).as_secs_f64();
         tokens = (tokens + refill).min(quota.burst) - 1.0;
         last = at;
         overage = overage.max(-tokens);
--- a/crates/merlinreel-testkit/src/cluster.rs
+++ b/crates/merlinreel-testkit/src/cluster.rs
@@ -125,9 +125,9 @@
         }
         self.wait_until(start + duration);
         stop.store(true, Ordering::Relaxed);
-        clients
-            .into_iter()
-            .for_each(|client| client.join().expect("a client"));
+        for client in clients {
+            client.join().expect("a client");
+        }
         self.log.entries()
     }
 
--- a/crates/merlinreel-testkit/src/fault_plan/tests.rs
+++ b/crates/merlinreel-testkit/src/fault_plan/tests.rs
@@ -43,10 +43,10 @@
         for (limiter, fault) in faults {
             match fault {
                 LimiterFault::Kill | LimiterFault::Terminate { .. } | LimiterFault::Suspend => {
-                    assert!(!std::mem::replace(&mut unavailable[limiter], true))
+                    assert!(!std::mem::replace(&mut unavailable[limiter], true));
                 }
                 LimiterFault::Start | LimiterFault::Continue => {
-                    assert!(std::mem::replace(&mut unavailable[limiter], false))
+                    assert!(std::mem::replace(&mut unavailable[limiter], false));
                 }
                 _ => {}
             }
--- a/crates/merlinreel-testkit/src/http/tests.rs
+++ b/crates/merlinreel-testkit/src/http/tests.rs
@@ -66,7 +66,7 @@
 fn reset_is_no_end_of_a_response_delimited_by_the_close() {
     match message([UNTIL_CLOSE, "do"], Some(ErrorKind::ConnectionReset)) {
         Err(ReadError::Incomplete(message)) => {
-            assert_eq!((message.status(), message.body.as_str()), (200, "do"))
+            assert_eq!((message.status(), message.body.as_str()), (200, "do"));
         }
         other => panic!("{other:?}"),
     }
--- a/crates/merlinreel-testkit/src/link/udp.rs
+++ b/crates/merlinreel-testkit/src/link/udp.rs
@@ -55,7 +55,7 @@
 /// Relays what arrives at one socket through the other, in a thread that runs until the test's process ends.
 fn relay(from: Arc<UdpSocket>, to: Arc<UdpSocket>, target: SocketAddr, direction: LinkDirection) {
     thread::spawn(move || {
-        let mut buffer = [0; MAX_DATAGRAM_BYTES];
+        let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
         // The number keeps datagrams of one moment in order.
         let mut pending: BTreeMap<(Instant, u64), Vec<u8>> = BTreeMap::new();
         let mut number = 0;
--- a/crates/merlinreel-testkit/src/scale/membership/convergence.rs
+++ b/crates/merlinreel-testkit/src/scale/membership/convergence.rs
@@ -19,11 +19,11 @@
         fleet.knowledge().is_nearly_complete()
     });
     if has_nearly_converged {
-        let seconds = (fleet.now() - start).as_secs_f64();
+        let seconds = fleet.now().saturating_sub(start).as_secs_f64();
         report.counted("seconds_until_all_know_99_percent", Unit::Seconds, seconds)?;
     }
     let has_converged = fleet.run_until_converged((start + timeout).saturating_sub(fleet.now()));
-    let seconds = (fleet.now() - start).as_secs_f64();
+    let seconds = fleet.now().saturating_sub(start).as_secs_f64();
     let metric = if has_converged {
         "seconds_until_whole"
     } else {
@@ -59,10 +59,10 @@
     let start = fleet.now();
     for _ in 0..report.request.runs {
         shares.push(cpu_share(fleet, report.size, phases.idle, |fleet| {
-            fleet.run(phases.idle)
+            fleet.run(phases.idle);
         }));
     }
-    let seconds = (fleet.now() - start).as_secs_f64();
+    let seconds = fleet.now().saturating_sub(start).as_secs_f64();
     report_traffic(fleet, report, seconds)?;
     report_held_back(fleet, report, before)?;
     report.measured("cpu_share_per_limiter", Unit::CpuShare, shares)
--- a/crates/merlinreel-testkit/src/scale/membership/fleet.rs
+++ b/crates/merlinreel-testkit/src/scale/membership/fleet.rs
@@ -211,7 +211,7 @@
             if self.now >= end {
                 return false;
             }
-            self.run(interval.min(end - self.now));
+            self.run(interval.min(end.saturating_sub(self.now)));
         }
         true
     }
--- a/crates/merlinreel-testkit/src/scale/membership/propagation.rs
+++ b/crates/merlinreel-testkit/src/scale/membership/propagation.rs
@@ -179,7 +179,7 @@
     while fleet.now() < end {
         let owner = fleet.draw_limiter();
         publish(fleet, owner)?;
-        fleet.run(interval.min(end - fleet.now()));
+        fleet.run(interval.min(end.saturating_sub(fleet.now())));
     }
     Ok(())
 }
--- a/crates/merlinreel-testkit/src/scale/quotas/counts.rs
+++ b/crates/merlinreel-testkit/src/scale/quotas/counts.rs
@@ -141,9 +141,9 @@
     fleet.run(TRACED_AT_FIRST);
     fleet.reset_counts();
     let start = fleet.now();
-    traced
-        .iter()
-        .for_each(|&customer| fleet.trace_at_others(customer));
+    for &customer in &traced {
+        fleet.trace_at_others(customer);
+    }
     fleet.run(TRACED_AT_ALL);
     Ok(traced
         .iter()
--- a/crates/merlinreel-testkit/src/scripted_server.rs
+++ b/crates/merlinreel-testkit/src/scripted_server.rs
@@ -218,6 +218,9 @@
 
 /// A server that holds each request with the method POST until a message is sent to release it, and responds to all
 /// others at once.
+///
+/// # Panics
+/// There is no free port.
 pub fn holding_server() -> (ScriptedServer, Sender<()>) {
     let (release, released) = channel::<()>();
     let released = Mutex::new(released);
@@ -231,6 +234,9 @@
 }
 
 /// A discovery that responds to each request with the next of the texts, and closes the connection for the text `break`.
+///
+/// # Panics
+/// There is no free port.
 pub fn discovery(texts: Receiver<String>) -> ScriptedServer {
     let texts = Mutex::new(texts);
     ScriptedServer::start(move |_| match texts.lock().expect("no panic").recv() {
--- a/crates/merlinreel-testkit/src/stub_server.rs
+++ b/crates/merlinreel-testkit/src/stub_server.rs
@@ -120,14 +120,14 @@
         while let Some(message) = read(&mut reader, 0)? {
             match message.header("x-txn").map(str::to_owned) {
                 Some(id) => self.handle_attempt(id, advertised_time(&message), &mut stream)?,
-                None => self.handle_health_check(&message, &mut stream)?,
+                None => State::handle_health_check(&message, &mut stream)?,
             }
             stream.set_read_timeout(None)?;
         }
         Ok(())
     }
 
-    fn handle_health_check(&self, message: &Message, stream: &mut TcpStream) -> io::Result<()> {
+    fn handle_health_check(message: &Message, stream: &mut TcpStream) -> io::Result<()> {
         let status = if message.first.starts_with("GET /alive") {
             "200 OK"
         } else {
--- a/crates/merlinreel-testkit/tests/scale_latency.rs
+++ b/crates/merlinreel-testkit/tests/scale_latency.rs
@@ -61,7 +61,7 @@
     let plan = RequestPlan::new(per_second, 2 * per_second + 1, CONNECTIONS, SEED);
     let interval = Duration::from_secs(1) / per_second as u32;
     for pair in plan.requests.windows(2) {
-        let apart = pair[1].at - pair[0].at;
+        let apart = pair[1].at.checked_sub(pair[0].at).expect("in order");
         assert!(
             apart >= interval && apart <= interval + Duration::from_nanos(1),
             "{apart:?}"
@@ -143,11 +143,9 @@
     });
     assert_eq!(result.histogram.len(), REQUESTS);
     let delayed = &result.samples[HELD_REQUEST..];
-    assert!(
-        delayed
-            .iter()
-            .all(|sample| sample.latency() >= release_at - sample.planned)
-    );
+    assert!(delayed.iter().all(
+        |sample| sample.latency() >= release_at.checked_sub(sample.planned).expect("in order")
+    ));
     // Those planned a quarter of a second before the release or earlier; the histogram's resolution is a thousandth.
     let quarter = Duration::from_millis(250);
     let early = delayed
--- a/crates/merlinreel-testkit/tests/scale_server_list.rs
+++ b/crates/merlinreel-testkit/tests/scale_server_list.rs
@@ -76,9 +76,9 @@
         "indices_after_replacement",
         "indices_after_next_replacement",
     ];
-    linear
-        .iter()
-        .for_each(|metric| check(&counted, metric, 1.0));
+    for metric in linear {
+        check(&counted, metric, 1.0);
+    }
     // A change message names only what changed; the tick does not depend on the servers; an entry of a list is passed on
     // once, and has one index.
     let constant = [
@@ -87,9 +87,9 @@
         "idle_rounds_per_10_s",
         "list_steps_per_server",
     ];
-    constant
-        .iter()
-        .for_each(|metric| check(&counted, metric, 0.0));
+    for metric in constant {
+        check(&counted, metric, 0.0);
+    }
     assert_eq!(counted, counts_by_servers(7), "one seed, different counts");
 }
 
