--- a/crates/merlinreel/tests/sockets/endpoint_draining.rs
+++ b/crates/merlinreel/tests/sockets/endpoint_draining.rs
@@ -10,10 +10,10 @@
 fn unstarted_attempt_leaves_a_draining_server() {
     let (listener, _place) = server_with_a_full_queue();
     let draining = listener.local_addr().expect("bound");
-    let other = StandIn::start(|_| fine());
+    let other = ScriptedServer::start(|_| ok_response());
     let (lists, queue) = channel();
     let discovery = discovery(queue);
-    let mut config = config(&[listed("s-1", draining, "up")]);
+    let mut config = config(&[instance("s-1", draining, "up")]);
     config["discovery"] = discovery.address.to_string().into();
     config["settings"]["policyLimits"]["connectTimeoutS"] = 20.into();
     let program = Program::start(&config);
@@ -21,12 +21,12 @@
     client.send(&request("pay", 1, 1, "4000m"));
     wait_for_connecting(draining, None);
     let changes = [
-        listed("s-1", draining, "draining"),
-        listed("s-2", other.address, "up"),
+        instance("s-1", draining, "draining"),
+        instance("s-2", other.address, "up"),
     ];
     lists
-        .send(server_list(2, false, &changes).to_string())
+        .send(list_changes(2, &changes).to_string())
         .expect("sent");
     assert_eq!(client.receive().map(|answer| answer.status()), Some(200));
-    assert_eq!(other.seen.try_iter().count(), 1);
+    assert_eq!(other.requests.try_iter().count(), 1);
 }
--- a/crates/merlinreel/tests/sockets/graceful_shutdown.rs
+++ b/crates/merlinreel/tests/sockets/graceful_shutdown.rs
@@ -75,8 +75,8 @@
 /// connection that closes without a response.
 #[test]
 fn busy_clients_are_answered_throughout_a_shutdown() {
-    let server = StandIn::start(|_| fine());
-    let mut config = config(&[listed("s-1", server.address, "up")]);
+    let server = ScriptedServer::start(|_| ok_response());
+    let mut config = config(&[instance("s-1", server.address, "up")]);
     config["limits"]["sockets"] = 1024.into();
     config["settings"]["packages"][0]["unitsPerS"] = 1e6.into();
     config["settings"]["packages"][0]["mostAtOnce"] = 1e6.into();
@@ -105,7 +105,7 @@
     }
     thread::sleep(Duration::from_millis(200));
     program.signal("-TERM");
-    let ended = program.end();
+    let ended = program.wait();
     stop.store(true, Ordering::Relaxed);
     let seen: Vec<Seen> = clients
         .into_iter()
@@ -126,8 +126,8 @@
 /// Half a request is there as the shutdown begins, the rest comes once connections are closed: it is served like any other.
 #[test]
 fn partial_request_at_shutdown_is_answered() {
-    let server = StandIn::start(|_| fine());
-    let mut program = Program::start(&config(&[listed("s-1", server.address, "up")]));
+    let server = ScriptedServer::start(|_| ok_response());
+    let mut program = Program::start(&config(&[instance("s-1", server.address, "up")]));
     let mut client = program.client();
     assert!((0..2).all(|customer| client.request("look", customer, 1).status() == 200));
     let text = request("pay", 7, 1, "3000m");
@@ -140,7 +140,7 @@
     client.send(rest);
     let answer = client.receive().expect("an answer");
     assert!(answer.status() == 200 && closing(&answer));
-    assert!(program.end().success());
+    assert!(program.wait().success());
 }
 
 /// A client that reads nothing until the shutdown has closed all other connections still gets its complete response.
@@ -148,11 +148,11 @@
 fn slow_reader_at_shutdown_gets_its_complete_response() {
     const LENGTH: usize = 24 << 20;
     let long = "x".repeat(LENGTH);
-    let server = StandIn::start(move |_| answer("200 OK", "", &long));
-    let mut program = Program::start(&config(&[listed("s-1", server.address, "up")]));
+    let server = ScriptedServer::start(move |_| response("200 OK", "", &long));
+    let mut program = Program::start(&config(&[instance("s-1", server.address, "up")]));
     let mut client = program.client();
     client.send(&request("look", 7, 1, "3000m"));
-    server.next();
+    server.next_request();
     program.signal("-TERM");
     wait_until_closing(&program);
     thread::sleep(Duration::from_millis(300));
@@ -160,7 +160,7 @@
         client.receive().map(|answer| answer.body.len()),
         Some(LENGTH)
     );
-    assert!(program.end().success());
+    assert!(program.wait().success());
 }
 
 /// Starts a limiter in a thread of its own, whose wait for discovery's first list is as long as the test says; it ends with
@@ -220,27 +220,38 @@
 /// long discovery takes, as what discovery knows counts from the first moment on.
 #[test]
 fn new_process_waits_for_the_first_endpoint_list() {
-    let (old, new) = (StandIn::start(|_| fine()), StandIn::start(|_| fine()));
+    let (old, new) = (
+        ScriptedServer::start(|_| ok_response()),
+        ScriptedServer::start(|_| ok_response()),
+    );
     let (lists, queue) = channel();
     let discovery = discovery(queue);
-    let mut config = config(&[listed("s-1", old.address, "up")]);
+    let mut config = config(&[instance("s-1", old.address, "up")]);
     config["discovery"] = discovery.address.to_string().into();
-    start_here(&config, PATIENCE);
+    start_here(&config, TEST_TIMEOUT);
     let answered = first_request(&config);
-    assert!(discovery.next().first.contains("after=1&wait_ms=10 "));
+    assert!(
+        discovery
+            .next_request()
+            .first
+            .contains("after=1&wait_ms=10 ")
+    );
     // Long enough for an attempt at the old one, were it allowed.
     assert!(answered.recv_timeout(Duration::from_millis(400)).is_err());
     let changes = [
-        listed("s-1", old.address, "draining"),
-        listed("s-2", new.address, "up"),
+        instance("s-1", old.address, "draining"),
+        instance("s-2", new.address, "up"),
     ];
     // Lists may come indented.
     lists
-        .send(serde_json::to_string_pretty(&server_list(2, false, &changes)).expect("text"))
+        .send(serde_json::to_string_pretty(&list_changes(2, &changes)).expect("text"))
         .expect("sent");
-    assert_eq!(answered.recv_timeout(PATIENCE), Ok(200));
+    assert_eq!(answered.recv_timeout(TEST_TIMEOUT), Ok(200));
     assert_eq!(
-        (old.seen.try_iter().count(), new.seen.try_iter().count()),
+        (
+            old.requests.try_iter().count(),
+            new.requests.try_iter().count()
+        ),
         (0, 1)
     );
 }
@@ -248,38 +259,46 @@
 /// Silent discovery delays a start for a limited time: then the cached list is used.
 #[test]
 fn silent_discovery_delays_the_start_for_a_limited_time() {
-    let server = StandIn::start(|_| fine());
-    let silent = StandIn::start(|_| React::Hang);
-    let mut config = config(&[listed("s-1", server.address, "up")]);
+    let server = ScriptedServer::start(|_| ok_response());
+    let silent = ScriptedServer::start(|_| Reaction::Hang);
+    let mut config = config(&[instance("s-1", server.address, "up")]);
     config["discovery"] = silent.address.to_string().into();
     start_here(&config, Duration::from_millis(50));
-    assert_eq!(first_request(&config).recv_timeout(PATIENCE), Ok(200));
+    assert_eq!(first_request(&config).recv_timeout(TEST_TIMEOUT), Ok(200));
 }
 
 /// Watches that fail in a row: silent, silent after the head of a response, closed. The next call is answered.
 #[test]
 fn failed_watches_are_repeated_until_one_is_answered() {
-    let (old, new) = (StandIn::start(|_| fine()), StandIn::start(|_| fine()));
-    let text = server_list(2, true, &[listed("s-2", new.address, "up")]).to_string();
+    let (old, new) = (
+        ScriptedServer::start(|_| ok_response()),
+        ScriptedServer::start(|_| ok_response()),
+    );
+    let text = full_list(2, &[instance("s-2", new.address, "up")]).to_string();
     let calls = AtomicUsize::new(0);
-    let discovery = StandIn::start(move |_| match calls.fetch_add(1, Ordering::Relaxed) {
-        1 => React::Answer(
+    let discovery = ScriptedServer::start(move |_| match calls.fetch_add(1, Ordering::Relaxed) {
+        1 => Reaction::Respond(
             "HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n{\"generation\":".to_owned(),
         ),
-        2 => React::Break,
-        3 => answer("200 OK", "", &text),
-        _ => React::Hang,
+        2 => Reaction::Close,
+        3 => response("200 OK", "", &text),
+        _ => Reaction::Hang,
     });
-    let mut config = config(&[listed("s-1", old.address, "up")]);
+    let mut config = config(&[instance("s-1", old.address, "up")]);
     config["discovery"] = discovery.address.to_string().into();
     let program = Program::start(&config);
-    let connections: Vec<usize> = (0..4).map(|_| discovery.next().connection).collect();
+    let connections: Vec<usize> = (0..4)
+        .map(|_| discovery.next_request().connection)
+        .collect();
     assert_eq!(connections, [0, 1, 2, 3], "each on a connection of its own");
     // The fifth call is made once the list is in the event loop's queue.
-    discovery.next();
+    discovery.next_request();
     assert_eq!(program.client().request("look", 1, 1).status(), 200);
     assert_eq!(
-        (old.seen.try_iter().count(), new.seen.try_iter().count()),
+        (
+            old.requests.try_iter().count(),
+            new.requests.try_iter().count()
+        ),
         (0, 1)
     );
 }
@@ -288,8 +307,8 @@
 /// arrives late in the shutdown, at a server that hangs, has its response before that.
 #[test]
 fn shutdown_ends_by_the_deadlines_in_force() {
-    let server = StandIn::start(|_| React::Hang);
-    let mut config = config(&[listed("s-1", server.address, "up")]);
+    let server = ScriptedServer::start(|_| Reaction::Hang);
+    let mut config = config(&[instance("s-1", server.address, "up")]);
     let mut program = Program::start(&config);
     for class in config["settings"]["classes"]
         .as_array_mut()
@@ -297,7 +316,7 @@
     {
         (class["promiseS"], class["hardLimitS"]) = (0.5.into(), 1.0.into());
     }
-    program.turn(&config.to_string());
+    program.reload(&config.to_string());
     let text = request("pay", 7, 1, "1000m");
     let (half, rest) = text.split_at(40);
     let mut client = program.client();
@@ -314,33 +333,33 @@
         "{:?}",
         requested_at.elapsed()
     );
-    assert!(program.end().success());
+    assert!(program.wait().success());
 }
 
 /// Nobody reads the log any more: the limiter continues without it.
 #[test]
 fn unwritable_log_is_ignored() {
-    let server = StandIn::start(|_| fine());
-    let mut program = Program::start(&config(&[listed("s-1", server.address, "up")]));
-    program.close_log();
+    let server = ScriptedServer::start(|_| ok_response());
+    let mut program = Program::start(&config(&[instance("s-1", server.address, "up")]));
+    program.close_stderr();
     // A body that is too long is logged.
     let text = request("pay", 7, 1, "900m").replace("Content-Length: 6", "Content-Length: 65537");
     assert_eq!(
         program.client().call(&text).map(|answer| answer.status()),
         Some(413)
     );
-    program.turn("{}");
+    program.reload("{}");
     assert_eq!(program.client().request("pay", 8, 1).status(), 200);
     program.signal("-TERM");
-    assert!(program.end().success());
+    assert!(program.wait().success());
 }
 
 /// Three signals to shut down, with reloads before and between them, are one shutdown. Requests in flight, at a server that
 /// hangs, have their response before the process may be killed.
 #[test]
 fn repeated_signals_are_one_shutdown() {
-    let server = StandIn::start(|_| React::Hang);
-    let config = config(&[listed("s-1", server.address, "up")]);
+    let server = ScriptedServer::start(|_| Reaction::Hang);
+    let config = config(&[instance("s-1", server.address, "up")]);
     let mut program = Program::start(&config);
     let mut clients: Vec<Client> = (0..6).map(|_| program.client()).collect();
     for (customer, client) in (0..).zip(&mut clients) {
@@ -351,14 +370,14 @@
             "2500m",
         ));
     }
-    server.next();
+    server.next_request();
     let requested_at = std::time::Instant::now();
     for signal in ["-HUP", "-TERM", "-HUP", "-TERM", "-HUP", "-TERM"] {
         program.signal(signal);
         thread::sleep(Duration::from_millis(20));
     }
     assert!(clients.iter_mut().all(|client| client.receive().is_some()));
-    assert!(program.end().success());
+    assert!(program.wait().success());
     assert!(
         requested_at.elapsed() < Duration::from_millis(3700),
         "{:?}",
--- a/crates/merlinreel/tests/sockets/mesh.rs
+++ b/crates/merlinreel/tests/sockets/mesh.rs
@@ -1,6 +1,6 @@
 //! Clusters of several processes of the program, with datagrams over relays that the test controls.
 
-use merlinreel_testkit::link::{UdpLink, Weather};
+use merlinreel_testkit::link::{NetworkConditions, UdpLink};
 use merlinreel_testkit::*;
 use serde_json::{Value, json};
 use std::collections::HashMap;
@@ -51,14 +51,14 @@
         for (i, one) in places.iter().enumerate() {
             for (j, other) in places.iter().enumerate().skip(i + 1) {
                 let link = UdpLink::between(*one, *other, (i * size + j) as u64);
-                let conditions = Weather {
-                    lose: loss_percent,
-                    repeat: 10,
-                    reorder: 5,
-                    ..Weather::default()
+                let conditions = NetworkConditions {
+                    loss_percent,
+                    duplicate_percent: 10,
+                    reorder_percent: 5,
+                    ..NetworkConditions::default()
                 };
-                link.there.set(conditions);
-                link.back.set(conditions);
+                link.forward.set(conditions);
+                link.reverse.set(conditions);
                 links.insert((i, j), link);
             }
         }
@@ -66,9 +66,9 @@
             let mut routes = serde_json::Map::new();
             for ((one, other), link) in &links {
                 if *one == i {
-                    routes.insert(places[*other].to_string(), link.for_one.to_string().into());
+                    routes.insert(places[*other].to_string(), link.address_for_first.to_string().into());
                 } else if *other == i {
-                    routes.insert(places[*one].to_string(), link.for_other.to_string().into());
+                    routes.insert(places[*one].to_string(), link.address_for_second.to_string().into());
                 }
             }
             let mut config = config(&[]);
@@ -138,15 +138,15 @@
             .signal(name);
     }
 
-    fn partition(&self, sides: impl Fn(usize) -> usize, cut: bool) {
+    fn partition(&self, sides: impl Fn(usize) -> usize, partitioned: bool) {
         for ((i, j), link) in &self.links {
             if sides(*i) != sides(*j) {
-                let conditions = Weather {
-                    cut,
-                    ..Weather::default()
+                let conditions = NetworkConditions {
+                    partitioned,
+                    ..NetworkConditions::default()
                 };
-                link.there.set(conditions);
-                link.back.set(conditions);
+                link.forward.set(conditions);
+                link.reverse.set(conditions);
             }
         }
     }
@@ -256,7 +256,7 @@
             cluster.programs[i]
                 .as_ref()
                 .expect("a running limiter")
-                .turn(&cluster.configs[i].to_string());
+                .reload(&cluster.configs[i].to_string());
         }
         thread::sleep(Duration::from_millis(700));
     }
@@ -290,7 +290,10 @@
     let mut config = config(&[]);
     config["mesh"] =
         json!({"listen": free_address().to_string(), "keys": [{"id": 1, "file": "/nowhere/key"}]});
-    let (status, complaint) = Program::complaint(&config);
+    let ExitReport {
+        status,
+        stderr: complaint,
+    } = Program::run_to_exit(&config);
     assert!(
         !status.success() && complaint.contains("mesh.keys: /nowhere/key"),
         "{complaint}"
--- a/crates/merlinreel/tests/sockets/pipelining.rs
+++ b/crates/merlinreel/tests/sockets/pipelining.rs
@@ -7,9 +7,9 @@
 use test_case::test_case;
 
 /// A server that responses at once, and the program in front of it; no customer reaches its quota.
-fn started() -> (StandIn, Program) {
-    let server = StandIn::start(|_| fine());
-    let mut config = config(&[listed("s-1", server.address, "up")]);
+fn started() -> (ScriptedServer, Program) {
+    let server = ScriptedServer::start(|_| ok_response());
+    let mut config = config(&[instance("s-1", server.address, "up")]);
     config["settings"]["packages"][0]["unitsPerS"] = 1e6.into();
     config["settings"]["packages"][0]["mostAtOnce"] = 1e6.into();
     let program = Program::start(&config);
@@ -43,7 +43,7 @@
         served + responses.iter().filter(|&&status| status == 429).count(),
         count
     );
-    assert_eq!(server.seen.try_iter().count(), served);
+    assert_eq!(server.requests.try_iter().count(), served);
     assert!(served > 100, "{served} served");
     writing.join().expect("a writer").expect("all is written");
 }
@@ -53,22 +53,22 @@
 #[test]
 fn pipelined_requests_are_answered_across_a_shutdown() {
     const COUNT: usize = 200;
-    let server = StandIn::start(|_| {
+    let server = ScriptedServer::start(|_| {
         thread::sleep(Duration::from_millis(8));
-        fine()
+        ok_response()
     });
-    let mut config = config(&[listed("s-1", server.address, "up")]);
+    let mut config = config(&[instance("s-1", server.address, "up")]);
     config["settings"]["packages"][0]["mostAtOnce"] = 1e6.into();
     let mut program = Program::start(&config);
     let mut client = program.client();
     client.send(&requests(COUNT));
-    server.next();
+    server.next_request();
     program.signal("-TERM");
     let responses: Vec<Message> = (0..COUNT).map_while(|_| client.receive()).collect();
     let closing = |response: &Message| response.header("connection") == Some("close");
     assert_eq!(responses.len(), COUNT);
     assert!(responses.last().is_some_and(closing) && !responses[..COUNT - 1].iter().any(closing));
-    assert!(program.end().success());
+    assert!(program.wait().success());
 }
 
 /// The second request waits for the first one's response: its server gets the time that its client has left by then, with
@@ -76,17 +76,17 @@
 #[test]
 fn pipelined_request_is_forwarded_with_its_remaining_time() {
     const HELD: Duration = Duration::from_millis(600);
-    let server = StandIn::start(|message| {
+    let server = ScriptedServer::start(|message| {
         if message.first.contains("key=0000000000000001") {
             thread::sleep(HELD);
         }
-        fine()
+        ok_response()
     });
-    let program = Program::start(&config(&[listed("s-1", server.address, "up")]));
+    let program = Program::start(&config(&[instance("s-1", server.address, "up")]));
     let mut client = program.client();
     client.send(&(request("look", 1, 1, "3000m") + &request("look", 2, 1, "1800m")));
-    server.next();
-    let second = server.next();
+    server.next_request();
+    let second = server.next_request();
     let remaining_ms = second
         .header("x-remaining")
         .and_then(|text| text.strip_suffix('m')?.parse::<u64>().ok());
@@ -128,8 +128,8 @@
 /// closed. It is served like any other.
 #[test]
 fn incomplete_pipelined_request_is_answered_across_a_shutdown() {
-    let (server, release) = holding();
-    let mut program = Program::start(&config(&[listed("s-1", server.address, "up")]));
+    let (server, release) = holding_server();
+    let mut program = Program::start(&config(&[instance("s-1", server.address, "up")]));
     let mut client = program.client();
     let (held, next) = (
         request("pay", 1, 1, "3000m"),
@@ -137,7 +137,7 @@
     );
     let (half, rest) = next.split_at(40);
     client.send(&(held + half));
-    server.next();
+    server.next_request();
     program.signal("-TERM");
     release.send(()).expect("a server that holds it");
     assert_eq!(
@@ -150,7 +150,7 @@
         client.receive().map(|response| response.status()),
         Some(200)
     );
-    assert!(program.end().success());
+    assert!(program.wait().success());
 }
 
 /// No more requests can be in flight: each of those that a client sent at once gets the busy response, not only the first.
--- a/crates/merlinreel/tests/sockets/slow_clients.rs
+++ b/crates/merlinreel/tests/sockets/slow_clients.rs
@@ -10,8 +10,8 @@
 fn slow_request_of_two_seconds_for_its_head_and_64_kb_per_second_is_served() {
     const LENGTH: usize = 64 * 1024;
     const PIECES: usize = 22;
-    let server = StandIn::start(|_| fine());
-    let program = Program::start(&config(&[listed("s-1", server.address, "up")]));
+    let server = ScriptedServer::start(|_| ok_response());
+    let program = Program::start(&config(&[instance("s-1", server.address, "up")]));
     let text = request("pay", 7, 1, "3000m")
         .replace("Content-Length: 6", &format!("Content-Length: {LENGTH}"));
     let head = text.strip_suffix("a body").expect("a body");
@@ -29,7 +29,7 @@
         client.receive().map(|response| response.status()),
         Some(200)
     );
-    assert_eq!(server.next().body.len(), LENGTH);
+    assert_eq!(server.next_request().body.len(), LENGTH);
 }
 
 /// A body that stalls is ended within 3 s of its connection, however slow its head was.
@@ -61,8 +61,8 @@
 #[test_case("4m")]
 #[test_case("6m")]
 fn request_with_little_remaining_time_is_answered_at_once(remaining: &str) {
-    let server = StandIn::start(|_| fine());
-    let program = Program::start(&config(&[listed("s-1", server.address, "up")]));
+    let server = ScriptedServer::start(|_| ok_response());
+    let program = Program::start(&config(&[instance("s-1", server.address, "up")]));
     let mut client = program.client();
     for customer in 0..5 {
         let (started_at, class) = (
--- a/crates/merlinreel/tests/sockets/startup.rs
+++ b/crates/merlinreel/tests/sockets/startup.rs
@@ -20,7 +20,7 @@
 
 /// A discovery stub that accepts calls and is silent until it is given a list; then each call gets that.
 struct SilentDiscovery {
-    stub: StandIn,
+    stub: ScriptedServer,
     list: Arc<Mutex<Option<String>>>,
 }
 
@@ -28,10 +28,11 @@
     fn start() -> SilentDiscovery {
         let list = Arc::new(Mutex::new(None::<String>));
         let current = list.clone();
-        let stub = StandIn::start(move |call| match &*current.lock().expect("not poisoned") {
-            Some(text) if !call.first.contains("after=2&") => answer("200 OK", "", text),
-            _ => React::Hang,
-        });
+        let stub =
+            ScriptedServer::start(move |call| match &*current.lock().expect("not poisoned") {
+                Some(text) if !call.first.contains("after=2&") => response("200 OK", "", text),
+                _ => Reaction::Hang,
+            });
         SilentDiscovery { stub, list }
     }
 
@@ -118,15 +119,18 @@
 /// configuration, and once discovery is back its list is applied. The calls to discovery never lack a descriptor.
 #[test]
 fn burst_of_clients_does_not_keep_the_endpoint_list_out() {
-    let (old, new) = (StandIn::start(|_| fine()), StandIn::start(|_| fine()));
+    let (old, new) = (
+        ScriptedServer::start(|_| ok_response()),
+        ScriptedServer::start(|_| ok_response()),
+    );
     let discovery = SilentDiscovery::start();
-    let mut config = config(&[listed("s-1", old.address, "up")]);
+    let mut config = config(&[instance("s-1", old.address, "up")]);
     config["discovery"] = discovery.stub.address.to_string().into();
     config["limits"]["sockets"] = DESCRIPTORS.into();
     let process = LimitedProcess::start(&config, DESCRIPTORS);
     assert!(process.is_ready_by(Instant::now() + READY_WITHIN));
     let burst = ClientBurst::start(process.address, 400);
-    let until = Instant::now() + PATIENCE;
+    let until = Instant::now() + TEST_TIMEOUT;
     let most =
         std::iter::repeat_with(|| process.descriptors()).take_while(|_| Instant::now() < until);
     assert!(
@@ -136,26 +140,25 @@
     assert!(process.is_ready_by(Instant::now() + READY_WITHIN));
     assert_served(&process, 1..11);
     assert_eq!(
-        old.seen
+        old.requests
             .try_iter()
             .filter(|call| is_of(&(1..11), call))
             .count(),
         10
     );
-    discovery.speak(&server_list(
+    discovery.speak(&full_list(
         2,
-        true,
         &[
-            listed("s-1", old.address, "draining"),
-            listed("s-2", new.address, "up"),
+            instance("s-1", old.address, "draining"),
+            instance("s-2", new.address, "up"),
         ],
     ));
     // The call after the list's: the list is in the event loop's queue by then.
-    while !discovery.stub.next().first.contains("after=2&") {}
+    while !discovery.stub.next_request().first.contains("after=2&") {}
     assert_served(&process, 11..21);
     drop(burst);
     assert_eq!(
-        old.seen
+        old.requests
             .try_iter()
             .filter(|call| is_of(&(11..21), call))
             .count(),
@@ -163,7 +166,7 @@
         "it drains"
     );
     assert_eq!(
-        new.seen
+        new.requests
             .try_iter()
             .filter(|call| is_of(&(11..21), call))
             .count(),
@@ -182,19 +185,19 @@
 #[test_case(Outage::Silent ; "discovery is silent")]
 #[test_case(Outage::Refusing ; "discovery refuses")]
 fn fleet_killed_during_an_outage_is_ready_in_time(outage: Outage) {
-    let server = StandIn::start(|_| fine());
-    let discovery = StandIn::start(|_| React::Hang);
+    let server = ScriptedServer::start(|_| ok_response());
+    let discovery = ScriptedServer::start(|_| Reaction::Hang);
     let at = match outage {
         Outage::Silent => discovery.address,
         Outage::Refusing => free_address(),
     };
     let start = |_| {
-        let mut config = config(&[listed("s-1", server.address, "up")]);
+        let mut config = config(&[instance("s-1", server.address, "up")]);
         config["discovery"] = at.to_string().into();
         LimitedProcess::start(&config, DESCRIPTORS)
     };
     let mut fleet: Vec<LimitedProcess> = (0..10).map(start).collect();
-    let until = Instant::now() + PATIENCE;
+    let until = Instant::now() + TEST_TIMEOUT;
     assert!(fleet.iter().all(|process| process.is_ready_by(until)));
     fleet.iter_mut().for_each(LimitedProcess::kill);
     let until = Instant::now() + READY_WITHIN;
@@ -280,17 +283,19 @@
 #[test]
 fn trickling_first_list_delays_no_start_and_is_applied_later() {
     const PIECES: usize = 8;
-    let (old, new) = (StandIn::start(|_| fine()), StandIn::start(|_| fine()));
-    let list = server_list(
+    let (old, new) = (
+        ScriptedServer::start(|_| ok_response()),
+        ScriptedServer::start(|_| ok_response()),
+    );
+    let list = full_list(
         2,
-        true,
         &[
-            listed("s-1", old.address, "draining"),
-            listed("s-2", new.address, "up"),
+            instance("s-1", old.address, "draining"),
+            instance("s-2", new.address, "up"),
         ],
     );
     let discovery = TricklingDiscovery::start(&list, PIECES);
-    let mut config = config(&[listed("s-1", old.address, "up")]);
+    let mut config = config(&[instance("s-1", old.address, "up")]);
     config["discovery"] = discovery.address.to_string().into();
     let process = LimitedProcess::start(&config, DESCRIPTORS);
     assert!(process.is_ready_by(Instant::now() + READY_WITHIN));
@@ -300,11 +305,14 @@
         "it started with its own list"
     );
     assert_eq!(process.client().request("look", 1, 1).status(), 200);
-    assert_eq!(old.next().first, "GET /look?key=0000000000000001 HTTP/1.1");
-    let until = Instant::now() + PATIENCE;
+    assert_eq!(
+        old.next_request().first,
+        "GET /look?key=0000000000000001 HTTP/1.1"
+    );
+    let until = Instant::now() + TEST_TIMEOUT;
     let taken = (2..=u32::MAX).find(|&customer| {
         assert_eq!(process.client().request("look", customer, 1).status(), 200);
-        new.seen.try_iter().count() > 0 || Instant::now() >= until
+        new.requests.try_iter().count() > 0 || Instant::now() >= until
     });
     assert!(
         Instant::now() < until,
@@ -312,12 +320,15 @@
         discovery.calls()
     );
     // Once it is known to drain it gets no more requests.
-    let _ = old.seen.try_iter().count();
+    let _ = old.requests.try_iter().count();
     for customer in taken.unwrap_or(0) + 1..taken.unwrap_or(0) + 6 {
         assert_eq!(process.client().request("look", customer, 1).status(), 200);
     }
     assert_eq!(
-        (old.seen.try_iter().count(), new.seen.try_iter().count()),
+        (
+            old.requests.try_iter().count(),
+            new.requests.try_iter().count()
+        ),
         (0, 5)
     );
 }
@@ -326,12 +337,12 @@
 /// are answered all the same.
 #[test]
 fn shutdown_during_startup_answers_connected_clients() {
-    let server = StandIn::start(|_| fine());
-    let discovery = StandIn::start(|_| React::Hang);
-    let mut config = config(&[listed("s-1", server.address, "up")]);
+    let server = ScriptedServer::start(|_| ok_response());
+    let discovery = ScriptedServer::start(|_| Reaction::Hang);
+    let mut config = config(&[instance("s-1", server.address, "up")]);
     config["discovery"] = discovery.address.to_string().into();
     let mut process = LimitedProcess::start(&config, DESCRIPTORS);
-    let until = Instant::now() + PATIENCE;
+    let until = Instant::now() + TEST_TIMEOUT;
     let mut client = std::iter::repeat_with(|| Client::connect(process.address).ok())
         .take_while(|_| Instant::now() < until)
         .flatten()
--- a/crates/merlinreel/tests/sockets/system_call_failures.rs
+++ b/crates/merlinreel/tests/sockets/system_call_failures.rs
@@ -12,7 +12,7 @@
 const HALF_A_HEAD: &str = "GET /look?key=7 HTTP/1.1\r\nHost:";
 
 fn wait_until(condition: impl Fn() -> bool) {
-    let end = Instant::now() + PATIENCE;
+    let end = Instant::now() + TEST_TIMEOUT;
     while !condition() {
         assert!(Instant::now() < end, "the condition never held");
         thread::sleep(Duration::from_millis(2));
@@ -20,7 +20,7 @@
 }
 
 fn started(server: SocketAddr) -> LimitedProcess {
-    let process = LimitedProcess::start(&config(&[listed("s-1", server, "up")]), DESCRIPTORS);
+    let process = LimitedProcess::start(&config(&[instance("s-1", server, "up")]), DESCRIPTORS);
     assert!(process.is_ready_by(Instant::now() + READY_WITHIN));
     process
 }
@@ -41,7 +41,7 @@
 /// can be, and answered. The listener is not closed at accept's first error.
 #[test]
 fn connections_pending_while_accept_fails_at_shutdown_are_answered() {
-    let server = StandIn::start(|_| fine());
+    let server = ScriptedServer::start(|_| ok_response());
     let mut process = started(server.address);
     let partial_clients = with_all_descriptors_taken(&process);
     let waiting: Vec<_> = (0..8)
@@ -65,7 +65,7 @@
 /// the server is afterwards neither avoided nor in slow start.
 #[test]
 fn socket_shortage_of_this_machine_does_not_count_against_a_server() {
-    let server = StandIn::start(|_| fine());
+    let server = ScriptedServer::start(|_| ok_response());
     let process = started(server.address);
     let mut client = process.client();
     assert_eq!(
