--- a/crates/merlinreel-discovery/src/table.rs
+++ b/crates/merlinreel-discovery/src/table.rs
@@ -1,7 +1,7 @@
 //! The endpoints by the index under which the policy knows them.
 
 use crate::message::{DiscoveredEndpoint, DiscoveryUpdate};
-use merlinreel_policy::{Endpoint, EndpointState, EndpointUpdate, ring_hash};
+use merlinreel_policy::{Endpoint, EndpointState, EndpointUpdate, Index, ServerIndex, ring_hash};
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
@@ -24,12 +24,12 @@
 #[derive(Debug, Default)]
 pub struct EndpointTable {
     zones: Vec<String>,
-    index_by_name: HashMap<String, u32>,
+    index_by_name: HashMap<String, ServerIndex>,
     /// The endpoint that was last found at an address. It may have been removed since.
-    index_by_address: HashMap<SocketAddr, u32>,
+    index_by_address: HashMap<SocketAddr, ServerIndex>,
     entries: Vec<TableEntry>,
     /// Indices of released endpoints.
-    free_indices: Vec<u32>,
+    free_indices: Vec<ServerIndex>,
 }
 
 impl EndpointTable {
@@ -48,17 +48,17 @@
     }
 
     /// Where an endpoint accepts connections; `None` if the index was never used.
-    pub fn address(&self, server: u32) -> Option<SocketAddr> {
+    pub fn address(&self, server: ServerIndex) -> Option<SocketAddr> {
         self.entry(server).map(|entry| entry.address)
     }
 
     /// Whether an endpoint is listed, ready or draining.
-    pub fn is_listed(&self, server: u32) -> bool {
+    pub fn is_listed(&self, server: ServerIndex) -> bool {
         self.entry(server).is_some_and(TableEntry::is_listed)
     }
 
     /// Whether an endpoint is listed as ready.
-    pub fn is_ready(&self, server: u32) -> bool {
+    pub fn is_ready(&self, server: ServerIndex) -> bool {
         self.entry(server)
             .is_some_and(|entry| entry.endpoint.state == EndpointState::Ready)
     }
@@ -84,8 +84,8 @@
     }
 
     /// Frees an endpoint's index for another one, so that memory does not grow with every endpoint that is ever listed.
-    pub fn release(&mut self, server: u32) {
-        let Some(entry) = self.entries.get_mut(server as usize) else {
+    pub fn release(&mut self, server: ServerIndex) {
+        let Some(entry) = self.entries.get_mut(server.position()) else {
             return;
         };
         entry.endpoint.state = EndpointState::Removed;
@@ -98,13 +98,13 @@
         self.free_indices.push(server);
     }
 
-    fn entry(&self, server: u32) -> Option<&TableEntry> {
-        self.entries.get(server as usize)
+    fn entry(&self, server: ServerIndex) -> Option<&TableEntry> {
+        self.entries.get(server.position())
     }
 
     fn apply_endpoint(&mut self, discovered: DiscoveredEndpoint, endpoints: &mut Vec<Endpoint>) {
         let mut endpoint = Endpoint {
-            server: 0,
+            server: ServerIndex::default(),
             ring_hash: ring_hash(&discovered.name),
             zone: self.zone_index(discovered.zone),
             cell: discovered.cell,
@@ -119,7 +119,7 @@
             self.insert(discovered.name, endpoint, discovered.address)
         };
         self.set_address(endpoint.server, discovered.address);
-        self.entries[endpoint.server as usize].endpoint = endpoint;
+        self.entries[endpoint.server.position()].endpoint = endpoint;
         endpoints.push(endpoint);
     }
 
@@ -133,9 +133,9 @@
     }
 
     /// The listed endpoint that is known to be at an address.
-    fn listed_at(&self, address: SocketAddr) -> Option<u32> {
+    fn listed_at(&self, address: SocketAddr) -> Option<ServerIndex> {
         let server = *self.index_by_address.get(&address)?;
-        let entry = &self.entries[server as usize];
+        let entry = &self.entries[server.position()];
         (entry.address == address && entry.is_listed()).then_some(server)
     }
 
@@ -143,13 +143,13 @@
     /// attempts at it would reach the new one.
     fn remove_at(&mut self, address: SocketAddr) -> Option<Endpoint> {
         let server = self.listed_at(address)?;
-        let entry = &mut self.entries[server as usize];
+        let entry = &mut self.entries[server.position()];
         entry.endpoint.state = EndpointState::Removed;
         Some(entry.endpoint)
     }
 
-    fn insert(&mut self, name: String, endpoint: Endpoint, address: SocketAddr) -> u32 {
-        let next = self.entries.len() as u32;
+    fn insert(&mut self, name: String, endpoint: Endpoint, address: SocketAddr) -> ServerIndex {
+        let next = ServerIndex::from_position(self.entries.len());
         let server = self.free_indices.pop().unwrap_or(next);
         self.index_by_name.insert(name.clone(), server);
         let entry = TableEntry {
@@ -157,7 +157,7 @@
             endpoint,
             address,
         };
-        match self.entries.get_mut(server as usize) {
+        match self.entries.get_mut(server.position()) {
             Some(released) => *released = entry,
             None => self.entries.push(entry),
         }
@@ -165,8 +165,8 @@
     }
 
     /// Records an endpoint's address, unless another listed endpoint is known to be there.
-    fn set_address(&mut self, server: u32, address: SocketAddr) {
-        let entry = &mut self.entries[server as usize];
+    fn set_address(&mut self, server: ServerIndex, address: SocketAddr) {
+        let entry = &mut self.entries[server.position()];
         let previous = std::mem::replace(&mut entry.address, address);
         if previous != address {
             self.clear_address(server, previous);
@@ -176,7 +176,7 @@
         }
     }
 
-    fn clear_address(&mut self, server: u32, address: SocketAddr) {
+    fn clear_address(&mut self, server: ServerIndex, address: SocketAddr) {
         if self.index_by_address.get(&address) == Some(&server) {
             self.index_by_address.remove(&address);
         }
--- a/crates/merlinreel-discovery/src/table/tests.rs
+++ b/crates/merlinreel-discovery/src/table/tests.rs
@@ -1,4 +1,5 @@
 use super::*;
+use merlinreel_policy::ServerIndex;
 
 /// A message that lists one endpoint, ready at that port.
 fn update(name: &str, port: u16, complete: bool) -> DiscoveryUpdate {
@@ -26,11 +27,11 @@
     let mut apply = |name: &str, port: u16, complete: bool| {
         let endpoints = table.apply(update(name, port, complete), false).endpoints;
         if complete {
-            table.release(0);
+            table.release(ServerIndex(0));
         }
         endpoints
             .iter()
-            .map(|endpoint| (endpoint.server, endpoint.state))
+            .map(|endpoint| (endpoint.server.0, endpoint.state))
             .collect::<Vec<_>>()
     };
     assert_eq!(apply("s-2", 1, false), [(1, EndpointState::Ready)]);
@@ -52,7 +53,7 @@
         let endpoints = table
             .apply(update(&format!("s-{port}"), port, false), false)
             .endpoints;
-        table.release(1 - endpoints[0].server);
+        table.release(ServerIndex(1 - endpoints[0].server.0));
     }
     assert_eq!(
         (
@@ -72,5 +73,5 @@
     table.apply(update("s-1", 2, false), false);
     let endpoints = table.apply(update("s-2", 1, false), false).endpoints;
     assert_eq!(endpoints.len(), 1);
-    assert!(table.is_listed(0) && table.is_listed(1));
+    assert!(table.is_listed(ServerIndex(0)) && table.is_listed(ServerIndex(1)));
 }
--- a/crates/merlinreel-policy/src/actions.rs
+++ b/crates/merlinreel-policy/src/actions.rs
@@ -1,20 +1,26 @@
 //! What goes out: the decisions, through a trait that the caller implements.
 
+use crate::model::index::{RequestIndex, ServerIndex};
 use std::time::Duration;
 
 /// Receives the decisions of a batch, in the order in which they are to be carried out.
 pub trait Actions {
     /// Starts an attempt of the request at the server. With `within`, the attempt must reach the server in that time, or
     /// else must not be made.
-    fn start_attempt(&mut self, request: u32, server: u32, within: Option<Duration>);
+    fn start_attempt(
+        &mut self,
+        request: RequestIndex,
+        server: ServerIndex,
+        within: Option<Duration>,
+    );
     /// Rejects the request; the client may retry, after the given time where there is one.
-    fn reject(&mut self, request: u32, retry_after: Option<Duration>);
+    fn reject(&mut self, request: RequestIndex, retry_after: Option<Duration>);
     /// Fails the request; the client must not retry as if it never ran.
-    fn fail(&mut self, request: u32);
+    fn fail(&mut self, request: RequestIndex);
     /// Cancels the attempt with this number among the request's attempts.
-    fn cancel_attempt(&mut self, request: u32, attempt: u32);
+    fn cancel_attempt(&mut self, request: RequestIndex, attempt: u32);
     /// Checks the health of a server.
-    fn start_health_check(&mut self, server: u32);
+    fn start_health_check(&mut self, server: ServerIndex);
     /// Sends a message to another limiter.
     fn send_peer_message(&mut self, limiter: u32, peer_message: &[u8]);
     /// Adds to the counter of the customer's window, which the service keeps for `keep`.
@@ -24,9 +30,9 @@
     /// Asks for the endpoint list once.
     fn poll_endpoints(&mut self);
     /// Closes the idle connections to a server.
-    fn close_idle_connections(&mut self, server: u32);
+    fn close_idle_connections(&mut self, server: ServerIndex);
     /// Nothing is kept of this server any more: its index may be given to another one from now on.
-    fn release_endpoint(&mut self, server: u32);
+    fn release_endpoint(&mut self, server: ServerIndex);
     /// Calls [`crate::Limiter::process`] again after this time, even if nothing came in.
     fn schedule_wakeup(&mut self, after: Duration);
     /// Writes a line to the log.
--- a/crates/merlinreel-policy/src/events.rs
+++ b/crates/merlinreel-policy/src/events.rs
@@ -2,6 +2,7 @@
 
 use crate::model::attempt::{AttemptResult, LoadReport};
 use crate::model::endpoint::Endpoint;
+use crate::model::index::{RequestIndex, ServerIndex};
 use crate::model::request::Request;
 use std::time::Duration;
 
@@ -22,7 +23,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct HealthCheckResult {
     /// Server that was checked.
-    pub server: u32,
+    pub server: ServerIndex,
     /// It answered.
     pub answered: bool,
     /// Time that the check took.
@@ -69,7 +70,7 @@
     /// New requests.
     pub requests: Vec<Request>,
     /// Requests whose streamed response has started.
-    pub streaming: Vec<u32>,
+    pub streaming: Vec<RequestIndex>,
     /// Requests whose client has disconnected.
-    pub disconnects: Vec<u32>,
+    pub disconnects: Vec<RequestIndex>,
 }
--- a/crates/merlinreel-policy/src/expiry/tests.rs
+++ b/crates/merlinreel-policy/src/expiry/tests.rs
@@ -1,4 +1,5 @@
 use crate::events::EventBatch;
+use crate::model::index::{RequestIndex, ServerIndex};
 use crate::model::request_class::Idempotency;
 use crate::quota::table::AccountIndex;
 use crate::quota::window::WindowNumber;
@@ -18,14 +19,14 @@
     account(&mut limiter).charge(WindowNumber(0), used);
     if pending {
         let attempts = vec![PendingAttempt {
-            server: 0,
+            server: ServerIndex(0),
             sent_at: at(1.0),
             in_flight: true,
             cancelled: true,
             overdue: true,
         }];
         let objective_at = at(900.0);
-        *limiter.requests.pending.slot(0) = Some(PendingRequest {
+        *limiter.requests.pending.slot(RequestIndex(0)) = Some(PendingRequest {
             attempts,
             queued: false,
             ..PendingRequest::new(&request(), AccountIndex(0), at(1.0), objective_at, None)
--- a/crates/merlinreel-policy/src/lib.rs
+++ b/crates/merlinreel-policy/src/lib.rs
@@ -45,6 +45,7 @@
 pub use model::attempt::{AttemptOutcome, AttemptResult, LoadReport};
 pub use model::endpoint::{Endpoint, EndpointConfig, EndpointState, ring_hash};
 pub use model::fleet::FleetConfig;
+pub use model::index::{Index, RequestIndex, ServerIndex};
 pub use model::limiter_config::LimiterConfig;
 pub use model::plan::Plan;
 pub use model::request::{Request, RequestLimits};
--- a/crates/merlinreel-policy/src/model.rs
+++ b/crates/merlinreel-policy/src/model.rs
@@ -5,6 +5,7 @@
 pub mod attempt;
 pub mod endpoint;
 pub mod fleet;
+pub mod index;
 pub mod limiter_config;
 pub mod plan;
 pub mod request;
--- a/crates/merlinreel-policy/src/model/attempt.rs
+++ b/crates/merlinreel-policy/src/model/attempt.rs
@@ -1,5 +1,6 @@
 //! The result of one attempt of a request at one server.
 
+use crate::model::index::{RequestIndex, ServerIndex};
 use std::time::Duration;
 
 /// How an attempt ended.
@@ -59,11 +60,11 @@
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptResult {
     /// Index of the request.
-    pub request: u32,
+    pub request: RequestIndex,
     /// Number of the attempt among the request's attempts, from 0.
     pub attempt: u32,
     /// Server that it was sent to.
-    pub server: u32,
+    pub server: ServerIndex,
     /// How it ended.
     pub outcome: AttemptOutcome,
     /// Time from its start to its end.
--- a/crates/merlinreel-policy/src/model/endpoint.rs
+++ b/crates/merlinreel-policy/src/model/endpoint.rs
@@ -1,5 +1,6 @@
 //! Upstream servers as discovery and the settings describe them.
 
+use crate::model::index::ServerIndex;
 use std::hash::Hasher;
 use std::time::Duration;
 
@@ -42,7 +43,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Endpoint {
     /// Index of the server, as all events and actions name it.
-    pub server: u32,
+    pub server: ServerIndex,
     /// Position on the hash ring: the same at every limiter and evenly spread over servers (see [`ring_hash`]).
     pub ring_hash: u64,
     /// Zone that the server is in.
--- a/crates/merlinreel-policy/src/model/request.rs
+++ b/crates/merlinreel-policy/src/model/request.rs
@@ -1,5 +1,6 @@
 //! A client's request as it reaches the limiter, and what is allowed for it.
 
+use crate::model::index::RequestIndex;
 use std::time::Duration;
 
 /// What is allowed for one request.
@@ -23,7 +24,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Request {
     /// Index of the request, as all events and actions name it.
-    pub id: u32,
+    pub id: RequestIndex,
     /// The customer whose quota it counts against.
     pub customer: u64,
     /// Index of the customer's plan.
--- a/crates/merlinreel-policy/src/quota/tests/aggregation.rs
+++ b/crates/merlinreel-policy/src/quota/tests/aggregation.rs
@@ -2,6 +2,7 @@
 
 use crate::events::PeerMessage;
 use crate::model::fleet::FleetConfig;
+use crate::model::index::RequestIndex;
 use crate::model::plan::Plan;
 use crate::model::request::Request;
 use crate::model::request_class::Idempotency;
@@ -39,7 +40,7 @@
 
 fn request_of_sixty(id: u32) -> Request {
     Request {
-        id,
+        id: RequestIndex(id),
         set_size: 60,
         set_first: 1,
         ..request()
@@ -317,7 +318,7 @@
     }
     reject_or_fail(
         at(1.0),
-        0,
+        RequestIndex(0),
         &limiter.config,
         &mut limiter.quotas,
         &mut limiter.requests,
--- a/crates/merlinreel-policy/src/request/completion.rs
+++ b/crates/merlinreel-policy/src/request/completion.rs
@@ -3,6 +3,7 @@
 use super::retry::{client_may_retry, may_attempt};
 use crate::actions::Actions;
 use crate::model::attempt::AttemptResult;
+use crate::model::index::RequestIndex;
 use crate::model::limiter_config::LimiterConfig;
 use crate::model::request::RequestLimits;
 use crate::quota::table::QuotaTable;
@@ -69,7 +70,7 @@
 /// A streamed response has begun: its server does answer, and the attempt is never cancelled.
 pub fn response_started(
     now: Duration,
-    request: u32,
+    request: RequestIndex,
     servers: &mut ServerPool,
     requests: &mut RequestTable,
 ) {
@@ -90,7 +91,7 @@
 /// Ends a request without a response, at once: a rejection where the client may retry, else a failure.
 pub fn reject_or_fail(
     now: Duration,
-    request: u32,
+    request: RequestIndex,
     config: &LimiterConfig,
     quotas: &mut QuotaTable,
     requests: &mut RequestTable,
@@ -129,7 +130,7 @@
 
 /// The client has its final response or has disconnected: attempts in flight are cancelled, and nothing more is sent.
 pub fn complete(
-    request: u32,
+    request: RequestIndex,
     limits: &RequestLimits,
     quotas: &mut QuotaTable,
     requests: &mut RequestTable,
--- a/crates/merlinreel-policy/src/request/queue.rs
+++ b/crates/merlinreel-policy/src/request/queue.rs
@@ -3,6 +3,7 @@
 use super::completion::reject_or_fail;
 use super::retry::{may_attempt, must_arrive_within};
 use crate::actions::Actions;
+use crate::model::index::{RequestIndex, ServerIndex};
 use crate::model::limiter_config::LimiterConfig;
 use crate::quota::table::QuotaTable;
 use crate::request_table::{PendingAttempt, PendingRequest, RequestTable};
@@ -70,7 +71,7 @@
 
     /// The most valuable requests first, and among near equals the one that arrived last: under overload the newest are
     /// answered in time, where the oldest first would make all late.
-    fn sorted(&self, now: Duration, mut queue: Vec<u32>) -> Vec<u32> {
+    fn sorted(&self, now: Duration, mut queue: Vec<RequestIndex>) -> Vec<RequestIndex> {
         let max_value = queue
             .iter()
             .filter_map(|&request| self.requests.pending.get(request))
@@ -114,7 +115,7 @@
     }
 
     /// The server for the request's next attempt, if one has capacity.
-    pub fn select(&mut self, now: Duration, request: u32) -> Option<u32> {
+    pub fn select(&mut self, now: Duration, request: RequestIndex) -> Option<ServerIndex> {
         let pending = self.requests.pending.get(request)?;
         let selection = Selection {
             now,
@@ -131,8 +132,8 @@
     fn start_attempt(
         &mut self,
         now: Duration,
-        request: u32,
-        server: u32,
+        request: RequestIndex,
+        server: ServerIndex,
         actions: &mut dyn Actions,
     ) {
         let Some(pending) = self.requests.pending.get_mut(request) else {
--- a/crates/merlinreel-policy/src/request/tests/completion.rs
+++ b/crates/merlinreel-policy/src/request/tests/completion.rs
@@ -1,5 +1,6 @@
 use crate::limiter::Limiter;
 use crate::model::attempt::{AttemptOutcome, AttemptResult};
+use crate::model::index::{RequestIndex, ServerIndex};
 use crate::model::request_class::{Idempotency, IdempotencyScope};
 use crate::request::completion::{reject_or_fail, response_started};
 use crate::request_table::FirstRun;
@@ -14,7 +15,7 @@
     let mut actions = RecordedActions::default();
     reject_or_fail(
         at(1.0),
-        0,
+        RequestIndex(0),
         &limiter.config,
         &mut limiter.quotas,
         &mut limiter.requests,
@@ -29,7 +30,7 @@
 fn request_without_a_response_is_rejected_or_fails(idempotency: Idempotency) -> String {
     let mut limiter = with_attempt(idempotency);
     pending_mut(&mut limiter, 0).first_run = Some(FirstRun {
-        server: 0,
+        server: ServerIndex(0),
         sent_at: at(1.0),
     });
     give_up(&mut limiter).remove(0)
@@ -46,7 +47,12 @@
 #[test]
 fn streaming_server_counts_as_answering() {
     let mut limiter = with_attempt(Idempotency::Idempotent);
-    response_started(at(4.0), 0, &mut limiter.servers, &mut limiter.requests);
+    response_started(
+        at(4.0),
+        RequestIndex(0),
+        &mut limiter.servers,
+        &mut limiter.requests,
+    );
     assert!(server_mut(&mut limiter, 0).health.unanswered_since == at(4.0));
 }
 
--- a/crates/merlinreel-policy/src/request/tests/queue.rs
+++ b/crates/merlinreel-policy/src/request/tests/queue.rs
@@ -1,6 +1,7 @@
 use crate::events::EventBatch;
 use crate::limiter::Limiter;
 use crate::model::attempt::{AttemptOutcome, AttemptResult};
+use crate::model::index::{RequestIndex, ServerIndex};
 use crate::model::plan::Plan;
 use crate::model::request::Request;
 use crate::model::request_class::Idempotency;
@@ -27,11 +28,11 @@
 fn queued_request_is_sent_or_rejected(typical_seconds: f64, objective_at: f64, decision: &str) {
     let mut limiter = with_attempt(Idempotency::Idempotent);
     limiter.latency.typical_seconds = typical_seconds;
-    limiter.requests.queue = vec![0];
+    limiter.requests.queue = vec![RequestIndex(0)];
     // The typical latency was seen.
     limiter.latency.successes.add(at(1.0), 1.0);
     server_mut(&mut limiter, 0).limit.in_flight = 0;
-    limiter.servers.servers.remove(1);
+    limiter.servers.servers.remove(ServerIndex(1));
     queue_pending(&mut limiter, 0, objective_at);
     assert_eq!(dispatch(&mut limiter, 1.0), [decision]);
 }
@@ -49,23 +50,23 @@
     let server = server_mut(&mut limiter, 0);
     server.limit.attempts = 1.0;
     server.limit.in_flight = 0;
-    limiter.servers.servers.remove(1);
-    *limiter.requests.pending.slot(1) = Some(pending_request());
+    limiter.servers.servers.remove(ServerIndex(1));
+    *limiter.requests.pending.slot(RequestIndex(1)) = Some(pending_request());
     for index in 0..2 {
         queue_pending(&mut limiter, index, 2.0);
         let pending = pending_mut(&mut limiter, index);
         pending.arrived_at = at(1.0 + f64::from(index) / 10.0);
-        pending.request.id = index;
+        pending.request.id = RequestIndex(index);
         pending.request.plan = index as usize;
     }
-    limiter.requests.queue = vec![0, 1];
+    limiter.requests.queue = vec![RequestIndex(0), RequestIndex(1)];
     dispatch(&mut limiter, 1.2).remove(0)
 }
 
 #[test]
 fn request_queued_twice_is_sent_once() {
     let mut limiter = with_attempt(Idempotency::NonIdempotent);
-    limiter.requests.queue = vec![0, 0];
+    limiter.requests.queue = vec![RequestIndex(0), RequestIndex(0)];
     queue_pending(&mut limiter, 0, 2.0);
     assert_eq!(dispatch(&mut limiter, 1.0).len(), 1);
 }
@@ -77,10 +78,10 @@
 #[test_case(Some(0.2), 0.1 => "reject 0 2.5" ; "slow responses seen")]
 fn request_with_little_time_is_sent_or_rejected(seen: Option<f64>, remaining: f64) -> String {
     let mut limiter = with_servers(limiter(Idempotency::Idempotent, fleet()));
-    limiter.servers.servers.remove(1);
+    limiter.servers.servers.remove(ServerIndex(1));
     if let Some(latency) = seen {
         for _ in 0..60 {
-            *limiter.requests.pending.slot(0) = Some(pending_request());
+            *limiter.requests.pending.slot(RequestIndex(0)) = Some(pending_request());
             account(&mut limiter);
             let result = AttemptResult {
                 latency: at(latency),
--- a/crates/merlinreel-policy/src/request/tests/retry.rs
+++ b/crates/merlinreel-policy/src/request/tests/retry.rs
@@ -21,7 +21,8 @@
     let mut limiter = with_attempt(idempotency);
     let mut actions = RecordedActions::default();
     limiter.handle_attempt_result(at(now), &attempt_result(outcome, false), &mut actions);
-    (limiter.requests.queue, actions.lines.len())
+    let queue = limiter.requests.queue.iter().map(|request| request.0);
+    (queue.collect(), actions.lines.len())
 }
 
 /// The limiter may be held up for 0.15 s between reading its clock and sending: a retry with a key is sent so long before
--- a/crates/merlinreel-policy/src/request_table.rs
+++ b/crates/merlinreel-policy/src/request_table.rs
@@ -1,6 +1,7 @@
 //! The requests in progress and their attempts; nothing is decided here.
 
 use crate::model::attempt::AttemptResult;
+use crate::model::index::{RequestIndex, ServerIndex};
 use crate::model::request::Request;
 use crate::quota::table::AccountIndex;
 use crate::quota::window::WindowNumber;
@@ -10,7 +11,7 @@
 /// One attempt of a request in progress.
 pub struct PendingAttempt {
     /// Server that it was sent to.
-    pub server: u32,
+    pub server: ServerIndex,
     /// When it was sent.
     pub sent_at: Duration,
     /// Its result has not come yet.
@@ -25,7 +26,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct FirstRun {
     /// Server that it was sent to.
-    pub server: u32,
+    pub server: ServerIndex,
     /// When it was sent.
     pub sent_at: Duration,
 }
@@ -99,14 +100,14 @@
 #[derive(Default)]
 pub struct RequestTable {
     /// The requests in progress.
-    pub pending: Slots<PendingRequest>,
+    pub pending: Slots<RequestIndex, PendingRequest>,
     /// Requests that wait for an attempt.
-    pub queue: Vec<u32>,
+    pub queue: Vec<RequestIndex>,
 }
 
 impl RequestTable {
     /// Puts a request into the queue.
-    pub fn enqueue(&mut self, request: u32) {
+    pub fn enqueue(&mut self, request: RequestIndex) {
         if let Some(pending) = self.pending.get_mut(request) {
             pending.queued = true;
             self.queue.push(request);
--- a/crates/merlinreel-policy/src/server/overdue_attempts.rs
+++ b/crates/merlinreel-policy/src/server/overdue_attempts.rs
@@ -3,6 +3,7 @@
 use super::fleet_latency::FleetLatency;
 use super::pool::ServerPool;
 use crate::actions::Actions;
+use crate::model::index::RequestIndex;
 use crate::model::limiter_config::LimiterConfig;
 use crate::model::request_class::Idempotency;
 use crate::request_table::{PendingRequest, RequestTable};
@@ -32,8 +33,8 @@
 
 /// Whether this request's attempts are always waited for in full. If slow attempts of all requests were cancelled, the
 /// typical latency would seem ever shorter and slow responses would seem lost.
-pub fn is_latency_sample(request: u32) -> bool {
-    request.is_multiple_of(SAMPLED_REQUESTS)
+pub fn is_latency_sample(request: RequestIndex) -> bool {
+    request.0.is_multiple_of(SAMPLED_REQUESTS)
 }
 
 /// Finds the attempts that are overdue. They no longer count against the limit of the server, which has done the work if
--- a/crates/merlinreel-policy/src/server/pool.rs
+++ b/crates/merlinreel-policy/src/server/pool.rs
@@ -3,6 +3,7 @@
 use super::server_state::Server;
 use super::start_clock::StartClock;
 use crate::model::endpoint::EndpointState;
+use crate::model::index::{Index, ServerIndex};
 use crate::slots::Slots;
 use std::time::Duration;
 
@@ -18,7 +19,7 @@
 /// The servers, by their index, and what is known of all of them together.
 pub struct ServerPool {
     /// The servers.
-    pub servers: Slots<Server>,
+    pub servers: Slots<ServerIndex, Server>,
     /// The capacity of all eligible servers over that of the subset's.
     pub subset_scale: f64,
     /// Mean number of attempts that a server with full capacity was sent lately.
@@ -74,14 +75,14 @@
     /// for each server not in use.
     pub fn remove_expired(
         &mut self,
-        in_use: impl Iterator<Item = u32>,
+        in_use: impl Iterator<Item = ServerIndex>,
         mut is_expired: impl FnMut(&mut Server) -> bool,
-    ) -> Vec<u32> {
+    ) -> Vec<ServerIndex> {
         let mut keep = vec![false; self.servers.end()];
         for server in in_use {
-            keep[server as usize] = true;
+            keep[server.position()] = true;
         }
         self.servers
-            .remove_if(|index, server| !keep[index as usize] && is_expired(server))
+            .remove_if(|index, server| !keep[index.position()] && is_expired(server))
     }
 }
--- a/crates/merlinreel-policy/src/server/selection.rs
+++ b/crates/merlinreel-policy/src/server/selection.rs
@@ -5,6 +5,7 @@
 use super::server_state::Server;
 use crate::model::endpoint::{Endpoint, EndpointConfig};
 use crate::model::fleet::FleetConfig;
+use crate::model::index::ServerIndex;
 use crate::model::request_class::{Idempotency, IdempotencyScope};
 use crate::request_table::PendingRequest;
 use crate::time;
@@ -46,14 +47,14 @@
 /// A server and what an attempt there is expected to cost.
 #[derive(Clone, Copy)]
 struct Candidate {
-    server: u32,
+    server: ServerIndex,
     cost: f64,
 }
 
 impl Selection<'_> {
     /// Selects the server with the least expected cost, of those that are below their concurrency limits. Also notes in
     /// the pool whether it has capacity to spare, and which servers have finished their slow start.
-    pub fn select(&self, pool: &mut ServerPool, random: &mut WyRand) -> Option<u32> {
+    pub fn select(&self, pool: &mut ServerPool, random: &mut WyRand) -> Option<ServerIndex> {
         if !self.has_fleet_capacity(pool) {
             return None;
         }
@@ -108,7 +109,7 @@
     }
 
     /// Whether the request may go to a server at all.
-    fn is_allowed(&self, index: u32, server: &Server, origin: Option<&Endpoint>) -> bool {
+    fn is_allowed(&self, index: ServerIndex, server: &Server, origin: Option<&Endpoint>) -> bool {
         let has_attempt_there = self
             .request
             .attempts
@@ -131,9 +132,9 @@
     }
 
     /// A number from 0 to 1 that is different at each limiter, server and interval of time, and evenly spread.
-    fn phase(&self, server: u32) -> f64 {
+    fn phase(&self, server: ServerIndex) -> f64 {
         let interval = time::seconds(self.now).div_euclid(PHASE_INTERVAL_SECONDS);
-        let phase = f64::from(server) * PHASE_PER_SERVER + interval * PHASE_PER_INTERVAL;
+        let phase = f64::from(server.0) * PHASE_PER_SERVER + interval * PHASE_PER_INTERVAL;
         let limiter = f64::from(self.fleet.me) / f64::from(self.fleet.limiters);
         (phase + limiter).fract()
     }
@@ -174,7 +175,7 @@
 
     /// The time that the attempt is expected to take there, with a malus for other zones, errors and servers where the
     /// request was before.
-    fn cost(&self, index: u32, server: &Server, random: &mut WyRand) -> f64 {
+    fn cost(&self, index: ServerIndex, server: &Server, random: &mut WyRand) -> f64 {
         let attempts_there = self
             .request
             .attempts
--- a/crates/merlinreel-policy/src/server/tests/concurrency_limit.rs
+++ b/crates/merlinreel-policy/src/server/tests/concurrency_limit.rs
@@ -1,4 +1,5 @@
 use crate::model::attempt::{AttemptOutcome, AttemptResult, LoadReport};
+use crate::model::index::RequestIndex;
 use crate::model::request_class::Idempotency;
 use crate::server::concurrency_limit::next_limit_multiplier;
 use crate::tests::helpers::*;
@@ -47,7 +48,7 @@
     let mut limiter = with_attempt(Idempotency::Idempotent);
     limiter.latency.typical_seconds = 0.1;
     for ends in 0..8 {
-        *limiter.requests.pending.slot(0) = Some(pending_request());
+        *limiter.requests.pending.slot(RequestIndex(0)) = Some(pending_request());
         let result = AttemptResult {
             latency: at(latency_seconds),
             ..attempt_result(AttemptOutcome::DeadlineExceeded, true)
--- a/crates/merlinreel-policy/src/server/tests/outlier_ejection.rs
+++ b/crates/merlinreel-policy/src/server/tests/outlier_ejection.rs
@@ -1,4 +1,5 @@
 use crate::model::attempt::AttemptOutcome;
+use crate::model::index::RequestIndex;
 use crate::model::request_class::Idempotency;
 use crate::tests::helpers::*;
 use test_case::test_case;
@@ -38,7 +39,7 @@
     server_mut(&mut limiter, 1).health.unreachable_since = others_too.then_some(at(1.05));
     let mut actions = RecordedActions::default();
     limiter.handle_attempt_result(at(1.1), &attempt_result(outcome, false), &mut actions);
-    *limiter.requests.pending.slot(0) = Some(pending_request());
+    *limiter.requests.pending.slot(RequestIndex(0)) = Some(pending_request());
     let response = attempt_result(AttemptOutcome::Success, true);
     limiter.handle_attempt_result(at(2.0), &response, &mut actions);
     server_mut(&mut limiter, 0).slow_start_since.is_some()
--- a/crates/merlinreel-policy/src/server/tests/selection.rs
+++ b/crates/merlinreel-policy/src/server/tests/selection.rs
@@ -1,4 +1,5 @@
 use crate::model::fleet::FleetConfig;
+use crate::model::index::{RequestIndex, ServerIndex};
 use crate::model::request_class::{Idempotency, IdempotencyScope};
 use crate::request_table::FirstRun;
 use crate::server::server_state::Server;
@@ -20,7 +21,8 @@
     server_mut(&mut limiter, 0).latency_seconds = 0.2;
     pending_mut(&mut limiter, 0).attempts.clear();
     impair(server_mut(&mut limiter, 0));
-    limiter.dispatch().select(at(2.0), 0)
+    let selected = limiter.dispatch().select(at(2.0), RequestIndex(0));
+    selected.map(|server| server.0)
 }
 
 #[test_case(false ; "starting")]
@@ -33,14 +35,17 @@
         };
         let mut limiter = limiter(Idempotency::Idempotent, fleet);
         limiter.servers.servers = (0..2).map(|index| server(index, 90)).collect();
-        *limiter.requests.pending.slot(0) = Some(pending_request());
+        *limiter.requests.pending.slot(RequestIndex(0)) = Some(pending_request());
         pending_mut(&mut limiter, 0).attempts.clear();
         let weak = server_mut(&mut limiter, 0);
         weak.slow_start_since = (!failed).then_some(at(1.9));
         weak.health.consecutive_failures = u32::from(failed);
         server_mut(&mut limiter, 1).limit.in_flight = 1;
         limiter.servers.full_capacity_attempts = 3.0;
-        limiter.dispatch().select(at(2.0), 0).is_some()
+        limiter
+            .dispatch()
+            .select(at(2.0), RequestIndex(0))
+            .is_some()
     };
     assert!((0..90).filter(|&me| tries(me)).count() <= 4);
 }
@@ -55,7 +60,7 @@
             server.limit.in_flight = 0;
         }
         pending_mut(&mut limiter, 0).attempts.clear();
-        limiter.dispatch().select(at(2.0), 0) == Some(0)
+        limiter.dispatch().select(at(2.0), RequestIndex(0)) == Some(ServerIndex(0))
     };
     assert_eq!((0..3).filter(|&me| sends(me)).count(), 1);
 }
@@ -67,10 +72,11 @@
     let pending = pending_mut(&mut limiter, 0);
     pending.attempts[0].in_flight = false;
     pending.first_run = Some(FirstRun {
-        server: 0,
+        server: ServerIndex(0),
         sent_at: at(1.0),
     });
-    limiter.dispatch().select(at(1.1), 0)
+    let selected = limiter.dispatch().select(at(1.1), RequestIndex(0));
+    selected.map(|server| server.0)
 }
 
 /// Limits are learned at the servers of the subset, but attempts are counted at all servers.
@@ -80,14 +86,14 @@
     for index in 2..20 {
         let mut other = server(9, 100);
         other.outside_subset = true;
-        *limiter.servers.servers.slot(index) = Some(other);
+        *limiter.servers.servers.slot(ServerIndex(index)) = Some(other);
     }
     // One attempt is in flight, and two servers with limits of 0.2 each stand for twenty.
     server_mut(&mut limiter, 0).limit.attempts = 0.2;
     server_mut(&mut limiter, 1).limit.attempts = 0.2;
     let selected = [1.0, 10.0].map(|subset_scale| {
         limiter.servers.subset_scale = subset_scale;
-        limiter.dispatch().select(at(1.1), 0)
+        limiter.dispatch().select(at(1.1), RequestIndex(0))
     });
-    assert_eq!(selected, [None, Some(1)]);
+    assert_eq!(selected, [None, Some(ServerIndex(1))]);
 }
--- a/crates/merlinreel-policy/src/server/tests/slow_start.rs
+++ b/crates/merlinreel-policy/src/server/tests/slow_start.rs
@@ -1,3 +1,4 @@
+use crate::model::index::RequestIndex;
 use crate::model::request_class::Idempotency;
 use crate::tests::helpers::*;
 use test_case::test_case;
@@ -16,7 +17,8 @@
     let other = server_mut(&mut limiter, 1);
     other.limit.attempts = 9.0;
     other.limit.in_flight = 9;
-    limiter.dispatch().select(at(2.0), 0)
+    let selected = limiter.dispatch().select(at(2.0), RequestIndex(0));
+    selected.map(|server| server.0)
 }
 
 #[test_case(true, 7.0 => 12.0 ; "what the one with full capacity gets")]
--- a/crates/merlinreel-policy/src/server/tests/starting_server.rs
+++ b/crates/merlinreel-policy/src/server/tests/starting_server.rs
@@ -7,6 +7,7 @@
 use crate::model::attempt::{AttemptOutcome, AttemptResult};
 use crate::model::endpoint::{Endpoint, EndpointConfig, EndpointState};
 use crate::model::fleet::FleetConfig;
+use crate::model::index::{RequestIndex, ServerIndex};
 use crate::model::limiter_config::LimiterConfig;
 use crate::model::plan::Plan;
 use crate::model::request::{Request, RequestLimits};
@@ -50,26 +51,26 @@
 /// What a limiter decided in a batch.
 #[derive(Default)]
 struct Decisions {
-    attempts: Vec<(u32, u32)>,
+    attempts: Vec<(RequestIndex, ServerIndex)>,
     peer_messages: Vec<(u32, Vec<u8>)>,
 }
 
 impl Actions for Decisions {
-    fn start_attempt(&mut self, request: u32, server: u32, _: Option<Duration>) {
+    fn start_attempt(&mut self, request: RequestIndex, server: ServerIndex, _: Option<Duration>) {
         self.attempts.push((request, server));
     }
     fn send_peer_message(&mut self, limiter: u32, peer_message: &[u8]) {
         self.peer_messages.push((limiter, peer_message.to_vec()));
     }
-    fn reject(&mut self, _: u32, _: Option<Duration>) {}
-    fn fail(&mut self, _: u32) {}
-    fn cancel_attempt(&mut self, _: u32, _: u32) {}
-    fn start_health_check(&mut self, _: u32) {}
+    fn reject(&mut self, _: RequestIndex, _: Option<Duration>) {}
+    fn fail(&mut self, _: RequestIndex) {}
+    fn cancel_attempt(&mut self, _: RequestIndex, _: u32) {}
+    fn start_health_check(&mut self, _: ServerIndex) {}
     fn increment_counter(&mut self, _: u64, _: u64, _: f64, _: Duration) {}
     fn set_endpoint_subscription(&mut self, _: bool) {}
     fn poll_endpoints(&mut self) {}
-    fn close_idle_connections(&mut self, _: u32) {}
-    fn release_endpoint(&mut self, _: u32) {}
+    fn close_idle_connections(&mut self, _: ServerIndex) {}
+    fn release_endpoint(&mut self, _: ServerIndex) {}
     fn schedule_wakeup(&mut self, _: Duration) {}
     fn log(&mut self, _: &str) {}
 }
@@ -143,7 +144,7 @@
     fn request(&mut self, limiters: u32, me: u32) {
         let customer = u64::from(self.requests % 50) * u64::from(limiters) + u64::from(me);
         self.next.requests.push(Request {
-            id: self.requests,
+            id: RequestIndex(self.requests),
             customer,
             set_size: 1,
             set_first: me,
@@ -225,10 +226,10 @@
             let sent = decisions.peer_messages.into_iter();
             peer_messages.extend(sent.map(|message| (me as u32, message)));
             for (request, server) in decisions.attempts {
-                if server == STARTING && now >= STARTED_AT {
+                if server == ServerIndex(STARTING) && now >= STARTED_AT {
                     self.sent_to_starting.push(now);
                 }
-                let latency = self.work(server, now) - now;
+                let latency = self.work(server.0, now) - now;
                 let result = AttemptResult {
                     request,
                     server,
@@ -237,7 +238,7 @@
                 };
                 self.nodes[me]
                     .results
-                    .insert((((now + latency) * 1e6) as u64, request), result);
+                    .insert((((now + latency) * 1e6) as u64, request.0), result);
             }
         }
         for (from, (to, bytes)) in peer_messages {
--- a/crates/merlinreel-policy/src/server/tests/subset.rs
+++ b/crates/merlinreel-policy/src/server/tests/subset.rs
@@ -36,7 +36,7 @@
             .rebuild_subset(at(1.0), &endpoint_config(), &fleet);
         for server in limiter.servers.servers.values() {
             if !server.outside_subset {
-                at_server[server.endpoint.server as usize] += 1;
+                at_server[server.endpoint.server.0 as usize] += 1;
             }
         }
     }
--- a/crates/merlinreel-policy/src/slots.rs
+++ b/crates/merlinreel-policy/src/slots.rs
@@ -1,68 +1,82 @@
 //! A list whose indices the caller chooses, as events and actions name requests and servers by them.
 
+use crate::model::index::Index;
+use std::marker::PhantomData;
+
 /// Values by index; an index may be free.
-pub struct Slots<T>(Vec<Option<T>>);
+pub struct Slots<I, T> {
+    slots: Vec<Option<T>>,
+    index: PhantomData<I>,
+}
 
-impl<T> Default for Slots<T> {
-    fn default() -> Slots<T> {
-        Slots(Vec::new())
+impl<I, T> Default for Slots<I, T> {
+    fn default() -> Slots<I, T> {
+        Slots {
+            slots: Vec::new(),
+            index: PhantomData,
+        }
     }
 }
 
-impl<T> FromIterator<T> for Slots<T> {
-    fn from_iter<I: IntoIterator<Item = T>>(values: I) -> Slots<T> {
-        Slots(values.into_iter().map(Some).collect())
+impl<I, T> FromIterator<T> for Slots<I, T> {
+    fn from_iter<V: IntoIterator<Item = T>>(values: V) -> Slots<I, T> {
+        Slots {
+            slots: values.into_iter().map(Some).collect(),
+            index: PhantomData,
+        }
     }
 }
 
-impl<T> Slots<T> {
+impl<I: Index, T> Slots<I, T> {
     /// The value at an index, if there is one.
-    pub fn get(&self, index: u32) -> Option<&T> {
-        self.0.get(index as usize)?.as_ref()
+    pub fn get(&self, index: I) -> Option<&T> {
+        self.slots.get(index.position())?.as_ref()
     }
 
     /// The value at an index, if there is one.
-    pub fn get_mut(&mut self, index: u32) -> Option<&mut T> {
-        self.0.get_mut(index as usize)?.as_mut()
+    pub fn get_mut(&mut self, index: I) -> Option<&mut T> {
+        self.slots.get_mut(index.position())?.as_mut()
     }
 
     /// The slot of an index; the list grows to it.
-    pub fn slot(&mut self, index: u32) -> &mut Option<T> {
-        let index = index as usize;
-        if index >= self.0.len() {
-            self.0.resize_with(index + 1, || None);
+    pub fn slot(&mut self, index: I) -> &mut Option<T> {
+        let position = index.position();
+        if position >= self.slots.len() {
+            self.slots.resize_with(position + 1, || None);
         }
-        &mut self.0[index]
+        &mut self.slots[position]
     }
 
     /// Frees an index.
-    pub fn remove(&mut self, index: u32) {
-        if let Some(slot) = self.0.get_mut(index as usize) {
+    pub fn remove(&mut self, index: I) {
+        if let Some(slot) = self.slots.get_mut(index.position()) {
             *slot = None;
         }
     }
 
     /// All values in the order of their indices.
     pub fn values(&self) -> impl Iterator<Item = &T> {
-        self.0.iter().flatten()
+        self.slots.iter().flatten()
     }
 
     /// All values in the order of their indices.
     pub fn values_mut(&mut self) -> impl Iterator<Item = &mut T> {
-        self.0.iter_mut().flatten()
+        self.slots.iter_mut().flatten()
     }
 
     /// All values with their indices, in that order.
-    pub fn iter_mut(&mut self) -> impl Iterator<Item = (u32, &mut T)> {
-        (0..)
-            .zip(self.0.iter_mut())
-            .filter_map(|(index, slot)| Some((index, slot.as_mut()?)))
+    pub fn iter_mut(&mut self) -> impl Iterator<Item = (I, &mut T)> {
+        self.slots
+            .iter_mut()
+            .enumerate()
+            .filter_map(|(position, slot)| Some((I::from_position(position), slot.as_mut()?)))
     }
 
     /// Frees the indices whose value the condition is true for, which is called for each, and returns them.
-    pub fn remove_if(&mut self, mut condition: impl FnMut(u32, &mut T) -> bool) -> Vec<u32> {
+    pub fn remove_if(&mut self, mut condition: impl FnMut(I, &mut T) -> bool) -> Vec<I> {
         let mut removed = Vec::new();
-        for (index, slot) in (0..).zip(self.0.iter_mut()) {
+        for (position, slot) in self.slots.iter_mut().enumerate() {
+            let index = I::from_position(position);
             if slot.as_mut().is_some_and(|value| condition(index, value)) {
                 *slot = None;
                 removed.push(index);
@@ -71,8 +85,8 @@
         removed
     }
 
-    /// The first index that was never used.
+    /// The first position that was never used.
     pub fn end(&self) -> usize {
-        self.0.len()
+        self.slots.len()
     }
 }
--- a/crates/merlinreel-policy/src/tests/helpers.rs
+++ b/crates/merlinreel-policy/src/tests/helpers.rs
@@ -6,6 +6,7 @@
 use crate::model::attempt::{AttemptOutcome, AttemptResult, LoadReport};
 use crate::model::endpoint::{Endpoint, EndpointConfig, ring_hash};
 use crate::model::fleet::FleetConfig;
+use crate::model::index::{RequestIndex, ServerIndex};
 use crate::model::limiter_config::LimiterConfig;
 use crate::model::plan::Plan;
 use crate::model::request::{Request, RequestLimits};
@@ -50,25 +51,30 @@
 }
 
 impl Actions for RecordedActions {
-    fn start_attempt(&mut self, request: u32, server: u32, within: Option<Duration>) {
+    fn start_attempt(
+        &mut self,
+        request: RequestIndex,
+        server: ServerIndex,
+        within: Option<Duration>,
+    ) {
         let within = within.map_or(String::new(), |within| {
             format!(" within {:.2}", time::seconds(within))
         });
         self.add(format!("attempt {request} at {server}{within}"));
     }
-    fn reject(&mut self, request: u32, retry_after: Option<Duration>) {
+    fn reject(&mut self, request: RequestIndex, retry_after: Option<Duration>) {
         self.add(format!(
             "reject {request} {:.1}",
             retry_after.map_or(0.0, time::seconds)
         ));
     }
-    fn fail(&mut self, request: u32) {
+    fn fail(&mut self, request: RequestIndex) {
         self.add(format!("fail {request}"));
     }
-    fn cancel_attempt(&mut self, request: u32, attempt: u32) {
+    fn cancel_attempt(&mut self, request: RequestIndex, attempt: u32) {
         self.add(format!("cancel {request}.{attempt}"));
     }
-    fn start_health_check(&mut self, server: u32) {
+    fn start_health_check(&mut self, server: ServerIndex) {
         self.add(format!("check {server}"));
     }
     fn send_peer_message(&mut self, limiter: u32, peer_message: &[u8]) {
@@ -83,10 +89,10 @@
     fn poll_endpoints(&mut self) {
         self.add("poll".to_owned());
     }
-    fn close_idle_connections(&mut self, server: u32) {
+    fn close_idle_connections(&mut self, server: ServerIndex) {
         self.add(format!("close {server}"));
     }
-    fn release_endpoint(&mut self, server: u32) {
+    fn release_endpoint(&mut self, server: ServerIndex) {
         self.add(format!("release {server}"));
     }
     fn schedule_wakeup(&mut self, _: Duration) {}
@@ -184,7 +190,7 @@
 
 pub fn endpoint(server: u32) -> Endpoint {
     Endpoint {
-        server,
+        server: ServerIndex(server),
         ring_hash: ring_hash(&server.to_string()),
         weight: 1.0,
         zone: server % 2,
@@ -211,7 +217,7 @@
     limiter
         .servers
         .servers
-        .get_mut(index)
+        .get_mut(ServerIndex(index))
         .expect("a known server")
 }
 
@@ -219,7 +225,7 @@
     limiter
         .requests
         .pending
-        .get_mut(request)
+        .get_mut(RequestIndex(request))
         .expect("a pending request")
 }
 
@@ -248,7 +254,7 @@
 
 pub fn request() -> Request {
     Request {
-        id: 0,
+        id: RequestIndex(0),
         customer: 5,
         plan: 0,
         class: 0,
@@ -263,7 +269,7 @@
 /// Request 0, charged, with one attempt in flight at server 0 since 1 s.
 pub fn pending_request() -> PendingRequest {
     let attempt = PendingAttempt {
-        server: 0,
+        server: ServerIndex(0),
         sent_at: at(1.0),
         in_flight: true,
         cancelled: false,
@@ -286,7 +292,7 @@
 pub fn with_attempt(idempotency: Idempotency) -> Limiter {
     let mut limiter = with_servers(limiter(idempotency, fleet()));
     account(&mut limiter).charge(WindowNumber(0), 1.0);
-    *limiter.requests.pending.slot(0) = Some(pending_request());
+    *limiter.requests.pending.slot(RequestIndex(0)) = Some(pending_request());
     let server = server_mut(&mut limiter, 0);
     server.limit.in_flight = 1;
     server.health.unanswered_since = at(1.0);
@@ -295,9 +301,9 @@
 
 pub fn attempt_result(outcome: AttemptOutcome, request_completed: bool) -> AttemptResult {
     AttemptResult {
-        request: 0,
+        request: RequestIndex(0),
         attempt: 0,
-        server: 0,
+        server: ServerIndex(0),
         outcome,
         latency: at(0.1),
         request_completed,
--- a/crates/merlinreel-simulator-adapter/src/actions.rs
+++ b/crates/merlinreel-simulator-adapter/src/actions.rs
@@ -4,7 +4,7 @@
 use crate::name_table::NameTable;
 use crate::protocol::{WAKEUP_TIMER, action};
 use crate::request_table::RequestTable;
-use merlinreel_policy::Actions;
+use merlinreel_policy::{Actions, RequestIndex, ServerIndex};
 use std::fmt::Arguments;
 use std::fmt::Write as _;
 use std::time::Duration;
@@ -14,11 +14,11 @@
     /// The reply.
     pub output: &'a mut String,
     /// The endpoints' names.
-    pub servers: &'a NameTable,
+    pub servers: &'a NameTable<ServerIndex>,
     /// The requests in flight.
     pub requests: &'a mut RequestTable,
     /// Endpoints whose indices are to be freed after the batch.
-    pub released_servers: &'a mut Vec<u32>,
+    pub released_servers: &'a mut Vec<ServerIndex>,
 }
 
 impl ActionEncoder<'_> {
@@ -31,7 +31,12 @@
 
 impl Actions for ActionEncoder<'_> {
     /// The simulator starts the attempt at once (the last value is a delay), so it is never later than `within`.
-    fn start_attempt(&mut self, request: u32, server: u32, _within: Option<Duration>) {
+    fn start_attempt(
+        &mut self,
+        request: RequestIndex,
+        server: ServerIndex,
+        _within: Option<Duration>,
+    ) {
         let _ = writeln!(
             self.output,
             "{} {} {} 0.000000",
@@ -42,7 +47,7 @@
         self.requests.start_attempt(request);
     }
 
-    fn reject(&mut self, request: u32, retry_after: Option<Duration>) {
+    fn reject(&mut self, request: RequestIndex, retry_after: Option<Duration>) {
         let seconds = retry_after.unwrap_or_default().as_secs_f64();
         let _ = writeln!(
             self.output,
@@ -53,7 +58,7 @@
         self.requests.complete(request);
     }
 
-    fn fail(&mut self, request: u32) {
+    fn fail(&mut self, request: RequestIndex) {
         let _ = writeln!(
             self.output,
             "{} {}",
@@ -63,7 +68,7 @@
         self.requests.complete(request);
     }
 
-    fn cancel_attempt(&mut self, request: u32, attempt: u32) {
+    fn cancel_attempt(&mut self, request: RequestIndex, attempt: u32) {
         let _ = writeln!(
             self.output,
             "{} {} {attempt}",
@@ -72,7 +77,7 @@
         );
     }
 
-    fn start_health_check(&mut self, server: u32) {
+    fn start_health_check(&mut self, server: ServerIndex) {
         let name = self.servers.name(server);
         self.line(format_args!("{} {name}", action::START_HEALTH_CHECK));
     }
@@ -106,12 +111,12 @@
         self.line(format_args!("{}", action::POLL_ENDPOINTS));
     }
 
-    fn close_idle_connections(&mut self, server: u32) {
+    fn close_idle_connections(&mut self, server: ServerIndex) {
         let name = self.servers.name(server);
         self.line(format_args!("{} {name}", action::CLOSE_IDLE_CONNECTIONS));
     }
 
-    fn release_endpoint(&mut self, server: u32) {
+    fn release_endpoint(&mut self, server: ServerIndex) {
         self.released_servers.push(server);
     }
 
--- a/crates/merlinreel-simulator-adapter/src/endpoint_lists.rs
+++ b/crates/merlinreel-simulator-adapter/src/endpoint_lists.rs
@@ -3,7 +3,7 @@
 use crate::error::ProtocolError;
 use crate::protocol::{endpoint_state, value_name};
 use crate::values::Values;
-use merlinreel_policy::{Endpoint, EndpointState, ring_hash};
+use merlinreel_policy::{Endpoint, EndpointState, ServerIndex, ring_hash};
 use std::collections::HashMap;
 use std::time::Duration;
 
@@ -118,7 +118,7 @@
         .filter(|&seconds| seconds > 0.0)
         .and_then(|seconds| Duration::try_from_secs_f64(seconds).ok());
     let endpoint = Endpoint {
-        server: 0,
+        server: ServerIndex::default(),
         ring_hash: ring_hash(&name),
         zone,
         cell,
--- a/crates/merlinreel-simulator-adapter/src/events.rs
+++ b/crates/merlinreel-simulator-adapter/src/events.rs
@@ -6,6 +6,7 @@
 use crate::instance::Instance;
 use crate::protocol::{RETRY_FLAG, load, message, outcome, update_kind, value_name};
 use crate::values::{Values, parse_number};
+use merlinreel_policy::ServerIndex;
 use merlinreel_policy::{
     AttemptOutcome, AttemptResult, CounterReply, Endpoint, EndpointUpdate, HealthCheckResult,
     LoadReport, PeerMessage, Request,
@@ -252,7 +253,7 @@
     Ok(())
 }
 
-fn read_server(values: &mut Values, instance: &Instance) -> Result<u32, ProtocolError> {
+fn read_server(values: &mut Values, instance: &Instance) -> Result<ServerIndex, ProtocolError> {
     let name = values.text(value_name::SERVER)?;
     let server = instance.servers.get(name);
     server.ok_or_else(|| ProtocolError::UnknownServer(name.to_owned()))
--- a/crates/merlinreel-simulator-adapter/src/host/tests.rs
+++ b/crates/merlinreel-simulator-adapter/src/host/tests.rs
@@ -1,5 +1,6 @@
 use super::*;
 use merlinreel_policy::{AttemptOutcome, EndpointState, EventBatch, LoadReport, ring_hash};
+use merlinreel_policy::{RequestIndex, ServerIndex};
 use test_case::test_case;
 
 const SETTINGS: &str = "balancers=2 rank=0 zone=0 classes.count=1 classes.0.group=all \
@@ -196,7 +197,7 @@
         .iter()
         .map(|endpoint| {
             (
-                endpoint.server,
+                endpoint.server.0,
                 endpoint.zone,
                 endpoint.cell,
                 endpoint.state,
@@ -235,7 +236,7 @@
         .iter()
         .map(|request| {
             (
-                (request.id, request.customer, request.plan, request.class),
+                (request.id.0, request.customer, request.plan, request.class),
                 (request.units, request.remaining_time),
                 (request.set_size, request.set_first, request.is_retry),
             )
@@ -255,7 +256,7 @@
     );
     assert_eq!(
         (batch.streaming.as_slice(), batch.disconnects.as_slice()),
-        ([1].as_slice(), [2].as_slice())
+        ([RequestIndex(1)].as_slice(), [RequestIndex(2)].as_slice())
     );
 }
 
@@ -269,7 +270,10 @@
     assert_eq!(play(&mut host, answer).1, [""; 0]);
     let batch = &host.instances["limiter/0"].batch;
     let read = &batch.attempt_results[0];
-    assert_eq!((read.request, read.attempt, read.server), (0, 3, 0));
+    assert_eq!(
+        (read.request, read.attempt, read.server),
+        (RequestIndex(0), 3, ServerIndex(0))
+    );
     assert_eq!(
         (read.outcome, read.latency, read.request_completed),
         (AttemptOutcome::Rejected, Duration::from_millis(125), false)
@@ -299,7 +303,7 @@
         .iter()
         .map(|check| {
             (
-                check.server,
+                check.server.0,
                 check.answered,
                 check.latency,
                 check.load.utilization,
--- a/crates/merlinreel-simulator-adapter/src/instance.rs
+++ b/crates/merlinreel-simulator-adapter/src/instance.rs
@@ -3,8 +3,7 @@
 use crate::actions::ActionEncoder;
 use crate::name_table::NameTable;
 use crate::request_table::RequestTable;
-use merlinreel_policy::EventBatch;
-use merlinreel_policy::Limiter;
+use merlinreel_policy::{EventBatch, Limiter, ServerIndex};
 use std::time::Duration;
 
 /// A limiter, the names of its endpoints and requests on the wire, and the events since its last batch.
@@ -12,7 +11,7 @@
     /// The limiter.
     pub limiter: Limiter,
     /// The endpoints it knows.
-    pub servers: NameTable,
+    pub servers: NameTable<ServerIndex>,
     /// Its requests in flight.
     pub requests: RequestTable,
     /// Events of the present batch.
--- a/crates/merlinreel-simulator-adapter/src/request_table.rs
+++ b/crates/merlinreel-simulator-adapter/src/request_table.rs
@@ -1,6 +1,7 @@
 //! The requests in flight at an instance.
 
 use crate::name_table::NameTable;
+use merlinreel_policy::{Index, RequestIndex};
 
 /// What is known of a request on the wire.
 #[derive(Clone, Copy, Default)]
@@ -14,26 +15,26 @@
 /// the batch frees it.
 #[derive(Default)]
 pub struct RequestTable {
-    names: NameTable,
+    names: NameTable<RequestIndex>,
     states: Vec<RequestState>,
-    unused: Vec<u32>,
+    unused: Vec<RequestIndex>,
 }
 
 impl RequestTable {
     /// The index of a request in flight.
-    pub fn get(&self, name: &str) -> Option<u32> {
+    pub fn get(&self, name: &str) -> Option<RequestIndex> {
         self.names.get(name)
     }
 
     /// The name of a request in flight.
-    pub fn name(&self, request: u32) -> &str {
+    pub fn name(&self, request: RequestIndex) -> &str {
         self.names.name(request)
     }
 
     /// Adds a request and gives its index.
-    pub fn insert(&mut self, name: &str) -> u32 {
+    pub fn insert(&mut self, name: &str) -> RequestIndex {
         let request = self.names.insert(name);
-        let index = request as usize;
+        let index = request.position();
         if index >= self.states.len() {
             self.states.resize(index + 1, RequestState::default());
         }
@@ -42,24 +43,24 @@
     }
 
     /// Whether the request has its final response, or its client has disconnected.
-    pub fn is_completed(&self, request: u32) -> bool {
-        self.states[request as usize].is_completed
+    pub fn is_completed(&self, request: RequestIndex) -> bool {
+        self.states[request.position()].is_completed
     }
 
     /// Marks the request as completed.
-    pub fn complete(&mut self, request: u32) {
-        self.states[request as usize].is_completed = true;
+    pub fn complete(&mut self, request: RequestIndex) {
+        self.states[request.position()].is_completed = true;
         self.mark_if_unused(request);
     }
 
     /// Number of the request's attempts in flight.
-    pub fn attempts_in_flight(&self, request: u32) -> u32 {
-        self.states[request as usize].attempts_in_flight
+    pub fn attempts_in_flight(&self, request: RequestIndex) -> u32 {
+        self.states[request.position()].attempts_in_flight
     }
 
     /// Counts an attempt that starts.
-    pub fn start_attempt(&mut self, request: u32) {
-        self.states[request as usize].attempts_in_flight += 1;
+    pub fn start_attempt(&mut self, request: RequestIndex) {
+        self.states[request.position()].attempts_in_flight += 1;
     }
 
     /// Counts an attempt that ended.
@@ -67,8 +68,8 @@
     /// # Panics
     ///
     /// If the request has no attempt in flight.
-    pub fn end_attempt(&mut self, request: u32) {
-        self.states[request as usize].attempts_in_flight -= 1;
+    pub fn end_attempt(&mut self, request: RequestIndex) {
+        self.states[request.position()].attempts_in_flight -= 1;
         self.mark_if_unused(request);
     }
 
@@ -79,8 +80,8 @@
         }
     }
 
-    fn mark_if_unused(&mut self, request: u32) {
-        let state = &mut self.states[request as usize];
+    fn mark_if_unused(&mut self, request: RequestIndex) {
+        let state = &mut self.states[request.position()];
         if state.is_completed && state.attempts_in_flight == 0 && !state.is_unused {
             state.is_unused = true;
             self.unused.push(request);
--- a/crates/merlinreel-testkit/src/scale/quotas/fleet.rs
+++ b/crates/merlinreel-testkit/src/scale/quotas/fleet.rs
@@ -17,6 +17,7 @@
 use crate::scale::{Datagram, LinkConditions, Network, Traffic};
 use event_queue::{Cause, Event, EventQueue};
 use merlinreel_policy::Limiter;
+use merlinreel_policy::RequestIndex;
 use merlinreel_policy::{EventBatch, PeerMessage, Request};
 use merlinreel_settings::Settings;
 use rand::{RngExt, SeedableRng};
@@ -39,12 +40,12 @@
 #[derive(Default)]
 struct BatchActions {
     peer_messages: Vec<(u32, Vec<u8>)>,
-    rejected: Vec<u32>,
+    rejected: Vec<RequestIndex>,
     wakeup_after: Option<Duration>,
 }
 
 impl ActionObserver for BatchActions {
-    fn request_rejected(&mut self, request: u32) {
+    fn request_rejected(&mut self, request: RequestIndex) {
         self.rejected.push(request);
     }
     fn peer_message_sent(&mut self, limiter: u32, message: &[u8]) {
@@ -60,7 +61,7 @@
     incarnation: u32,
     next_request: u32,
     /// Admitted requests whose clients disconnect at the next event batch.
-    disconnecting: Vec<u32>,
+    disconnecting: Vec<RequestIndex>,
     inbox: PeerInbox,
 }
 
@@ -244,8 +245,8 @@
     /// Passes a request of a customer to a limiter.
     fn request(&mut self, limiter: u32, customer: usize) {
         let simulated = &mut self.limiters[limiter as usize];
-        let id = simulated.next_request;
-        simulated.next_request = (id + 1) % REQUEST_IDS;
+        let id = RequestIndex(simulated.next_request);
+        simulated.next_request = (id.0 + 1) % REQUEST_IDS;
         let sender = &self.customers[customer];
         let request = Request {
             id,
@@ -282,7 +283,7 @@
     }
 
     /// Runs one event batch of a limiter; the requests that it rejected.
-    fn run_batch(&mut self, rank: u32, batch: EventBatch) -> Vec<u32> {
+    fn run_batch(&mut self, rank: u32, batch: EventBatch) -> Vec<RequestIndex> {
         let simulated = &mut self.limiters[rank as usize];
         let batch = EventBatch {
             disconnects: std::mem::take(&mut simulated.disconnecting),
--- a/crates/merlinreel-testkit/src/scale/quotas/tenant_tables.rs
+++ b/crates/merlinreel-testkit/src/scale/quotas/tenant_tables.rs
@@ -6,6 +6,7 @@
 use crate::scale::simulated::{ActionObserver, InvalidSettings, Observed};
 use crate::scale::{Emit, MeasureRequest, Meter, Report, ScaleError, Unit, Variable};
 use merlinreel_policy::Limiter;
+use merlinreel_policy::RequestIndex;
 use merlinreel_policy::peer_batch::{BatchHeader, CounterRow, encode};
 use merlinreel_policy::{EventBatch, PeerMessage, Request};
 use std::time::Duration;
@@ -85,7 +86,7 @@
         for tenant in 0..tenants {
             // Two request ids alternate: each batch has a request and the disconnect of the one before.
             let request = Request {
-                id: (tenant % 2) as u32,
+                id: RequestIndex((tenant % 2) as u32),
                 customer: tenant_number(tenant),
                 plan: UNDERLOADED_PLAN,
                 class: 0,
@@ -97,12 +98,12 @@
             };
             self.run_batch(EventBatch {
                 requests: vec![request],
-                disconnects: vec![((tenant + 1) % 2) as u32],
+                disconnects: vec![RequestIndex(((tenant + 1) % 2) as u32)],
                 ..EventBatch::default()
             });
         }
         self.run_batch(EventBatch {
-            disconnects: vec![0, 1],
+            disconnects: vec![RequestIndex(0), RequestIndex(1)],
             ..EventBatch::default()
         });
     }
--- a/crates/merlinreel-testkit/src/scale/server_list/simulated_limiter.rs
+++ b/crates/merlinreel-testkit/src/scale/server_list/simulated_limiter.rs
@@ -6,6 +6,7 @@
 use merlinreel_discovery::{EndpointTable, MessageError, decode};
 use merlinreel_policy::Limiter;
 use merlinreel_policy::{EndpointUpdate, EventBatch, Request};
+use merlinreel_policy::{RequestIndex, ServerIndex};
 use serde_json::{Value, json};
 use std::time::Duration;
 
@@ -35,23 +36,23 @@
 struct CountingObserver {
     counts: ActionCounts,
     /// The server of the last attempt.
-    attempt_server: Option<u32>,
-    released: Vec<u32>,
+    attempt_server: Option<ServerIndex>,
+    released: Vec<ServerIndex>,
     wakeup_after: Duration,
 }
 
 impl ActionObserver for CountingObserver {
-    fn attempt_started(&mut self, server: u32) {
+    fn attempt_started(&mut self, server: ServerIndex) {
         self.counts.attempts += 1;
         self.attempt_server = Some(server);
     }
-    fn request_rejected(&mut self, _: u32) {
+    fn request_rejected(&mut self, _: RequestIndex) {
         self.counts.others += 1;
     }
     fn peer_message_sent(&mut self, _: u32, _: &[u8]) {
         self.counts.others += 1;
     }
-    fn endpoint_released(&mut self, server: u32) {
+    fn endpoint_released(&mut self, server: ServerIndex) {
         self.counts.releases += 1;
         self.released.push(server);
     }
@@ -160,7 +161,7 @@
     /// One request, which succeeds at once where a server is selected; otherwise its client disconnects.
     pub fn request(&mut self) {
         let request = Request {
-            id: 0,
+            id: RequestIndex(0),
             customer: CUSTOMER,
             plan: 0,
             class: 0,
--- a/crates/merlinreel-testkit/src/scale/simulated.rs
+++ b/crates/merlinreel-testkit/src/scale/simulated.rs
@@ -1,7 +1,9 @@
 //! What the simulated limiters of several measurements share. Each runs the real decision module, without sockets and on
 //! a simulated clock.
 
-use merlinreel_policy::{Actions, AttemptOutcome, AttemptResult, LoadReport};
+use merlinreel_policy::{
+    Actions, AttemptOutcome, AttemptResult, LoadReport, RequestIndex, ServerIndex,
+};
 use merlinreel_settings::{Settings, SettingsTree};
 use serde_json::Value;
 use std::time::Duration;
@@ -31,9 +33,9 @@
 }
 
 /// The result of an attempt that succeeded, of request 0.
-pub fn successful_attempt(server: u32, latency: Duration) -> AttemptResult {
+pub fn successful_attempt(server: ServerIndex, latency: Duration) -> AttemptResult {
     AttemptResult {
-        request: 0,
+        request: RequestIndex(0),
         attempt: 0,
         server,
         outcome: AttemptOutcome::Success,
@@ -48,13 +50,13 @@
 /// Observes the decision module's actions; those that a measurement does not need are ignored.
 pub trait ActionObserver {
     /// An attempt is to be sent to a server.
-    fn attempt_started(&mut self, _server: u32) {}
+    fn attempt_started(&mut self, _server: ServerIndex) {}
     /// A request is rejected.
-    fn request_rejected(&mut self, _request: u32) {}
+    fn request_rejected(&mut self, _request: RequestIndex) {}
     /// A message is to be sent to another limiter.
     fn peer_message_sent(&mut self, _limiter: u32, _message: &[u8]) {}
     /// A server's index may be used again.
-    fn endpoint_released(&mut self, _server: u32) {}
+    fn endpoint_released(&mut self, _server: ServerIndex) {}
     /// The decision module is to be called again after this time.
     fn wakeup_scheduled(&mut self, _after: Duration) {}
     /// Any other action.
@@ -66,19 +68,19 @@
 pub struct Observed<Observer>(pub Observer);
 
 impl<Observer: ActionObserver> Actions for Observed<Observer> {
-    fn start_attempt(&mut self, _: u32, server: u32, _: Option<Duration>) {
+    fn start_attempt(&mut self, _: RequestIndex, server: ServerIndex, _: Option<Duration>) {
         self.0.attempt_started(server);
     }
-    fn reject(&mut self, request: u32, _: Option<Duration>) {
+    fn reject(&mut self, request: RequestIndex, _: Option<Duration>) {
         self.0.request_rejected(request);
     }
-    fn fail(&mut self, _: u32) {
+    fn fail(&mut self, _: RequestIndex) {
         self.0.other_action();
     }
-    fn cancel_attempt(&mut self, _: u32, _: u32) {
+    fn cancel_attempt(&mut self, _: RequestIndex, _: u32) {
         self.0.other_action();
     }
-    fn start_health_check(&mut self, _: u32) {
+    fn start_health_check(&mut self, _: ServerIndex) {
         self.0.other_action();
     }
     fn send_peer_message(&mut self, limiter: u32, message: &[u8]) {
@@ -93,10 +95,10 @@
     fn poll_endpoints(&mut self) {
         self.0.other_action();
     }
-    fn close_idle_connections(&mut self, _: u32) {
+    fn close_idle_connections(&mut self, _: ServerIndex) {
         self.0.other_action();
     }
-    fn release_endpoint(&mut self, server: u32) {
+    fn release_endpoint(&mut self, server: ServerIndex) {
         self.0.endpoint_released(server);
     }
     fn schedule_wakeup(&mut self, after: Duration) {
--- a/crates/merlinreel-testkit/src/scale/tenants/simulated_limiter.rs
+++ b/crates/merlinreel-testkit/src/scale/tenants/simulated_limiter.rs
@@ -8,6 +8,7 @@
 use merlinreel_policy::{
     Endpoint, EndpointState, EndpointUpdate, EventBatch, PeerMessage, Request, ring_hash,
 };
+use merlinreel_policy::{RequestIndex, ServerIndex};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use serde_json::json;
@@ -55,7 +56,7 @@
 struct DecisionObserver {
     counts: DecisionCounts,
     /// The server of the last attempt.
-    attempt_server: Option<u32>,
+    attempt_server: Option<ServerIndex>,
     /// Whether the last request was rejected.
     is_rejected: bool,
     /// Peers that messages were sent to.
@@ -63,10 +64,10 @@
 }
 
 impl ActionObserver for DecisionObserver {
-    fn attempt_started(&mut self, server: u32) {
+    fn attempt_started(&mut self, server: ServerIndex) {
         self.attempt_server = Some(server);
     }
-    fn request_rejected(&mut self, _: u32) {
+    fn request_rejected(&mut self, _: RequestIndex) {
         self.is_rejected = true;
     }
     fn peer_message_sent(&mut self, limiter: u32, message: &[u8]) {
@@ -200,7 +201,7 @@
             set_first,
         } = self.tenants[tenant];
         let request = Request {
-            id: 0,
+            id: RequestIndex(0),
             customer,
             plan: 0,
             class: 0,
@@ -227,7 +228,7 @@
                 ..EventBatch::default()
             },
             None => EventBatch {
-                disconnects: vec![0],
+                disconnects: vec![RequestIndex(0)],
                 ..EventBatch::default()
             },
         };
@@ -317,7 +318,7 @@
 
 fn server_list() -> EndpointUpdate {
     let endpoint = |server: u32| Endpoint {
-        server,
+        server: ServerIndex(server),
         ring_hash: ring_hash(&server.to_string()),
         state: EndpointState::Ready,
         weight: 1.0,
--- a/crates/merlinreel/src/client/decode.rs
+++ b/crates/merlinreel/src/client/decode.rs
@@ -3,6 +3,7 @@
 use hyper::Method;
 use hyper::header::{CONTENT_LENGTH, HeaderMap, HeaderName, HeaderValue, ToStrError};
 use hyper::http::request::Parts;
+use merlinreel_policy::RequestIndex;
 use merlinreel_policy::{FleetConfig, Idempotency, Request};
 use merlinreel_settings::Settings;
 use std::time::Duration;
@@ -288,7 +289,7 @@
         .ok_or(RequestError::InvalidRemainingTime)?;
     let is_retry = single(&head.headers, &IS_RETRY)?.is_some_and(|value| value == "1");
     Ok(Request {
-        id: 0,
+        id: RequestIndex(0),
         customer,
         plan,
         class,
--- a/crates/merlinreel/src/event_loop/action_executor.rs
+++ b/crates/merlinreel/src/event_loop/action_executor.rs
@@ -7,6 +7,7 @@
 use crate::peers::PeerSender;
 use crate::upstream::{Attempt, ConnectionHandle, UpstreamPool};
 use merlinreel_policy::{Actions, AttemptOutcome, AttemptResult, LoadReport};
+use merlinreel_policy::{RequestIndex, ServerIndex};
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
@@ -29,7 +30,7 @@
     /// Results of attempts that could not be sent, for the next batch.
     pub not_sent: Vec<AttemptResult>,
     /// Indices of requests that may be finished at the end of the batch.
-    pub maybe_finished: Vec<u32>,
+    pub maybe_finished: Vec<RequestIndex>,
     /// When the policy wants to be called again.
     pub wake_at: Option<Instant>,
     /// The time of the present batch.
@@ -60,7 +61,7 @@
     }
 
     /// Sends the client its final response; any further one is dropped.
-    pub fn send_response(&mut self, request: u32, response: ClientResponse) {
+    pub fn send_response(&mut self, request: RequestIndex, response: ClientResponse) {
         let Some(in_flight) = self.requests.get_mut(request) else {
             return;
         };
@@ -75,7 +76,7 @@
 
     /// The client has disconnected: attempts that have not started never do, also where attempts that have started may
     /// not be cancelled.
-    pub fn handle_disconnect(&mut self, request: u32) {
+    pub fn handle_disconnect(&mut self, request: RequestIndex) {
         let Some(in_flight) = self.requests.get_mut(request) else {
             return;
         };
@@ -149,7 +150,7 @@
     }
 
     /// The result of an attempt that no connection could take.
-    fn report_not_sent(&mut self, request: u32, number: u32, server: u32) {
+    fn report_not_sent(&mut self, request: RequestIndex, number: u32, server: ServerIndex) {
         self.not_sent.push(AttemptResult {
             request,
             attempt: number,
@@ -163,7 +164,7 @@
         });
     }
 
-    fn send_attempt(&mut self, server: u32, attempt: Attempt) -> Option<ConnectionHandle> {
+    fn send_attempt(&mut self, server: ServerIndex, attempt: Attempt) -> Option<ConnectionHandle> {
         if attempt.deadline > self.now {
             self.upstreams.start_attempt(server, attempt)
         } else {
@@ -173,7 +174,12 @@
 }
 
 impl Actions for ActionExecutor {
-    fn start_attempt(&mut self, request: u32, server: u32, within: Option<Duration>) {
+    fn start_attempt(
+        &mut self,
+        request: RequestIndex,
+        server: ServerIndex,
+        within: Option<Duration>,
+    ) {
         let attempt_id = self.last_attempt_id.next();
         let response_margin = self.response_margin;
         let Some(in_flight) = self.requests.get_mut(request) else {
@@ -202,15 +208,15 @@
         }
     }
 
-    fn reject(&mut self, request: u32, retry_after: Option<Duration>) {
+    fn reject(&mut self, request: RequestIndex, retry_after: Option<Duration>) {
         self.send_response(request, ClientResponse::Rejected(retry_after));
     }
 
-    fn fail(&mut self, request: u32) {
+    fn fail(&mut self, request: RequestIndex) {
         self.send_response(request, ClientResponse::Failed);
     }
 
-    fn cancel_attempt(&mut self, request: u32, attempt: u32) {
+    fn cancel_attempt(&mut self, request: RequestIndex, attempt: u32) {
         let Some(in_flight) = self.requests.get_mut(request) else {
             return;
         };
@@ -226,7 +232,7 @@
         }
     }
 
-    fn start_health_check(&mut self, server: u32) {
+    fn start_health_check(&mut self, server: ServerIndex) {
         self.upstreams.start_health_check(server);
     }
 
@@ -246,11 +252,11 @@
 
     fn poll_endpoints(&mut self) {}
 
-    fn close_idle_connections(&mut self, server: u32) {
+    fn close_idle_connections(&mut self, server: ServerIndex) {
         self.upstreams.close_idle_connections(server);
     }
 
-    fn release_endpoint(&mut self, server: u32) {
+    fn release_endpoint(&mut self, server: ServerIndex) {
         self.upstreams.release_endpoint(server);
     }
 
--- a/crates/merlinreel/src/event_loop/in_flight.rs
+++ b/crates/merlinreel/src/event_loop/in_flight.rs
@@ -2,6 +2,7 @@
 
 use crate::messages::{AttemptId, ClientResponse, UpstreamRequest};
 use crate::upstream::ConnectionHandle;
+use merlinreel_policy::{Index, RequestIndex, ServerIndex};
 use std::collections::HashMap;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -10,11 +11,11 @@
 /// An attempt whose result is still to come.
 pub struct InFlightAttempt {
     /// Index of its request.
-    pub request: u32,
+    pub request: RequestIndex,
     /// Its number among the attempts of its request, from 0.
     pub number: u32,
     /// Index of its server.
-    pub server: u32,
+    pub server: ServerIndex,
     /// The connection that carries it.
     pub connection: ConnectionHandle,
 }
@@ -61,9 +62,9 @@
 pub struct InFlightRequests {
     pub(super) slots: Vec<Option<InFlightRequest>>,
     /// Indices of empty slots.
-    free: Vec<u32>,
+    free: Vec<RequestIndex>,
     /// Indices of the requests that have no response and whose clients are connected.
-    waiting: HashMap<u64, u32>,
+    waiting: HashMap<u64, RequestIndex>,
 }
 
 impl InFlightRequests {
@@ -73,41 +74,43 @@
     }
 
     /// Adds a request and returns its index.
-    pub fn insert(&mut self, request: InFlightRequest) -> u32 {
+    pub fn insert(&mut self, request: InFlightRequest) -> RequestIndex {
         let index = self.free.pop().unwrap_or_else(|| {
             self.slots.push(None);
-            self.slots.len() as u32 - 1
+            RequestIndex::from_position(self.slots.len() - 1)
         });
         self.waiting.insert(request.request_id, index);
-        self.slots[index as usize] = Some(request);
+        self.slots[index.position()] = Some(request);
         index
     }
 
     /// The request at `index`.
-    pub fn get_mut(&mut self, index: u32) -> Option<&mut InFlightRequest> {
-        self.slots.get_mut(index as usize).and_then(Option::as_mut)
+    pub fn get_mut(&mut self, index: RequestIndex) -> Option<&mut InFlightRequest> {
+        self.slots
+            .get_mut(index.position())
+            .and_then(Option::as_mut)
     }
 
     /// Nobody waits for the response of this request any more; returns its index where it had none yet.
-    pub fn stop_waiting(&mut self, request_id: u64) -> Option<u32> {
+    pub fn stop_waiting(&mut self, request_id: u64) -> Option<RequestIndex> {
         self.waiting.remove(&request_id)
     }
 
     /// Whether the request at `index` is completed or not there.
-    pub fn is_completed(&self, index: u32) -> bool {
+    pub fn is_completed(&self, index: RequestIndex) -> bool {
         self.slots
-            .get(index as usize)
+            .get(index.position())
             .and_then(Option::as_ref)
             .is_none_or(InFlightRequest::is_completed)
     }
 
     /// Frees the index of a completed request that has no attempt in flight.
-    pub fn release_if_finished(&mut self, index: u32) {
+    pub fn release_if_finished(&mut self, index: RequestIndex) {
         let finished = self
             .get_mut(index)
             .is_some_and(|request| request.is_completed() && request.attempts.is_empty());
         if finished {
-            self.slots[index as usize] = None;
+            self.slots[index.position()] = None;
             self.free.push(index);
         }
     }
--- a/crates/merlinreel/src/event_loop/tests.rs
+++ b/crates/merlinreel/src/event_loop/tests.rs
@@ -1,5 +1,6 @@
 use super::*;
 use crate::messages::{AttemptCompletion, AttemptId, Queue, UpstreamRequest};
+use merlinreel_policy::RequestIndex;
 use merlinreel_policy::{Actions, AttemptOutcome, LoadReport};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::sync::oneshot;
@@ -47,7 +48,7 @@
 fn incoming_request(request_id: u64) -> (Event, oneshot::Receiver<ClientResponse>) {
     let (response_sender, response) = oneshot::channel();
     let request = Request {
-        id: 0,
+        id: RequestIndex(0),
         customer: 7,
         plan: 0,
         class: 0,
@@ -124,8 +125,8 @@
     assert!(event_loop.executor.complete_attempt(completion).is_none());
     let (first, mut first_response) = incoming_request(1);
     event_loop.process_events(&mut vec![first]);
-    event_loop.executor.fail(0);
-    event_loop.executor.reject(0, None);
+    event_loop.executor.fail(RequestIndex(0));
+    event_loop.executor.reject(RequestIndex(0), None);
     assert!(matches!(
         first_response.try_recv(),
         Ok(ClientResponse::Failed)
--- a/crates/merlinreel/src/upstream/health_check.rs
+++ b/crates/merlinreel/src/upstream/health_check.rs
@@ -8,6 +8,7 @@
 use hyper::header::{CONNECTION, HOST};
 use hyper::{Request, Response, StatusCode};
 use hyper_util::rt::TokioIo;
+use merlinreel_policy::ServerIndex;
 use merlinreel_policy::{HealthCheckResult, LoadReport};
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -23,7 +24,7 @@
 /// One health check, on a connection of its own.
 pub struct HealthCheck {
     /// The server's index.
-    pub server: u32,
+    pub server: ServerIndex,
     /// The server's address.
     pub address: SocketAddr,
     /// Whether the response is a load report.
--- a/crates/merlinreel/src/upstream/pool.rs
+++ b/crates/merlinreel/src/upstream/pool.rs
@@ -11,7 +11,7 @@
 use crate::messages::Queue;
 use crate::telemetry::metrics::Metrics;
 use merlinreel_discovery::{DiscoveryUpdate, EndpointTable};
-use merlinreel_policy::{EndpointState, EndpointUpdate};
+use merlinreel_policy::{EndpointState, EndpointUpdate, Index, ServerIndex};
 use merlinreel_settings::Settings;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -98,28 +98,32 @@
 
     fn close_connections_of_removed_servers(&mut self) {
         for (server, idle) in self.idle.iter_mut().enumerate() {
-            if !self.endpoints.is_listed(server as u32) {
+            if !self.endpoints.is_listed(ServerIndex::from_position(server)) {
                 idle.0.clear();
             }
         }
     }
 
     /// Whether discovery lists the server as ready.
-    pub fn is_ready(&self, server: u32) -> bool {
+    pub fn is_ready(&self, server: ServerIndex) -> bool {
         self.endpoints.is_ready(server)
     }
 
     /// Forgets a server; its index may be another's from now on.
-    pub fn release_endpoint(&mut self, server: u32) {
+    pub fn release_endpoint(&mut self, server: ServerIndex) {
         self.close_idle_connections(server);
         self.endpoints.release(server);
     }
 
     /// Starts an attempt on an idle connection, else on a new one. `None` where the server is not known or every
     /// connection is taken.
-    pub fn start_attempt(&mut self, server: u32, mut attempt: Attempt) -> Option<ConnectionHandle> {
+    pub fn start_attempt(
+        &mut self,
+        server: ServerIndex,
+        mut attempt: Attempt,
+    ) -> Option<ConnectionHandle> {
         let address = self.endpoints.address(server)?;
-        let idle = self.idle.get_mut(server as usize)?;
+        let idle = self.idle.get_mut(server.position())?;
         let settle_time = self.limits.upstream.settle_time;
         let reuse = if self.unsolicited_bytes.seen() {
             Reuse::OnlySettled
@@ -178,24 +182,24 @@
     }
 
     /// Takes back a connection whose attempt is over, unless the server has another address by now.
-    pub fn return_connection(&mut self, server: u32, connection: ConnectionHandle) {
+    pub fn return_connection(&mut self, server: ServerIndex, connection: ConnectionHandle) {
         if self.endpoints.address(server) != Some(connection.address) {
             return;
         }
-        if let Some(idle) = self.idle.get_mut(server as usize) {
+        if let Some(idle) = self.idle.get_mut(server.position()) {
             idle.add(connection);
         }
     }
 
     /// Closes the server's idle connections.
-    pub fn close_idle_connections(&mut self, server: u32) {
-        if let Some(idle) = self.idle.get_mut(server as usize) {
+    pub fn close_idle_connections(&mut self, server: ServerIndex) {
+        if let Some(idle) = self.idle.get_mut(server.position()) {
             idle.0.clear();
         }
     }
 
     /// Checks a server's health, where the settings want that and a connection is free; the result goes to the queue.
-    pub fn start_health_check(&mut self, server: u32) {
+    pub fn start_health_check(&mut self, server: ServerIndex) {
         let Some(address) = self.endpoints.address(server) else {
             return;
         };
--- a/crates/merlinreel/src/upstream/tests.rs
+++ b/crates/merlinreel/src/upstream/tests.rs
@@ -11,6 +11,7 @@
 use hyper::header::{HeaderMap, HeaderName, HeaderValue};
 use hyper::{Method, Uri};
 use merlinreel_discovery::DiscoveryUpdate;
+use merlinreel_policy::ServerIndex;
 use merlinreel_policy::{AttemptOutcome, EndpointState, LoadReport};
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -137,7 +138,7 @@
     attempt_id: u64,
 ) -> (ConnectionHandle, TcpStream) {
     let connection = pool
-        .start_attempt(0, attempt(attempt_id, 1, LONG))
+        .start_attempt(ServerIndex(0), attempt(attempt_id, 1, LONG))
         .expect("a connection");
     let mut stream = accept(listener).await;
     request(&mut stream).await;
@@ -213,7 +214,7 @@
     let (listener, address) = listener().await;
     drop(listener);
     let (mut pool, mut events) = pool(address, 4);
-    let _connection = pool.start_attempt(0, attempt(1, 1, LONG));
+    let _connection = pool.start_attempt(ServerIndex(0), attempt(1, 1, LONG));
     assert_eq!(
         completion(&mut events).await.outcome,
         AttemptOutcome::ConnectionRefused
@@ -237,7 +238,7 @@
     } else {
         Duration::from_millis(300)
     };
-    let _connection = pool.start_attempt(0, attempt(1, body, within));
+    let _connection = pool.start_attempt(ServerIndex(0), attempt(1, body, within));
     let mut stream = accept(&listener).await;
     assert!(stream.read(&mut [0; 64]).await.expect("the beginning") > 0);
     if closes && body == 1 {
@@ -287,7 +288,7 @@
     let (mut pool, mut events) = pool(address, 4);
     pool.limits.connect_timeout = LONG;
     let connection = pool
-        .start_attempt(0, attempt(7, 1, LONG))
+        .start_attempt(ServerIndex(0), attempt(7, 1, LONG))
         .expect("a connection");
     // A command for another attempt does not concern this one.
     connection.cancel_if_not_started(AttemptId(6));
@@ -318,7 +319,7 @@
 async fn health_check_reports_the_load(text: &str) -> (bool, Option<f64>) {
     let (listener, address) = listener().await;
     let (mut pool, mut events) = pool(address, 4);
-    pool.start_health_check(0);
+    pool.start_health_check(ServerIndex(0));
     let mut stream = accept(&listener).await;
     let mut bytes = vec![0; 64];
     let length = stream.read(&mut bytes).await.expect("a request");
@@ -361,7 +362,7 @@
     if idle {
         let (connection, mut stream) = started(&listener, &mut pool, 1).await;
         completed(&mut stream, &mut events).await;
-        pool.return_connection(0, connection);
+        pool.return_connection(ServerIndex(0), connection);
         server = Some(stream);
     }
     let write_deadline = match body {
@@ -370,7 +371,7 @@
     };
     let _connection = pool
         .start_attempt(
-            0,
+            ServerIndex(0),
             Attempt {
                 write_deadline,
                 ..attempt(2, body, 3 * LONG)
--- a/crates/merlinreel/src/upstream/tests/idle_connections.rs
+++ b/crates/merlinreel/src/upstream/tests/idle_connections.rs
@@ -1,6 +1,7 @@
 //! Connections to servers that are idle between two attempts.
 
 use super::*;
+use merlinreel_policy::ServerIndex;
 use test_case::test_case;
 
 #[test_case(&[40, 30, 1], Reuse::PreferSettled => Some(30) ; "the newest that is settled")]
@@ -33,7 +34,7 @@
     let (listener, address) = listener().await;
     let (mut pool, mut events) = pool(address, 4);
     let connections = [1, 2].map(|attempt_id| {
-        pool.start_attempt(0, attempt(attempt_id, 1, LONG))
+        pool.start_attempt(ServerIndex(0), attempt(attempt_id, 1, LONG))
             .expect("a connection")
     });
     let mut one = accept(&listener).await;
@@ -43,10 +44,10 @@
         completed(stream, &mut events).await;
     }
     for connection in connections {
-        pool.return_connection(0, connection);
+        pool.return_connection(ServerIndex(0), connection);
     }
     let _connection = pool
-        .start_attempt(0, attempt(3, 1, LONG))
+        .start_attempt(ServerIndex(0), attempt(3, 1, LONG))
         .expect("an idle one");
     // None is settled: the oldest.
     let bytes = request(&mut one).await;
@@ -62,12 +63,12 @@
     let (mut pool, mut events) = pool(address, 4);
     let (connection, mut stream) = started(&listener, &mut pool, 1).await;
     completed(&mut stream, &mut events).await;
-    pool.return_connection(0, connection);
+    pool.return_connection(ServerIndex(0), connection);
     drop(stream);
     while !pool.idle[0].0[0].handle.commands.is_closed() {
         sleep(Duration::from_millis(1)).await;
     }
-    let _connection = pool.start_attempt(0, attempt(2, 1, LONG));
+    let _connection = pool.start_attempt(ServerIndex(0), attempt(2, 1, LONG));
     let mut stream = accept(&listener).await;
     request(&mut stream).await;
     let completion = completed(&mut stream, &mut events).await;
@@ -107,9 +108,9 @@
     let (second, mut stream) = started(&listener, &mut pool, 2).await;
     completed(&mut stream, &mut events).await;
     pool.limits.upstream.settle_time = LONG;
-    pool.return_connection(0, second);
+    pool.return_connection(ServerIndex(0), second);
     let _third = pool
-        .start_attempt(0, attempt(3, 1, LONG))
+        .start_attempt(ServerIndex(0), attempt(3, 1, LONG))
         .expect("a connection");
     request(&mut accept(&listener).await).await;
 }
@@ -122,10 +123,10 @@
     let (mut pool, mut events) = pool(address, 4);
     let (connection, mut stream) = started(&listener, &mut pool, 1).await;
     completed(&mut stream, &mut events).await;
-    pool.return_connection(0, connection);
+    pool.return_connection(ServerIndex(0), connection);
     // Not awaited: the poller has not reported it yet when the next attempt starts.
     stream.try_write(more.as_bytes()).expect("written");
-    let _connection = pool.start_attempt(0, attempt(2, 1, LONG));
+    let _connection = pool.start_attempt(ServerIndex(0), attempt(2, 1, LONG));
     let mut other = accept(&listener).await;
     request(&mut other).await;
     let completion = completed(&mut other, &mut events).await;
@@ -150,8 +151,8 @@
         if port == 0 { address.port() } else { port },
     ));
     pool.apply_endpoints(list(elsewhere, state));
-    pool.return_connection(0, connection);
-    pool.close_idle_connections(0);
+    pool.return_connection(ServerIndex(0), connection);
+    pool.close_idle_connections(ServerIndex(0));
     assert_eq!(
         timeout(LONG, stream.read(&mut [0; 8]))
             .await
@@ -169,7 +170,7 @@
     pool.limits.upstream.idle_timeout = Duration::from_millis(1);
     let (connection, mut stream) = started(&listener, &mut pool, 1).await;
     completed(&mut stream, &mut events).await;
-    pool.return_connection(0, connection);
+    pool.return_connection(ServerIndex(0), connection);
     assert_eq!(
         timeout(LONG, stream.read(&mut [0; 8]))
             .await
@@ -189,8 +190,13 @@
         since: Instant::now(),
         handle: first,
     }]));
-    let second = pool.start_attempt(0, attempt(2, 1, LONG));
-    assert!(second.is_some() && pool.start_attempt(0, attempt(3, 1, LONG)).is_none());
+    let second = pool.start_attempt(ServerIndex(0), attempt(2, 1, LONG));
+    assert!(
+        second.is_some()
+            && pool
+                .start_attempt(ServerIndex(0), attempt(3, 1, LONG))
+                .is_none()
+    );
     assert_eq!(
         timeout(LONG, stream.read(&mut [0; 8]))
             .await
@@ -213,7 +219,7 @@
     let (mut pool, mut events) = pool(address, 4);
     let (connection, mut stream) = started(&listener, &mut pool, 1).await;
     completed(&mut stream, &mut events).await;
-    pool.return_connection(0, connection);
+    pool.return_connection(ServerIndex(0), connection);
     let mut complete = list(address, state);
     complete.servers[0].name = name.to_owned();
     if name != "s-1" {
@@ -222,7 +228,7 @@
     pool.apply_endpoints(complete);
     let _next = state
         .eq(&EndpointState::Ready)
-        .then(|| pool.start_attempt(0, attempt(2, 1, LONG)));
+        .then(|| pool.start_attempt(ServerIndex(0), attempt(2, 1, LONG)));
     let mut byte = [0];
     timeout(LONG, stream.read(&mut byte))
         .await
--- a/crates/merlinreel/src/upstream/tests/wire.rs
+++ b/crates/merlinreel/src/upstream/tests/wire.rs
@@ -1,6 +1,7 @@
 //! The bytes that servers receive.
 
 use super::*;
+use merlinreel_policy::ServerIndex;
 use test_case::test_case;
 
 /// Reads the head of one message.
@@ -22,7 +23,7 @@
     let (listener, address) = listener().await;
     let (mut pool, _events) = pool(address, 4);
     let _connection = pool
-        .start_attempt(0, attempt(1, 3, LONG))
+        .start_attempt(ServerIndex(0), attempt(1, 3, LONG))
         .expect("a connection");
     let mut stream = accept(&listener).await;
     let head = read_head(&mut stream).await;
@@ -49,7 +50,7 @@
 async fn health_check_has_these_bytes(how: &str, path: &str) {
     let (listener, address) = listener().await;
     let (mut pool, _events) = pool_with_reports(how, address, 4);
-    pool.start_health_check(0);
+    pool.start_health_check(ServerIndex(0));
     let mut stream = accept(&listener).await;
     assert_eq!(
         read_head(&mut stream).await,
