--- a/crates/merlinreel-testkit/src/http.rs
+++ b/crates/merlinreel-testkit/src/http.rs
@@ -122,7 +122,7 @@
 
 /// One message, none at the connection's end.
 pub fn read(from: &mut impl BufRead, connection: usize) -> Result<Option<Message>, ReadError> {
-    if from.fill_buf()?.is_empty() {
+    if has_ended(from)? {
         return Ok(None);
     }
     let first = read_whole_line(from)?;
@@ -143,6 +143,17 @@
     }
 }
 
+/// Whether the connection ends before anything more. Unlike the other reads here `fill_buf` doesn't repeat a read that a
+/// signal interrupted.
+fn has_ended(from: &mut impl BufRead) -> io::Result<bool> {
+    loop {
+        match from.fill_buf() {
+            Err(error) if error.kind() == ErrorKind::Interrupted => {}
+            filled => return filled.map(<[u8]>::is_empty),
+        }
+    }
+}
+
 fn read_headers(from: &mut impl BufRead) -> io::Result<Vec<(String, String)>> {
     let mut headers = Vec::new();
     loop {
--- a/crates/merlinreel-testkit/src/http/tests.rs
+++ b/crates/merlinreel-testkit/src/http/tests.rs
@@ -41,6 +41,39 @@
         .body
 }
 
+/// A connection whose every second read a signal interrupts, the first one too.
+struct Interrupted {
+    connection: Connection,
+    interrupts: bool,
+}
+
+impl Read for Interrupted {
+    fn read(&mut self, into: &mut [u8]) -> io::Result<usize> {
+        self.interrupts = !self.interrupts;
+        if self.interrupts {
+            return Err(ErrorKind::Interrupted.into());
+        }
+        self.connection.read(into)
+    }
+}
+
+/// A process that is stopped and continued has its waiting reads interrupted where they have a time limit: signal(7).
+#[test_case(TOLD, "done" => "done" ; "content length")]
+#[test_case(CHUNKED, "4\r\ndone\r\n0\r\n\r\n" => "done" ; "chunks")]
+#[test_case(UNTIL_CLOSE, "done" => "done" ; "ended by the close")]
+fn interrupted_reads_are_repeated(head: &str, body: &str) -> String {
+    let brings = [head, body].concat().leak().as_bytes();
+    let connection = Connection { brings, ends: None };
+    let mut from = BufReader::new(Interrupted {
+        connection,
+        interrupts: false,
+    });
+    read(&mut from, 0)
+        .expect("complete")
+        .expect("a message")
+        .body
+}
+
 #[test_case(TOLD, "" => "" ; "length told, head only")]
 #[test_case(TOLD, "don" => "don" ; "length told, all but the last byte")]
 #[test_case(CHUNKED, "" => "" ; "chunked, head only")]
