--- a/crates/merlinreel-testkit/src/config.rs
+++ b/crates/merlinreel-testkit/src/config.rs
@@ -2,29 +2,60 @@
 
 use serde_json::{Value, json};
 use std::net::{SocketAddr, TcpListener, UdpSocket};
-use std::sync::atomic::{AtomicU32, Ordering};
+use std::sync::LazyLock;
+use std::sync::atomic::{AtomicU16, Ordering};
 
 /// First of the ports given out here, which lie below those that the system assigns to outgoing connections.
-const FIRST_PORT: u32 = 10_240;
-const PORT_COUNT: u32 = 20_000;
-static NEXT_PORT: AtomicU32 = AtomicU32::new(0);
+const FIRST_PORT: u16 = 10_240;
+/// Ports of a block; a test process has one block to itself.
+const BLOCK_PORTS: u16 = 2_000;
+const BLOCKS: u16 = 10;
+
+/// The ports of this process. The listener at the block's first port keeps other test processes off it.
+struct PortBlock {
+    first: u16,
+    _owner: TcpListener,
+}
+
+impl PortBlock {
+    /// Takes a block that no other process has.
+    fn take() -> PortBlock {
+        let block = |number: u16| {
+            let first = FIRST_PORT + number * BLOCK_PORTS;
+            let owner = TcpListener::bind(("127.0.0.1", first)).ok()?;
+            Some(PortBlock {
+                first,
+                _owner: owner,
+            })
+        };
+        (0..BLOCKS)
+            .find_map(block)
+            .expect("a block of ports that no other test process has")
+    }
+
+    /// The address of a port by its number, which is counted round.
+    fn address(&self, number: u16) -> SocketAddr {
+        let port = self.first + 1 + number % (BLOCK_PORTS - 1);
+        SocketAddr::from(([127, 0, 0, 1], port))
+    }
+}
+
+static BLOCK: LazyLock<PortBlock> = LazyLock::new(PortBlock::take);
+static NEXT_PORT: AtomicU16 = AtomicU16::new(0);
 
 /// An address whose port was free for TCP and UDP a moment ago. A process can be restarted at it, as the system assigns
-/// its port to no connection; other tests' processes begin elsewhere in the range.
+/// its port to no connection, and other test processes have other ports.
 ///
 /// # Panics
-/// No port of the range is free.
+/// No port of this process's block is free, or ten other test processes run.
 pub fn free_address() -> SocketAddr {
-    let begin = std::process::id().wrapping_mul(7919);
-    let mut candidates = (0..PORT_COUNT).map(|_| {
-        let offset = begin.wrapping_add(NEXT_PORT.fetch_add(1, Ordering::Relaxed));
-        let port = FIRST_PORT + offset % PORT_COUNT;
-        SocketAddr::from(([127, 0, 0, 1], port as u16))
-    });
     let is_free = |address: &SocketAddr| {
         TcpListener::bind(address).is_ok() && UdpSocket::bind(address).is_ok()
     };
-    candidates.find(is_free).expect("a free port")
+    (0..BLOCK_PORTS)
+        .map(|_| BLOCK.address(NEXT_PORT.fetch_add(1, Ordering::Relaxed)))
+        .find(is_free)
+        .expect("a free port")
 }
 
 /// A server as a discovery message lists it.
