--- a/crates/merlinreel-settings/src/lib.rs
+++ b/crates/merlinreel-settings/src/lib.rs
@@ -9,10 +9,12 @@
 mod error;
 mod sections;
 mod settings;
+mod socket_settings;
 mod tree;
 
 pub use error::SettingsError;
-pub use settings::{Settings, SocketSettings};
+pub use settings::Settings;
+pub use socket_settings::SocketSettings;
 pub use tree::SettingsTree;
 
 #[cfg(test)]
--- a/crates/merlinreel-settings/src/sections.rs
+++ b/crates/merlinreel-settings/src/sections.rs
@@ -1,7 +1,7 @@
 //! One decoder for each section of the settings. The wire names of the keys are mapped here and nowhere else.
 
 use crate::error::SettingsError;
-use crate::settings::SocketSettings;
+use crate::socket_settings::SocketSettings;
 use crate::tree::SettingsTree;
 use merlinreel_policy::{
     EndpointConfig, FleetConfig, Idempotency, IdempotencyScope, Plan, RequestClass, RequestLimits,
--- a/crates/merlinreel-settings/src/settings.rs
+++ b/crates/merlinreel-settings/src/settings.rs
@@ -2,10 +2,11 @@
 
 use crate::error::SettingsError;
 use crate::sections;
+use crate::socket_settings::SocketSettings;
 use crate::tree::SettingsTree;
-use merlinreel_policy::{EndpointConfig, FleetConfig, Plan, RequestClass, RequestLimits};
-use merlinreel_policy::{Limiter, LimiterConfig};
-use std::time::Duration;
+use merlinreel_policy::{
+    EndpointConfig, FleetConfig, Limiter, LimiterConfig, Plan, RequestClass, RequestLimits,
+};
 
 /// Everything that the operators' settings say to a limiter.
 #[derive(Clone, Debug, PartialEq)]
@@ -24,25 +25,6 @@
     pub sockets: SocketSettings,
 }
 
-/// Settings that only the socket layer needs: the names that appear in messages, and how servers treat connections.
-#[derive(Clone, Debug, Default, PartialEq)]
-pub struct SocketSettings {
-    /// The plans' names, in the order of [`Settings::plans`].
-    pub plans: Vec<String>,
-    /// The classes' names, in the order of [`Settings::classes`].
-    pub classes: Vec<String>,
-    /// The zones' names, by zone index.
-    pub zones: Vec<String>,
-    /// A server closes a connection that was idle for this long; zero if it is not set.
-    pub server_idle_timeout: Duration,
-    /// Time within which a connection must be established; zero if it is not set.
-    pub connect_timeout: Duration,
-    /// Any response of a server may carry a load report.
-    pub load_reports_in_responses: bool,
-    /// The response to a health check may carry a load report.
-    pub load_reports_in_health_checks: bool,
-}
-
 impl Settings {
     /// Decodes all sections.
     ///
--- a/crates/merlinreel-testkit/src/scale/membership/fleet.rs
+++ b/crates/merlinreel-testkit/src/scale/membership/fleet.rs
@@ -5,7 +5,7 @@
 
 pub use knowledge::Knowledge;
 
-use super::record_watch::{RecordWatch, body_with};
+use super::record_watch::{RecordWatch, WATCHED_KIND, body_with};
 use crate::scale::{LinkConditions, Network};
 use merlinreel_mesh::{
     Capacity, Datagram, Event, Key, Keys, Kind, Member, MeshError, Node, NodeConfig, PublishError,
@@ -20,8 +20,6 @@
 /// Each limiter's record of itself, as the program publishes it.
 const LIMITER_KIND: Kind = 1;
 const LIMITER_RECORD_TTL: Duration = Duration::from_secs(60);
-/// Records that are published to be watched.
-pub const WATCHED_KIND: Kind = 7;
 const WATCHED_RECORD_TTL: Duration = Duration::from_secs(600);
 /// The Unix time at the start of the fleet's clock.
 const UNIX_START: Duration = Duration::from_secs(1_790_000_000);
--- a/crates/merlinreel-testkit/src/scale/membership/record_watch.rs
+++ b/crates/merlinreel-testkit/src/scale/membership/record_watch.rs
@@ -1,10 +1,12 @@
 //! When each limiter first held a record.
 
-use super::fleet::WATCHED_KIND;
-use merlinreel_mesh::Node;
+use merlinreel_mesh::{Kind, Node};
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
+/// Records that are published to be watched.
+pub const WATCHED_KIND: Kind = 7;
+
 /// The propagation of a record through the fleet.
 #[derive(Clone, Debug)]
 pub struct RecordWatch {
--- a/crates/merlinreel/src/lib.rs
+++ b/crates/merlinreel/src/lib.rs
@@ -1,6 +1,8 @@
 //! The limiter on sockets: clients' HTTP/1.1 in front of the policy, servers behind it. Each module has one concern;
 //! [`event_loop`] is the only one that knows the policy's state.
 
+#![warn(missing_docs)]
+
 pub mod admin;
 pub mod admission;
 pub mod client;
--- a/crates/merlinreel/tests/sockets/main.rs
+++ b/crates/merlinreel/tests/sockets/main.rs
@@ -27,15 +27,18 @@
         response(
             "200 OK",
             "X-Units-Charged: 1\r\nX-Kind: blue\r\n",
-            "the answer",
+            "the response",
         )
     });
     let program = Program::start(&config(&[instance("s-1", server.address, "up")]));
     let mut client = program.client();
     for _ in 0..2 {
         let text = request("put", 7, 1, "3000m");
-        let answer = client.call(&text).expect("an answer");
-        assert_eq!((answer.status(), answer.body.as_str()), (200, "the answer"));
+        let answer = client.call(&text).expect("a response");
+        assert_eq!(
+            (answer.status(), answer.body.as_str()),
+            (200, "the response")
+        );
         assert_eq!(answer.header("x-kind"), Some("blue"));
         let seen = server.next_request();
         assert_eq!(
@@ -97,10 +100,14 @@
     );
 }
 
-#[test_case("look", &["200"], 2 ; "replayable goes out again")]
-#[test_case("put", &["200"], 2 ; "keyed goes out again in its group")]
-#[test_case("pay", &["502"], 1 ; "single-use that may have run is failed")]
-fn a_connection_that_breaks_after_the_request(class: &str, statuses: &[&str], attempts: usize) {
+#[test_case("look", &["200"], 2 ; "idempotent is retried")]
+#[test_case("put", &["200"], 2 ; "with an idempotency key is retried in its scope")]
+#[test_case("pay", &["502"], 1 ; "non-idempotent that may have run fails")]
+fn request_whose_connection_breaks_is_retried_where_its_class_allows(
+    class: &str,
+    statuses: &[&str],
+    attempts: usize,
+) {
     let broken = std::sync::atomic::AtomicBool::new(false);
     let server = ScriptedServer::start(move |_| {
         if broken.swap(true, std::sync::atomic::Ordering::SeqCst) {
@@ -119,8 +126,8 @@
 }
 
 #[test_case("503 Service Unavailable" ; "full")]
-#[test_case("504 Gateway Timeout" ; "over already")]
-fn what_was_turned_away_goes_elsewhere_even_if_single_use(status: &'static str) {
+#[test_case("504 Gateway Timeout" ; "past its deadline")]
+fn request_rejected_by_a_server_is_retried_elsewhere_even_if_non_idempotent(status: &'static str) {
     let full = ScriptedServer::start(move |_| response(status, "X-Turned-Away: 1\r\n", ""));
     let other = ScriptedServer::start(|_| ok_response());
     let nobody = free_address();
@@ -242,7 +249,7 @@
     X-Quota: units=1,spread=1,first=0\r\nContent-Length: 10\r\n\r\nhalf" => 408 ; "incomplete")]
 fn invalid_request_has_its_status(text: &str) -> u16 {
     let program = Program::start(&config(&[]));
-    program.client().call(text).expect("an answer").status()
+    program.client().call(text).expect("a response").status()
 }
 
 #[test]
@@ -269,7 +276,7 @@
     let answer = program
         .client()
         .call(&request("pay", 7, 1, "1200m"))
-        .expect("an answer");
+        .expect("a response");
     assert_eq!(
         (answer.status(), server.requests.try_iter().count()),
         (502, 1)
@@ -278,22 +285,23 @@
 }
 
 #[test]
-fn discovery_is_followed_and_silence_keeps_it() {
+fn endpoint_changes_are_applied_and_invalid_messages_change_nothing() {
     let (old, new) = (
         ScriptedServer::start(|_| ok_response()),
         ScriptedServer::start(|_| ok_response()),
     );
-    let (tell, told) = channel();
+    let (sender, messages) = channel();
     let changes = [
         instance("s-1", old.address, "draining"),
         instance("s-2", new.address, "up"),
     ];
-    tell.send(list_changes(2, &changes).to_string())
-        .expect("told");
-    // What makes no sense changes nothing, nor a call that breaks: asked for again from the last version.
-    tell.send("{}".to_owned()).expect("told");
-    tell.send("break".to_owned()).expect("told");
-    let discovery = discovery(told);
+    sender
+        .send(list_changes(2, &changes).to_string())
+        .expect("sent");
+    // A malformed message changes nothing, nor does a call that breaks: the next call asks from the last version.
+    sender.send("{}".to_owned()).expect("sent");
+    sender.send("break".to_owned()).expect("sent");
+    let discovery = discovery(messages);
     let mut config = config(&[instance("s-1", old.address, "up")]);
     config["discovery"] = discovery.address.to_string().into();
     let program = Program::start(&config);
@@ -310,9 +318,9 @@
     );
 }
 
-/// Guards against a call that has fallen silent, with which all changes would stay unknown.
+/// While a watch is silent, changes would stay unknown.
 #[test]
-fn a_watch_that_falls_silent_is_asked_again_elsewhere() {
+fn silent_watch_is_repeated_on_another_connection() {
     let server = ScriptedServer::start(|_| ok_response());
     let text = list_changes(2, &[instance("s-1", server.address, "up")]).to_string();
     let discovery = ScriptedServer::start(move |call| {
@@ -331,9 +339,9 @@
     assert_eq!(program.client().request("look", 1, 1).status(), 200);
 }
 
-/// Guards against SIGHUP's ending the program, and against a watch that stays with the old address.
+/// SIGHUP must neither end the program nor leave the watch at the old address.
 #[test]
-fn a_configuration_read_again_turns_the_watch_over_and_loses_nothing() {
+fn reload_moves_the_watch_and_loses_no_request() {
     let (old, new) = (
         ScriptedServer::start(|_| Reaction::Hang),
         ScriptedServer::start(|_| ok_response()),
@@ -347,11 +355,12 @@
     old.next_request();
     assert!(silent.next_request().first.contains("after=1&"));
     program.reload("{}");
-    let (tell, told) = channel();
-    let discovery = discovery(told);
-    // An older number than the one it had: another discovery counts for itself.
-    tell.send(full_list(0, &[instance("s-2", new.address, "up")]).to_string())
-        .expect("told");
+    let (sender, messages) = channel();
+    let discovery = discovery(messages);
+    // A lower version than the last one: another discovery has versions of its own.
+    sender
+        .send(full_list(0, &[instance("s-2", new.address, "up")]).to_string())
+        .expect("sent");
     config["discovery"] = discovery.address.to_string().into();
     program.reload(&config.to_string());
     assert_eq!(silent.closed.recv_timeout(TEST_TIMEOUT), Ok(0));
@@ -365,12 +374,12 @@
         new.next_request().first,
         "GET /look?key=0000000000000002 HTTP/1.1"
     );
-    // The request in hand has its end all the same.
+    // The request in flight has its response all the same.
     assert_eq!(slow.receive().map(|answer| answer.status()), Some(502));
 }
 
 #[test]
-fn a_quota_holds_over_two_limiters() {
+fn quota_is_shared_by_two_limiters() {
     let server = ScriptedServer::start(|_| ok_response());
     let peers = [free_address(), free_address()];
     let programs: Vec<Program> = (0..2)
@@ -388,13 +397,13 @@
         clients[0].call(&shared(8)).map(|answer| answer.status()),
         Some(200)
     );
-    // Peer messages are lost where peers start together; the total is told with each further request.
-    let told = (0..200).any(|_| {
+    // Peer messages are lost where peers start together; the total is reported with each further request.
+    let is_reported = (0..200).any(|_| {
         thread::sleep(Duration::from_millis(20));
-        let answer = clients[1].call(&shared(8)).expect("an answer");
+        let answer = clients[1].call(&shared(8)).expect("a response");
         answer.status() == 429
     });
-    assert!(told);
+    assert!(is_reported);
 }
 
 #[test]
@@ -428,7 +437,7 @@
         Some(client)
     };
     let mut clients: Vec<Client> = (0..100)
-        .map(|customer| (0..50).find_map(|_| connect(customer)).expect("an answer"))
+        .map(|customer| (0..50).find_map(|_| connect(customer)).expect("a response"))
         .collect();
     // The newest are still open, the oldest were evicted.
     assert_eq!(clients[99].request("look", 1000, 1).status(), 200);
@@ -495,7 +504,7 @@
 }
 
 #[test]
-fn a_faulty_configuration_is_refused_by_name() {
+fn invalid_configuration_is_rejected_with_its_key() {
     let mut config = config(&[]);
     config["limits"]["sockets"] = "many".into();
     let ExitReport {
--- a/crates/merlinreel/tests/sockets/truncated_responses.rs
+++ b/crates/merlinreel/tests/sockets/truncated_responses.rs
@@ -1,23 +1,23 @@
-//! `UpstreamPool` whose answers break off at each step, for each class's effect. An answer is passed on once it is whole or
-//! once more than [`PASSED_ON_BEYOND`] of its body has come: broken off before that, it is a failed attempt that may
-//! have run; behind that, the client can tell that it is cut.
+//! Servers whose responses are truncated at each step, for each class. A response is forwarded once it is complete or once
+//! more than [`BUFFERED_BYTES`] of its body have arrived: truncated before that, it is a failed attempt that may have run; after
+//! that, the client can tell that it is truncated.
 
 use merlinreel_testkit::*;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
 use test_case::{test_case, test_matrix};
 
-const PASSED_ON_BEYOND: usize = 64 << 10;
-/// More than that, with a margin for what a cut answer's last read leaves behind.
+const BUFFERED_BYTES: usize = 64 << 10;
+/// More than that, with a margin for what the last read of a truncated response leaves behind.
 const LONG_PART: usize = 128 << 10;
 const LONG: usize = 300 << 10;
 const CHUNK: usize = 4096;
-/// A request's, and the target of its class.
+/// A request's remaining time, and the latency objective of its class.
 const TIME: Duration = Duration::from_secs(15);
-const GOOD: &str = "the good answer";
-const BROKEN: &str = "one that breaks off";
+const COMPLETE: &str = "the complete response";
+const TRUNCATED: &str = "one that breaks off";
 
-/// How an answer tells its end.
+/// How the end of a response is framed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Framing {
     Length,
@@ -26,7 +26,7 @@
 }
 
 impl Framing {
-    /// A good answer's head for a body so long.
+    /// A successful response's head for a body of this length.
     fn head(self, length: usize) -> String {
         let header = match self {
             Framing::Length => format!("Content-Length: {length}\r\n"),
@@ -36,8 +36,8 @@
         format!("HTTP/1.1 200 OK\r\nX-Kind: blue\r\n{header}\r\n")
     }
 
-    /// A good answer, whole but for the connection's close.
-    fn answer(self, body: &str) -> String {
+    /// A successful response, complete but for the connection's close.
+    fn response(self, body: &str) -> String {
         let head = self.head(body.len());
         match self {
             Framing::Length | Framing::UntilClose => head + body,
@@ -71,7 +71,7 @@
     body
 }
 
-/// Where a short answer breaks off.
+/// Where a short response is truncated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum BreakPoint {
     ChunkedHead,
@@ -82,50 +82,50 @@
     LengthHead,
     LengthHalf,
     LengthAllButLast,
-    /// Only a reset breaks an answer off that the close ends.
+    /// Only a reset truncates a response that the close ends.
     UntilClose,
 }
 
 impl BreakPoint {
     /// What is sent before it.
     fn text(self) -> String {
-        let head = |framing: Framing| framing.head(BROKEN.len());
+        let head = |framing: Framing| framing.head(TRUNCATED.len());
         let (chunked, length) = (head(Framing::Chunked), head(Framing::Length));
         match self {
             BreakPoint::ChunkedHead => chunked,
             BreakPoint::ChunkSize => chunked + "1",
             BreakPoint::WithinChunk => chunked + "13\r\none that",
-            BreakPoint::BetweenChunks => chunked + &chunks(BROKEN),
-            BreakPoint::WithinLastChunk => chunked + &chunks(BROKEN) + "0\r\n",
+            BreakPoint::BetweenChunks => chunked + &chunks(TRUNCATED),
+            BreakPoint::WithinLastChunk => chunked + &chunks(TRUNCATED) + "0\r\n",
             BreakPoint::LengthHead => length,
-            BreakPoint::LengthHalf => length + &BROKEN[..BROKEN.len() / 2],
-            BreakPoint::LengthAllButLast => length + &BROKEN[..BROKEN.len() - 1],
-            BreakPoint::UntilClose => head(Framing::UntilClose) + BROKEN,
+            BreakPoint::LengthHalf => length + &TRUNCATED[..TRUNCATED.len() / 2],
+            BreakPoint::LengthAllButLast => length + &TRUNCATED[..TRUNCATED.len() - 1],
+            BreakPoint::UntilClose => head(Framing::UntilClose) + TRUNCATED,
         }
     }
 }
 
-/// The classes of [`config`], by what a repeat of their requests does.
+/// The classes of [`config`], by the idempotency of their requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Class {
-    ReadLike,
-    Keyed,
+    Idempotent,
+    IdempotencyKey,
     NonIdempotent,
 }
 
 impl Class {
     fn name(self) -> &'static str {
         match self {
-            Class::ReadLike => "look",
-            Class::Keyed => "put",
+            Class::Idempotent => "look",
+            Class::IdempotencyKey => "put",
             Class::NonIdempotent => "pay",
         }
     }
 
-    /// What comes of a request whose first attempt may have run.
-    fn after_broken_attempt(self) -> Outcome {
+    /// The outcome of a request whose first attempt may have run.
+    fn after_truncated_attempt(self) -> Outcome {
         match self {
-            Class::ReadLike | Class::Keyed => Outcome {
+            Class::Idempotent | Class::IdempotencyKey => Outcome {
                 status: 200,
                 attempts: 2,
             },
@@ -137,32 +137,32 @@
     }
 }
 
-/// The client's answer, and how many attempts reached the servers.
+/// The client's response, and how many attempts reached the servers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Outcome {
     status: u16,
     attempts: usize,
 }
 
-/// Answers the first request in that way, later ones well and whole.
-fn first_by(first: impl Fn() -> Reaction + Send + Sync + 'static) -> ScriptedServer {
+/// Reacts to the first request as given, and responds completely to later ones.
+fn react_to_first(first: impl Fn() -> Reaction + Send + Sync + 'static) -> ScriptedServer {
     let answered = AtomicBool::new(false);
     ScriptedServer::start(move |_| {
         if answered.swap(true, Ordering::SeqCst) {
-            response("200 OK", "", GOOD)
+            response("200 OK", "", COMPLETE)
         } else {
             first()
         }
     })
 }
 
-fn first_broken(text: String, when: CloseTiming, end: ConnectionEnd) -> ScriptedServer {
-    let broken = TruncatedResponse { text, when, end };
-    first_by(move || Reaction::Truncate(broken.clone()))
+fn truncate_first(text: String, when: CloseTiming, end: ConnectionEnd) -> ScriptedServer {
+    let truncated = TruncatedResponse { text, when, end };
+    react_to_first(move || Reaction::Truncate(truncated.clone()))
 }
 
-/// Classes with so much time, and keys kept so long, that a busy machine takes no attempt from a request.
-fn unhurried(server: &ScriptedServer) -> serde_json::Value {
+/// Classes with so much time, and keys with such lifetimes, that a busy machine costs a request no attempt.
+fn patient_config(server: &ScriptedServer) -> serde_json::Value {
     let mut config = config(&[instance("s-1", server.address, "up")]);
     for class in config["settings"]["classes"]
         .as_array_mut()
@@ -176,27 +176,27 @@
 }
 
 fn limiter(server: &ScriptedServer) -> Program {
-    Program::start(&unhurried(server))
+    Program::start(&patient_config(server))
 }
 
 fn request_of(class: Class, customer: u32) -> String {
     request(class.name(), customer, 1, &format!("{}m", TIME.as_millis()))
 }
 
-/// Asks once: its outcome, one answer, and a connection that is good for a further request.
-fn answered_once(program: &Program, server: &ScriptedServer, class: Class) -> (Outcome, String) {
+/// Sends one request: its outcome, one response, and a connection that serves a further request.
+fn send_once(program: &Program, server: &ScriptedServer, class: Class) -> (Outcome, String) {
     let mut client = program.client();
     client.send(&request_of(class, 7));
-    let first = whole(client.receive_or_error());
+    let first = complete(client.receive_or_error());
     let outcome = Outcome {
         status: first.status(),
         attempts: server.requests.try_iter().count(),
     };
-    client.send(&request_of(Class::ReadLike, 8));
-    let further = whole(client.receive_or_error());
+    client.send(&request_of(Class::Idempotent, 8));
+    let further = complete(client.receive_or_error());
     assert_eq!(
         (further.status(), further.body.as_str()),
-        (200, GOOD),
+        (200, COMPLETE),
         "the further request, after {first:?}"
     );
     assert_eq!(
@@ -204,12 +204,12 @@
         1,
         "attempts of the further request"
     );
-    no_further_answer(&mut client);
+    assert_no_further_response(&mut client);
     (outcome, first.body)
 }
 
-/// Nothing comes behind the last answer but the connection's end.
-fn no_further_answer(client: &mut Client) {
+/// Nothing follows the last response but the connection's end.
+fn assert_no_further_response(client: &mut Client) {
     client.finish_sending();
     let next = client.receive_or_error();
     assert!(
@@ -218,22 +218,22 @@
     );
 }
 
-fn tried_again_where_its_class_allows(
+fn assert_retried_where_its_class_allows(
     class: Class,
     point: BreakPoint,
     when: CloseTiming,
     end: ConnectionEnd,
 ) {
-    let server = first_broken(point.text(), when, end);
-    let (outcome, body) = answered_once(&limiter(&server), &server, class);
-    assert_eq!(outcome, class.after_broken_attempt(), "{body:?}");
+    let server = truncate_first(point.text(), when, end);
+    let (outcome, body) = send_once(&limiter(&server), &server, class);
+    assert_eq!(outcome, class.after_truncated_attempt(), "{body:?}");
     if outcome.status == 200 {
-        assert_eq!(body, GOOD);
+        assert_eq!(body, COMPLETE);
     }
 }
 
 #[test_matrix(
-    [Class::ReadLike, Class::Keyed, Class::NonIdempotent],
+    [Class::Idempotent, Class::IdempotencyKey, Class::NonIdempotent],
     [
         BreakPoint::ChunkedHead, BreakPoint::ChunkSize, BreakPoint::WithinChunk, BreakPoint::BetweenChunks,
         BreakPoint::WithinLastChunk, BreakPoint::LengthHead, BreakPoint::LengthHalf, BreakPoint::LengthAllButLast
@@ -241,44 +241,58 @@
     [CloseTiming::Written, CloseTiming::Read],
     [ConnectionEnd::Reset, ConnectionEnd::Orderly]
 )]
-fn broken_off_short(class: Class, point: BreakPoint, when: CloseTiming, end: ConnectionEnd) {
-    tried_again_where_its_class_allows(class, point, when, end);
+fn short_truncated_response_is_retried_where_its_class_allows(
+    class: Class,
+    point: BreakPoint,
+    when: CloseTiming,
+    end: ConnectionEnd,
+) {
+    assert_retried_where_its_class_allows(class, point, when, end);
 }
 
 #[test_matrix(
-    [Class::ReadLike, Class::Keyed, Class::NonIdempotent],
+    [Class::Idempotent, Class::IdempotencyKey, Class::NonIdempotent],
     [CloseTiming::Written, CloseTiming::Read]
 )]
-fn a_reset_does_not_end_an_answer_until_the_close(class: Class, when: CloseTiming) {
-    tried_again_where_its_class_allows(class, BreakPoint::UntilClose, when, ConnectionEnd::Reset);
+fn reset_does_not_complete_a_response_until_the_close(class: Class, when: CloseTiming) {
+    assert_retried_where_its_class_allows(
+        class,
+        BreakPoint::UntilClose,
+        when,
+        ConnectionEnd::Reset,
+    );
 }
 
-/// No more of the body has come than may be held back: it is not passed on yet.
+/// No more of the body has arrived than is buffered: it is not forwarded yet.
 #[test_matrix(
-    [Class::ReadLike, Class::NonIdempotent],
+    [Class::Idempotent, Class::NonIdempotent],
     [Framing::Length, Framing::Chunked],
     [ConnectionEnd::Reset, ConnectionEnd::Orderly]
 )]
-fn broken_off_at_the_bound(class: Class, framing: Framing, end: ConnectionEnd) {
-    let text = framing.part(&long_body(LONG), PASSED_ON_BEYOND);
-    let server = first_broken(text, CloseTiming::Read, end);
-    let (outcome, _) = answered_once(&limiter(&server), &server, class);
-    assert_eq!(outcome, class.after_broken_attempt());
+fn response_truncated_at_the_buffered_length_is_retried_where_its_class_allows(
+    class: Class,
+    framing: Framing,
+    end: ConnectionEnd,
+) {
+    let text = framing.part(&long_body(LONG), BUFFERED_BYTES);
+    let server = truncate_first(text, CloseTiming::Read, end);
+    let (outcome, _) = send_once(&limiter(&server), &server, class);
+    assert_eq!(outcome, class.after_truncated_attempt());
 }
 
-/// `UpstreamPool` may have forgotten the key: a repeat could run a second time.
+/// Servers may have dropped the key: a retry could run a second time.
 #[test_matrix(["all", "zone"], [ConnectionEnd::Reset, ConnectionEnd::Orderly])]
-fn a_keyed_request_is_not_sent_again_after_its_window(group: &str, end: ConnectionEnd) {
-    const WINDOW: Duration = Duration::from_millis(200);
-    let server = first_broken(
+fn request_is_not_retried_after_the_lifetime_of_its_key(group: &str, end: ConnectionEnd) {
+    const KEY_LIFETIME: Duration = Duration::from_millis(200);
+    let server = truncate_first(
         BreakPoint::LengthHalf.text(),
-        CloseTiming::Delayed(WINDOW * 2),
+        CloseTiming::Delayed(KEY_LIFETIME * 2),
         end,
     );
-    let mut config = unhurried(&server);
+    let mut config = patient_config(&server);
     let class = &mut config["settings"]["classes"][1];
-    (class["keyTtlS"], class["group"]) = (WINDOW.as_secs_f64().into(), group.into());
-    let (outcome, _) = answered_once(&Program::start(&config), &server, Class::Keyed);
+    (class["keyTtlS"], class["group"]) = (KEY_LIFETIME.as_secs_f64().into(), group.into());
+    let (outcome, _) = send_once(&Program::start(&config), &server, Class::IdempotencyKey);
     assert_eq!(
         outcome,
         Outcome {
@@ -289,19 +303,19 @@
 }
 
 #[test_matrix(
-    [Class::ReadLike, Class::Keyed, Class::NonIdempotent],
+    [Class::Idempotent, Class::IdempotencyKey, Class::NonIdempotent],
     [Framing::Length, Framing::Chunked, Framing::UntilClose],
-    [0, 1, PASSED_ON_BEYOND, PASSED_ON_BEYOND + 1, LONG]
+    [0, 1, BUFFERED_BYTES, BUFFERED_BYTES + 1, LONG]
 )]
-fn whole_answers_arrive_unchanged(class: Class, framing: Framing, length: usize) {
+fn complete_responses_arrive_unchanged(class: Class, framing: Framing, length: usize) {
     let body = long_body(length);
-    // The close, which ends one of the framings, is allowed behind an answer in each.
-    let server = first_broken(
-        framing.answer(&body),
+    // The close, which ends one of the framings, may follow a response in each.
+    let server = truncate_first(
+        framing.response(&body),
         CloseTiming::Written,
         ConnectionEnd::Orderly,
     );
-    let (outcome, arrived) = answered_once(&limiter(&server), &server, class);
+    let (outcome, arrived) = send_once(&limiter(&server), &server, class);
     assert_eq!(
         outcome,
         Outcome {
@@ -312,40 +326,51 @@
     assert!(arrived == body, "{} of {length} bytes", arrived.len());
 }
 
-/// Part of it may be with the client already: no other answer can follow, and this one must not pass for whole.
-#[test_case(Framing::Length, CloseTiming::Read, ConnectionEnd::Reset ; "length told, reset")]
-#[test_case(Framing::Length, CloseTiming::Read, ConnectionEnd::Orderly ; "length told, orderly end")]
-#[test_case(Framing::Length, CloseTiming::Written, ConnectionEnd::Orderly ; "length told, orderly end at once")]
+/// Part of it may have reached the client: no other response can follow, and this one must not pass for complete.
+#[test_case(Framing::Length, CloseTiming::Read, ConnectionEnd::Reset ; "content length, reset")]
+#[test_case(Framing::Length, CloseTiming::Read, ConnectionEnd::Orderly ; "content length, orderly end")]
+#[test_case(Framing::Length, CloseTiming::Written, ConnectionEnd::Orderly ; "content length, orderly end at once")]
 #[test_case(Framing::Chunked, CloseTiming::Read, ConnectionEnd::Reset ; "chunked, reset")]
 #[test_case(Framing::Chunked, CloseTiming::Read, ConnectionEnd::Orderly ; "chunked, orderly end")]
 #[test_case(Framing::Chunked, CloseTiming::Written, ConnectionEnd::Orderly ; "chunked, orderly end at once")]
 #[test_case(Framing::UntilClose, CloseTiming::Read, ConnectionEnd::Reset ; "until the close, reset")]
-fn broken_off_long_is_seen_to_be_cut(framing: Framing, when: CloseTiming, end: ConnectionEnd) {
+fn long_truncated_response_is_seen_to_be_truncated(
+    framing: Framing,
+    when: CloseTiming,
+    end: ConnectionEnd,
+) {
     let body = long_body(LONG);
-    for class in [Class::ReadLike, Class::Keyed, Class::NonIdempotent] {
-        let server = first_broken(framing.part(&body, LONG_PART), when, end);
+    for class in [
+        Class::Idempotent,
+        Class::IdempotencyKey,
+        Class::NonIdempotent,
+    ] {
+        let server = truncate_first(framing.part(&body, LONG_PART), when, end);
         let program = limiter(&server);
         let mut client = program.client();
         client.send(&request_of(class, 7));
-        let cut = match client.receive_or_error() {
-            Err(ReadError::Incomplete(cut)) => cut,
+        let truncated = match client.receive_or_error() {
+            Err(ReadError::Incomplete(truncated)) => truncated,
             other => panic!("{class:?}: {:?}", shown(&other)),
         };
-        assert_eq!((cut.status(), cut.header("x-kind")), (200, Some("blue")));
+        assert_eq!(
+            (truncated.status(), truncated.header("x-kind")),
+            (200, Some("blue"))
+        );
         assert!(
-            !cut.body.is_empty() && body.starts_with(&cut.body),
+            !truncated.body.is_empty() && body.starts_with(&truncated.body),
             "{} bytes",
-            cut.body.len()
+            truncated.body.len()
         );
-        no_further_answer(&mut client);
+        assert_no_further_response(&mut client);
         assert_eq!(server.requests.try_iter().count(), 1, "attempts, {class:?}");
     }
 }
 
-fn whole(received: Result<Option<Message>, ReadError>) -> Message {
+fn complete(received: Result<Option<Message>, ReadError>) -> Message {
     match received {
         Ok(Some(message)) => message,
-        other => panic!("expected a whole answer: {}", shown(&other)),
+        other => panic!("expected a complete response: {}", shown(&other)),
     }
 }
 
@@ -353,31 +378,31 @@
 fn shown(received: &Result<Option<Message>, ReadError>) -> String {
     match received {
         Ok(Some(message)) => format!(
-            "`{}` whole with {} bytes",
+            "`{}` complete with {} bytes",
             message.first,
             message.body.len()
         ),
-        Ok(None) => "no answer".to_owned(),
+        Ok(None) => "no response".to_owned(),
         Err(error) => error.to_string(),
     }
 }
 
-/// The attempt's time bounds an answer that comes byte by byte: the client has its own in time, and the connection to
-/// the server is closed under the trickle, which would go on for longer than the client waits.
-#[test_case(Framing::Length, "x" ; "length told")]
+/// The attempt's deadline bounds a response that arrives byte by byte: the client has its own in time, and the connection to
+/// the server is closed while the trickle goes on, which lasts longer than the client waits.
+#[test_case(Framing::Length, "x" ; "content length")]
 #[test_case(Framing::Chunked, "1\r\nx\r\n" ; "chunked")]
 #[test_case(Framing::UntilClose, "x" ; "until the close")]
-fn a_trickle_is_bounded_by_the_attempt_s_time(framing: Framing, piece: &'static str) {
-    const EVERY: Duration = Duration::from_millis(50);
+fn trickled_response_is_bounded_by_the_attempt_deadline(framing: Framing, piece: &'static str) {
+    const INTERVAL: Duration = Duration::from_millis(50);
     const PIECES: usize = 100;
     let head = framing.head(PIECES * 2);
     let trickle = Trickle {
         head,
         piece,
-        every: EVERY,
+        every: INTERVAL,
         pieces: PIECES,
     };
-    let server = first_by(move || Reaction::Trickle(trickle.clone()));
+    let server = react_to_first(move || Reaction::Trickle(trickle.clone()));
     let program = Program::start(&config(&[instance("s-1", server.address, "up")]));
     let mut client = program.client();
     client.send(&request("pay", 7, 1, "1200m"));
@@ -389,5 +414,5 @@
     );
     assert_eq!(server.closed.recv_timeout(TEST_TIMEOUT), Ok(0));
     assert_eq!(server.requests.try_iter().count(), 1);
-    assert_eq!(client.request("look", 8, 1).body, GOOD);
+    assert_eq!(client.request("look", 8, 1).body, COMPLETE);
 }
