--- a/crates/merlinreel-discovery/src/message.rs
+++ b/crates/merlinreel-discovery/src/message.rs
@@ -41,7 +41,7 @@
     /// The message is a snapshot: an endpoint that it leaves out is removed. Otherwise it holds only changes.
     pub complete: bool,
     /// The endpoints, in the order of the message.
-    pub servers: Vec<DiscoveredEndpoint>,
+    pub endpoints: Vec<DiscoveredEndpoint>,
 }
 
 /// An endpoint as the agent describes it.
@@ -131,13 +131,13 @@
 
     fn try_from(message: Message) -> Result<DiscoveryUpdate, MessageError> {
         let instances = message.instances.into_iter().enumerate();
-        let servers = instances
+        let endpoints = instances
             .map(|(index, instance)| instance.check(index))
             .collect::<Result<_, _>>()?;
         Ok(DiscoveryUpdate {
             version: message.version,
             complete: message.complete,
-            servers,
+            endpoints,
         })
     }
 }
--- a/crates/merlinreel-discovery/src/message/tests.rs
+++ b/crates/merlinreel-discovery/src/message/tests.rs
@@ -21,7 +21,7 @@
         Some(DiscoveryUpdate {
             version: 43,
             complete: false,
-            servers: vec![endpoint]
+            endpoints: vec![endpoint]
         })
     );
 }
@@ -37,7 +37,7 @@
     .expect("sound");
     assert_eq!((decoded.version, decoded.complete), (7, true));
     let endpoints: Vec<_> = decoded
-        .servers
+        .endpoints
         .iter()
         .map(|server| {
             (
@@ -94,7 +94,7 @@
         Some(DiscoveryUpdate {
             version: 1,
             complete: false,
-            servers: vec![endpoint]
+            endpoints: vec![endpoint]
         })
     );
     assert_eq!(
@@ -102,7 +102,7 @@
         Some(DiscoveryUpdate {
             version: 9,
             complete: false,
-            servers: Vec::new()
+            endpoints: Vec::new()
         })
     );
 }
--- a/crates/merlinreel-discovery/src/table.rs
+++ b/crates/merlinreel-discovery/src/table.rs
@@ -43,7 +43,7 @@
     }
 
     /// Number of indices, used and free.
-    pub fn indices(&self) -> usize {
+    pub fn index_count(&self) -> usize {
         self.entries.len()
     }
 
@@ -66,13 +66,13 @@
     /// Applies a message and gives it with indices in place of names. An endpoint whose address another one has taken over
     /// comes before that one, as removed. `cached` marks a list that was stored before this limiter's start.
     pub fn apply(&mut self, update: DiscoveryUpdate, cached: bool) -> EndpointUpdate {
-        let mut endpoints = Vec::with_capacity(update.servers.len());
+        let mut endpoints = Vec::with_capacity(update.endpoints.len());
         if update.complete {
             for entry in &mut self.entries {
                 entry.endpoint.state = EndpointState::Removed;
             }
         }
-        for discovered in update.servers {
+        for discovered in update.endpoints {
             self.apply_endpoint(discovered, &mut endpoints);
         }
         EndpointUpdate {
--- a/crates/merlinreel-discovery/src/table/tests.rs
+++ b/crates/merlinreel-discovery/src/table/tests.rs
@@ -15,7 +15,7 @@
     DiscoveryUpdate {
         version: 1,
         complete,
-        servers: vec![endpoint],
+        endpoints: vec![endpoint],
     }
 }
 
--- a/crates/merlinreel-policy/src/model/fleet.rs
+++ b/crates/merlinreel-policy/src/model/fleet.rs
@@ -6,7 +6,7 @@
     /// Number of limiters.
     pub limiters: u32,
     /// Index of this limiter, below `limiters`.
-    pub me: u32,
+    pub own_index: u32,
     /// Limiters may send messages to each other.
     pub peer_messages: bool,
     /// Peer messages per second that a limiter reads.
@@ -14,7 +14,7 @@
     /// A counter service is configured.
     pub counter: bool,
     /// The units of a request are corrected by the response.
-    pub settles: bool,
+    pub settles_units: bool,
     /// The most units that one request counts.
     pub max_units: f64,
 }
--- a/crates/merlinreel-policy/src/quota/aggregation.rs
+++ b/crates/merlinreel-policy/src/quota/aggregation.rs
@@ -51,9 +51,10 @@
         (0..set_size)
             .map(|step| (first + ((start + step) % set_size) as u32) % fleet.limiters)
             .find(|&limiter| {
-                limiter == fleet.me || links[limiter as usize].unanswered < MAX_UNANSWERED_REPORTS
+                limiter == fleet.own_index
+                    || links[limiter as usize].unanswered < MAX_UNANSWERED_REPORTS
             })
-            .unwrap_or(fleet.me)
+            .unwrap_or(fleet.own_index)
     }
 
     /// Has the limiters that reported lately sent an estimate, if what is left is not what they must believe.
--- a/crates/merlinreel-policy/src/quota/aggregator_batch.rs
+++ b/crates/merlinreel-policy/src/quota/aggregator_batch.rs
@@ -116,7 +116,7 @@
         let plan = &plans[account.plan];
         account.advance(now, plan);
         let aggregator = account.aggregator(fleet, links);
-        let is_aggregator = account.limiters.size > 0 && aggregator == fleet.me;
+        let is_aggregator = account.limiters.size > 0 && aggregator == fleet.own_index;
         let snapshot = account.snapshot(now, is_aggregator, plan);
         if let Some(snapshot) = snapshot.filter(|snapshot| is_relayed(snapshot, plan)) {
             batch.relayable.push(Relayable {
--- a/crates/merlinreel-policy/src/quota/peer_reports.rs
+++ b/crates/merlinreel-policy/src/quota/peer_reports.rs
@@ -32,7 +32,7 @@
         return;
     };
     let from = peer_message.from;
-    if from as usize >= peers.links.len() || from == fleet.me {
+    if from as usize >= peers.links.len() || from == fleet.own_index {
         return;
     }
     let link = peers.link_mut(from);
@@ -92,7 +92,7 @@
     };
     let aggregator = account.aggregator(fleet, &peers.links);
     if let (Some(age), Some(demand_rate)) = (row.age, row.demand) {
-        if aggregator != fleet.me || account.limiters.size == 0 {
+        if aggregator != fleet.own_index || account.limiters.size == 0 {
             let snapshot = QuotaSnapshot {
                 remaining,
                 demand_rate,
@@ -122,7 +122,11 @@
     account: &mut Account,
 ) {
     // Units corrected by a response may leave a bucket below empty, by one large request at most.
-    let debt_limit = if fleet.settles { fleet.max_units } else { 0.0 };
+    let debt_limit = if fleet.settles_units {
+        fleet.max_units
+    } else {
+        0.0
+    };
     let window = window_of(row, account);
     let source = UsageSource::Peer(from);
     account.set_usage_elsewhere(now, plan, source, window, row.total, debt_limit);
--- a/crates/merlinreel-policy/src/quota/replication.rs
+++ b/crates/merlinreel-policy/src/quota/replication.rs
@@ -92,8 +92,8 @@
     for entry in dirty {
         let account = &mut quotas[entry.account];
         let limiter_set = account.limiters;
-        let receivers =
-            (0..limiters).filter(|&peer| peer != fleet.me && limiter_set.contains(peer, limiters));
+        let receivers = (0..limiters)
+            .filter(|&peer| peer != fleet.own_index && limiter_set.contains(peer, limiters));
         for age in WindowAge::OLDEST_FIRST {
             let is_full = receivers
                 .clone()
--- a/crates/merlinreel-policy/src/request/completion.rs
+++ b/crates/merlinreel-policy/src/request/completion.rs
@@ -56,7 +56,8 @@
     let Some(pending) = requests.pending.get(result.request) else {
         return;
     };
-    let (Some(units), Some(window), true) = (result.units, pending.window, config.fleet.settles)
+    let (Some(units), Some(window), true) =
+        (result.units, pending.window, config.fleet.settles_units)
     else {
         return;
     };
--- a/crates/merlinreel-policy/src/request/tests/completion.rs
+++ b/crates/merlinreel-policy/src/request/tests/completion.rs
@@ -59,7 +59,7 @@
 #[test]
 fn response_corrects_the_units() {
     let mut limiter = with_attempt(Idempotency::Idempotent);
-    limiter.config.fleet.settles = true;
+    limiter.config.fleet.settles_units = true;
     let result = AttemptResult {
         units: Some(3.0),
         ..attempt_result(AttemptOutcome::Success, true)
--- a/crates/merlinreel-policy/src/server/selection.rs
+++ b/crates/merlinreel-policy/src/server/selection.rs
@@ -135,7 +135,7 @@
     fn phase(&self, server: ServerIndex) -> f64 {
         let interval = time::seconds(self.now).div_euclid(PHASE_INTERVAL_SECONDS);
         let phase = f64::from(server.0) * PHASE_PER_SERVER + interval * PHASE_PER_INTERVAL;
-        let limiter = f64::from(self.fleet.me) / f64::from(self.fleet.limiters);
+        let limiter = f64::from(self.fleet.own_index) / f64::from(self.fleet.limiters);
         (phase + limiter).fract()
     }
 
--- a/crates/merlinreel-policy/src/server/subset.rs
+++ b/crates/merlinreel-policy/src/server/subset.rs
@@ -32,7 +32,7 @@
         let share = LIMITERS_PER_SERVER * ring.len() as f64 / f64::from(fleet.limiters);
         let size = share.max(LEAST_SUBSET);
         let total_capacity: f64 = ring.iter().map(|server| capacity(server)).sum();
-        let point = (f64::from(fleet.me) * GOLDEN_RATIO).fract();
+        let point = (f64::from(fleet.own_index) * GOLDEN_RATIO).fract();
         let start = (point * ring.len() as f64) as usize;
         ring.rotate_left(start);
         let mut subset_capacity = 0.0;
--- a/crates/merlinreel-policy/src/server/tests/selection.rs
+++ b/crates/merlinreel-policy/src/server/tests/selection.rs
@@ -30,7 +30,7 @@
 fn many_limiters_do_not_all_try_a_weak_server_at_once(failed: bool) {
     let tries = |me: u32| {
         let fleet = FleetConfig {
-            me,
+            own_index: me,
             ..large_fleet()
         };
         let mut limiter = limiter(Idempotency::Idempotent, fleet);
@@ -54,7 +54,7 @@
 fn fraction_of_an_attempt_rotates_among_limiters() {
     let sends = |me: u32| {
         let mut limiter = with_attempt(Idempotency::Idempotent);
-        limiter.config.fleet.me = me;
+        limiter.config.fleet.own_index = me;
         for server in limiter.servers.servers.values_mut() {
             server.limit.attempts = 1.0 / 3.0;
             server.limit.in_flight = 0;
--- a/crates/merlinreel-policy/src/server/tests/starting_server.rs
+++ b/crates/merlinreel-policy/src/server/tests/starting_server.rs
@@ -122,7 +122,7 @@
             classes: vec![request_class(Idempotency::Idempotent)],
             fleet: FleetConfig {
                 limiters: configured,
-                me: me.min(configured - 1),
+                own_index: me.min(configured - 1),
                 ..fleet()
             },
             endpoints: config(),
--- a/crates/merlinreel-policy/src/server/tests/subset.rs
+++ b/crates/merlinreel-policy/src/server/tests/subset.rs
@@ -21,7 +21,7 @@
     for me in 0..limiters {
         let fleet = FleetConfig {
             limiters,
-            me,
+            own_index: me,
             ..fleet()
         };
         let mut limiter = limiter(Idempotency::Idempotent, fleet);
--- a/crates/merlinreel-policy/src/tests/helpers.rs
+++ b/crates/merlinreel-policy/src/tests/helpers.rs
@@ -118,11 +118,11 @@
 pub fn fleet() -> FleetConfig {
     FleetConfig {
         limiters: 3,
-        me: 0,
+        own_index: 0,
         peer_messages: true,
         peer_inbox_rate: 40.0,
         counter: false,
-        settles: false,
+        settles_units: false,
         max_units: 1.0,
     }
 }
--- a/crates/merlinreel-settings/src/sections.rs
+++ b/crates/merlinreel-settings/src/sections.rs
@@ -109,11 +109,11 @@
     }
     Ok(FleetConfig {
         limiters: limiters as u32,
-        me: rank as u32,
+        own_index: rank as u32,
         peer_messages: tree.boolean("policyLimits.peers")?,
         peer_inbox_rate: tree.number("familyInfo.inboxPerS")?,
         counter: tree.boolean("familyInfo.hasCounter")?,
-        settles: tree.boolean("familyInfo.settles")?,
+        settles_units: tree.boolean("familyInfo.settles")?,
         max_units: tree.number("familyInfo.maxUnits")?.max(1.0),
     })
 }
--- a/crates/merlinreel-settings/src/tests.rs
+++ b/crates/merlinreel-settings/src/tests.rs
@@ -66,7 +66,7 @@
 fn fleet_size_up_to_the_limit_is_accepted(limiters: u32, rank: u32) -> Result<(u32, u32), String> {
     let settings = read_json(json!({"balancers": limiters, "rank": rank}));
     let fleet = settings.map_err(|error| error.to_string())?.fleet;
-    Ok((fleet.limiters, fleet.me))
+    Ok((fleet.limiters, fleet.own_index))
 }
 
 /// Every key with a value of its own, so that a key decoded into the wrong setting shows.
@@ -141,11 +141,11 @@
         read.fleet,
         FleetConfig {
             limiters: 9,
-            me: 4,
+            own_index: 4,
             peer_messages: true,
             peer_inbox_rate: 15.0,
             counter: false,
-            settles: true,
+            settles_units: true,
             max_units: 16.0,
         }
     );
@@ -199,11 +199,11 @@
         read.fleet,
         FleetConfig {
             limiters: 1,
-            me: 0,
+            own_index: 0,
             peer_messages: false,
             peer_inbox_rate: 0.0,
             counter: false,
-            settles: false,
+            settles_units: false,
             max_units: 1.0,
         }
     );
--- a/crates/merlinreel-testkit/src/scale/quotas/fleet.rs
+++ b/crates/merlinreel-testkit/src/scale/quotas/fleet.rs
@@ -157,7 +157,7 @@
     fn new_limiter(&mut self, rank: u32) -> Limiter {
         let seed = self.random.random::<u64>();
         let mut settings = self.settings.clone();
-        settings.fleet.me = rank;
+        settings.fleet.own_index = rank;
         settings.limiter(seed)
     }
 
--- a/crates/merlinreel-testkit/src/scale/server_list/list_consumer.rs
+++ b/crates/merlinreel-testkit/src/scale/server_list/list_consumer.rs
@@ -19,7 +19,7 @@
 impl ListConsumer for EndpointTableConsumer {
     fn apply(&mut self, update: DiscoveryUpdate) -> u64 {
         let list = self.0.apply(update, false);
-        list.endpoints.len() as u64 + self.0.indices() as u64
+        list.endpoints.len() as u64 + self.0.index_count() as u64
     }
 }
 
--- a/crates/merlinreel-testkit/src/scale/server_list/list_source/tests.rs
+++ b/crates/merlinreel-testkit/src/scale/server_list/list_source/tests.rs
@@ -24,12 +24,15 @@
     let bytes = source.full_list().expect("written");
     let update = decode(&bytes).expect("a list");
     let names: BTreeSet<&str> = update
-        .servers
+        .endpoints
         .iter()
         .map(|server| server.name.as_str())
         .collect();
-    let addresses: BTreeSet<SocketAddr> =
-        update.servers.iter().map(|server| server.address).collect();
+    let addresses: BTreeSet<SocketAddr> = update
+        .endpoints
+        .iter()
+        .map(|server| server.address)
+        .collect();
     assert!(update.complete);
     assert_eq!(
         (names.len(), addresses.len()),
@@ -43,15 +46,15 @@
     let mut source = ListSource::new(SERVERS, 1, Format::Compact);
     let update = decode(&source.replacement(30, 5).expect("written")).expect("a list");
     let removed = update
-        .servers
+        .endpoints
         .iter()
         .filter(|server| server.state == EndpointState::Removed)
         .count();
     let names: BTreeSet<&str> = update
-        .servers
+        .endpoints
         .iter()
         .map(|server| server.name.as_str())
         .collect();
     assert!(!update.complete);
-    assert_eq!((removed, update.servers.len(), names.len()), (30, 60, 60));
+    assert_eq!((removed, update.endpoints.len(), names.len()), (30, 60, 60));
 }
--- a/crates/merlinreel-testkit/src/scale/server_list/update_costs.rs
+++ b/crates/merlinreel-testkit/src/scale/server_list/update_costs.rs
@@ -258,7 +258,7 @@
         .receive(first)
         .map_err(|error| report.failed(error))?;
     let cpu_seconds = meter.read().cpu_seconds;
-    let indices = limiter.table.indices();
+    let indices = limiter.table.index_count();
     limiter.idle_by_seconds(RELEASED_AFTER);
     let next = source
         .replacement(count, limiter.now_ms())
@@ -266,7 +266,7 @@
     limiter
         .receive(next)
         .map_err(|error| report.failed(error))?;
-    let indices_after_next = limiter.table.indices();
+    let indices_after_next = limiter.table.index_count();
     check_all_known(report, &limiter)?;
     Ok(Replacement {
         message_bytes,
--- a/crates/merlinreel/src/endpoints/address_watch.rs
+++ b/crates/merlinreel/src/endpoints/address_watch.rs
@@ -158,7 +158,7 @@
         }
         self.failed = 0;
         self.failure_log = FailureLog::default();
-        if !update.servers.is_empty() || update.complete {
+        if !update.endpoints.is_empty() || update.complete {
             let _ = self.queue.send(Event::EndpointUpdate(update)).await;
         }
         if let Some(first_list) = self.first_list.take() {
--- a/crates/merlinreel/src/upstream/pool.rs
+++ b/crates/merlinreel/src/upstream/pool.rs
@@ -85,7 +85,7 @@
     /// No idle connection stays open to a server that is draining or removed.
     fn close_connections_of_unready_servers(&mut self, update: &EndpointUpdate) {
         self.idle
-            .resize_with(self.endpoints.indices(), IdleConnections::default);
+            .resize_with(self.endpoints.index_count(), IdleConnections::default);
         for endpoint in &update.endpoints {
             if endpoint.state != EndpointState::Ready {
                 self.close_idle_connections(endpoint.server);
