--- a/crates/merlinreel-testkit/tests/scale_server_list.rs
+++ b/crates/merlinreel-testkit/tests/scale_server_list.rs
@@ -151,7 +151,7 @@
 impl ListConsumer for ScannedTable {
     fn apply(&mut self, update: DiscoveryUpdate) -> u64 {
         let mut comparisons = 0;
-        for server in update.servers {
+        for server in update.endpoints {
             let known = self.0.iter().any(|name| {
                 comparisons += 1;
                 *name == server.name
--- a/crates/merlinreel/src/endpoints/tests.rs
+++ b/crates/merlinreel/src/endpoints/tests.rs
@@ -241,7 +241,7 @@
     let Ok(Some(Event::EndpointUpdate(list))) = list else {
         panic!("no list")
     };
-    assert_eq!((list.version, list.servers.len()), (7, servers as usize));
+    assert_eq!((list.version, list.endpoints.len()), (7, servers as usize));
     Ok(())
 }
 
@@ -274,7 +274,7 @@
         .fetch("/discovery/hosts".to_owned(), max, &Progress::default())
         .await
     {
-        Ok(list) => list.servers.len() == 40,
+        Ok(list) => list.endpoints.len() == 40,
         Err(DiscoveryError::TooLong { max_bytes }) if max_bytes == max => false,
         Err(other) => panic!("{other}"),
     }
@@ -319,7 +319,7 @@
         let Ok(Some(Event::EndpointUpdate(list))) = list else {
             panic!("no list")
         };
-        assert_eq!((list.version, list.servers.len()), (version, servers));
+        assert_eq!((list.version, list.endpoints.len()), (version, servers));
     }
     watching.abort();
     Ok(())
@@ -359,7 +359,7 @@
     let watching = tokio::spawn(super::watch(address, None, limits, queue, first_list));
     let list = timeout(Duration::from_secs(20), events.recv()).await;
     watching.abort();
-    assert!(matches!(list, Ok(Some(Event::EndpointUpdate(list))) if list.servers.len() == 40));
+    assert!(matches!(list, Ok(Some(Event::EndpointUpdate(list))) if list.endpoints.len() == 40));
     Ok(())
 }
 
--- a/crates/merlinreel/src/upstream/tests.rs
+++ b/crates/merlinreel/src/upstream/tests.rs
@@ -97,7 +97,7 @@
     DiscoveryUpdate {
         version: 1,
         complete: true,
-        servers: vec![endpoint],
+        endpoints: vec![endpoint],
     }
 }
 
--- a/crates/merlinreel/src/upstream/tests/idle_connections.rs
+++ b/crates/merlinreel/src/upstream/tests/idle_connections.rs
@@ -221,9 +221,9 @@
     completed(&mut stream, &mut events).await;
     pool.return_connection(ServerIndex(0), connection);
     let mut complete = list(address, state);
-    complete.servers[0].name = name.to_owned();
+    complete.endpoints[0].name = name.to_owned();
     if name != "s-1" {
-        complete.servers[0].address = SocketAddr::from(([127, 0, 0, 9], 9));
+        complete.endpoints[0].address = SocketAddr::from(([127, 0, 0, 9], 9));
     }
     pool.apply_endpoints(complete);
     let _next = state
