--- a/crates/merlinreel-policy/src/request.rs
+++ b/crates/merlinreel-policy/src/request.rs
@@ -1,4 +1,4 @@
-//! Requests: admission, the queue, further attempts, and the final response.
+//! Requests: admission, the queue, retries, and the final response.
 //!
 //! State: [`remaining_time`] and [`crate::request_table`]. Decisions: [`time_spent`], [`admission`], [`queue`], [`retry`]
 //! and [`completion`].
--- a/crates/merlinreel-policy/src/request/admission.rs
+++ b/crates/merlinreel-policy/src/request/admission.rs
@@ -1,4 +1,4 @@
-//! Decides whether a request that has arrived is admitted.
+//! Decides whether a new request is admitted.
 
 use super::remaining_time::RemainingTimeHistogram;
 use super::time_spent::time_already_spent;
@@ -20,37 +20,37 @@
 use nanorand::{Rng, WyRand};
 use std::time::Duration;
 
-/// Time that a peer message or a call to the counter is on its way, in seconds.
-const NETWORK_SECONDS: f64 = 0.03;
-/// A request that comes late takes units only while more than this part of the bucket is left.
+/// Network delay of a peer message or a call to the counter service.
+const NETWORK_DELAY_SECONDS: f64 = 0.03;
+/// A late arrival is admitted only while the bucket has more than its capacity divided by this.
 const LATE_BUCKET_DIVISOR: f64 = 2.0;
-/// Part of an aggregator's inbox that is for requests that were admitted.
-const ADMITTED_INBOX_DIVISOR: f64 = 4.0;
+/// Reports of admitted requests may use an aggregator's inbox rate divided by this.
+const REPORTS_INBOX_DIVISOR: f64 = 4.0;
 
-/// What the admission of a request reads and writes.
+/// The state that admission reads and updates.
 pub struct Admission<'a> {
     /// The limiter's configuration.
     pub config: &'a LimiterConfig,
-    /// The accounts.
+    /// The customers' accounts.
     pub quotas: &'a mut QuotaTable,
-    /// Where admitted requests are kept.
+    /// The requests in progress, to which an admitted one is added.
     pub requests: &'a mut RequestTable,
-    /// By class, how much time clients leave.
+    /// Remaining times of earlier requests on arrival, by class index.
     pub remaining_times: &'a mut [RemainingTimeHistogram],
-    /// The source of chance.
+    /// The limiter's random number generator.
     pub random: &'a mut WyRand,
-    /// Servers have capacity to spare.
+    /// Whether servers have capacity for requests beyond the quotas.
     pub has_spare_capacity: bool,
-    /// Until then the counter service cannot take all calls.
+    /// Time on the limiter's clock until which the counter service cannot take all calls.
     pub counter_overloaded_until: Duration,
 }
 
-/// How old the limiters' knowledge of each other is.
+/// How long it takes until limiters know of each other's admissions.
 struct ReportTiming {
-    /// Time for which limiters do not know of each other's admissions, in seconds.
+    /// Time after an admission in which other limiters do not know of it.
     staleness_seconds: f64,
     /// Time for which a new customer's quota is split over its limiters.
-    split: Duration,
+    split_duration: Duration,
 }
 
 impl Admission<'_> {
@@ -63,15 +63,15 @@
             .find_or_create(now, request.customer, request.plan, &config.plans);
         let account = &mut self.quotas[index];
         let plan = &config.plans[account.plan];
-        count_request(now, request, plan, timing.split, account);
+        count_request(now, request, plan, timing.split_duration, account);
         let class = &config.classes[request.class];
         let remaining_times = &mut self.remaining_times[request.class];
         let spent = time_already_spent(request.remaining_time, class.deadline, remaining_times);
-        let earns_enough = spent < class.latency_objective
+        let is_worth_serving = spent < class.latency_objective
             || class.late_weight > 0.0
                 && account.remaining(now, plan) > plan.burst / LATE_BUCKET_DIVISOR;
-        // Where a plan earns more by overage than it costs, spare capacity serves requests that find the bucket empty;
-        // they take nothing from it.
+        // If the plan values overage above its cost, spare capacity also serves requests that the bucket does not
+        // cover; these are not charged to it.
         let is_overage = account.remaining(now, plan) < request.units
             && plan.overage_value > plan.overage_cost
             && self.has_spare_capacity;
@@ -80,14 +80,14 @@
             staleness_seconds: timing.staleness_seconds,
             sample: self.random.generate::<f64>(),
         };
-        let is_admitted = earns_enough
+        let is_admitted = is_worth_serving
             && (is_overage || account.admits(now, plan, request.units, &context))
             && account.is_under_ceiling(now, plan, request.units);
         if !is_admitted {
             account.replication.update_due.current = true;
             let wait_seconds = account.retry_after_seconds(now, plan, request.units);
             let retry_after = config.request_limits.retry_after;
-            let reason = if earns_enough {
+            let reason = if is_worth_serving {
                 RejectReason::Quota
             } else {
                 RejectReason::LateArrival
@@ -121,9 +121,10 @@
             message_interval(fleet)
         };
         ReportTiming {
-            staleness_seconds: time::seconds(interval) + NETWORK_SECONDS,
-            // With an aggregator no limiter hears of the others directly: to each of hundreds a new quota would seem unused.
-            split: if aggregates {
+            staleness_seconds: time::seconds(interval) + NETWORK_DELAY_SECONDS,
+            // With an aggregator, limiters receive no reports from each other: a new quota would look unused to each of
+            // hundreds.
+            split_duration: if aggregates {
                 ESTIMATE_LIFETIME
             } else {
                 interval
@@ -136,11 +137,11 @@
     now: Duration,
     request: &Request,
     plan: &Plan,
-    split: Duration,
+    split_duration: Duration,
     account: &mut Account,
 ) {
     if account.limiters.size == 0 {
-        account.split_until = now + split;
+        account.split_until = now + split_duration;
     }
     account.limiters = LimiterSet {
         size: request.set_size.max(1),
@@ -152,8 +153,9 @@
     account.aggregation.demand.add(now, request.units);
 }
 
-/// How many requests the report of this one stands for; 0 where it is not reported. Of a plan's small requests some are
-/// reported for all, as a customer with much demand would fill its aggregator's inbox and so seem to have little.
+/// Number of requests that the report of this one represents; 0 if it is not reported. Only a random sample of requests
+/// that are small for the plan is reported: otherwise a customer with high demand would fill its aggregator's inbox,
+/// and its demand would seem low.
 fn sampling_factor(
     now: Duration,
     request: &Request,
@@ -169,7 +171,7 @@
     if !is_estimated || !uses_aggregator(fleet) {
         return 1.0;
     }
-    let probability = request.units * fleet.peer_inbox_rate / (ADMITTED_INBOX_DIVISOR * plan.rate);
+    let probability = request.units * fleet.peer_inbox_rate / (REPORTS_INBOX_DIVISOR * plan.rate);
     if probability >= 1.0 {
         return 1.0;
     }
@@ -180,7 +182,8 @@
     }
 }
 
-/// Charges an admitted request to its quota. Returns the window that its units were charged to, if they were.
+/// Charges an admitted request to its quota. Returns the window that its units were charged to; `None` if they were
+/// not.
 fn charge(
     request: &Request,
     sampling_factor: f64,
--- a/crates/merlinreel-policy/src/request/completion.rs
+++ b/crates/merlinreel-policy/src/request/completion.rs
@@ -13,7 +13,7 @@
 use crate::time;
 use std::time::Duration;
 
-/// Goes on with a request of which an attempt has ended.
+/// Continues a request after one of its attempts has ended.
 pub fn continue_request(
     now: Duration,
     result: &AttemptResult,
@@ -46,7 +46,7 @@
     }
 }
 
-/// Corrects the units that were charged by those that the response reports.
+/// Replaces the units charged for the request by those that the response reports.
 fn settle_units(
     now: Duration,
     result: &AttemptResult,
@@ -69,7 +69,7 @@
     quotas.mark_dirty(pending.account);
 }
 
-/// A streamed response has begun: its server does answer, and the attempt is never cancelled.
+/// Handles the start of a streamed response: the server counts as responding, and the attempt is no longer cancelled.
 pub fn response_started(
     now: Duration,
     request: RequestIndex,
@@ -90,7 +90,8 @@
     }
 }
 
-/// Ends a request without a response, at once: a rejection where the client may retry, else a failure.
+/// Ends a request that got no response: rejects it if the client may retry, else fails it. Units of a request that was
+/// never sent are refunded.
 pub fn reject_or_fail(
     now: Duration,
     request: RequestIndex,
@@ -116,7 +117,8 @@
         quotas.mark_dirty(pending.account);
     }
     if client_may_retry(now, config, pending) {
-        // At the end of the window rather than as refill allows: servers that are overloaded need a pause.
+        // The client retries at the end of the window, not as soon as the refill allows: overloaded servers need a
+        // pause.
         let window = quotas[pending.account].bucket.window;
         let wait_seconds = window.end_seconds(plan) - time::seconds(now);
         let retry_after = config.request_limits.retry_after;
@@ -136,7 +138,8 @@
     complete(request, &config.request_limits, quotas, requests, actions);
 }
 
-/// The client has its final response or has disconnected: attempts in flight are cancelled, and nothing more is sent.
+/// Ends a request whose client has the final response or has disconnected: cancels its attempts in flight, if the
+/// limits allow that, and starts no others.
 pub fn complete(
     request: RequestIndex,
     limits: &RequestLimits,
--- a/crates/merlinreel-policy/src/request/queue.rs
+++ b/crates/merlinreel-policy/src/request/queue.rs
@@ -1,4 +1,4 @@
-//! Decides which of the waiting requests get an attempt now.
+//! Decides which of the queued requests get an attempt now.
 
 use super::completion::reject_or_fail;
 use super::retry::{may_attempt, must_arrive_within};
@@ -15,31 +15,32 @@
 use std::cmp::Reverse;
 use std::time::Duration;
 
-const LEAST_OBJECTIVE_SECONDS: f64 = 0.001;
-const LEAST_VALUE: f64 = 1e-9;
-/// Typical latencies that must remain until the latency objective.
+const MIN_OBJECTIVE_SECONDS: f64 = 0.001;
+const MIN_VALUE: f64 = 1e-9;
+/// A request is sent only if this many typical latencies remain until its latency objective and its deadline.
 const NEEDED_TYPICAL_LATENCIES: f64 = 1.5;
-/// More than this part of the latency objective is never asked for: slow responses must not stop all attempts for good.
+/// The remaining time required is at most the latency objective divided by this, so that slow responses never stop all
+/// attempts permanently.
 const NEEDED_OBJECTIVE_DIVISOR: f64 = 2.0;
 
-/// What the queue reads and writes.
+/// The state that dispatching the queue reads and updates.
 pub struct Dispatch<'a> {
     /// The limiter's configuration.
     pub config: &'a LimiterConfig,
-    /// The accounts, for requests that are given back.
+    /// The customers' accounts: a rejected request that was never sent gets its units back.
     pub quotas: &'a mut QuotaTable,
-    /// The servers.
+    /// The servers that attempts are sent to.
     pub servers: &'a mut ServerPool,
-    /// What is known of all servers together.
+    /// Latency and error rates over all servers.
     pub latency: &'a mut FleetLatency,
-    /// The requests and their queue.
+    /// The requests in progress and the queue.
     pub requests: &'a mut RequestTable,
-    /// The source of chance.
+    /// The limiter's random number generator.
     pub random: &'a mut WyRand,
 }
 
 impl Dispatch<'_> {
-    /// Starts attempts for the requests that wait, as far as servers have capacity.
+    /// Starts attempts for queued requests as far as servers have capacity, and ends those that can no longer succeed.
     pub fn run(&mut self, now: Duration, actions: &mut dyn Actions) {
         let queue = std::mem::take(&mut self.requests.queue);
         let responses_seen = self.latency.successes.sum(now) > 0.0;
@@ -69,8 +70,9 @@
         }
     }
 
-    /// The most valuable requests first, and among near equals the one that arrived last: under overload the newest are
-    /// answered in time, where the oldest first would make all late.
+    /// Sorts the queue by value, highest first, in bands that each span a factor of two below the highest value. Within
+    /// a band the newest request is first: under overload the newest are answered in time, while oldest first would
+    /// make all late.
     fn sorted(&self, now: Duration, mut queue: Vec<RequestIndex>) -> Vec<RequestIndex> {
         let max_value = queue
             .iter()
@@ -79,7 +81,7 @@
             .fold(0.0, f64::max);
         queue.sort_by_cached_key(|&request| match self.requests.pending.get(request) {
             Some(pending) => {
-                let ratio = max_value / self.value(pending).max(LEAST_VALUE);
+                let ratio = max_value / self.value(pending).max(MIN_VALUE);
                 (ratio.log2() as u32, Reverse(pending.arrived_at))
             }
             None => (0, Reverse(now)),
@@ -87,16 +89,16 @@
         queue
     }
 
-    /// What the request earns per second of its latency objective.
+    /// Value of a timely response to the request, per second of its latency objective.
     fn value(&self, pending: &PendingRequest) -> f64 {
         let class = &self.config.classes[pending.request.class];
         let plan = &self.config.plans[pending.request.plan];
         let objective_seconds = time::seconds(class.latency_objective);
-        class.priority_weight * plan.plan_weight / objective_seconds.max(LEAST_OBJECTIVE_SECONDS)
+        class.priority_weight * plan.plan_weight / objective_seconds.max(MIN_OBJECTIVE_SECONDS)
     }
 
-    /// Whether a response would come too late. Before any response was seen nobody knows, and attempts are made: a limiter
-    /// whose requests all have little time left would otherwise never learn how fast its servers are.
+    /// Whether a response would probably come too late. While no recent response is known, no time is required: a
+    /// limiter whose requests all have little time left would otherwise never learn how fast its servers are.
     fn cannot_meet_deadline(
         &self,
         now: Duration,
@@ -104,9 +106,9 @@
         responses_seen: bool,
     ) -> bool {
         let class = &self.config.classes[pending.request.class];
-        let longest = time::seconds(class.latency_objective) / NEEDED_OBJECTIVE_DIVISOR;
+        let max_seconds = time::seconds(class.latency_objective) / NEEDED_OBJECTIVE_DIVISOR;
         let needed_seconds = if responses_seen {
-            (self.latency.typical_seconds * NEEDED_TYPICAL_LATENCIES).min(longest)
+            (self.latency.typical_seconds * NEEDED_TYPICAL_LATENCIES).min(max_seconds)
         } else {
             0.0
         };
@@ -114,7 +116,7 @@
         now + time::from_seconds(needed_seconds) >= ends_at
     }
 
-    /// The server for the request's next attempt, if one has capacity.
+    /// Selects the server for the request's next attempt; `None` if no allowed server has capacity.
     pub fn select(&mut self, now: Duration, request: RequestIndex) -> Option<ServerIndex> {
         let pending = self.requests.pending.get(request)?;
         let selection = Selection {
--- a/crates/merlinreel-policy/src/request/remaining_time.rs
+++ b/crates/merlinreel-policy/src/request/remaining_time.rs
@@ -1,57 +1,58 @@
-//! How much time clients leave to the requests of a class. Nothing is decided here.
+//! Counts how much time requests of a class have left when they arrive. Nothing is decided here.
 
-/// Steps of the deadline: finer than clients' retries are spread, coarser than the time on the network varies.
-const STEPS: usize = 128;
+/// Bins over the length of the deadline: narrower than the spread of clients' retries, wider than the variation of
+/// network delay.
+const BINS: usize = 128;
 
-/// Requests of a class by the share of the deadline that remained when they arrived.
+/// Histogram of a class's requests by the share of the deadline that remained when they arrived.
 pub struct RemainingTimeHistogram {
-    /// Requests by step; an empty step on either side lets each have two neighbours.
-    requests: Vec<f64>,
-    /// Share of the requests that are first attempts.
+    /// Requests by bin, with an empty bin at either end so that each bin has two neighbours.
+    counts: Vec<f64>,
+    /// Share of recent requests that are first attempts, 0 to 1: an exponential moving average.
     pub first_attempt_share: f64,
 }
 
 impl Default for RemainingTimeHistogram {
     fn default() -> RemainingTimeHistogram {
         RemainingTimeHistogram {
-            requests: vec![0.0; STEPS + 2],
+            counts: vec![0.0; BINS + 2],
             first_attempt_share: 1.0,
         }
     }
 }
 
-/// Position of a step in a histogram.
+/// Position of a bin in the histogram, from 1.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Step(usize);
+pub struct Bin(usize);
 
-impl Step {
-    /// The step of a share of the deadline.
-    pub fn of(share: f64) -> Step {
-        let step = (share * STEPS as f64) as usize;
-        Step(1 + step.min(STEPS - 1))
+impl Bin {
+    /// The bin of a share of the deadline; a share of 1 or more is in the last one.
+    pub fn of(share: f64) -> Bin {
+        let bin = (share * BINS as f64) as usize;
+        Bin(1 + bin.min(BINS - 1))
     }
 }
 
 impl RemainingTimeHistogram {
-    /// All requests counted.
+    /// Number of requests in all bins; not whole after [`RemainingTimeHistogram::halve`].
     pub fn total(&self) -> f64 {
-        self.requests.iter().sum()
+        self.counts.iter().sum()
     }
 
-    /// Counts a request.
-    pub fn add(&mut self, step: Step) {
-        self.requests[step.0] += 1.0;
+    /// Counts a request in a bin.
+    pub fn add(&mut self, bin: Bin) {
+        self.counts[bin.0] += 1.0;
     }
 
-    /// Requests counted in a step and its two neighbours.
-    pub fn near(&self, step: Step) -> f64 {
-        self.requests[step.0 - 1..=step.0 + 1].iter().sum()
+    /// Number of requests in a bin and its two neighbours.
+    pub fn count_near(&self, bin: Bin) -> f64 {
+        self.counts[bin.0 - 1..=bin.0 + 1].iter().sum()
     }
 
-    /// Halves all counts.
+    /// Halves all counts, so that newer requests count more.
     pub fn halve(&mut self) {
-        for requests in &mut self.requests {
-            *requests /= 2.0;
+        for count in &mut self.counts {
+            *count /= 2.0;
         }
     }
 }
--- a/crates/merlinreel-policy/src/request/retry.rs
+++ b/crates/merlinreel-policy/src/request/retry.rs
@@ -1,14 +1,15 @@
-//! Decides whether a request may have another attempt, and whether its client may send it again.
+//! Decides whether a request may have another attempt, and whether its client may retry it.
 
 use crate::model::limiter_config::LimiterConfig;
 use crate::model::request_class::{Idempotency, IdempotencyScope};
 use crate::request_table::PendingRequest;
 use std::time::Duration;
 
-/// Time for which the limiter may be held up between reading its clock and sending, as the operators' page has it.
-const MAX_HOLD_UP: Duration = Duration::from_millis(150);
+/// Longest event loop stall between reading the clock and sending, as stated on the operators' page.
+const MAX_STALL: Duration = Duration::from_millis(150);
 
-/// Whether the request may have an attempt now.
+/// Whether the request may have an attempt now: it is in time, has attempts left, and is safe to run again if it may
+/// have run.
 pub fn may_attempt(now: Duration, config: &LimiterConfig, pending: &PendingRequest) -> bool {
     let class = &config.classes[pending.request.class];
     let before_objective = now < pending.objective_at;
@@ -16,7 +17,7 @@
     let may_run = match (class.idempotency, pending.first_run) {
         (_, None) | (Idempotency::Idempotent, _) => true,
         (Idempotency::IdempotencyKey(_, lifetime), Some(first_run)) => {
-            now + MAX_HOLD_UP < first_run.sent_at + lifetime
+            now + MAX_STALL < first_run.sent_at + lifetime
         }
         (Idempotency::NonIdempotent, Some(_)) => false,
     };
@@ -24,8 +25,8 @@
     may_run && is_in_time && attempts_left
 }
 
-/// Time within which an attempt must reach its server: servers know a key only so long after the first attempt that may
-/// have run. `None` where it does not matter.
+/// Time within which an attempt must reach its server, as servers forget an idempotency key some time after the first
+/// attempt that may have run. `None` if there is no limit: the request has no key, or no attempt may have run yet.
 pub fn must_arrive_within(
     now: Duration,
     config: &LimiterConfig,
@@ -37,11 +38,11 @@
     else {
         return None;
     };
-    Some((first_run.sent_at + lifetime).saturating_sub(now + MAX_HOLD_UP))
+    Some((first_run.sent_at + lifetime).saturating_sub(now + MAX_STALL))
 }
 
-/// Whether the client may send the request again, so that it can be rejected rather than failed. A key must still be
-/// known at every server then, as the client's retry may go to any.
+/// Whether the client may retry the request, so that it is rejected rather than failed. An idempotency key must still
+/// be known at all servers for that, as the client's retry may go to any of them.
 pub fn client_may_retry(now: Duration, config: &LimiterConfig, pending: &PendingRequest) -> bool {
     match (
         config.classes[pending.request.class].idempotency,
--- a/crates/merlinreel-policy/src/request/tests/completion.rs
+++ b/crates/merlinreel-policy/src/request/tests/completion.rs
@@ -8,10 +8,10 @@
 use std::time::Duration;
 use test_case::test_case;
 
-const ZONE: Idempotency =
+const ZONE_KEY: Idempotency =
     Idempotency::IdempotencyKey(IdempotencyScope::Zone, Duration::from_millis(600));
 
-fn give_up(limiter: &mut Limiter) -> Vec<String> {
+fn end_without_response(limiter: &mut Limiter) -> Vec<String> {
     let mut actions = RecordedActions::default();
     reject_or_fail(
         at(1.0),
@@ -25,27 +25,27 @@
 }
 
 #[test_case(Idempotency::Idempotent => "reject 0 3.0" ; "the client may retry")]
-#[test_case(Idempotency::NonIdempotent => "fail 0" ; "it must not where it may have run")]
-#[test_case(ZONE => "fail 0" ; "nor outside the scope that knows its key")]
+#[test_case(Idempotency::NonIdempotent => "fail 0" ; "the client may not retry a request that may have run")]
+#[test_case(ZONE_KEY => "fail 0" ; "the client may not retry outside the scope of its key")]
 fn request_without_a_response_is_rejected_or_fails(idempotency: Idempotency) -> String {
     let mut limiter = with_attempt(idempotency);
     pending_mut(&mut limiter, 0).first_run = Some(FirstRun {
         server: ServerIndex(0),
         sent_at: at(1.0),
     });
-    give_up(&mut limiter).remove(0)
+    end_without_response(&mut limiter).remove(0)
 }
 
 #[test]
-fn request_never_sent_returns_its_units() {
+fn request_never_sent_has_its_units_refunded() {
     let mut limiter = with_attempt(Idempotency::NonIdempotent);
     pending_mut(&mut limiter, 0).attempts.clear();
-    give_up(&mut limiter);
+    end_without_response(&mut limiter);
     assert_eq!(first_account(&mut limiter).bucket.own.current, 0.0);
 }
 
 #[test]
-fn streaming_server_counts_as_answering() {
+fn streaming_server_counts_as_responding() {
     let mut limiter = with_attempt(Idempotency::Idempotent);
     response_started(
         at(4.0),
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn response_corrects_the_units() {
+fn response_corrects_the_charged_units() {
     let mut limiter = with_attempt(Idempotency::Idempotent);
     limiter.config.fleet.settles_units = true;
     let result = AttemptResult {
--- a/crates/merlinreel-policy/src/request/tests/queue.rs
+++ b/crates/merlinreel-policy/src/request/tests/queue.rs
@@ -8,7 +8,7 @@
 use crate::tests::helpers::*;
 use test_case::test_case;
 
-/// The pending request waits for its first attempt, until this time.
+/// Makes the pending request wait for its first attempt, with its latency objective at this time.
 fn queue_pending(limiter: &mut Limiter, request: u32, objective_at: f64) {
     let pending = pending_mut(limiter, request);
     pending.queued = true;
@@ -22,14 +22,14 @@
     actions.lines
 }
 
-#[test_case(0.1, 2.0, "attempt 0 at 0" ; "sent where the limit allows")]
+#[test_case(0.1, 2.0, "attempt 0 at 0" ; "sent where the concurrency limit allows")]
 #[test_case(0.1, 1.05, "reject 0 3.0" ; "rejected at once when its latency objective cannot be met")]
-#[test_case(9.0, 1.4, "attempt 0 at 0" ; "slow responses never close the limiter for good")]
+#[test_case(9.0, 1.4, "attempt 0 at 0" ; "sent in spite of slow responses")]
 fn queued_request_is_sent_or_rejected(typical_seconds: f64, objective_at: f64, decision: &str) {
     let mut limiter = with_attempt(Idempotency::Idempotent);
     limiter.latency.typical_seconds = typical_seconds;
     limiter.requests.queue = vec![RequestIndex(0)];
-    // The typical latency was seen.
+    // A response in the window, so that the typical latency counts.
     limiter.latency.successes.add(at(1.0), 1.0);
     server_mut(&mut limiter, 0).limit.in_flight = 0;
     limiter.servers.servers.remove(ServerIndex(1));
@@ -37,8 +37,8 @@
     assert_eq!(dispatch(&mut limiter, 1.0), [decision]);
 }
 
-#[test_case(1.0, 1.0 => "attempt 1 at 0" ; "among near equals the newest")]
-#[test_case(4.0, 1.0 => "attempt 0 at 0" ; "far more value before the newest")]
+#[test_case(1.0, 1.0 => "attempt 1 at 0" ; "newest first at equal value")]
+#[test_case(4.0, 1.0 => "attempt 0 at 0" ; "far higher value before the newest")]
 fn most_valuable_request_goes_first(older: f64, newer: f64) -> String {
     let mut limiter = with_attempt(Idempotency::Idempotent);
     limiter.config.plans = [older, newer]
@@ -71,15 +71,18 @@
     assert_eq!(dispatch(&mut limiter, 1.0).len(), 1);
 }
 
-/// A limiter that has seen no response yet sends what has little time left, and learns; one whose servers take longer
-/// rejects it.
-#[test_case(None, 0.1 => "attempt 0 at 0" ; "nothing seen yet")]
-#[test_case(Some(0.02), 0.1 => "attempt 0 at 0" ; "fast responses seen")]
-#[test_case(Some(0.2), 0.1 => "reject 0 2.5" ; "slow responses seen")]
-fn request_with_little_time_is_sent_or_rejected(seen: Option<f64>, remaining: f64) -> String {
+/// Without any response yet, a request with little time left is sent, so that the limiter learns its servers' latency.
+/// Once responses have taken longer than the time left, it is rejected.
+#[test_case(None, 0.1 => "attempt 0 at 0" ; "no response yet")]
+#[test_case(Some(0.02), 0.1 => "attempt 0 at 0" ; "fast responses")]
+#[test_case(Some(0.2), 0.1 => "reject 0 2.5" ; "slow responses")]
+fn request_with_little_time_is_sent_or_rejected(
+    observed_latency: Option<f64>,
+    remaining: f64,
+) -> String {
     let mut limiter = with_servers(limiter(Idempotency::Idempotent, fleet()));
     limiter.servers.servers.remove(ServerIndex(1));
-    if let Some(latency) = seen {
+    if let Some(latency) = observed_latency {
         for _ in 0..60 {
             *limiter.requests.pending.slot(RequestIndex(0)) = Some(pending_request());
             account(&mut limiter);
--- a/crates/merlinreel-policy/src/request/time_spent.rs
+++ b/crates/merlinreel-policy/src/request/time_spent.rs
@@ -1,42 +1,43 @@
-//! Decides whether a request is a client's retry, and how long the client has waited then.
+//! Decides whether a request is a client's retry and, if so, how long the client has already waited.
 
-use super::remaining_time::{RemainingTimeHistogram, Step};
+use super::remaining_time::{Bin, RemainingTimeHistogram};
 use crate::time;
 use std::time::Duration;
 
-const LEAST_DEADLINE_SECONDS: f64 = 0.001;
-/// Requests that are enough to know which remaining times are common.
-const LEAST_REQUESTS: f64 = 30.0;
-/// First attempts make up more than this share of all requests even in a storm of retries.
+const MIN_DEADLINE_SECONDS: f64 = 0.001;
+/// With fewer requests, every remaining time counts as common.
+const MIN_REQUESTS: f64 = 30.0;
+/// Share of all requests from which on a remaining time is common. Even in a retry storm, first attempts make up more.
 const COMMON_SHARE: f64 = 0.1;
-/// A new common remaining time is known as such within some dozens of this many requests.
-const HALVE_ABOVE_REQUESTS: f64 = 400.0;
-const FIRST_ATTEMPT_GAIN: f64 = 0.02;
-/// With fewer first attempts than this nothing is known.
-const LEAST_FIRST_ATTEMPT_SHARE: f64 = 0.15;
+/// Counts are halved above this number, so that a new common remaining time is recognized within some dozens of
+/// requests.
+const MAX_COUNTED_REQUESTS: f64 = 400.0;
+const FIRST_ATTEMPT_SHARE_GAIN: f64 = 0.02;
+/// With a lower share of first attempts, a rare remaining time does not indicate a retry.
+const MIN_FIRST_ATTEMPT_SHARE: f64 = 0.15;
 
-/// How long the client has already waited for earlier attempts of its own.
+/// How long the client has already waited for earlier attempts of its own; zero for a first attempt.
 ///
-/// First attempts of a class arrive with one and the same remaining time; a rarer one is what the deadline leaves of a
-/// retry. A retry that comes too late to earn anything should take no quota and no server. Counts are forgotten fast, as
-/// clients may change their time-outs.
+/// First attempts of a class all arrive with about the same remaining time. A rarer remaining time indicates a retry,
+/// for which the client has used up the rest of the deadline. A retry that is too late to be of value should use no
+/// quota and no server. Counts decay fast, as clients may change their time-outs.
 pub fn time_already_spent(
     remaining: Duration,
     deadline: Duration,
     histogram: &mut RemainingTimeHistogram,
 ) -> Duration {
-    let deadline_seconds = time::seconds(deadline).max(LEAST_DEADLINE_SECONDS);
-    let step = Step::of(time::seconds(remaining) / deadline_seconds);
+    let deadline_seconds = time::seconds(deadline).max(MIN_DEADLINE_SECONDS);
+    let bin = Bin::of(time::seconds(remaining) / deadline_seconds);
     let total = histogram.total();
-    histogram.add(step);
-    let is_common = total < LEAST_REQUESTS || histogram.near(step) >= COMMON_SHARE * total;
-    if total > HALVE_ABOVE_REQUESTS {
+    histogram.add(bin);
+    let is_common = total < MIN_REQUESTS || histogram.count_near(bin) >= COMMON_SHARE * total;
+    if total > MAX_COUNTED_REQUESTS {
         histogram.halve();
     }
     let is_first = if is_common { 1.0 } else { 0.0 };
     histogram.first_attempt_share +=
-        (is_first - histogram.first_attempt_share) * FIRST_ATTEMPT_GAIN;
-    if is_common || histogram.first_attempt_share < LEAST_FIRST_ATTEMPT_SHARE {
+        (is_first - histogram.first_attempt_share) * FIRST_ATTEMPT_SHARE_GAIN;
+    if is_common || histogram.first_attempt_share < MIN_FIRST_ATTEMPT_SHARE {
         Duration::ZERO
     } else {
         deadline.saturating_sub(remaining)
