--- a/crates/merlinreel-policy/src/events.rs
+++ b/crates/merlinreel-policy/src/events.rs
@@ -1,4 +1,4 @@
-//! What comes in: the events that [`crate::Limiter::process`] handles.
+//! Input: the events that [`crate::Limiter::process`] handles.
 
 use crate::model::attempt::{AttemptResult, LoadReport};
 use crate::model::endpoint::Endpoint;
@@ -6,38 +6,38 @@
 use crate::model::request::Request;
 use std::time::Duration;
 
-/// A change of the endpoint list.
+/// A change of the endpoint list, or the failure to get it.
 #[derive(Clone, Debug)]
 pub struct EndpointUpdate {
-    /// A complete snapshot: a server that it does not name is removed.
+    /// This is a complete snapshot: a server that is not in it is removed.
     pub complete: bool,
-    /// Kept from before this limiter's start; may be out of date.
+    /// The list was stored before this limiter started, and may be out of date.
     pub cached: bool,
-    /// Asking for the endpoint list failed; the list known before stays in use.
+    /// The request for the endpoint list failed: the limiter keeps the list that it has, and ignores the other fields.
     pub unavailable: bool,
-    /// The servers that are new or changed, or all of them in a complete snapshot.
+    /// The new and changed servers, or all servers in a complete snapshot.
     pub endpoints: Vec<Endpoint>,
 }
 
-/// The answer to a health check.
+/// The result of a health check.
 #[derive(Clone, Copy, Debug)]
 pub struct HealthCheckResult {
     /// Server that was checked.
     pub server: ServerIndex,
-    /// It answered.
+    /// The server responded successfully.
     pub answered: bool,
-    /// Time that the check took.
+    /// Time from the start of the check to its end.
     pub latency: Duration,
-    /// The server's load as the answer reports it.
+    /// The server's load as reported in the response.
     pub load: LoadReport,
 }
 
 /// A message from another limiter (see [`crate::peer_batch`]).
 #[derive(Clone, Debug)]
 pub struct PeerMessage {
-    /// Index of the sender.
+    /// Index of the limiter that sent it.
     pub from: u32,
-    /// The message as it was received.
+    /// The encoded message, as received.
     pub bytes: Vec<u8>,
 }
 
@@ -48,16 +48,16 @@
     pub customer: u64,
     /// Number of the window that was incremented.
     pub window: u64,
-    /// The fleet's total after the increment, if a reply came.
+    /// The fleet's total in units after the increment; `None` if no reply was received.
     pub total: Option<f64>,
-    /// The amount is known not to have been added.
+    /// The amount was certainly not added.
     pub not_added: bool,
 }
 
-/// All that came in for one limiter since its last batch, one list for each kind of event.
+/// The events for one limiter since its last batch, with one list for each kind.
 #[derive(Clone, Debug, Default)]
 pub struct EventBatch {
-    /// Changes of the endpoint list.
+    /// Changes of the endpoint list, in the order in which they were received.
     pub endpoint_updates: Vec<EndpointUpdate>,
     /// Messages from other limiters.
     pub peer_messages: Vec<PeerMessage>,
@@ -65,9 +65,9 @@
     pub counter_replies: Vec<CounterReply>,
     /// Attempts that have ended.
     pub attempt_results: Vec<AttemptResult>,
-    /// Answers to health checks.
+    /// Results of health checks; ignored, as this crate starts none.
     pub health_checks: Vec<HealthCheckResult>,
-    /// New requests.
+    /// Requests that have just arrived.
     pub requests: Vec<Request>,
     /// Requests whose streamed response has started.
     pub streaming: Vec<RequestIndex>,
--- a/crates/merlinreel-policy/src/expiry.rs
+++ b/crates/merlinreel-policy/src/expiry.rs
@@ -1,5 +1,5 @@
-//! Decides when accounts and servers that nothing needs any more are dropped: customers that come once and servers that
-//! are replaced without end would otherwise fill the memory.
+//! Decides when unused accounts and servers are dropped. Otherwise customers that send a single request and servers
+//! that are replaced again and again would fill the memory.
 
 use crate::actions::Actions;
 use crate::model::endpoint::EndpointState;
@@ -15,13 +15,15 @@
 
 /// Time between two checks for expiry.
 pub const CHECK_INTERVAL: Duration = Duration::from_secs(1);
-/// An account outlasts both windows...
+/// An idle account is kept for longer than the two windows that it counts use in...
 const ACCOUNT_WINDOWS: f64 = 2.0;
-/// ...and this many checks, as many customers come back.
-const LEAST_ACCOUNT_CHECKS: f64 = 30.0;
-const SERVER_CHECKS: u32 = 30;
+/// ...and for longer than this many checks, as many customers return.
+const MIN_ACCOUNT_CHECKS: f64 = 30.0;
+/// A removed server is kept for this many checks.
+const REMOVED_SERVER_CHECKS: u32 = 30;
 
-/// Drops what no request, window or peer message needs. To be called once in each [`CHECK_INTERVAL`].
+/// Drops accounts and servers that no request, window or peer message needs. Must be called once per
+/// [`CHECK_INTERVAL`].
 pub fn remove_expired(
     now: Duration,
     config: &LimiterConfig,
@@ -44,11 +46,12 @@
     }
 }
 
-/// Nothing is in flight or to be reported, and its bucket is as full as that of a new account.
+/// Counts a check in which the account is idle. It is expired after enough of them if it has no counter call in flight,
+/// nothing to report and no subscribers, and its bucket is as full as that of a new account.
 fn is_account_expired(now: Duration, account: &mut Account, plan: &Plan) -> bool {
     account.idle_checks += 1;
-    let least_checks = (ACCOUNT_WINDOWS * window_seconds(plan)).max(LEAST_ACCOUNT_CHECKS);
-    let is_idle = f64::from(account.idle_checks) > least_checks
+    let min_checks = (ACCOUNT_WINDOWS * window_seconds(plan)).max(MIN_ACCOUNT_CHECKS);
+    let is_idle = f64::from(account.idle_checks) > min_checks
         && !account.replication.dirty
         && account.counter.in_flight.is_none()
         && account.aggregation.subscribers.is_empty();
@@ -59,13 +62,15 @@
     account.remaining(now, plan) >= plan.burst
 }
 
+/// Counts consecutive checks in which the server was removed from the endpoint list; it is expired after enough of
+/// them.
 fn is_server_expired(server: &mut Server) -> bool {
     server.removed_checks = if server.endpoint.state == EndpointState::Removed {
         server.removed_checks + 1
     } else {
         0
     };
-    server.removed_checks > SERVER_CHECKS
+    server.removed_checks > REMOVED_SERVER_CHECKS
 }
 
 #[cfg(test)]
--- a/crates/merlinreel-policy/src/expiry/tests.rs
+++ b/crates/merlinreel-policy/src/expiry/tests.rs
@@ -7,11 +7,11 @@
 use crate::tests::helpers::*;
 use test_case::test_case;
 
-/// Batches a second apart; how many accounts and servers are kept then.
-#[test_case(33, 0.0, false => (0, 1) ; "a customer that came once, and a server that was removed")]
-#[test_case(20, 0.0, false => (1, 2) ; "not within half a minute")]
-#[test_case(33, 200.0, false => (1, 1) ; "a bucket that is not full again")]
-#[test_case(33, 0.0, true => (1, 2) ; "what a pending request refers to")]
+/// Processes one batch per second, and returns the number of accounts and servers that are kept.
+#[test_case(33, 0.0, false => (0, 1) ; "customer with a single request, and removed server")]
+#[test_case(20, 0.0, false => (1, 2) ; "within half a minute")]
+#[test_case(33, 200.0, false => (1, 1) ; "bucket not full again")]
+#[test_case(33, 0.0, true => (1, 2) ; "pending request refers to both")]
 fn unused_accounts_and_servers_expire(seconds: u32, used: f64, pending: bool) -> (usize, usize) {
     let mut limiter = with_servers(limiter(Idempotency::Idempotent, fleet()));
     let update = endpoint_update(true, vec![endpoint(1)]);
@@ -49,7 +49,7 @@
             .count(),
         2 - kept.1
     );
-    // The next customer takes the place of one that expired.
+    // The next customer gets the index of an expired account.
     let plans = &limiter.config.plans;
     assert_eq!(
         limiter.quotas.find_or_create(at(99.0), 78, 0, plans),
--- a/crates/merlinreel-policy/src/lib.rs
+++ b/crates/merlinreel-policy/src/lib.rs
@@ -1,24 +1,24 @@
-//! All decisions of a merlinreel limiter, without I/O: who is admitted, which server a request goes to, when it is tried
-//! again, and what limiters report to each other about their customers' quotas.
+//! All decisions of a merlinreel limiter, without I/O: which requests are admitted, which server a request is sent to,
+//! when it is retried, and what limiters report to each other about their customers' quotas.
 //!
 //! # How to call it
 //!
-//! [`Limiter::new`] takes a seed and a [`LimiterConfig`]. [`Limiter::process`] takes the time, an [`EventBatch`] of all
-//! that came in since the last call, and an implementation of [`Actions`], to which it writes what is to be done. It asks
-//! to be called again by [`Actions::schedule_wakeup`]. The caller owns the sockets, the clock and the timers; the same
-//! seed and events always give the same decisions.
+//! [`Limiter::new`] takes a seed and a [`LimiterConfig`]. [`Limiter::process`] takes the time, an [`EventBatch`] with
+//! the events since the last call, and an implementation of [`Actions`], which receives the decisions. With
+//! [`Actions::schedule_wakeup`] it requests its next call. The caller owns the sockets, the clock and the timers; the
+//! same seed and events always give the same decisions.
 //!
 //! # Where to begin reading
 //!
-//! `limiter.rs` is one batch from beginning to end. `model`, `events` and `actions` are the vocabulary. Behind it stand
-//! three parts, each with its plain state beside its decisions: `quota` (one account per customer, and how limiters keep
-//! the counts together), `server` (limits, health, slow start and selection of servers) and `request` (admission, queue,
-//! retries and the final response). [`peer_batch`] is the byte form of the messages between limiters.
+//! `limiter.rs` processes one batch from beginning to end. `model`, `events` and `actions` define the types of the
+//! interface. The decisions are in three modules, each of which also has the state that they need: `quota` (one account
+//! per customer, and how limiters share the counts), `server` (limits, health, slow start and selection of servers) and
+//! `request` (admission, queue, retries and the final response). [`peer_batch`] encodes the messages between limiters.
 //!
-//! # What decides
+//! # Files that make decisions
 //!
-//! The files listed under `policy` in `deploy/balancer.toml` decide; their module comments begin with "Decides", but for
-//! `limiter.rs`, which composes them. All others hold state, count and convert.
+//! The files listed under `policy` in `deploy/balancer.toml` make the decisions. Their module comments begin with
+//! "Decides", except for that of `limiter.rs`, which combines them. All other files hold state, count and convert.
 
 #![warn(missing_docs)]
 
--- a/crates/merlinreel-policy/src/limiter.rs
+++ b/crates/merlinreel-policy/src/limiter.rs
@@ -1,4 +1,4 @@
-//! One limiter: composes the parts, and runs one batch of events through them.
+//! One limiter: combines the parts, and passes a batch of events through them.
 
 use crate::actions::Actions;
 use crate::events::EventBatch;
@@ -28,17 +28,17 @@
 use nanorand::WyRand;
 use std::time::Duration;
 
-/// Calls to the counter service per tick at first, over all limiters: little for a service made for it.
-const INITIAL_CALLS_PER_TICK: f64 = 20.0;
-/// A response is expected to take this part of the shortest latency objective until responses are seen...
+/// Initial budget of calls to the counter service per tick, over all limiters: a light load for such a service.
+const INITIAL_COUNTER_CALLS_PER_TICK: f64 = 20.0;
+/// Until responses arrive, their latency is assumed to be the shortest latency objective divided by this...
 const EXPECTED_LATENCY_DIVISOR: f64 = 5.0;
-/// ...and this time at most.
-const MAX_EXPECTED_SECONDS: f64 = 1.0;
-const LEAST_WAKEUP: Duration = Duration::from_millis(1);
-/// A tick that comes later than this shows that the limiter was held up, and results may still wait to be read.
+/// ...but at most this.
+const MAX_EXPECTED_LATENCY_SECONDS: f64 = 1.0;
+const MIN_WAKEUP_DELAY: Duration = Duration::from_millis(1);
+/// A tick later than this indicates an event loop stall: results may have arrived that have not been read yet.
 const MAX_TICK_DELAY: Duration = Duration::from_millis(100);
 
-/// When things are due that no event asks for.
+/// When work is due that no event triggers, on the limiter's clock.
 #[derive(Debug, Default)]
 struct Schedule {
     next_tick: Duration,
@@ -46,7 +46,7 @@
     last_expiry_check: Duration,
 }
 
-/// One limiter: its configuration and all that it keeps. It does no I/O, and reads no clock.
+/// One limiter: its configuration and its state. It does no I/O, and reads no clock.
 pub struct Limiter {
     pub(crate) config: LimiterConfig,
     pub(crate) quotas: QuotaTable,
@@ -62,14 +62,14 @@
 }
 
 impl Limiter {
-    /// A limiter that has seen nothing yet. The same seed and events give the same decisions.
+    /// A limiter without servers, accounts and requests. The same seed and events give the same decisions.
     pub fn new(seed: u64, config: LimiterConfig) -> Limiter {
         let expected_seconds = config
             .classes
             .iter()
             .map(|class| time::seconds(class.latency_objective) / EXPECTED_LATENCY_DIVISOR)
-            .fold(MAX_EXPECTED_SECONDS, f64::min);
-        let calls_per_tick = INITIAL_CALLS_PER_TICK / f64::from(config.fleet.limiters);
+            .fold(MAX_EXPECTED_LATENCY_SECONDS, f64::min);
+        let calls_per_tick = INITIAL_COUNTER_CALLS_PER_TICK / f64::from(config.fleet.limiters);
         Limiter {
             quotas: QuotaTable::new(DEMAND_WINDOW),
             servers: ServerPool::default(),
@@ -89,14 +89,14 @@
         }
     }
 
-    /// Handles all that came in since the last batch, and writes what is to be done.
+    /// Handles the events since the last batch, and passes the decisions to `actions`.
     ///
-    /// `now` is the time since the zero of a clock that all limiters share: Unix time, or a simulation's. A server's index
-    /// may be given to another one after [`Actions::release_endpoint`].
+    /// `now` is the time on the limiter's clock, whose zero all limiters share: Unix time or simulated time. A server's
+    /// index may be reused for another server after [`Actions::release_endpoint`].
     ///
     /// # Panics
     ///
-    /// Where a request names a plan or a class that the configuration does not have.
+    /// If a request has the index of a plan or a class that the configuration does not have.
     pub fn process(&mut self, now: Duration, batch: &EventBatch, actions: &mut dyn Actions) {
         if self.peers.started_at.is_none() {
             self.peers.started_at = Some(now);
@@ -120,19 +120,19 @@
             completion::complete(request, limits, &mut self.quotas, requests, actions);
         }
         if now >= self.schedule.next_tick {
-            let was_held_up = now > self.schedule.next_tick + MAX_TICK_DELAY;
+            let was_stalled = now > self.schedule.next_tick + MAX_TICK_DELAY;
             self.schedule.next_tick = now + tick_interval(&self.config.fleet);
-            self.tick(now, was_held_up, actions);
+            self.tick(now, was_stalled, actions);
         }
         self.dispatch().run(now, actions);
         if now >= self.schedule.next_wakeup {
             self.schedule.next_wakeup = self.schedule.next_tick;
             let until_tick = self.schedule.next_tick.saturating_sub(now);
-            actions.schedule_wakeup(until_tick.max(LEAST_WAKEUP));
+            actions.schedule_wakeup(until_tick.max(MIN_WAKEUP_DELAY));
         }
     }
 
-    /// What other parts of the system report: discovery, peers and the counter service.
+    /// Applies the reports of other parts of the system: discovery, peers and the counter service.
     fn handle_reports(&mut self, now: Duration, batch: &EventBatch) {
         let LimiterConfig {
             plans,
@@ -179,7 +179,7 @@
             objective_seconds: time::seconds(class.latency_objective),
             requests_waiting,
             limiters: fleet.limiters,
-            // Where limiters are few, their own limits say more than a server's report.
+            // With few limiters, their own concurrency limits are more informative than a server's report.
             load: if uses_aggregator(fleet) {
                 result.load
             } else {
@@ -226,12 +226,12 @@
         }
     }
 
-    /// All that is done at intervals. Attempts are not judged in a tick that is late itself, as their responses may have
-    /// come in time.
-    fn tick(&mut self, now: Duration, was_held_up: bool, actions: &mut dyn Actions) {
+    /// Does the periodic work. After a stall no attempt is declared overdue, as its response may have arrived in time
+    /// without having been read.
+    fn tick(&mut self, now: Duration, was_stalled: bool, actions: &mut dyn Actions) {
         self.send_updates(now, actions);
         endpoint_updates::renew_subscription(now, &mut self.subscription, actions);
-        if !was_held_up {
+        if !was_stalled {
             detect_overdue_attempts(
                 now,
                 &self.config,
@@ -271,15 +271,15 @@
         );
     }
 
-    /// How many servers there are and how many of them are avoided now, for the operators' metrics.
+    /// Number of servers that are not removed, and of those that are sent nothing now, for the operators' metrics.
     pub fn endpoint_counts(&self, now: Duration) -> EndpointCounts {
         self.servers.counts(now)
     }
 
-    /// Takes over request classes and limits that were read again. Returns the index of each given class, in their order.
+    /// Applies reloaded request classes and limits. Returns the index of each given class, in the given order.
     ///
-    /// Classes are only added: one that is the same keeps its index, and a new or changed one is appended, so that a
-    /// request in progress keeps the class that it came with.
+    /// No class is removed: an unchanged one keeps its index, and a new or changed one is appended, so that a request
+    /// in progress keeps the class with which it arrived.
     pub fn reconfigure(
         &mut self,
         classes: &[RequestClass],
@@ -302,12 +302,12 @@
         classes.len() - 1
     }
 
-    /// Number of plans; a request names one by its index.
+    /// Number of plans. The plan index of a request must be below it.
     pub fn plan_count(&self) -> usize {
         self.config.plans.len()
     }
 
-    /// Number of request classes; a request names one by its index.
+    /// Number of request classes, replaced ones included. The class index of a request must be below it.
     pub fn class_count(&self) -> usize {
         self.config.classes.len()
     }
--- a/crates/merlinreel-policy/src/request_table.rs
+++ b/crates/merlinreel-policy/src/request_table.rs
@@ -1,4 +1,4 @@
-//! The requests in progress and their attempts; nothing is decided here.
+//! The requests in progress and their attempts. Nothing is decided here.
 
 use crate::model::attempt::AttemptResult;
 use crate::model::index::{RequestIndex, ServerIndex};
@@ -12,48 +12,48 @@
 pub struct PendingAttempt {
     /// Server that it was sent to.
     pub server: ServerIndex,
-    /// When it was sent.
+    /// When it was sent, on the limiter's clock.
     pub sent_at: Duration,
-    /// Its result has not come yet.
+    /// No result has been received yet.
     pub in_flight: bool,
-    /// Its cancellation was asked for, or must not be asked for any more.
+    /// No cancellation must be requested any more: one was, or the streamed response has started.
     pub cancelled: bool,
-    /// Its response is no longer expected, and it no longer counts against the server's concurrency limit.
+    /// The response is late: the attempt no longer counts against the server's concurrency limit.
     pub overdue: bool,
 }
 
-/// The first attempt of a request that may have run.
+/// The first attempt that may have run the request, after which running it again needs care.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct FirstRun {
     /// Server that it was sent to.
     pub server: ServerIndex,
-    /// When it was sent.
+    /// When it was sent, on the limiter's clock.
     pub sent_at: Duration,
 }
 
-/// A request that was admitted.
+/// An admitted request in progress.
 pub struct PendingRequest {
     /// The request as it arrived.
     pub request: Request,
-    /// The account that it counts against.
+    /// The account to which its units are charged.
     pub account: AccountIndex,
-    /// When it arrived.
+    /// When it arrived, on the limiter's clock.
     pub arrived_at: Duration,
-    /// When its latency objective ends.
+    /// When its latency objective ends, on the limiter's clock.
     pub objective_at: Duration,
-    /// When its client abandons it.
+    /// When its client abandons it, on the limiter's clock.
     pub deadline_at: Duration,
-    /// Its attempts so far.
+    /// All attempts so far, in the order in which they were started.
     pub attempts: Vec<PendingAttempt>,
-    /// The window that its units were charged to, if they were.
+    /// The window to which its units were charged; `None` if they were not.
     pub window: Option<WindowNumber>,
-    /// Number of requests like it that its charge stands for.
+    /// Number of requests that its charge represents; 0 if a sample of requests is charged and it is not in it.
     pub sampling_factor: f64,
-    /// The client has the final response.
+    /// The client has the final response or has disconnected.
     pub completed: bool,
-    /// It waits for its next attempt.
+    /// It waits in the queue for its next attempt.
     pub queued: bool,
-    /// The first attempt that may have run.
+    /// The first ended attempt that may have run the request; `None` if there is none.
     pub first_run: Option<FirstRun>,
 }
 
@@ -81,32 +81,32 @@
         }
     }
 
-    /// Whether an attempt of it is in flight.
+    /// Whether the result of any attempt is still outstanding.
     pub fn has_attempt_in_flight(&self) -> bool {
         self.attempts.iter().any(|attempt| attempt.in_flight)
     }
 }
 
-/// What was known of an attempt when its result came.
+/// What was known of an attempt when its result was received.
 #[derive(Clone, Copy, Debug)]
 pub struct EndedAttempt {
     /// Index of the request's class.
     pub class: usize,
-    /// It was overdue.
+    /// The response was late, so that the attempt no longer counted against the server's concurrency limit.
     pub overdue: bool,
 }
 
-/// The requests in progress, by their index, and those that wait for an attempt.
+/// The requests in progress and the queue.
 #[derive(Default)]
 pub struct RequestTable {
-    /// The requests in progress.
+    /// The requests in progress, also those whose client is served while an attempt is still in flight.
     pub pending: Slots<RequestIndex, PendingRequest>,
-    /// Requests that wait for an attempt.
+    /// Requests that wait for an attempt. Entries may be outdated: only requests marked as queued are sent.
     pub queue: Vec<RequestIndex>,
 }
 
 impl RequestTable {
-    /// Puts a request into the queue.
+    /// Adds a request to the queue and marks it as queued.
     pub fn enqueue(&mut self, request: RequestIndex) {
         if let Some(pending) = self.pending.get_mut(request) {
             pending.queued = true;
@@ -114,7 +114,7 @@
         }
     }
 
-    /// Marks an attempt as ended; `None` where no such attempt is in flight.
+    /// Marks an attempt as ended; `None` if no such attempt is in flight.
     pub fn end_attempt(&mut self, result: &AttemptResult) -> Option<EndedAttempt> {
         let pending = self.pending.get_mut(result.request)?;
         let attempt = pending.attempts.get_mut(result.attempt as usize)?;
--- a/crates/merlinreel-policy/src/slots.rs
+++ b/crates/merlinreel-policy/src/slots.rs
@@ -1,9 +1,9 @@
-//! A list whose indices the caller chooses, as events and actions name requests and servers by them.
+//! A table whose indices are chosen by the caller, as events and actions identify requests and servers by them.
 
 use crate::model::index::Index;
 use std::marker::PhantomData;
 
-/// Values by index; an index may be free.
+/// Values by index. An index without a value is free.
 pub struct Slots<I, T> {
     slots: Vec<Option<T>>,
     index: PhantomData<I>,
@@ -28,17 +28,17 @@
 }
 
 impl<I: Index, T> Slots<I, T> {
-    /// The value at an index, if there is one.
+    /// The value at an index; `None` if the index is free.
     pub fn get(&self, index: I) -> Option<&T> {
         self.slots.get(index.position())?.as_ref()
     }
 
-    /// The value at an index, if there is one.
+    /// The value at an index; `None` if the index is free.
     pub fn get_mut(&mut self, index: I) -> Option<&mut T> {
         self.slots.get_mut(index.position())?.as_mut()
     }
 
-    /// The slot of an index; the list grows to it.
+    /// The slot of an index, empty if the index is free. The table grows to include it.
     pub fn slot(&mut self, index: I) -> &mut Option<T> {
         let position = index.position();
         if position >= self.slots.len() {
@@ -47,7 +47,7 @@
         &mut self.slots[position]
     }
 
-    /// Frees an index.
+    /// Frees an index and drops its value, if any.
     pub fn remove(&mut self, index: I) {
         if let Some(slot) = self.slots.get_mut(index.position()) {
             *slot = None;
@@ -64,7 +64,7 @@
         self.slots.iter_mut().flatten()
     }
 
-    /// All values with their indices, in that order.
+    /// All values with their indices, in the order of the indices.
     pub fn iter_mut(&mut self) -> impl Iterator<Item = (I, &mut T)> {
         self.slots
             .iter_mut()
@@ -72,7 +72,7 @@
             .filter_map(|(position, slot)| Some((I::from_position(position), slot.as_mut()?)))
     }
 
-    /// Frees the indices whose value the condition is true for, which is called for each, and returns them.
+    /// Calls the condition for each value, frees the indices for which it is true, and returns them.
     pub fn remove_if(&mut self, mut condition: impl FnMut(I, &mut T) -> bool) -> Vec<I> {
         let mut removed = Vec::new();
         for (position, slot) in self.slots.iter_mut().enumerate() {
@@ -85,7 +85,7 @@
         removed
     }
 
-    /// The first position that was never used.
+    /// The lowest position that has no slot; all later ones have none either.
     pub fn end(&self) -> usize {
         self.slots.len()
     }
