--- a/crates/merlinreel-policy/src/model.rs
+++ b/crates/merlinreel-policy/src/model.rs
@@ -1,6 +1,6 @@
-//! The vocabulary of the interface: plans, request classes, endpoints, requests, attempts and the fleet.
+//! Types of the interface: plans, request classes, endpoints, requests, attempts and the fleet.
 //!
-//! Plain data without behaviour; what arrives and what is decided is in [`crate::events`] and [`crate::actions`].
+//! Plain data that decides nothing; the input and the decisions are in [`crate::events`] and [`crate::actions`].
 
 pub mod attempt;
 pub mod endpoint;
--- a/crates/merlinreel-policy/src/model/attempt.rs
+++ b/crates/merlinreel-policy/src/model/attempt.rs
@@ -12,7 +12,7 @@
     Error,
     /// The server rejected the request without running it.
     Rejected,
-    /// The client's deadline passed first.
+    /// The client's deadline passed before the response was complete.
     DeadlineExceeded,
     /// The server's machine refused the connection: the server's process is down.
     ConnectionRefused,
@@ -22,12 +22,12 @@
     ConnectionLost,
     /// The limiter cancelled it.
     Cancelled,
-    /// It never left the limiter.
+    /// The limiter did not send it.
     NotSent,
 }
 
 impl AttemptOutcome {
-    /// Whether the server surely never ran the request.
+    /// Whether the server certainly did not run the request.
     pub fn never_ran(self) -> bool {
         matches!(
             self,
@@ -39,20 +39,20 @@
     }
 }
 
-/// A server's own report of its load; a value that it does not report is absent.
+/// A server's own report of its load; a value that it does not report is `None`.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
-    /// Requests in progress there.
+    /// Requests in progress at the server.
     pub in_flight: Option<f64>,
-    /// Requests that wait there.
+    /// Requests queued at the server.
     pub queued: Option<f64>,
-    /// Share of its cores that is busy, 0 to 1.
+    /// Share of its cores that is busy, from 0 to 1.
     pub utilization: Option<f64>,
-    /// Time that it takes for a request, in milliseconds.
+    /// Time that it takes to serve a request, in milliseconds.
     pub service_time_ms: Option<f64>,
-    /// Requests that it handles per second.
+    /// Requests that it serves per second.
     pub requests_per_second: Option<f64>,
-    /// Errors that it returns per second.
+    /// Responses per second that are errors.
     pub errors_per_second: Option<f64>,
 }
 
@@ -67,14 +67,14 @@
     pub server: ServerIndex,
     /// How it ended.
     pub outcome: AttemptOutcome,
-    /// Time from its start to its end.
+    /// Time from its start until it ended.
     pub latency: Duration,
-    /// The client has the final response.
+    /// Whether the client has the final response.
     pub request_completed: bool,
-    /// Units that the request really counts, where the response says so.
+    /// Actual cost of the request in units; `None` if the response does not report it.
     pub units: Option<f64>,
-    /// The customer's metered use, as a share of its quota.
+    /// The customer's metered use as a share of its quota; `None` if the response does not report it.
     pub metered_usage: Option<f64>,
-    /// The server's load as the response reports it.
+    /// The server's load as reported in the response.
     pub load: LoadReport,
 }
--- a/crates/merlinreel-policy/src/model/endpoint.rs
+++ b/crates/merlinreel-policy/src/model/endpoint.rs
@@ -1,39 +1,39 @@
-//! Upstream servers as discovery and the settings describe them.
+//! Upstream servers as described by discovery and the settings.
 
 use crate::model::index::ServerIndex;
 use std::hash::Hasher;
 use std::time::Duration;
 
-/// Settings for servers that leave or have just started.
+/// Settings for the endpoint list, and for servers that are draining or starting.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EndpointConfig {
     /// This limiter's own zone.
     pub zone: u32,
-    /// Time that a draining server is given to finish its requests.
+    /// Time that a draining server has to finish its requests.
     pub drain_grace: Duration,
-    /// Fraction of its capacity, at least, with which a server starts.
+    /// Minimum fraction of its capacity that a server has when it starts.
     pub slow_start_fraction: f64,
-    /// Time after its start by which a server has its full capacity.
+    /// Time after its start when a server has its full capacity.
     pub slow_start_duration: Duration,
-    /// A starting server that is sent more than this multiple of its capacity fails...
+    /// A starting server fails if it is sent more than this multiple of its capacity...
     pub overload_factor: f64,
-    /// ...if that goes on for this long.
+    /// ...for this long.
     pub overload_window: Duration,
-    /// The endpoint list must be asked for; discovery does not push it.
+    /// Discovery does not push the endpoint list: the limiter has to request it.
     pub endpoint_polling: bool,
-    /// A limiter that has not asked for the endpoint list counts as informed after this time.
+    /// Time after which a limiter is taken to know the endpoint list even if it has not requested it.
     pub poll_deadline: Duration,
-    /// Servers answer health checks.
+    /// Servers respond to health checks.
     pub health_checks: bool,
 }
 
-/// Where a server stands in its lifecycle.
+/// The lifecycle state of a server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum EndpointState {
     /// Takes new requests.
     #[default]
     Ready,
-    /// Finishes its requests and takes no new ones.
+    /// Finishes its requests in progress and takes no new ones.
     Draining,
     /// No longer part of the service.
     Removed,
@@ -42,7 +42,7 @@
 /// One upstream server.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Endpoint {
-    /// Index of the server, as all events and actions name it.
+    /// Index by which all events and actions identify the server.
     pub server: ServerIndex,
     /// Position on the hash ring: the same at every limiter and evenly spread over servers (see [`ring_hash`]).
     pub ring_hash: u64,
@@ -50,16 +50,16 @@
     pub zone: u32,
     /// Cell that the server is in.
     pub cell: u32,
-    /// Where it stands in its lifecycle.
+    /// Lifecycle state as reported by discovery.
     pub state: EndpointState,
-    /// Relative capacity.
+    /// Capacity relative to the other servers.
     pub weight: f64,
-    /// When it last started, if that was not long ago; time since the epoch of the limiter's clock.
+    /// When it last started, on the limiter's clock; `None` if unknown or long ago.
     pub started_at: Option<Duration>,
 }
 
-/// A server's position on the hash ring, from the name by which all limiters know it: the FNV hash of the name, mixed
-/// so that all its bits count.
+/// A server's position on the hash ring: the FNV hash of the name by which all limiters know it, mixed so that every
+/// bit of the hash affects the position.
 pub fn ring_hash(name: &str) -> u64 {
     let mut hasher = fnv::FnvHasher::default();
     hasher.write(name.as_bytes());
--- a/crates/merlinreel-policy/src/model/fleet.rs
+++ b/crates/merlinreel-policy/src/model/fleet.rs
@@ -1,20 +1,20 @@
-//! The limiters that share the quotas, and what they share them with.
+//! The limiters that share the quotas, and the means by which they report use to each other.
 
-/// The limiters that share the quotas, and this limiter's place among them.
+/// The limiters that share the quotas, and this limiter's index among them.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct FleetConfig {
-    /// Number of limiters.
+    /// Number of limiters, this one included.
     pub limiters: u32,
     /// Index of this limiter, below `limiters`.
     pub own_index: u32,
     /// Limiters may send messages to each other.
     pub peer_messages: bool,
-    /// Peer messages per second that a limiter reads.
+    /// Maximum number of peer messages per second that a limiter reads.
     pub peer_inbox_rate: f64,
     /// A counter service is configured.
     pub counter: bool,
-    /// The units of a request are corrected by the response.
+    /// The units charged for a request are replaced by those that the response reports.
     pub settles_units: bool,
-    /// The most units that one request counts.
+    /// Maximum number of units of one request.
     pub max_units: f64,
 }
--- a/crates/merlinreel-policy/src/model/index.rs
+++ b/crates/merlinreel-policy/src/model/index.rs
@@ -1,21 +1,22 @@
-//! Indices by which events and actions name requests and servers. The caller chooses them; small ones keep tables small.
+//! Indices by which events and actions identify requests and servers. The caller chooses them; low ones keep the tables
+//! small.
 
 use std::fmt::{Display, Formatter, Result};
 
-/// A position in a table.
+/// A typed position in a table.
 pub trait Index: Copy {
-    /// The index of a position.
+    /// The index for a position, which must be below 2^32.
     fn from_position(position: usize) -> Self;
 
-    /// Its position.
+    /// The position in the table, from 0.
     fn position(self) -> usize;
 }
 
-/// Names a request from its arrival to its end; free again after that.
+/// Identifies a request from its arrival to its end. The caller may then reuse it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct RequestIndex(pub u32);
 
-/// Names a server until it is released; free again after that.
+/// Identifies a server until [`crate::Actions::release_endpoint`]. The caller may then reuse it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct ServerIndex(pub u32);
 
--- a/crates/merlinreel-policy/src/model/limiter_config.rs
+++ b/crates/merlinreel-policy/src/model/limiter_config.rs
@@ -1,4 +1,4 @@
-//! All that one limiter is configured with.
+//! The configuration of one limiter.
 
 use super::endpoint::EndpointConfig;
 use super::fleet::FleetConfig;
@@ -6,17 +6,17 @@
 use super::request::RequestLimits;
 use super::request_class::RequestClass;
 
-/// What [`crate::Limiter::new`] is given. A request names its plan and its class by their index here.
+/// Configuration for [`crate::Limiter::new`].
 #[derive(Clone, Debug)]
 pub struct LimiterConfig {
-    /// The customers' plans.
+    /// The customers' plans; a request has the index of its plan here.
     pub plans: Vec<Plan>,
-    /// The request classes.
+    /// The request classes; a request has the index of its class here.
     pub classes: Vec<RequestClass>,
     /// The limiters that share the quotas.
     pub fleet: FleetConfig,
-    /// Settings for servers that leave or have just started.
+    /// Settings for the endpoint list, and for servers that are draining or starting.
     pub endpoints: EndpointConfig,
-    /// What is allowed for one request.
+    /// Limits for each request.
     pub request_limits: RequestLimits,
 }
--- a/crates/merlinreel-policy/src/model/reject_reason.rs
+++ b/crates/merlinreel-policy/src/model/reject_reason.rs
@@ -1,14 +1,14 @@
-//! Why a request is rejected, for the operators' metrics.
+//! Reasons for rejections, as counted in the operators' metrics.
 
 /// Why a request is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum RejectReason {
     /// The customer's quota, its ceiling or its number of requests in progress is used up.
     Quota,
-    /// Its client had too little time left as it arrived.
+    /// The request was a client's retry that arrived too late to be worth serving.
     LateArrival,
-    /// No server could take it while a response would have been in time.
+    /// No server could take the request early enough for a response in time.
     NoServerInTime,
-    /// Its attempts brought no response, and no further one is possible.
+    /// All attempts ended without a final response, and no other attempt is possible.
     AttemptsFailed,
 }
--- a/crates/merlinreel-policy/src/model/request.rs
+++ b/crates/merlinreel-policy/src/model/request.rs
@@ -1,29 +1,29 @@
-//! A client's request as it reaches the limiter, and what is allowed for it.
+//! A client's request as it reaches the limiter, and the limits for each request.
 
 use crate::model::index::RequestIndex;
 use std::time::Duration;
 
-/// What is allowed for one request.
+/// Limits and permissions for each request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RequestLimits {
-    /// Attempts at most, the first one included.
+    /// Maximum number of attempts, the first one included.
     pub max_attempts: u32,
-    /// A second attempt may run beside the first.
+    /// A second attempt may be started while the first is in flight; this crate never does so.
     pub hedging: bool,
     /// An attempt may be cancelled.
     pub cancellation: bool,
-    /// A rejection may carry a retry-after time.
+    /// A rejection carries a retry-after time.
     pub retry_after: bool,
-    /// The longest retry-after time.
+    /// Upper bound of the retry-after time; not applied by this crate.
     pub max_retry_after: Duration,
-    /// Requests at most that one limiter has in progress.
+    /// Maximum number of requests that one limiter has in progress; 0 leaves only the limit on client connections.
     pub max_in_flight: usize,
 }
 
-/// A request that a client has just sent.
+/// A new request from a client.
 #[derive(Clone, Copy, Debug)]
 pub struct Request {
-    /// Index of the request, as all events and actions name it.
+    /// Index by which all events and actions identify the request.
     pub id: RequestIndex,
     /// The customer whose quota it counts against.
     pub customer: u64,
@@ -31,13 +31,13 @@
     pub plan: usize,
     /// Index of its request class.
     pub class: usize,
-    /// Units that it counts.
+    /// Cost of the request in units of quota.
     pub units: f64,
     /// Time until the client abandons this request.
     pub remaining_time: Duration,
-    /// Number of limiters through which this customer comes.
+    /// Size of the limiter set over which this customer's requests are spread; 0 counts as 1.
     pub set_size: u32,
-    /// Index of the first of those limiters; the others follow it, and the first limiter follows the last.
+    /// Index of the first limiter of the set. The others have the next indices, wrapping around after the last limiter.
     pub set_first: u32,
     /// The client marked this request as a retry.
     pub is_retry: bool,
--- a/crates/merlinreel-policy/src/model/request_class.rs
+++ b/crates/merlinreel-policy/src/model/request_class.rs
@@ -1,11 +1,11 @@
-//! A request class: deadlines, priority, and whether a request may run more than once.
+//! Request classes: deadlines, priority, and whether a request may run more than once.
 
 use std::time::Duration;
 
-/// The servers among which an idempotency key is known.
+/// The servers that share their idempotency keys.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum IdempotencyScope {
-    /// Every server knows the keys of every other.
+    /// All servers share their keys.
     All,
     /// The servers of one zone share their keys.
     Zone,
@@ -13,28 +13,29 @@
     Cell,
 }
 
-/// Whether a request may run again after an attempt that may have run.
+/// Whether a request may run again after an attempt that may have run it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// May run any number of times.
+    /// The request may run any number of times.
     Idempotent,
-    /// Carries a key; servers of the scope drop a duplicate for the given time after the first attempt.
+    /// The request carries an idempotency key. Servers within the scope drop duplicates for the given time after the
+    /// first attempt.
     IdempotencyKey(IdempotencyScope, Duration),
-    /// Must never run twice.
+    /// The request must never run twice.
     NonIdempotent,
 }
 
-/// The limits that all requests of a class share.
+/// Deadlines, value and idempotency of the requests of a class.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RequestClass {
-    /// A response within this time earns the full priority weight.
+    /// A response within this time has the full value, the priority weight.
     pub latency_objective: Duration,
-    /// The client abandons the request after this time, over all its own retries.
+    /// The client abandons the request after this time, all its own retries included.
     pub deadline: Duration,
     /// Value of a response within the latency objective, relative to other classes.
     pub priority_weight: f64,
-    /// Share of the priority weight for a response after the latency objective.
+    /// Value of a response after the latency objective, as a share of the priority weight; 0 means none.
     pub late_weight: f64,
-    /// Whether a request of the class may run again.
+    /// Whether a request of the class may run again after an attempt that may have run it.
     pub idempotency: Idempotency,
 }
--- a/crates/merlinreel-policy/src/tests.rs
+++ b/crates/merlinreel-policy/src/tests.rs
@@ -1,3 +1,3 @@
-//! What the tests of all modules share.
+//! Code shared by the tests of all modules.
 
 pub mod helpers;
--- a/crates/merlinreel-policy/src/tests/helpers.rs
+++ b/crates/merlinreel-policy/src/tests/helpers.rs
@@ -1,4 +1,4 @@
-//! Actions that record decisions as text, and plain starting points.
+//! Test fixtures: actions that record decisions as text, and default configurations, limiters and events.
 
 use crate::actions::Actions;
 use crate::events::{EndpointUpdate, PeerMessage};
@@ -26,7 +26,7 @@
 use crate::time;
 use std::time::Duration;
 
-/// The decisions, a line each, and the peer messages.
+/// Records each decision as a line of text, and the peer messages with their recipients.
 #[derive(Default)]
 pub struct RecordedActions {
     pub lines: Vec<String>,
@@ -39,12 +39,12 @@
         self.lines.push(line);
     }
 
-    /// The limiters that were sent a message.
+    /// Indices of the limiters that were sent a message, one for each message.
     pub fn receivers(&self) -> Vec<u32> {
         self.peer_messages.iter().map(|(to, _)| *to).collect()
     }
 
-    /// The rows of a message.
+    /// The decoded rows of the message at this position; empty if it cannot be decoded.
     pub fn rows(&self, message: usize) -> Vec<CounterRow> {
         peer_batch::decode(&self.peer_messages[message].1)
             .map(|(_, rows)| rows)
@@ -113,7 +113,7 @@
     time::from_seconds(seconds)
 }
 
-/// Two units a second and a bucket of eight, so windows last four seconds.
+/// Two units per second and a bucket of eight units, so windows last four seconds.
 pub fn plan() -> Plan {
     Plan {
         rate: 2.0,
@@ -206,7 +206,7 @@
     }
 }
 
-/// A server as one of so many limiters knows it at first.
+/// A new server in the state in which one limiter of a fleet of `limiters` starts to use it.
 pub fn server(index: u32, limiters: u32) -> Server {
     Server::new(
         endpoint(index),
@@ -237,21 +237,21 @@
         .expect("a pending request")
 }
 
-/// The account of a customer at 1 s, which is created if there is none.
+/// The account of a customer, which is created at 1 s if there is none.
 pub fn account_of(limiter: &mut Limiter, customer: u64) -> &mut Account {
     let plans = &limiter.config.plans;
     let index = limiter.quotas.find_or_create(at(1.0), customer, 0, plans);
     &mut limiter.quotas[index]
 }
 
-/// A customer of limiters 0 and 1, its bucket full at 1 s.
+/// The account of customer 5, whose limiter set is limiters 0 and 1; a new one has a full bucket at 1 s.
 pub fn account(limiter: &mut Limiter) -> &mut Account {
     let account = account_of(limiter, 5);
     account.limiters = LimiterSet { size: 2, first: 0 };
     account
 }
 
-/// An account that no limiter keeps.
+/// An account that is not in any limiter's table.
 pub fn lone_account(now: f64) -> Account {
     Account::new(5, 0, &plan(), at(now), DEMAND_WINDOW)
 }
@@ -274,7 +274,7 @@
     }
 }
 
-/// Request 0, charged, with one attempt in flight at server 0 since 1 s.
+/// Request 0 with a charge to window 0, and one attempt in flight at server 0 since 1 s.
 pub fn pending_request() -> PendingRequest {
     let attempt = PendingAttempt {
         server: ServerIndex(0),
@@ -296,7 +296,7 @@
     }
 }
 
-/// A limiter with two servers and the pending request.
+/// A limiter with two servers and the pending request 0, whose units are charged.
 pub fn with_attempt(idempotency: Idempotency) -> Limiter {
     let mut limiter = with_servers(limiter(idempotency, fleet()));
     account(&mut limiter).charge(WindowNumber(0), 1.0);
