--- a/crates/merlinreel-policy/src/server.rs
+++ b/crates/merlinreel-policy/src/server.rs
@@ -1,4 +1,4 @@
-//! Servers: how much each is sent, whether it is healthy, how it starts, and which one an attempt goes to.
+//! Servers: concurrency limits, outlier ejection, slow start, subsetting, and the selection of a server for an attempt.
 //!
 //! State: [`server_state`], [`pool`], [`fleet_latency`] and [`subscription`]. Decisions: [`endpoint_updates`],
 //! [`start_clock`], [`slow_start`], [`concurrency_limit`], [`outlier_ejection`], [`attempt_results`], [`subset`],
--- a/crates/merlinreel-policy/src/server/attempt_results.rs
+++ b/crates/merlinreel-policy/src/server/attempt_results.rs
@@ -1,6 +1,6 @@
-//! Decides what the result of an attempt says about its server and about all servers.
+//! Updates what is known of a server, and of all servers together, from the result of an attempt.
 
-use super::concurrency_limit::{least_limit, long_seconds, next_limit_multiplier};
+use super::concurrency_limit::{min_limit, next_limit_multiplier, slow_threshold_seconds};
 use super::fleet_latency::FleetLatency;
 use super::overdue_attempts::is_latency_sample;
 use super::pool::ServerPool;
@@ -10,28 +10,33 @@
 use crate::time;
 use std::time::Duration;
 
-/// Responses in a bucket that are enough for their mean time.
-const BASELINE_RESPONSES: f64 = 20.0;
-const PRESSURE_GAIN: f64 = 0.03;
-/// A client that gave up would have waited longer: this multiple of a long time stands for it.
+/// Successful responses that a bucket needs before its mean latency can become the baseline.
+const MIN_BASELINE_RESPONSES: f64 = 20.0;
+/// Weight of one attempt in the moving average of the latency ratio of all servers.
+const FLEET_LATENCY_RATIO_GAIN: f64 = 0.03;
+/// An attempt that the client's deadline ended would have taken longer: it counts with at least this multiple of the
+/// slow threshold.
 const ABANDONED_LATENCY_FACTOR: f64 = 3.0;
+/// Weight of one response in the moving average of a server's latency.
 const SERVER_LATENCY_GAIN: f64 = 0.1;
+/// Weight of one latency sample in the moving average of the typical latency.
 const TYPICAL_LATENCY_GAIN: f64 = 0.05;
-const LOSS_DECAY: f64 = 0.98;
+/// Multiplies the loss rate at each latency sample that succeeds.
+const LOSS_RATE_DECAY: f64 = 0.98;
 
-/// The result of an attempt and what is needed to judge it.
+/// The result of an attempt, and the context that is needed to evaluate it.
 pub struct ObservedResult<'a> {
-    /// The result.
+    /// The result, as an event reported it.
     pub result: &'a AttemptResult,
-    /// What was known of the attempt.
+    /// Class and overdue flag of the attempt, recorded before the result arrived.
     pub ended: EndedAttempt,
     /// Latency objective of the request's class, in seconds.
     pub objective_seconds: f64,
-    /// Requests wait for an attempt.
+    /// Whether requests were waiting for an attempt when the result arrived.
     pub requests_waiting: bool,
-    /// Number of limiters.
+    /// Number of limiters in the fleet.
     pub limiters: u32,
-    /// The server's report, where it is used.
+    /// The load that the server reported; all values are absent where limiters are few and load reports are ignored.
     pub load: LoadReport,
 }
 
@@ -40,14 +45,15 @@
         time::seconds(self.result.latency)
     }
 
-    /// Whether its time says how fast the server is.
+    /// Whether the duration of the attempt shows how fast the server is. An overdue attempt counts only if it
+    /// succeeded, and one that the server never ran does not count.
     fn is_latency_observation(&self) -> bool {
         let outcome = self.result.outcome;
-        let counted = !self.ended.overdue || outcome == AttemptOutcome::Success;
-        !outcome.never_ran() && counted
+        let is_counted = !self.ended.overdue || outcome == AttemptOutcome::Success;
+        !outcome.never_ran() && is_counted
     }
 
-    /// Whether the server itself ended the attempt.
+    /// Whether the attempt was sent, and was ended neither by a cancellation nor by the client's deadline.
     fn ended_by_server(&self) -> bool {
         !matches!(
             self.result.outcome,
@@ -56,7 +62,7 @@
     }
 }
 
-/// Takes over the result of an attempt.
+/// Updates the state of the attempt's server and the statistics over all servers from the result of an attempt.
 pub fn observe(
     now: Duration,
     observed: &ObservedResult,
@@ -80,19 +86,20 @@
         }
         record_outcome(now, observed, server, latency, all_unreachable_at);
     }
-    if outcome == AttemptOutcome::Unreachable && pool.reaches_none() {
+    if outcome == AttemptOutcome::Unreachable && pool.is_whole_subset_unreachable() {
         pool.all_unreachable_at = Some(now);
     }
 }
 
-/// The baseline is the fastest of the last buckets with enough responses, as load slows all responses of a bucket.
+/// Sets the baseline to the lowest mean latency of the window's buckets with enough responses: under load, all
+/// responses of a bucket are slow.
 fn update_baseline(now: Duration, latency_seconds: f64, latency: &mut FleetLatency) {
     latency.successes.add(now, 1.0);
     latency.success_seconds.add(now, latency_seconds);
-    let fastest = latency
+    let lowest_mean = latency
         .success_seconds
-        .least_mean(&latency.successes, BASELINE_RESPONSES);
-    if let Some(seconds) = fastest {
+        .least_mean(&latency.successes, MIN_BASELINE_RESPONSES);
+    if let Some(seconds) = lowest_mean {
         latency.baseline_seconds = seconds;
     }
 }
@@ -104,18 +111,25 @@
     latency: &mut FleetLatency,
 ) {
     let seconds = observed.latency_seconds();
-    let long = long_seconds(observed.objective_seconds, latency.baseline_seconds);
-    let least_limit = least_limit(observed.limiters);
-    server.adjust_limit(now, seconds, long, least_limit, observed.requests_waiting);
-    let perceived = if observed.result.outcome == AttemptOutcome::DeadlineExceeded {
-        seconds.max(ABANDONED_LATENCY_FACTOR * long)
+    let threshold = slow_threshold_seconds(observed.objective_seconds, latency.baseline_seconds);
+    let min_limit = min_limit(observed.limiters);
+    server.adjust_limit(
+        now,
+        seconds,
+        threshold,
+        min_limit,
+        observed.requests_waiting,
+    );
+    let counted_seconds = if observed.result.outcome == AttemptOutcome::DeadlineExceeded {
+        seconds.max(ABANDONED_LATENCY_FACTOR * threshold)
     } else {
         seconds
     };
-    latency.pressure += (perceived / long - latency.pressure) * PRESSURE_GAIN;
+    latency.latency_ratio +=
+        (counted_seconds / threshold - latency.latency_ratio) * FLEET_LATENCY_RATIO_GAIN;
     latency.limit_multiplier = next_limit_multiplier(
         latency.limit_multiplier,
-        latency.pressure,
+        latency.latency_ratio,
         observed.requests_waiting,
         &observed.load,
     );
@@ -136,7 +150,7 @@
         AttemptOutcome::Error => server.record_error(now, latency),
         AttemptOutcome::ConnectionLost => server.record_lost_connection(now, latency),
         AttemptOutcome::Rejected => {
-            server.reduce_limit_on_rejection(least_limit(observed.limiters));
+            server.reduce_limit_on_rejection(min_limit(observed.limiters));
             server.pause_after_rejection(now);
         }
         AttemptOutcome::ConnectionRefused => server.record_refused_connection(now),
@@ -155,6 +169,6 @@
     server.latency_seconds += (seconds - server.latency_seconds) * gain;
     if is_latency_sample(observed.result.request) {
         latency.typical_seconds += (seconds - latency.typical_seconds) * TYPICAL_LATENCY_GAIN;
-        latency.loss_rate *= LOSS_DECAY;
+        latency.loss_rate *= LOSS_RATE_DECAY;
     }
 }
--- a/crates/merlinreel-policy/src/server/endpoint_updates.rs
+++ b/crates/merlinreel-policy/src/server/endpoint_updates.rs
@@ -1,4 +1,4 @@
-//! Decides what to make of changes of the endpoint list, and when to ask for it.
+//! Applies updates of the endpoint list, and renews the subscription to it.
 
 use super::concurrency_limit::initial_limit;
 use super::pool::ServerPool;
@@ -9,10 +9,12 @@
 use crate::model::endpoint::{Endpoint, EndpointConfig, EndpointState};
 use std::time::Duration;
 
-/// Spares a discovery service that is overloaded, and is far under the time that the poll deadline allows.
-const SUBSCRIBE_INTERVAL: Duration = Duration::from_millis(500);
+/// Minimum time between two subscription requests: limits the load on a discovery service that is overloaded, and is
+/// far below `EndpointConfig::poll_deadline`.
+const RESUBSCRIBE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Takes over a change of the endpoint list.
+/// Applies an update of the endpoint list to the servers. A complete list removes the servers that it does not name;
+/// where discovery was unavailable, the known list stays in use and the subscription is marked as lost.
 pub fn apply(
     now: Duration,
     update: &EndpointUpdate,
@@ -25,7 +27,7 @@
     if update.unavailable {
         return;
     }
-    let is_first = pool.eligible().next().is_none();
+    let had_no_eligible_server = pool.eligible().next().is_none();
     for started_at in update
         .endpoints
         .iter()
@@ -42,8 +44,8 @@
     for endpoint in &update.endpoints {
         apply_endpoint(now, endpoint, config, limiters, pool);
     }
-    if is_first {
-        pool.trust_wall_clock(now, config);
+    if had_no_eligible_server {
+        pool.fall_back_to_wall_clock(now, config);
     }
 }
 
@@ -64,20 +66,20 @@
     server.eligible = endpoint.state == EndpointState::Ready;
     if let Some(started_at) = endpoint.started_at.filter(|_| has_restarted) {
         let since = now.saturating_sub(pool.start_clock.age(now, started_at));
-        // A start that was noticed before it was reported may be the later one.
+        // This limiter may itself have detected a restart that is later than the reported start.
         let known_since = server.slow_start_since;
         server.slow_start_since = Some(known_since.map_or(since, |known| known.max(since)));
         server.limit.attempts = server.limit.attempts.min(initial_limit);
     }
 }
 
-/// Asks for the endpoint list again while it is lost.
+/// Requests the endpoint list again, at intervals, while the subscription is lost.
 pub fn renew_subscription(
     now: Duration,
     subscription: &mut EndpointSubscription,
     actions: &mut dyn Actions,
 ) {
-    if subscription.lost && now >= subscription.requested_at + SUBSCRIBE_INTERVAL {
+    if subscription.lost && now >= subscription.requested_at + RESUBSCRIBE_INTERVAL {
         subscription.requested_at = now;
         actions.set_endpoint_subscription(true);
     }
--- a/crates/merlinreel-policy/src/server/fleet_latency.rs
+++ b/crates/merlinreel-policy/src/server/fleet_latency.rs
@@ -1,38 +1,39 @@
-//! How long responses take and how many attempts fail, over all servers. Nothing is decided here.
+//! Latency and error statistics over all servers; the decisions are made in the other modules.
 
 use crate::rolling_window::RollingWindow;
 use std::time::Duration;
 
-/// Outlasts most bursts.
+/// Length of the window from which the baseline latency is taken; longer than most bursts.
 const SUCCESS_WINDOW: Duration = Duration::from_secs(32);
 
-/// What attempts say about all servers together.
+/// Latency and error statistics over the attempts at all servers.
 pub struct FleetLatency {
-    /// Time of a typical response, in seconds.
+    /// Moving average of the time of successful responses to latency samples, in seconds.
     pub typical_seconds: f64,
-    /// Time of a response while servers have little to do, in seconds.
+    /// Time of a response while servers have little load, in seconds: the lowest bucket mean of the window.
     pub baseline_seconds: f64,
-    /// Mean time of responses over the time that is long for the class.
-    pub pressure: f64,
-    /// Factor on all servers' concurrency limits.
+    /// Moving average of the latency ratio: the latency of an attempt over the slow threshold of its class.
+    pub latency_ratio: f64,
+    /// Multiplies the concurrency limits of all servers, 1 at least.
     pub limit_multiplier: f64,
-    /// Share of attempts that end with an error.
+    /// Moving average of the fraction of attempts that end with an error, 0 to 1.
     pub error_rate: f64,
-    /// Share of attempts that are overdue.
+    /// Moving average of the fraction of latency samples that are overdue, 0 to 1.
     pub loss_rate: f64,
-    /// Successful attempts of late.
+    /// Number of successful attempts in the window.
     pub successes: RollingWindow,
-    /// The time that they took, in seconds.
+    /// Sum of the times of the successful attempts in the window, in seconds.
     pub success_seconds: RollingWindow,
 }
 
 impl FleetLatency {
-    /// Before any response: a typical one is expected to take so many seconds.
+    /// Statistics before the first response; `expected_seconds` stands for typical and baseline latency until there are
+    /// measurements.
     pub fn new(expected_seconds: f64) -> FleetLatency {
         FleetLatency {
             typical_seconds: expected_seconds,
             baseline_seconds: expected_seconds,
-            pressure: 0.0,
+            latency_ratio: 0.0,
             limit_multiplier: 1.0,
             error_rate: 0.0,
             loss_rate: 0.0,
--- a/crates/merlinreel-policy/src/server/overdue_attempts.rs
+++ b/crates/merlinreel-policy/src/server/overdue_attempts.rs
@@ -1,4 +1,4 @@
-//! Decides which attempts are overdue, and what follows from it.
+//! Detects overdue attempts, and decides which servers have failed and which attempts are cancelled because of them.
 
 use super::fleet_latency::FleetLatency;
 use super::pool::ServerPool;
@@ -10,36 +10,44 @@
 use crate::time;
 use std::time::Duration;
 
-/// So many typical latencies without a response hardly happen by chance; the bounds fit short outages.
+/// Number of typical latencies after which an attempt is overdue: a response hardly takes that long by chance.
 const OVERDUE_TYPICAL_LATENCIES: f64 = 6.0;
-const LEAST_OVERDUE_SECONDS: f64 = 0.1;
+/// Lower bound of the overdue time, suited to short outages.
+const MIN_OVERDUE_SECONDS: f64 = 0.1;
+/// Upper bound of the overdue time, suited to short outages.
 const MAX_OVERDUE_SECONDS: f64 = 1.5;
-/// Share of attempts that are overdue because they are slow rather than lost.
-const SLOW_RATE: f64 = 0.03;
-/// With one attempt in nine lost, the wait is half as long.
-const LOSS_FACTOR: f64 = 12.0;
-const LOSS_GAIN: f64 = 0.02;
-/// One request in so many is a latency sample.
-const SAMPLED_REQUESTS: u32 = 4;
-/// Part of the time for which a key is known in which the request is retried.
+/// Fraction of attempts that are overdue because they are slow rather than lost.
+const SLOW_ATTEMPT_FRACTION: f64 = 0.03;
+/// Weight of the loss rate beyond [`SLOW_ATTEMPT_FRACTION`] in shortening the overdue time: with one attempt in nine
+/// lost, it is half as long.
+const EXCESS_LOSS_WEIGHT: f64 = 12.0;
+/// Weight of one overdue latency sample in the moving average of the loss rate.
+const LOSS_RATE_GAIN: f64 = 0.02;
+/// One request in this many is a latency sample.
+const LATENCY_SAMPLE_INTERVAL: u32 = 4;
+/// A request with an idempotency key is retried only within the key's lifetime divided by this.
 const KEY_LIFETIME_DIVISOR: u32 = 2;
 
-/// Time after which an attempt is overdue. Where many more are lost than slow ones make up, waiting pays off less.
+/// Time after which an attempt is overdue. It is shorter where more attempts are lost than slow responses account for,
+/// as waiting for a response is then less likely to succeed.
 pub fn overdue_after(typical_seconds: f64, loss_rate: f64) -> Duration {
-    let losses = (loss_rate - SLOW_RATE).max(0.0);
-    let seconds = typical_seconds * OVERDUE_TYPICAL_LATENCIES / (1.0 + LOSS_FACTOR * losses);
-    time::from_seconds(seconds.clamp(LEAST_OVERDUE_SECONDS, MAX_OVERDUE_SECONDS))
+    let excess_loss_rate = (loss_rate - SLOW_ATTEMPT_FRACTION).max(0.0);
+    let seconds =
+        typical_seconds * OVERDUE_TYPICAL_LATENCIES / (1.0 + EXCESS_LOSS_WEIGHT * excess_loss_rate);
+    time::from_seconds(seconds.clamp(MIN_OVERDUE_SECONDS, MAX_OVERDUE_SECONDS))
 }
 
-/// Whether this request's attempts are always waited for in full. If slow attempts of all requests were cancelled, the
-/// typical latency would seem ever shorter and slow responses would seem lost.
+/// Whether attempts of this request always have the full time before they are overdue; typical latency and loss rate
+/// are measured by these requests. If slow attempts of all requests were cancelled early, the measured typical latency
+/// would keep falling, and slow responses would be counted as lost.
 pub fn is_latency_sample(request: RequestIndex) -> bool {
-    request.0.is_multiple_of(SAMPLED_REQUESTS)
+    request.0.is_multiple_of(LATENCY_SAMPLE_INTERVAL)
 }
 
-/// Finds the attempts that are overdue. They no longer count against the limit of the server, which has done the work if
-/// it is alive; a server that answered nothing since has failed; and a request that may be retried has its attempt
-/// cancelled. This covers servers that hang as well as responses that are lost on the way.
+/// Marks attempts as overdue, which covers servers that hang as well as responses that are lost on the network. An
+/// overdue attempt no longer counts against the server's concurrency limit, as a server that is alive has finished the
+/// work by then. A failure is recorded for a server that has answered nothing since the attempt was sent. The attempt
+/// is cancelled if its request may be retried.
 pub fn detect_overdue_attempts(
     now: Duration,
     config: &LimiterConfig,
@@ -48,25 +56,29 @@
     requests: &mut RequestTable,
     actions: &mut dyn Actions,
 ) {
-    let shortened = overdue_after(latency.typical_seconds, latency.loss_rate);
-    let full = overdue_after(latency.typical_seconds, 0.0);
+    let shortened_timeout = overdue_after(latency.typical_seconds, latency.loss_rate);
+    let full_timeout = overdue_after(latency.typical_seconds, 0.0);
     for pending in requests.pending.values_mut() {
         let may_cancel =
             config.request_limits.cancellation && may_run_elsewhere(now, config, pending);
         let is_sample = is_latency_sample(pending.request.id);
-        let patience = if is_sample { full } else { shortened };
+        let timeout = if is_sample {
+            full_timeout
+        } else {
+            shortened_timeout
+        };
         for (number, attempt) in (0..).zip(&mut pending.attempts) {
-            if !attempt.in_flight || attempt.overdue || now <= attempt.sent_at + patience {
+            if !attempt.in_flight || attempt.overdue || now <= attempt.sent_at + timeout {
                 continue;
             }
             attempt.overdue = true;
             if let Some(server) = servers.servers.get_mut(attempt.server) {
                 server.release_attempt();
                 if is_sample {
-                    latency.loss_rate += (1.0 - latency.loss_rate) * LOSS_GAIN;
+                    latency.loss_rate += (1.0 - latency.loss_rate) * LOSS_RATE_GAIN;
                 }
                 let unanswered_since = server.health.unanswered_since;
-                if unanswered_since <= attempt.sent_at && now > unanswered_since + full {
+                if unanswered_since <= attempt.sent_at && now > unanswered_since + full_timeout {
                     server.record_failure(now);
                 }
             }
@@ -77,7 +89,7 @@
     }
 }
 
-/// Whether a request whose attempt is cancelled may be sent to another server.
+/// Whether the request may be sent to another server after one of its attempts is cancelled.
 fn may_run_elsewhere(now: Duration, config: &LimiterConfig, pending: &PendingRequest) -> bool {
     let may_repeat = match config.classes[pending.request.class].idempotency {
         Idempotency::Idempotent => true,
--- a/crates/merlinreel-policy/src/server/pool.rs
+++ b/crates/merlinreel-policy/src/server/pool.rs
@@ -1,4 +1,4 @@
-//! All servers that this limiter knows. Nothing is decided here.
+//! State of all servers that this limiter knows; the decisions are made in the other modules.
 
 use super::server_state::Server;
 use super::start_clock::StartClock;
@@ -10,25 +10,29 @@
 /// Numbers of servers, for the operators' metrics.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct EndpointCounts {
-    /// Servers that are not removed.
+    /// Servers that are not removed; `limiter.servers_known`.
     pub known: usize,
-    /// Those of them that are sent nothing now: they are draining or ejected.
+    /// Those of the known servers that are sent no new requests because they are draining or ejected;
+    /// `limiter.servers_excluded`.
     pub avoided: usize,
 }
 
-/// The servers, by their index, and what is known of all of them together.
+/// The servers, and the state that concerns all of them together.
 pub struct ServerPool {
-    /// The servers.
+    /// The servers by their index, removed ones included until they expire.
     pub servers: Slots<ServerIndex, Server>,
-    /// The capacity of all eligible servers over that of the subset's.
+    /// Capacity of all eligible servers divided by that of the subset, 1 at least: scales concurrency limits, which are
+    /// learned in the subset, to the whole.
     pub subset_scale: f64,
-    /// Mean number of attempts that a server with full capacity was sent lately.
+    /// Mean number of attempts that this limiter sent to a server with full capacity in the last overload window; the
+    /// last measurement, or a minimum, while there is no such server.
     pub full_capacity_attempts: f64,
-    /// At the last selection less than half of the concurrency limits was in use and no request waited.
+    /// At the last selection, less than half of the sum of the concurrency limits was in use and no other request
+    /// waited.
     pub has_spare_capacity: bool,
-    /// How long ago servers started.
+    /// Estimates how long ago servers started.
     pub start_clock: StartClock,
-    /// When no server at all could be reached last.
+    /// When the whole subset was last found unreachable, by the limiter's clock; `None` if never.
     pub all_unreachable_at: Option<Duration>,
 }
 
@@ -46,17 +50,17 @@
 }
 
 impl ServerPool {
-    /// The servers that take new requests.
+    /// The servers that take new requests, whether they are in the subset or not.
     pub fn eligible(&self) -> impl Iterator<Item = &Server> {
         self.servers.values().filter(|server| server.eligible)
     }
 
-    /// The servers that take new requests.
+    /// The servers that take new requests, whether they are in the subset or not, for changes.
     pub fn eligible_mut(&mut self) -> impl Iterator<Item = &mut Server> {
         self.servers.values_mut().filter(|server| server.eligible)
     }
 
-    /// How many servers there are, and how many of them are sent nothing now.
+    /// Counts the known servers and the avoided ones among them; removed servers are not counted.
     pub fn counts(&self, now: Duration) -> EndpointCounts {
         let mut counts = EndpointCounts::default();
         for server in self.servers.values() {
@@ -71,8 +75,8 @@
         counts
     }
 
-    /// Drops the servers that are not in use and that are expired, and returns their indices; the condition is called
-    /// for each server not in use.
+    /// Removes the expired servers that are not in use, and returns their indices. `is_expired` is called once for each
+    /// server that is not in use.
     pub fn remove_expired(
         &mut self,
         in_use: impl Iterator<Item = ServerIndex>,
--- a/crates/merlinreel-policy/src/server/selection.rs
+++ b/crates/merlinreel-policy/src/server/selection.rs
@@ -1,4 +1,4 @@
-//! Decides which server an attempt goes to.
+//! Selects the server for an attempt.
 
 use super::fleet_latency::FleetLatency;
 use super::pool::ServerPool;
@@ -12,39 +12,49 @@
 use nanorand::{Rng, WyRand};
 use std::time::Duration;
 
-/// Less than this share of the limits in use leaves capacity for what comes within the quotas.
-const SPARE_SHARE: f64 = 0.5;
-/// The golden ratio spreads the phases of servers evenly, and each interval moves them on by the rest of it.
+/// There is spare capacity for requests beyond the quotas while less than this fraction of the concurrency limits is in
+/// use; the rest is left for requests within the quotas.
+const MAX_SPARE_UTILIZATION_FRACTION: f64 = 0.5;
+/// Phase added per server index: multiples of the golden ratio, modulo 1, are evenly spread.
 const PHASE_PER_SERVER: f64 = 0.618;
+/// Phase added per interval: one minus the golden ratio.
 const PHASE_PER_INTERVAL: f64 = 0.382;
-/// Outlasts most attempts.
+/// Time after which the phases change; longer than most attempts.
 const PHASE_INTERVAL_SECONDS: f64 = 0.5;
-/// An attempt in this share of an overload window in which a part of an attempt is due.
-const SLOW_START_PHASE_SHARE: f64 = 0.5;
-const OTHER_ZONE_FACTOR: f64 = 1.02;
-const RANDOM_SPREAD: f64 = 0.05;
-const LEAST_SUCCESS_RATE: f64 = 0.05;
-const SUCCESS_RATE_POWER: i32 = 4;
+/// A starting server to which less than one attempt is still due in an overload window is sent an attempt only while
+/// `phase * window_seconds < due_attempts * SLOW_START_PHASE_SECONDS`.
+const SLOW_START_PHASE_SECONDS: f64 = 0.5;
+/// Multiplies the cost of servers in other zones: among servers of nearly equal cost, the limiter's own zone is
+/// preferred.
+const OTHER_ZONE_COST_FACTOR: f64 = 1.02;
+/// The cost is multiplied by a random factor between 1 and 1 plus this fraction, so that attempts are spread over
+/// servers of nearly equal cost.
+const COST_JITTER_FRACTION: f64 = 0.05;
+/// Lower bound of the success rate by which the cost is divided: keeps the cost of a server that always fails finite.
+const MIN_SUCCESS_RATE: f64 = 0.05;
+/// The cost is divided by the success rate to this power: a server that fails fast has few attempts in flight, and
+/// would otherwise look idle.
+const SUCCESS_RATE_EXPONENT: i32 = 4;
 
-/// What the selection of a server for one attempt reads.
+/// Input for the selection of a server for one attempt.
 pub struct Selection<'a> {
-    /// The time.
+    /// Current time by the limiter's clock.
     pub now: Duration,
-    /// The limiters.
+    /// Number of limiters and this limiter's index, by which fractions of attempts are spread over the fleet.
     pub fleet: &'a FleetConfig,
-    /// Settings of servers.
+    /// This limiter's zone, and the settings of the slow start and the overload window.
     pub config: &'a EndpointConfig,
-    /// What is known of all servers together.
+    /// Latency, error rate and limit multiplier over all servers.
     pub latency: &'a FleetLatency,
-    /// The request.
+    /// The request that needs an attempt, with its earlier attempts.
     pub request: &'a PendingRequest,
-    /// Whether it may run again.
+    /// Idempotency of the request's class, which may restrict where the request is retried.
     pub idempotency: Idempotency,
-    /// No request waits for an attempt.
+    /// Whether no other request waits for an attempt.
     pub queue_is_empty: bool,
 }
 
-/// A server and what an attempt there is expected to cost.
+/// A server that may be selected, and the expected cost of an attempt there (see [`Selection::cost`]).
 #[derive(Clone, Copy)]
 struct Candidate {
     server: ServerIndex,
@@ -52,21 +62,22 @@
 }
 
 impl Selection<'_> {
-    /// Selects the server with the least expected cost, of those that are below their concurrency limits. Also notes in
-    /// the pool whether it has capacity to spare, and which servers have finished their slow start.
+    /// Selects the server with the lowest expected cost among the allowed servers that are below their concurrency
+    /// limits; `None` where there is none. Also records in the pool whether there is spare capacity, and which of the
+    /// servers have finished their slow start.
     pub fn select(&self, pool: &mut ServerPool, random: &mut WyRand) -> Option<ServerIndex> {
-        if !self.has_fleet_capacity(pool) {
+        if !self.total_limit_allows_attempt(pool) {
             return None;
         }
         let first_server = self.request.first_run.map(|run| run.server);
-        let origin = first_server
+        let first_endpoint = first_server
             .and_then(|server| pool.servers.get(server))
             .map(|server| server.endpoint);
         let subset_scale = pool.subset_scale;
         let full_capacity_attempts = pool.full_capacity_attempts;
         let mut best: Option<Candidate> = None;
         for (index, server) in pool.servers.iter_mut() {
-            if !self.is_allowed(index, server, origin.as_ref()) {
+            if !self.is_allowed(index, server, first_endpoint.as_ref()) {
                 continue;
             }
             let capacity = server.capacity_fraction(self.now, self.config);
@@ -91,8 +102,9 @@
         best.map(|best| best.server)
     }
 
-    /// Whether all limits together allow another attempt. Where limiters are many a single limit is a part of an attempt.
-    fn has_fleet_capacity(&self, pool: &mut ServerPool) -> bool {
+    /// Whether the sum of all concurrency limits allows another attempt; the sum counts as 1 at least. Where limiters
+    /// are many, the limit of a single server is a fraction of an attempt.
+    fn total_limit_allows_attempt(&self, pool: &mut ServerPool) -> bool {
         let mut limit = 0.0;
         let mut in_flight = 0.0;
         for server in pool.servers.values() {
@@ -104,34 +116,48 @@
                     * server.capacity_fraction(self.now, self.config);
             }
         }
-        pool.has_spare_capacity = in_flight < SPARE_SHARE * limit && self.queue_is_empty;
+        pool.has_spare_capacity =
+            in_flight < MAX_SPARE_UTILIZATION_FRACTION * limit && self.queue_is_empty;
         in_flight + 1.0 <= limit.max(1.0)
     }
 
-    /// Whether the request may go to a server at all.
-    fn is_allowed(&self, index: ServerIndex, server: &Server, origin: Option<&Endpoint>) -> bool {
-        let has_attempt_there = self
+    /// Whether the request may be sent to a server, regardless of the server's concurrency limit: the server is
+    /// eligible, not ejected, has no attempt of this request in flight, and is in the subset and in the scope of the
+    /// idempotency key where these apply. `first_endpoint` is the server of the first attempt that may have run, if
+    /// there was one.
+    fn is_allowed(
+        &self,
+        index: ServerIndex,
+        server: &Server,
+        first_endpoint: Option<&Endpoint>,
+    ) -> bool {
+        let has_attempt_in_flight = self
             .request
             .attempts
             .iter()
             .any(|attempt| attempt.in_flight && attempt.server == index);
-        // A request that may have run goes anywhere in its scope, which may hold no server of the subset.
-        let outside_subset = server.outside_subset && origin.is_none();
-        if has_attempt_there || outside_subset || !server.eligible || server.is_ejected(self.now) {
+        // A request that may have run is not restricted to the subset: its scope may contain no server of it.
+        let outside_subset = server.outside_subset && first_endpoint.is_none();
+        if has_attempt_in_flight
+            || outside_subset
+            || !server.eligible
+            || server.is_ejected(self.now)
+        {
             return false;
         }
-        let (Some(origin), Idempotency::IdempotencyKey(scope, _)) = (origin, self.idempotency)
+        let (Some(first_endpoint), Idempotency::IdempotencyKey(scope, _)) =
+            (first_endpoint, self.idempotency)
         else {
             return true;
         };
         match scope {
             IdempotencyScope::All => true,
-            IdempotencyScope::Zone => origin.zone == server.endpoint.zone,
-            IdempotencyScope::Cell => origin.cell == server.endpoint.cell,
+            IdempotencyScope::Zone => first_endpoint.zone == server.endpoint.zone,
+            IdempotencyScope::Cell => first_endpoint.cell == server.endpoint.cell,
         }
     }
 
-    /// A number from 0 to 1 that is different at each limiter, server and interval of time, and evenly spread.
+    /// A number from 0 to below 1 that is evenly spread over limiters, servers and time intervals.
     fn phase(&self, server: ServerIndex) -> f64 {
         let interval = time::seconds(self.now).div_euclid(PHASE_INTERVAL_SECONDS);
         let phase = f64::from(server.0) * PHASE_PER_SERVER + interval * PHASE_PER_INTERVAL;
@@ -139,12 +165,14 @@
         (phase + limiter).fract()
     }
 
-    /// Attempts that the server may have in flight now. A fraction of an attempt is a full one for that
-    /// fraction of the time, at one limiter after the other, so that not all send to one server at once.
+    /// Number of attempts that the server may have in flight now. A fraction of an attempt is allowed as a full attempt
+    /// for that fraction of the time, at one limiter after another, so that not all limiters send to one server at
+    /// once. A server that failed since its last response, or whose error rate is far above that of all servers, has a
+    /// limit of 1 at most.
     fn limit(&self, server: &Server, capacity: f64, subset_scale: f64, phase: f64) -> f64 {
-        let is_on_trial =
+        let is_suspect =
             server.health.consecutive_failures > 0 || server.is_failing(self.latency.error_rate);
-        let full_limit = if is_on_trial {
+        let full_limit = if is_suspect {
             server.limit.attempts.min(1.0)
         } else {
             server.limit.attempts * self.latency.limit_multiplier * subset_scale
@@ -158,9 +186,9 @@
         }
     }
 
-    /// Whether a starting server was already sent its share. All limiters together send it what a server with full
-    /// capacity is sent, times its fraction of capacity, far below its overload factor. Here too a fraction of an attempt is
-    /// a full one in some of the limiter's phases.
+    /// Whether a starting server has been sent its share. All limiters together send it as many attempts as a server
+    /// with full capacity, times its capacity fraction, which is far below its overload factor. As in
+    /// [`Selection::limit`], a fraction of an attempt is allowed as a full attempt in some of the phases.
     fn is_slow_start_share_used(
         &self,
         server: &mut Server,
@@ -168,15 +196,17 @@
         full_capacity_attempts: f64,
         phase: f64,
     ) -> bool {
-        let left = full_capacity_attempts * capacity - server.recent_attempts.sum(self.now);
+        let due_attempts = full_capacity_attempts * capacity - server.recent_attempts.sum(self.now);
         let window_seconds = time::seconds(self.config.overload_window);
-        capacity < 1.0 && left < 1.0 && phase * window_seconds >= left * SLOW_START_PHASE_SHARE
+        capacity < 1.0
+            && due_attempts < 1.0
+            && phase * window_seconds >= due_attempts * SLOW_START_PHASE_SECONDS
     }
 
-    /// The time that the attempt is expected to take there, with a malus for other zones, errors and servers where the
-    /// request was before.
+    /// Expected time of the attempt at the server, in seconds, weighted up for servers in other zones, for servers with
+    /// errors and for servers that this request has already been sent to.
     fn cost(&self, index: ServerIndex, server: &Server, random: &mut WyRand) -> f64 {
-        let attempts_there = self
+        let earlier_attempts = self
             .request
             .attempts
             .iter()
@@ -190,12 +220,12 @@
         let zone_factor = if server.endpoint.zone == self.config.zone {
             1.0
         } else {
-            OTHER_ZONE_FACTOR
+            OTHER_ZONE_COST_FACTOR
         };
-        let random_factor = 1.0 + RANDOM_SPREAD * random.generate::<f64>();
-        let success_rate = (1.0 - server.health.error_rate).max(LEAST_SUCCESS_RATE);
+        let random_factor = 1.0 + COST_JITTER_FRACTION * random.generate::<f64>();
+        let success_rate = (1.0 - server.health.error_rate).max(MIN_SUCCESS_RATE);
         let in_flight = f64::from(server.limit.in_flight + 1);
-        latency_seconds * in_flight * zone_factor * random_factor * (1 + attempts_there) as f64
-            / success_rate.powi(SUCCESS_RATE_POWER)
+        latency_seconds * in_flight * zone_factor * random_factor * (1 + earlier_attempts) as f64
+            / success_rate.powi(SUCCESS_RATE_EXPONENT)
     }
 }
--- a/crates/merlinreel-policy/src/server/server_state.rs
+++ b/crates/merlinreel-policy/src/server/server_state.rs
@@ -1,66 +1,73 @@
-//! What is known of one server. Nothing is decided here.
+//! State of one server as this limiter observes it; the decisions are made in the other modules.
 
 use crate::model::endpoint::Endpoint;
 use crate::rolling_window::RollingWindow;
 use std::time::Duration;
 
-/// How many attempts this limiter may have in flight at a server.
+/// Concurrency limit of a server at this limiter.
 #[derive(Debug, Default)]
 pub struct ConcurrencyLimit {
-    /// Attempts at most; with many limiters a part of one.
+    /// Maximum number of attempts in flight, before the multiplier of all limits; below 1 where limiters are many.
     pub attempts: f64,
-    /// Attempts in flight.
+    /// Attempts that count against the limit; overdue attempts no longer do.
     pub in_flight: u32,
-    /// The limit is not reduced again before this.
+    /// Time, by the limiter's clock, before which high latency does not reduce the limit again; 0 before the first
+    /// reduction.
     pub next_reduction_at: Duration,
 }
 
-/// What attempts say about a server's health.
+/// Health of a server according to the results of its attempts.
 #[derive(Debug, Default)]
 pub struct ServerHealth {
-    /// Share of attempts that end with an error.
+    /// Moving average of the fraction of attempts that end with an error, 0 to 1.
     pub error_rate: f64,
-    /// Failures since its last response.
+    /// Failures (see [`Server::record_failure`]) since the last successful response.
     pub consecutive_failures: u32,
-    /// Connections lost since its last response.
+    /// Connections lost since the last successful response.
     pub lost_connections: u32,
-    /// It is sent nothing before this.
+    /// Time, by the limiter's clock, before which the server is sent nothing; 0 if it never failed or rejected an
+    /// attempt.
     pub ejected_until: Duration,
-    /// Since when it has had an attempt and answered none.
+    /// When the server last ended an attempt or started a response, or was sent an attempt with none in flight; by the
+    /// limiter's clock. While attempts are in flight, nothing has been received from the server since then.
     pub unanswered_since: Duration,
-    /// It is likely to have started again when it responds next.
-    pub connection_failed: bool,
-    /// Since when no connection to it could be opened, with no response since and no refusal.
+    /// Failures since the last successful response indicate a restart: the next successful response begins a slow start
+    /// (see [`Server::record_success`]).
+    pub restart_suspected: bool,
+    /// First failure to open a connection since the last successful response or refused connection; `None` without such
+    /// a failure.
     pub unreachable_since: Option<Duration>,
 }
 
-/// One server as this limiter knows it.
+/// A server's endpoint, and what this limiter has observed of it.
 #[derive(Default)]
 pub struct Server {
-    /// The endpoint as discovery describes it.
+    /// The endpoint as discovery last described it.
     pub endpoint: Endpoint,
-    /// It takes new requests.
+    /// Takes new requests: discovery reports it as ready.
     pub eligible: bool,
-    /// It is not one of the servers that this limiter sends to as a rule.
+    /// Not in this limiter's subset: is sent only requests that may already have run.
     pub outside_subset: bool,
-    /// How many attempts it may have in flight.
+    /// Concurrency limit of the server at this limiter, and the attempts that count against it.
     pub limit: ConcurrencyLimit,
-    /// Mean time of its responses, in seconds; 0 before the first.
+    /// Moving average of the time of its successful responses, in seconds; 0 before the first.
     pub latency_seconds: f64,
-    /// Mean time of its responses over the time that is long for the class.
+    /// Moving average of the latency ratio: the latency of an attempt over the slow threshold of its class.
     pub latency_ratio: f64,
-    /// What attempts say about its health.
+    /// Errors, failures and ejection of the server.
     pub health: ServerHealth,
-    /// When it started, while it is starting.
+    /// When its slow start began, by the limiter's clock; `None` where no recent start is known, and after the slow
+    /// start.
     pub slow_start_since: Option<Duration>,
-    /// Attempts sent to it lately.
+    /// Attempts sent to it in the last overload window.
     pub recent_attempts: RollingWindow,
-    /// Checks for expiry since it was removed.
+    /// Expiry checks since it was removed; 0 while it is not removed.
     pub removed_checks: u32,
 }
 
 impl Server {
-    /// A server of which only the endpoint is known.
+    /// A ready server that has not been sent an attempt yet, with `attempts` as its initial concurrency limit and
+    /// `recent_window` as the window over which attempts are counted.
     pub fn new(endpoint: Endpoint, attempts: f64, recent_window: Duration) -> Server {
         Server {
             endpoint,
@@ -74,17 +81,17 @@
         }
     }
 
-    /// Whether it is sent nothing now because of failures.
+    /// Whether the server is sent nothing now, after failures or a rejection.
     pub fn is_ejected(&self, now: Duration) -> bool {
         now < self.health.ejected_until
     }
 
-    /// Whether this limiter sends to it as a rule.
+    /// Whether the server takes new requests and is in this limiter's subset.
     pub fn is_subset_member(&self) -> bool {
         self.eligible && !self.outside_subset
     }
 
-    /// An attempt no longer counts against its concurrency limit.
+    /// Stops counting one attempt against the concurrency limit, because it ended or is overdue.
     pub fn release_attempt(&mut self) {
         self.limit.in_flight = self.limit.in_flight.saturating_sub(1);
     }
--- a/crates/merlinreel-policy/src/server/subset.rs
+++ b/crates/merlinreel-policy/src/server/subset.rs
@@ -1,4 +1,4 @@
-//! Decides which servers this limiter sends to as a rule, where limiters are many.
+//! Deterministic subsetting: chooses the servers that this limiter regularly sends to, where limiters are many.
 
 use super::pool::ServerPool;
 use super::server_state::Server;
@@ -6,19 +6,20 @@
 use crate::model::fleet::FleetConfig;
 use std::time::Duration;
 
-/// Limiters at each server on the mean: enough that the number of limiters at the single servers varies little.
+/// Mean number of limiters that send to a server: high enough that the number varies little from server to server.
 const LIMITERS_PER_SERVER: f64 = 10.0;
-/// Leaves a choice within a zone.
-const LEAST_SUBSET: f64 = 6.0;
-/// The golden ratio spreads the limiters' points on the ring evenly, however many they are.
+/// Minimum capacity of a subset, in servers with full capacity: leaves a choice within a zone.
+const MIN_SUBSET_CAPACITY: f64 = 6.0;
+/// Multiples of the golden ratio, modulo 1, spread the limiters' starting points evenly over the ring for any number of
+/// limiters.
 const GOLDEN_RATIO: f64 = 0.618;
 
 impl ServerPool {
-    /// Chooses the subset: the next servers on the ring of their hashes from a point of this limiter's own. Ejected and
-    /// starting servers count for the capacity that they have.
+    /// Chooses the subset: consecutive servers on the hash ring from this limiter's own starting point, until their
+    /// capacity is the subset size. A starting server counts with its capacity fraction, and an ejected one with 0.
     ///
-    /// Without a subset each of many limiters would open a connection for each attempt, and would see too few responses
-    /// from a server to distinguish a good one from a bad one.
+    /// Without subsets, each of many limiters would open a connection for each attempt, and would see too few responses
+    /// from a server to distinguish good servers from bad ones.
     pub fn rebuild_subset(&mut self, now: Duration, config: &EndpointConfig, fleet: &FleetConfig) {
         let capacity = |server: &Server| {
             if server.is_ejected(now) {
@@ -29,11 +30,11 @@
         };
         let mut ring: Vec<&mut Server> = self.eligible_mut().collect();
         ring.sort_by_key(|server| server.endpoint.ring_hash);
-        let share = LIMITERS_PER_SERVER * ring.len() as f64 / f64::from(fleet.limiters);
-        let size = share.max(LEAST_SUBSET);
+        let mean_size = LIMITERS_PER_SERVER * ring.len() as f64 / f64::from(fleet.limiters);
+        let size = mean_size.max(MIN_SUBSET_CAPACITY);
         let total_capacity: f64 = ring.iter().map(|server| capacity(server)).sum();
-        let point = (f64::from(fleet.own_index) * GOLDEN_RATIO).fract();
-        let start = (point * ring.len() as f64) as usize;
+        let start_fraction = (f64::from(fleet.own_index) * GOLDEN_RATIO).fract();
+        let start = (start_fraction * ring.len() as f64) as usize;
         ring.rotate_left(start);
         let mut subset_capacity = 0.0;
         for server in ring {
--- a/crates/merlinreel-policy/src/server/tests/outlier_ejection.rs
+++ b/crates/merlinreel-policy/src/server/tests/outlier_ejection.rs
@@ -4,13 +4,13 @@
 use crate::tests::helpers::*;
 use test_case::test_case;
 
-#[test_case(AttemptOutcome::ConnectionLost, 0, 0.0 => (0, false) ; "one lost connection is the network's fault")]
-#[test_case(AttemptOutcome::ConnectionLost, 2, 0.0 => (1, false) ; "three in a row are the server's")]
-#[test_case(AttemptOutcome::ConnectionLost, 2, 0.4 => (0, false) ; "three in a row are chance where all fail often")]
-#[test_case(AttemptOutcome::ConnectionLost, 9, 0.4 => (1, false) ; "ten are not")]
-#[test_case(AttemptOutcome::ConnectionRefused, 0, 0.0 => (1, true) ; "no connection: the process is down")]
-#[test_case(AttemptOutcome::Unreachable, 0, 0.0 => (1, true) ; "no connection could be opened: it may be down")]
-#[test_case(AttemptOutcome::Error, 0, 0.4 => (0, false) ; "what all servers share is no server's fault")]
+#[test_case(AttemptOutcome::ConnectionLost, 0, 0.0 => (0, false) ; "one lost connection is attributed to the network")]
+#[test_case(AttemptOutcome::ConnectionLost, 2, 0.0 => (1, false) ; "three in a row are attributed to the server")]
+#[test_case(AttemptOutcome::ConnectionLost, 2, 0.4 => (0, false) ; "three in a row are chance at a high error rate of all servers")]
+#[test_case(AttemptOutcome::ConnectionLost, 9, 0.4 => (1, false) ; "ten in a row are not chance")]
+#[test_case(AttemptOutcome::ConnectionRefused, 0, 0.0 => (1, true) ; "a refused connection shows that the process is down")]
+#[test_case(AttemptOutcome::Unreachable, 0, 0.0 => (1, true) ; "an unreachable server may be down")]
+#[test_case(AttemptOutcome::Error, 0, 0.4 => (0, false) ; "errors of all servers are not attributed to one")]
 fn failed_attempt_is_recorded(
     outcome: AttemptOutcome,
     lost_connections: u32,
@@ -24,19 +24,19 @@
     let result = attempt_result(outcome, false);
     limiter.handle_attempt_result(at(1.1), &result, &mut RecordedActions::default());
     let health = &server_mut(&mut limiter, 0).health;
-    (health.consecutive_failures, health.connection_failed)
+    (health.consecutive_failures, health.restart_suspected)
 }
 
-/// Server 0 could not be reached and then responds; whether it is taken for one that has just started.
-#[test_case(AttemptOutcome::Unreachable, true => false ; "nor could any other: it was this limiter's own network")]
-#[test_case(AttemptOutcome::Unreachable, false => true ; "others could be")]
-#[test_case(AttemptOutcome::ConnectionRefused, true => true ; "it refused: its process was down")]
-fn server_that_was_unreachable_has_started_again(
+/// Whether server 0 begins a slow start when it responds after it could not be reached.
+#[test_case(AttemptOutcome::Unreachable, true => false ; "no server was reachable, so this limiter's own network failed")]
+#[test_case(AttemptOutcome::Unreachable, false => true ; "other servers were reachable")]
+#[test_case(AttemptOutcome::ConnectionRefused, true => true ; "a refused connection shows that the process was down")]
+fn response_after_unreachability_begins_a_slow_start(
     outcome: AttemptOutcome,
-    others_too: bool,
+    others_unreachable: bool,
 ) -> bool {
     let mut limiter = with_attempt(Idempotency::Idempotent);
-    server_mut(&mut limiter, 1).health.unreachable_since = others_too.then_some(at(1.05));
+    server_mut(&mut limiter, 1).health.unreachable_since = others_unreachable.then_some(at(1.05));
     let mut actions = RecordedActions::default();
     limiter.handle_attempt_result(at(1.1), &attempt_result(outcome, false), &mut actions);
     *limiter.requests.pending.slot(RequestIndex(0)) = Some(pending_request());
