--- a/crates/merlinreel-policy/src/server/tests/endpoint_updates.rs
+++ b/crates/merlinreel-policy/src/server/tests/endpoint_updates.rs
@@ -6,7 +6,7 @@
 use test_case::test_case;
 
 #[test_case(EndpointState::Draining, false => false ; "reported as draining")]
-#[test_case(EndpointState::Ready, true => true ; "a complete list keeps who is on it")]
+#[test_case(EndpointState::Ready, true => true ; "named in a complete list")]
 fn endpoint_update_decides_eligibility(state: EndpointState, complete: bool) -> bool {
     let mut limiter = with_servers(limiter(Idempotency::Idempotent, fleet()));
     let endpoints = vec![Endpoint {
@@ -18,9 +18,9 @@
     server_mut(&mut limiter, 0).eligible
 }
 
-#[test_case(1.0, 1 ; "at once when it was not asked for lately")]
-#[test_case(0.2, 0 ; "not again within half a second")]
-fn lost_endpoint_subscription_is_renewed(now: f64, calls: usize) {
+#[test_case(1.0, 1 ; "at once where it was not requested recently")]
+#[test_case(0.2, 0 ; "no second request within half a second")]
+fn lost_endpoint_subscription_is_renewed(now: f64, requests: usize) {
     let fleet = FleetConfig {
         peer_messages: false,
         ..fleet()
@@ -30,7 +30,7 @@
     limiter.subscription.lost = true;
     let mut actions = RecordedActions::default();
     limiter.process(at(now), &EventBatch::default(), &mut actions);
-    assert_eq!(actions.lines.len(), calls);
+    assert_eq!(actions.lines.len(), requests);
 }
 
 #[test]
--- a/crates/merlinreel-policy/src/server/tests/slow_start.rs
+++ b/crates/merlinreel-policy/src/server/tests/slow_start.rs
@@ -3,8 +3,8 @@
 use crate::tests::helpers::*;
 use test_case::test_case;
 
-#[test_case(3.0 => None ; "it had its share")]
-#[test_case(30.0 => Some(0) ; "it did not")]
+#[test_case(3.0 => None ; "share already sent")]
+#[test_case(30.0 => Some(0) ; "share not yet sent")]
 fn starting_server_gets_its_share_of_a_full_servers_load(full_capacity_load: f64) -> Option<u32> {
     let mut limiter = with_attempt(Idempotency::Idempotent);
     pending_mut(&mut limiter, 0).attempts.clear();
@@ -21,12 +21,12 @@
     selected.map(|server| server.0)
 }
 
-#[test_case(true, 7.0 => 12.0 ; "what the one with full capacity gets")]
-#[test_case(false, 7.0 => 7.0 ; "what was seen last while none has full capacity")]
-#[test_case(false, 0.0 => 5.0 ; "enough for an attempt where nothing was seen")]
-fn full_capacity_load_is_measured(has_full_capacity: bool, seen: f64) -> f64 {
+#[test_case(true, 7.0 => 12.0 ; "attempts of the server with full capacity")]
+#[test_case(false, 7.0 => 7.0 ; "last measurement while no server has full capacity")]
+#[test_case(false, 0.0 => 5.0 ; "enough for one attempt without a measurement")]
+fn full_capacity_load_is_measured(has_full_capacity: bool, last_measured: f64) -> f64 {
     let mut limiter = with_servers(limiter(Idempotency::Idempotent, fleet()));
-    limiter.servers.full_capacity_attempts = seen;
+    limiter.servers.full_capacity_attempts = last_measured;
     for server in limiter.servers.servers.values_mut() {
         server.slow_start_since = Some(at(1.0));
     }
--- a/crates/merlinreel-policy/src/server/tests/starting_server.rs
+++ b/crates/merlinreel-policy/src/server/tests/starting_server.rs
@@ -1,5 +1,5 @@
-//! What all limiters together send to one server that starts, under a burst at each of them. No sockets, no clock:
-//! seeded, the same each run.
+//! Simulates what all limiters together send to one starting server during a burst at each of them, without sockets or
+//! a real clock. Runs with the same seed are the same.
 
 use crate::actions::Actions;
 use crate::events::{EventBatch, PeerMessage};
@@ -21,35 +21,39 @@
 use test_case::test_case;
 
 const SERVERS: u32 = 12;
-/// The one that starts.
+/// Index of the server that starts.
 const STARTING: u32 = SERVERS - 1;
-/// Requests that a server with full capacity works on at once, each for this long on the mean.
+/// Requests that a server works on at once.
 const CORES: usize = 4;
+/// Mean time of a request on a core at full capacity.
 const WORK_SECONDS: f64 = 0.04;
-/// Time between two batches of each limiter.
+/// Simulated time between two batches of each limiter.
 const STEP_SECONDS: f64 = 0.005;
-/// The others have full capacity from the beginning; the last one starts, and the burst begins, at this moment.
+/// Begin of a run in simulated time; the other servers have full capacity from then on.
 const BEGIN: f64 = 1.0;
+/// Simulated time at which the last server starts and the burst begins.
 const STARTED_AT: f64 = 6.0;
+/// End of a run in simulated time.
 const END: f64 = 16.0;
-/// Work requested at all limiters together, in parts of the servers' capacity, before that moment and from it on.
+/// Requested work over the capacity of all servers, before the burst.
 const NORMAL_LOAD: f64 = 0.5;
+/// Requested work over the capacity of all servers, during the burst.
 const BURST_LOAD: f64 = 1.5;
-/// A server that fails sooner than most, at one and a half times its capacity.
+/// Multiple of its capacity at which the starting server fails; lower than for most servers.
 const OVERLOAD_FACTOR: f64 = 1.5;
-/// Runs of each case.
+/// Number of runs of each case, with seeds from 0.
 const SEEDS: u64 = 2;
 
-/// How the starting server appears.
+/// What the limiters know of the starting server before its start.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Appears {
-    /// It was never reported before.
+enum ServerHistory {
+    /// Discovery has not reported it before.
     New,
-    /// It had full capacity, is removed for a second and starts again.
-    Back,
+    /// It had full capacity, and was removed one second before its restart.
+    Returning,
 }
 
-/// What a limiter decided in a batch.
+/// Attempts and peer messages of a limiter in one batch; other actions are ignored.
 #[derive(Default)]
 struct Decisions {
     attempts: Vec<(RequestIndex, ServerIndex)>,
@@ -83,35 +87,37 @@
     }
 }
 
-/// The share of its capacity that the settings allow the starting server at a time.
-fn allowed_share(now: f64) -> f64 {
+/// Fraction of its full capacity that the starting server has at time `now` according to the settings.
+fn capacity_fraction(now: f64) -> f64 {
     let config = config();
     let progress = (now - STARTED_AT).max(0.0) / seconds(config.slow_start_duration);
     (config.slow_start_fraction + (1.0 - config.slow_start_fraction) * progress).min(1.0)
 }
 
-/// Requests of mean work in an overload window from `now` on that the settings allow the starting server, and the most
-/// that do not overload it.
-fn bound(now: f64) -> f64 {
+/// Maximum number of attempts in the overload window that begins at `now` by which the starting server is not
+/// overloaded: the overload factor times its capacity, in requests of mean work, plus a tolerance for random variation.
+fn max_attempts_in_window(now: f64) -> f64 {
     let config = config();
-    let allowed = config.overload_factor * allowed_share(now) * CORES as f64 / WORK_SECONDS
+    let max_mean_attempts = config.overload_factor * capacity_fraction(now) * CORES as f64
+        / WORK_SECONDS
         * seconds(config.overload_window);
-    allowed + 2.0 * allowed.sqrt() + 2.0
+    max_mean_attempts + 2.0 * max_mean_attempts.sqrt() + 2.0
 }
 
-/// One limiter, and what comes to it next.
+/// One limiter, with the events of its next batch.
 struct Node {
     limiter: Limiter,
     next: EventBatch,
-    /// Results of its attempts that are still to come, by their time in microseconds.
+    /// Future results of its attempts, by simulated time in microseconds and request.
     results: BTreeMap<(u64, u32), AttemptResult>,
+    /// Number of requests sent to it so far.
     requests: u32,
 }
 
 impl Node {
-    /// Number `me`; `configured` is the number of limiters that its settings name.
-    fn new(me: u32, configured: u32, seed: u64) -> Node {
-        // Quotas do not matter to this test: each customer has more than it requests.
+    /// Limiter with index `index`, whose settings contain `configured` as the number of limiters.
+    fn new(index: u32, configured: u32, seed: u64) -> Node {
+        // High enough that quotas reject no request.
         let plan = Plan {
             rate: 1e6,
             burst: 1e6,
@@ -123,7 +129,7 @@
             classes: vec![request_class(Idempotency::Idempotent)],
             fleet: FleetConfig {
                 limiters: configured,
-                own_index: me.min(configured - 1),
+                own_index: index.min(configured - 1),
                 ..fleet()
             },
             endpoints: config(),
@@ -132,7 +138,7 @@
                 ..request_limits()
             },
         };
-        let seed = seed.wrapping_mul(1000) + u64::from(me);
+        let seed = seed.wrapping_mul(1000) + u64::from(index);
         Node {
             limiter: Limiter::new(seed, limiter_config),
             next: EventBatch::default(),
@@ -141,26 +147,27 @@
         }
     }
 
-    /// A request of a customer of its own.
-    fn request(&mut self, limiters: u32, me: u32) {
-        let customer = u64::from(self.requests % 50) * u64::from(limiters) + u64::from(me);
+    /// Adds a request to the next batch, from one of 50 customers that use this limiter only.
+    fn request(&mut self, limiters: u32, index: u32) {
+        let customer = u64::from(self.requests % 50) * u64::from(limiters) + u64::from(index);
         self.next.requests.push(Request {
             id: RequestIndex(self.requests),
             customer,
             set_size: 1,
-            set_first: me,
+            set_first: index,
             ..request()
         });
         self.requests += 1;
     }
 }
 
+/// All limiters and all servers of a run.
 struct Fleet {
     nodes: Vec<Node>,
-    /// When each core of each server is free.
+    /// Simulated time from which each core of each server is free.
     cores: Vec<[f64; CORES]>,
     random: WyRand,
-    /// When attempts were sent to the starting server since it started.
+    /// Simulated times of the attempts sent to the starting server since its start.
     sent_to_starting: Vec<f64>,
 }
 
@@ -168,7 +175,7 @@
     fn new(limiters: u32, configured: u32, seed: u64) -> Fleet {
         Fleet {
             nodes: (0..limiters)
-                .map(|me| Node::new(me, configured, seed))
+                .map(|index| Node::new(index, configured, seed))
                 .collect(),
             cores: vec![[0.0; CORES]; SERVERS as usize],
             random: WyRand::new_seed(seed),
@@ -183,40 +190,41 @@
         }
     }
 
-    /// Requests of one step, each at a random limiter.
+    /// Adds the requests of one step, each at a random limiter.
     fn send_requests(&mut self, load: f64) {
         let limiters = self.nodes.len() as u32;
         let mean = load * f64::from(SERVERS) * CORES as f64 / WORK_SECONDS * STEP_SECONDS;
-        // Steps are short: requests come evenly, with a part of one by chance.
+        // Requests arrive evenly; the fractional part of the mean is the probability of one more request.
         let count =
             mean.floor() + f64::from(u8::from(self.random.generate::<f64>() < mean.fract()));
         for _ in 0..count as u32 {
-            let me = self.random.generate_range(0..limiters);
-            self.nodes[me as usize].request(limiters, me);
+            let index = self.random.generate_range(0..limiters);
+            self.nodes[index as usize].request(limiters, index);
         }
     }
 
-    /// When a server ends an attempt that reaches it now: first come, first served, work by chance.
-    fn work(&mut self, server: u32, now: f64) -> f64 {
+    /// Time at which a server completes an attempt that arrives now. Attempts are served in order of arrival, with
+    /// exponentially distributed work.
+    fn complete_at(&mut self, server: u32, now: f64) -> f64 {
         let capacity = if server == STARTING && now >= STARTED_AT {
-            allowed_share(now)
+            capacity_fraction(now)
         } else {
             1.0
         };
-        let work = -WORK_SECONDS * (1.0 - self.random.generate::<f64>()).ln() / capacity;
+        let work_seconds = -WORK_SECONDS * (1.0 - self.random.generate::<f64>()).ln() / capacity;
         let cores = &mut self.cores[server as usize];
         let core = (0..CORES)
             .min_by(|&one, &other| cores[one].total_cmp(&cores[other]))
             .unwrap_or(0);
-        cores[core] = cores[core].max(now) + work;
+        cores[core] = cores[core].max(now) + work_seconds;
         cores[core]
     }
 
-    /// One batch of every limiter.
+    /// Processes one batch at each limiter, and delivers the peer messages with the next batch.
     fn process(&mut self, now: f64) {
         let mut peer_messages = Vec::new();
-        for me in 0..self.nodes.len() {
-            let node = &mut self.nodes[me];
+        for index in 0..self.nodes.len() {
+            let node = &mut self.nodes[index];
             let mut batch = std::mem::take(&mut node.next);
             let later = node.results.split_off(&((now * 1e6) as u64, u32::MAX));
             batch.attempt_results = std::mem::replace(&mut node.results, later)
@@ -225,19 +233,19 @@
             let mut decisions = Decisions::default();
             node.limiter.process(at(now), &batch, &mut decisions);
             let sent = decisions.peer_messages.into_iter();
-            peer_messages.extend(sent.map(|message| (me as u32, message)));
+            peer_messages.extend(sent.map(|message| (index as u32, message)));
             for (request, server) in decisions.attempts {
                 if server == ServerIndex(STARTING) && now >= STARTED_AT {
                     self.sent_to_starting.push(now);
                 }
-                let latency = self.work(server.0, now) - now;
+                let latency = self.complete_at(server.0, now) - now;
                 let result = AttemptResult {
                     request,
                     server,
                     latency: at(latency),
                     ..attempt_result(AttemptOutcome::Success, true)
                 };
-                self.nodes[me]
+                self.nodes[index]
                     .results
                     .insert((((now + latency) * 1e6) as u64, request.0), result);
             }
@@ -250,14 +258,15 @@
         }
     }
 
-    fn run(mut self, appears: Appears) -> Vec<f64> {
-        let known = if appears == Appears::New {
+    /// Simulates a whole run, and returns the times of the attempts sent to the starting server.
+    fn run(mut self, history: ServerHistory) -> Vec<f64> {
+        let known = if history == ServerHistory::New {
             STARTING
         } else {
             SERVERS
         };
         self.update_endpoints(&(0..known).map(endpoint).collect::<Vec<_>>());
-        let mut removed = appears == Appears::New;
+        let mut removed = history == ServerHistory::New;
         let mut started = false;
         for step in 0..((END - BEGIN) / STEP_SECONDS) as u32 {
             let now = BEGIN + f64::from(step) * STEP_SECONDS;
@@ -283,55 +292,55 @@
     }
 }
 
-/// The most that was sent in an overload window from any attempt on, as a part of what the server bears then.
-fn highest_load(sends: &[f64]) -> f64 {
+/// Highest number of attempts in an overload window that begins with an attempt, divided by the maximum for that
+/// window.
+fn peak_load(sends: &[f64]) -> f64 {
     let window = seconds(config().overload_window);
     let load = |(i, &begin): (usize, &f64)| {
-        let within = sends[i..]
+        let in_window = sends[i..]
             .iter()
             .take_while(|&&sent| sent < begin + window)
             .count();
-        within as f64 / bound(begin)
+        in_window as f64 / max_attempts_in_window(begin)
     };
     sends.iter().enumerate().map(load).fold(0.0, f64::max)
 }
 
-/// A burst at every limiter as one server starts: together they never send it, in any overload window, what would
-/// overload it; and they do use it.
-#[test_case(1, Appears::New ; "one, a new server")]
-#[test_case(1, Appears::Back ; "one, one that is back")]
-#[test_case(2, Appears::Back ; "two, one that is back")]
-#[test_case(4, Appears::New ; "four, a new server")]
-#[test_case(4, Appears::Back ; "four, one that is back")]
-#[test_case(24, Appears::New ; "twenty four, a new server")]
-#[test_case(24, Appears::Back ; "twenty four, one that is back")]
-#[test_case(20, Appears::New ; "twenty, a new server")]
-#[test_case(20, Appears::Back ; "twenty, one that is back")]
-#[test_case(30, Appears::New ; "thirty, a new server")]
-#[test_case(30, Appears::Back ; "thirty, one that is back")]
-fn all_limiters_together_do_not_overload_a_starting_server(limiters: u32, appears: Appears) {
+/// During a burst at all limiters, the attempts that they send to a starting server do not overload it in any overload
+/// window, and the server is used.
+#[test_case(1, ServerHistory::New ; "one limiter, new server")]
+#[test_case(1, ServerHistory::Returning ; "one limiter, returning server")]
+#[test_case(2, ServerHistory::Returning ; "two limiters, returning server")]
+#[test_case(4, ServerHistory::New ; "four limiters, new server")]
+#[test_case(4, ServerHistory::Returning ; "four limiters, returning server")]
+#[test_case(24, ServerHistory::New ; "twenty four limiters, new server")]
+#[test_case(24, ServerHistory::Returning ; "twenty four limiters, returning server")]
+#[test_case(20, ServerHistory::New ; "twenty limiters, new server")]
+#[test_case(20, ServerHistory::Returning ; "twenty limiters, returning server")]
+#[test_case(30, ServerHistory::New ; "thirty limiters, new server")]
+#[test_case(30, ServerHistory::Returning ; "thirty limiters, returning server")]
+fn all_limiters_together_do_not_overload_a_starting_server(limiters: u32, history: ServerHistory) {
     for seed in 0..SEEDS {
-        let sends = Fleet::new(limiters, limiters, seed).run(appears);
-        let highest = highest_load(&sends);
-        assert!(highest <= 1.0, "seed {seed}: {highest}");
+        let sends = Fleet::new(limiters, limiters, seed).run(history);
+        let peak = peak_load(&sends);
+        assert!(peak <= 1.0, "seed {seed}: {peak}");
         assert!(sends.len() > 100, "seed {seed}: {} sends", sends.len());
     }
 }
 
-/// The bound can be broken: limiters that each take themselves for the only one send more than it together.
-#[test_case(24, Appears::New ; "twenty four, a new server")]
-#[test_case(24, Appears::Back ; "twenty four, one that is back")]
-#[test_case(30, Appears::New ; "thirty, a new server")]
-fn limiters_with_a_wrong_fleet_size_send_too_much(limiters: u32, appears: Appears) {
+/// Shows that the maximum can be exceeded: limiters that are each configured as the only one send too much together.
+#[test_case(24, ServerHistory::New ; "twenty four limiters, new server")]
+#[test_case(24, ServerHistory::Returning ; "twenty four limiters, returning server")]
+#[test_case(30, ServerHistory::New ; "thirty limiters, new server")]
+fn limiters_with_a_wrong_fleet_size_send_too_much(limiters: u32, history: ServerHistory) {
     for seed in 0..SEEDS {
-        let highest = highest_load(&Fleet::new(limiters, 1, seed).run(appears));
-        assert!(highest > 1.0, "seed {seed}: {highest}");
+        let peak = peak_load(&Fleet::new(limiters, 1, seed).run(history));
+        assert!(peak > 1.0, "seed {seed}: {peak}");
     }
 }
 
-/// A seed gives one run.
 #[test]
 fn same_seed_gives_the_same_run() {
-    let run = || Fleet::new(24, 24, 0).run(Appears::Back);
+    let run = || Fleet::new(24, 24, 0).run(ServerHistory::Returning);
     assert_eq!(run(), run());
 }
