--- a/crates/merlinreel-policy/src/quota.rs
+++ b/crates/merlinreel-policy/src/quota.rs
@@ -1,4 +1,5 @@
-//! Quotas: one account for each customer, counted in windows aligned to the clock, and how limiters keep them together.
+//! Customer quotas: one account per customer, whose usage is counted in windows aligned to the limiter's clock, and the
+//! exchange of usage between limiters.
 //!
 //! State: [`window`], [`token_bucket`], [`account`] and its parts ([`demand`], [`estimate`], [`account_parts`]),
 //! [`table`], [`peer_links`] and [`counter_client`]. Decisions: [`intervals`], [`admission`], [`ceiling`],
--- a/crates/merlinreel-policy/src/quota/account.rs
+++ b/crates/merlinreel-policy/src/quota/account.rs
@@ -1,4 +1,4 @@
-//! All that is known of one customer's quota. It only counts; decisions are in the modules beside it.
+//! One customer's account: the counts that this limiter keeps. Other modules of [`super`] decide by them.
 
 use super::account_parts::{
     AggregationState, CeilingBucket, CounterState, LimiterSet, ReplicationState,
@@ -11,35 +11,36 @@
 use crate::peer_batch::CounterRow;
 use std::time::Duration;
 
-/// Each change is sent twice: a lost batch is made good by the next one, and as rows are totals, duplicates do no harm.
+/// Each change is sent in two batches in case one is lost. Rows hold totals, so duplicates are harmless.
 const BROADCASTS_PER_CHANGE: u8 = 2;
 
 /// One customer's account at this limiter.
 #[derive(Default)]
 pub struct Account {
-    /// The customer.
+    /// Number that identifies the customer in requests, peer messages and counter calls.
     pub customer: u64,
-    /// Index of its plan.
+    /// Index of the customer's plan.
     pub plan: usize,
-    /// The limiters through which it comes.
+    /// The limiters that receive the customer's requests.
     pub limiters: LimiterSet,
-    /// Its quota.
+    /// Token bucket of the quota, with usage at this limiter and at the others.
     pub bucket: TokenBucket,
-    /// Its hard ceiling.
+    /// This limiter's share of the hard ceiling.
     pub ceiling: CeilingBucket,
-    /// Requests that arrived here, admitted or not.
+    /// Requests that arrived at this limiter, admitted or not.
     pub requests: CurrentAndPrevious<f64>,
-    /// Requests of it in progress here.
+    /// Admitted requests in progress at this limiter.
     pub in_progress: u32,
-    /// Until then, or until use elsewhere is reported, a new customer's quota is split over its limiters.
+    /// Time, on the limiter's clock, until which a new customer's quota is split over its limiters. Reset to zero,
+    /// which ends the split, when usage at other limiters or an estimate is received.
     pub split_until: Duration,
-    /// What is still to be reported.
+    /// Changes that have not been reported yet.
     pub replication: ReplicationState,
-    /// What the counter service was sent.
+    /// Units sent to the counter service, and the call in flight.
     pub counter: CounterState,
-    /// The aggregator's and its subscribers' side.
+    /// Demand, subscribers and the latest estimate.
     pub aggregation: AggregationState,
-    /// Checks for expiry since a request or a peer message named the customer.
+    /// Expiry checks since the last call of [`super::table::QuotaTable::mark_dirty`] for this account.
     pub idle_checks: u32,
 }
 
@@ -68,17 +69,18 @@
         }
     }
 
-    /// Units that the quota has left.
+    /// Units left of the quota; negative where more was admitted than the quota allows.
     pub fn remaining(&self, now: Duration, plan: &Plan) -> f64 {
         self.bucket.remaining(now, plan)
     }
 
-    /// Units that other limiters admitted in a window.
+    /// Units that other limiters admitted in a window, as far as this limiter knows.
     pub fn used_elsewhere(&self, age: WindowAge) -> f64 {
         self.bucket.elsewhere.units(age)
     }
 
-    /// Moves on to the window of this time.
+    /// Begins the window that contains `now`, if it is later than the current one. Usage of a window that has just
+    /// ended, here or at other limiters, makes one more update of that window due.
     pub fn advance(&mut self, now: Duration, plan: &Plan) {
         let change = self.bucket.advance(now, plan);
         if change == WindowChange::Same {
@@ -96,7 +98,8 @@
         };
     }
 
-    /// Charges units that this limiter admitted to a window, or gives them back where they are negative.
+    /// Charges units that this limiter admitted to a window and marks them as unreported; negative units are a refund.
+    /// Units of a window that is no longer kept change the bucket but are not reported.
     pub fn charge(&mut self, window: WindowNumber, units: f64) {
         if let Some(age) = self.bucket.charge(window, units) {
             self.replication.pending_broadcasts[age] = BROADCASTS_PER_CHANGE;
@@ -104,7 +107,8 @@
         }
     }
 
-    /// Takes over another source's total of a window (see [`TokenBucket::set_usage_elsewhere`]).
+    /// Applies a source's total for a window (see [`TokenBucket::set_usage_elsewhere`]) and ends the split of a new
+    /// customer's quota. Totals of windows that are not kept are ignored.
     pub fn set_usage_elsewhere(
         &mut self,
         now: Duration,
@@ -123,12 +127,12 @@
         self.split_until = Duration::ZERO;
     }
 
-    /// Units requested per second, as far as this limiter knows.
+    /// Units requested per second: at this limiter and, as far as reported to it, at others.
     pub fn demand_rate(&mut self, now: Duration) -> f64 {
         self.aggregation.demand.rate(now)
     }
 
-    /// Takes over an estimate that another limiter relays, if it is newer than the one held and younger than `lifetime`.
+    /// Applies an estimate that another limiter relays, if it is newer than the one held and younger than `lifetime`.
     pub fn apply_relayed(
         &mut self,
         now: Duration,
@@ -147,7 +151,8 @@
         }
     }
 
-    /// The state of the quota: at the aggregator its own count, else the estimate that it published last, if ever.
+    /// The state of the quota: the aggregator's own counts, or elsewhere the latest estimate; `None` if there is none
+    /// yet.
     pub fn snapshot(
         &mut self,
         now: Duration,
@@ -164,7 +169,7 @@
         })
     }
 
-    /// The row of a window in a peer message.
+    /// Row of a peer message that reports this limiter's total in a window.
     pub fn row(&self, age: WindowAge) -> CounterRow {
         CounterRow {
             customer: self.customer,
@@ -177,7 +182,7 @@
         }
     }
 
-    /// The row of a peer message that relays a snapshot.
+    /// Row of a peer message that relays a snapshot.
     pub fn relayed_row(&self, snapshot: QuotaSnapshot) -> CounterRow {
         CounterRow {
             demand: Some(snapshot.demand_rate),
--- a/crates/merlinreel-policy/src/quota/account_parts.rs
+++ b/crates/merlinreel-policy/src/quota/account_parts.rs
@@ -1,41 +1,43 @@
-//! The parts of an account: its limiters, what is still to be reported, the aggregator's side, and the hard ceiling.
+//! Parts of an account: its limiter set, unreported changes, counter calls, aggregation, and the hard ceiling.
 
 use super::demand::DemandMeter;
 use super::estimate::PublishedEstimate;
 use super::window::{CurrentAndPrevious, WindowNumber};
 use std::time::Duration;
 
-/// The limiters through which a customer comes: consecutive ones, the first following the last.
+/// The limiters that receive a customer's requests: consecutive indices, where the fleet's first index follows its
+/// last.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LimiterSet {
-    /// How many they are; 0 until a request of the customer arrived here.
+    /// Number of limiters; 0 until a request of the customer has arrived at this limiter.
     pub size: u32,
-    /// Index of the first.
+    /// Index of the first limiter, taken modulo the size of the fleet.
     pub first: u32,
 }
 
 impl LimiterSet {
-    /// Whether a limiter, of so many, is in the set.
+    /// Whether a limiter is in the set, in a fleet of `limiters`.
     pub fn contains(&self, limiter: u32, limiters: u32) -> bool {
         (limiter + limiters - self.first % limiters) % limiters < self.size
     }
 
-    /// The size by which shares are divided: at least one.
+    /// Number of limiters by which to divide a share: the size, but at least 1.
     pub fn divisor(&self) -> u32 {
         self.size.max(1)
     }
 }
 
-/// What other limiters, the counter or the aggregator have not been sent yet.
+/// Changes that have not been reported yet to other limiters, the counter service or the aggregator.
 #[derive(Debug, Default)]
 pub struct ReplicationState {
-    /// Batches that the window's row is still to be part of.
+    /// Number of batches that still have to include the window's row; where there is an aggregator, any number above 0
+    /// asks for one report to it.
     pub pending_broadcasts: CurrentAndPrevious<u8>,
-    /// The counter or the aggregator is to be sent an update.
+    /// The counter service or the aggregator has to be sent an update of the window.
     pub update_due: CurrentAndPrevious<bool>,
-    /// It is on the table's list of accounts that may have something to report.
+    /// The account is in [`super::table::QuotaTable::dirty`].
     pub dirty: bool,
-    /// Units admitted here since the last report: other limiters cannot know of them.
+    /// Units admitted at this limiter since its last broadcast or counter call, unknown to other limiters.
     pub unreported_units: f64,
 }
 
@@ -51,57 +53,57 @@
     }
 }
 
-/// A call to the counter service that is not answered yet.
+/// A call to the counter service that has no reply yet.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CounterCall {
     /// The window that was incremented.
     pub window: WindowNumber,
-    /// Units that this limiter had admitted in the window when it called.
+    /// Units that this limiter had admitted in the window when it made the call.
     pub own_units: f64,
-    /// Units that the call adds.
+    /// Units that the call adds to the counter; negative for a refund.
     pub amount: f64,
 }
 
-/// What the counter service was sent.
+/// Units that an account has sent to the counter service.
 #[derive(Debug, Default)]
 pub struct CounterState {
-    /// Units that were added to the counter.
+    /// Units that this limiter added to the counter. Calls without a reply are included, unless known to have failed.
     pub counted: CurrentAndPrevious<f64>,
     /// The call in flight; an account has one at a time.
     pub in_flight: Option<CounterCall>,
 }
 
-/// A limiter that reported to the aggregator of a customer and is sent its estimates.
+/// A limiter that reports on a customer to its aggregator, and is sent the aggregator's estimates.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Subscriber {
     /// Index of the limiter.
     pub peer: u32,
-    /// When it reported last.
+    /// Time at which its last report was received.
     pub reported_at: Duration,
-    /// It is to be sent an estimate.
+    /// The limiter has not been sent the latest estimate yet.
     pub estimate_due: bool,
 }
 
-/// What aggregation needs, at the aggregator and at the limiters that report to it.
+/// State of aggregation for one customer, at the aggregator and at the limiters that report to it.
 #[derive(Default)]
 pub struct AggregationState {
-    /// Units requested: here, and at the aggregator also at the limiters that report to it.
+    /// Units requested at this limiter and, if it is the aggregator, at the limiters that report to it.
     pub demand: DemandMeter,
-    /// Units requested here that the aggregator was not sent yet.
+    /// Units requested at this limiter that have not been reported to the aggregator yet.
     pub unreported_demand: f64,
-    /// When the aggregator was sent a report last.
+    /// Time of this limiter's last report to the aggregator; zero before the first.
     pub reported_at: Duration,
-    /// The limiters that reported lately, at the aggregator.
+    /// Limiters that reported to this one within [`super::aggregation::ESTIMATE_LIFETIME`].
     pub subscribers: Vec<Subscriber>,
-    /// The estimate published last.
+    /// The latest estimate, sent or received.
     pub published: PublishedEstimate,
 }
 
-/// This limiter's part of a customer's hard ceiling.
+/// Token bucket of this limiter's share of a customer's hard ceiling.
 #[derive(Debug, Default)]
 pub struct CeilingBucket {
-    /// Units that may pass; negative where the slack was used.
+    /// Units in the bucket; negative where part of the slack is used.
     pub units: f64,
-    /// When it was refilled last.
+    /// Time of the last refill.
     pub refilled_at: Duration,
 }
--- a/crates/merlinreel-policy/src/quota/admission.rs
+++ b/crates/merlinreel-policy/src/quota/admission.rs
@@ -1,4 +1,4 @@
-//! Decides whether a customer's quota admits a request, and when a rejected one may come back.
+//! Decides whether a customer's quota admits a request, and when a rejected request may be retried.
 
 use super::account::Account;
 use super::aggregation::{ESTIMATE_LIFETIME, admission_probability};
@@ -8,37 +8,38 @@
 use crate::time;
 use std::time::Duration;
 
-/// Other limiters' customers wait for the refill too.
+/// Multiple of a request's units to wait for, as requests rejected by other limiters wait for the same refill.
 const REFILL_FACTOR: f64 = 2.0;
-const LEAST_REFILL_WAIT_SECONDS: f64 = 0.05;
-const LEAST_RATE: f64 = 0.001;
-const LEAST_OBSERVED_SECONDS: f64 = 0.1;
-/// Other limiters' requests come in bursts: this many times the mean is expected.
+const MIN_REFILL_WAIT_SECONDS: f64 = 0.05;
+const MIN_UNITS_PER_SECOND: f64 = 0.001;
+const MIN_OBSERVED_SECONDS: f64 = 0.1;
+/// Requests at other limiters come in bursts, so this multiple of their mean rate is expected.
 const BURST_FACTOR: f64 = 2.0;
 
-/// What is known beside the account when a request is to be admitted.
+/// Input of an admission decision besides the account, the plan and the request.
 #[derive(Clone, Copy, Debug)]
 pub struct AdmissionContext {
-    /// The fleet's configuration.
+    /// The limiters that share the quota, and how they exchange usage.
     pub fleet: FleetConfig,
-    /// Time for which limiters do not know of each other's admissions, in seconds.
+    /// Time until a limiter learns of another's admissions, in seconds.
     pub staleness_seconds: f64,
-    /// A random number from 0 to 1.
+    /// Random number from 0 to 1 that is compared with the admission probability.
     pub sample: f64,
 }
 
 impl Account {
-    /// Time after which a rejected request may come back: at the end of the window, or sooner if the even refill covers
-    /// its units before.
+    /// Seconds until a rejected request may be retried: until the window ends, or less if enough is refilled earlier.
     pub fn retry_after_seconds(&self, now: Duration, plan: &Plan, units: f64) -> f64 {
         let window_end = self.bucket.window.end_seconds(plan) - time::seconds(now);
         let missing = REFILL_FACTOR * units - self.remaining(now, plan);
-        let refill = missing / plan.rate.max(LEAST_RATE);
-        window_end.min(refill.max(LEAST_REFILL_WAIT_SECONDS))
+        let refill = missing / plan.rate.max(MIN_UNITS_PER_SECOND);
+        window_end.min(refill.max(MIN_REFILL_WAIT_SECONDS))
     }
 
-    /// Number of limiters that the quota is split over while they do not know of each other's admissions: those that
-    /// used it lately, as far as they are likely to use it in that time. A slow customer's quota is hardly split.
+    /// Number of limiters over which the quota is split until they learn of each other's admissions: this one and the
+    /// others that used it recently, but no more others than requests expected from them in that time. The quota of a
+    /// customer with few requests is hardly split. A counter service does not tell which of the others used the quota:
+    /// all of them count then.
     pub fn active_limiters(
         &self,
         now: Duration,
@@ -60,7 +61,7 @@
         let observed_seconds =
             time::seconds(now) - self.bucket.window.previous().start_seconds(plan);
         let requests = self.requests.current + self.requests.previous;
-        let rate = (requests * others).max(used) / observed_seconds.max(LEAST_OBSERVED_SECONDS);
+        let rate = (requests * others).max(used) / observed_seconds.max(MIN_OBSERVED_SECONDS);
         1.0 + others.min(BURST_FACTOR * rate * staleness_seconds)
     }
 
@@ -69,7 +70,7 @@
         plan.max_concurrent > 0 && self.in_progress >= share
     }
 
-    /// Whether the quota admits a request of so many units.
+    /// Whether the plan's concurrency limit and the quota admit a request of `units`.
     pub fn admits(
         &self,
         now: Duration,
--- a/crates/merlinreel-policy/src/quota/aggregation.rs
+++ b/crates/merlinreel-policy/src/quota/aggregation.rs
@@ -1,5 +1,5 @@
-//! Decides for limiters that are too many to report to each other: which of a customer's limiters aggregates its reports,
-//! who is sent the aggregator's estimates, and how an estimate admits requests.
+//! Decisions in a fleet too large for limiters to report to each other: which of a customer's limiters aggregates the
+//! reports, when the aggregator publishes an estimate, and how an estimate affects admission.
 
 use super::account::Account;
 use super::estimate::QuotaSnapshot;
@@ -9,33 +9,37 @@
 use crate::model::plan::Plan;
 use std::time::Duration;
 
-/// Time over which demand is measured: some reports of each limiter, while a burst is soon forgotten.
+/// Time over which demand is measured: long enough for several reports from each limiter, short enough that a burst
+/// soon ceases to count.
 pub const DEMAND_WINDOW: Duration = Duration::from_secs(3);
-/// How long a limiter that reported is sent estimates, and so how long an estimate holds; a limiter that goes on
-/// admitting requests of the customer reports sooner again.
+/// How long a limiter is sent estimates after a report, and hence how long an estimate is valid. A limiter that goes on
+/// admitting requests of the customer reports again before that.
 pub const ESTIMATE_LIFETIME: Duration = Duration::from_secs(5);
-/// Estimates older than this share of their lifetime are not relayed.
+/// An estimate is relayed only while it is younger than its lifetime divided by this.
 const RELAYED_LIFETIME_DIVISOR: u32 = 2;
-/// With the demand at the plan's rate, every request is admitted while this part of the bucket is left.
+/// While demand does not exceed the plan's rate, all requests are admitted as long as the bucket holds its capacity
+/// divided by this.
 const FULL_ADMISSION_DIVISOR: f64 = 3.0;
-/// Reports without an answer after which an aggregator counts as down. Some messages are lost, and two aggregators for
-/// one customer would count too much.
+/// Number of unanswered reports after which an aggregator is considered down. Some messages are lost, and with two
+/// aggregators too much would be counted for a customer.
 const MAX_UNANSWERED_REPORTS: u32 = 5;
-/// Change of the admission probability that is published; less is no more than use varies by chance.
-const PUBLISHED_CHANGE: f64 = 0.35;
-/// Multiplier whose bits are well mixed: it spreads customers evenly over their limiters.
-const SPREAD_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
-const SPREAD_SHIFT: u32 = 40;
+/// Relative change of the admission probability above which an estimate is published. Smaller changes are within the
+/// random variation of usage.
+const MIN_PUBLISHED_CHANGE_FRACTION: f64 = 0.35;
+/// Multiplier of a multiplicative hash, with well-mixed bits, which spreads customers evenly over their limiters.
+const HASH_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
+const HASH_SHIFT: u32 = 40;
 
-/// The probability with which a request is admitted: less as the bucket empties and as more is requested. Use settles at
-/// the refill with a third of the bucket left, however old the estimate is.
+/// Probability of admitting a request, which falls as the bucket empties and as demand rises. Under high demand, usage
+/// settles at the refill rate with a third of the bucket left, however old the estimate is.
 pub fn admission_probability(remaining: f64, demand_rate: f64, plan: &Plan) -> f64 {
     let full = demand_rate.max(plan.rate) * window_seconds(plan) / FULL_ADMISSION_DIVISOR;
     (remaining / full).clamp(0.0, 1.0)
 }
 
-/// Whether a snapshot is relayed with messages to other limiters: it is where a customer requests more than its quota,
-/// as otherwise each of hundreds of limiters would admit a first request of a quota that is used up.
+/// Whether a snapshot is relayed in messages to other limiters: it has to be recent, and the customer's demand has to
+/// exceed its quota. Without relayed estimates, each of hundreds of limiters would admit a first request against a
+/// quota that is used up.
 pub fn is_relayed(snapshot: &QuotaSnapshot, plan: &Plan) -> bool {
     let exceeds_quota = snapshot.demand_rate > plan.rate
         && admission_probability(snapshot.remaining, snapshot.demand_rate, plan) < 1.0;
@@ -43,10 +47,11 @@
 }
 
 impl Account {
-    /// The limiter that aggregates this customer's reports; the next of its limiters where that one does not answer.
+    /// Index of the limiter that aggregates this customer's reports: a limiter of the set chosen by the customer's
+    /// hash, or the next one in the set that is not considered down. This limiter if all of them are.
     pub fn aggregator(&self, fleet: &FleetConfig, links: &[PeerLink]) -> u32 {
         let set_size = u64::from(self.limiters.divisor());
-        let start = self.customer.wrapping_mul(SPREAD_MULTIPLIER) >> SPREAD_SHIFT;
+        let start = self.customer.wrapping_mul(HASH_MULTIPLIER) >> HASH_SHIFT;
         let first = self.limiters.first % fleet.limiters;
         (0..set_size)
             .map(|step| (first + ((start + step) % set_size) as u32) % fleet.limiters)
@@ -57,19 +62,22 @@
             .unwrap_or(fleet.own_index)
     }
 
-    /// Has the limiters that reported lately sent an estimate, if what is left is not what they must believe.
+    /// Makes a new estimate due to all subscribers, if the admission probability has changed too much from the one that
+    /// they derive from the last estimate. Removes subscribers whose last report is older than [`ESTIMATE_LIFETIME`].
     pub fn notify_subscribers(&mut self, now: Duration, plan: &Plan) {
         let remaining = self.remaining(now, plan);
         let demand_rate = self.demand_rate(now);
         let aggregation = &mut self.aggregation;
         let published = &mut aggregation.published;
-        let believed = admission_probability(
+        let published_probability = admission_probability(
             published.remaining_at(now, plan),
             published.demand_rate.unwrap_or(0.0),
             plan,
         );
-        let actual = admission_probability(remaining, demand_rate, plan);
-        if (actual - believed).abs() > PUBLISHED_CHANGE * actual.max(believed) {
+        let probability = admission_probability(remaining, demand_rate, plan);
+        if (probability - published_probability).abs()
+            > MIN_PUBLISHED_CHANGE_FRACTION * probability.max(published_probability)
+        {
             published.remaining = remaining;
             published.demand_rate = Some(demand_rate);
             published.at = now;
@@ -82,7 +90,8 @@
             .retain(|subscriber| now < subscriber.reported_at + ESTIMATE_LIFETIME);
     }
 
-    /// Nothing is left to report: the counts of this limiter have reached the aggregator, or are its own.
+    /// Clears what is due to the aggregator: it has been sent, or need not be as this limiter is the aggregator or has
+    /// had no request of the customer.
     pub fn mark_reported(&mut self) {
         self.replication.pending_broadcasts = CurrentAndPrevious::default();
         self.replication.update_due.current = false;
--- a/crates/merlinreel-policy/src/quota/aggregator_batch.rs
+++ b/crates/merlinreel-policy/src/quota/aggregator_batch.rs
@@ -1,5 +1,6 @@
-//! Decides what a limiter sends where reports go through aggregators: its totals to the customers' aggregators, estimates
-//! to those that report to it, and with each message some estimates that concern the receiver too.
+//! Decides what a limiter sends where reports go through aggregators: its totals to the customers' aggregators,
+//! estimates to the limiters that report to it, and in each message a few relayed estimates for customers that the
+//! receiver shares.
 
 use super::account::Account;
 use super::aggregation::{ESTIMATE_LIFETIME, is_relayed};
@@ -15,37 +16,40 @@
 use crate::time;
 use std::time::Duration;
 
-/// Estimates relayed in a message beside its own rows: each of some thirty customers then reaches each limiter, which
-/// reads tens of messages per second, about once a second.
+/// Relayed estimates per message, in addition to its own rows. As each limiter reads tens of messages per second, the
+/// estimates of some thirty customers then reach each limiter about once a second.
 const RELAYED_PER_MESSAGE: usize = 2;
-/// Rows with a demand or an estimate are half as long again.
+/// Rows with a demand or an estimate are half as long again as rows with a total only.
 const LONG_ROWS_PER_MESSAGE: usize = ROWS_PER_MESSAGE * 2 / 3;
-/// Few limiters aggregate for customers with much demand and must notify many at once: each may send this many times its
-/// even share of messages...
+/// Multiple of its even share of the fleet's messages that a limiter may send while its own inbox takes few estimates
+/// (see [`ESTIMATE_INBOX_DIVISOR`]). Few limiters aggregate for customers with high demand, and they have to notify
+/// many limiters at once.
 const MESSAGE_SHARE_FACTOR: f64 = 4.0;
-/// ...while estimates take less than this part of its own inbox, so that two thirds are left to reports.
+/// [`MESSAGE_SHARE_FACTOR`] applies while a limiter receives estimates at less than its inbox rate divided by this,
+/// which leaves two thirds of the inbox to reports.
 const ESTIMATE_INBOX_DIVISOR: f64 = 3.0;
+/// Messages that may accumulate beyond the refill of one tick.
 const MESSAGE_BURST: f64 = 4.0;
-/// Part of an aggregator's inbox for reports that say only that requests were rejected.
+/// An aggregator's inbox rate divided by this is available for reports that only say that requests were rejected.
 const DEMAND_REPORT_INBOX_DIVISOR: f64 = 4.0;
-/// Urgency of an account whose bucket is empty; a full one has this less one.
+/// Urgency of an account whose bucket is empty; that of a full bucket is lower by one.
 const MAX_URGENCY: f64 = 1.25;
 
-/// A message to one limiter.
+/// Rows for one limiter.
 #[derive(Clone, Debug, Default)]
 struct Outgoing {
-    /// The sum of its rows' urgencies.
+    /// Sum of the urgencies of the rows.
     urgency: f64,
     rows: Vec<CounterRow>,
 }
 
-/// An estimate that may be relayed.
+/// An estimate that may be relayed to other limiters.
 struct Relayable {
     account: AccountIndex,
     snapshot: QuotaSnapshot,
 }
 
-/// Everything that could be sent now.
+/// All rows that could be sent now, of which the message credit may cover only a part.
 struct Batch {
     by_limiter: Vec<Outgoing>,
     relayable: Vec<Relayable>,
@@ -59,7 +63,7 @@
     }
 }
 
-/// Sends the messages that are most urgent, as far as the budget goes.
+/// Sends the most urgent messages, as many as the message credit allows.
 pub fn send(
     now: Duration,
     fleet: &FleetConfig,
@@ -140,7 +144,7 @@
     batch
 }
 
-/// The rows of one account: reports to its aggregator, and estimates to those that report to this limiter.
+/// Adds the rows of one account: reports to its aggregator, and estimates to the subscribers of this limiter.
 fn collect_rows(
     now: Duration,
     fleet: &FleetConfig,
@@ -182,8 +186,8 @@
     }
 }
 
-/// Whether a limiter that only rejected requests reports its demand. A customer's limiters report in rotation, as hundreds
-/// of them would fill the aggregator's inbox with such reports.
+/// Whether a limiter that only rejected requests reports its demand now. The interval between such reports grows with
+/// the size of the limiter set, as those of hundreds of limiters would fill the aggregator's inbox.
 fn is_demand_report_due(now: Duration, fleet: &FleetConfig, account: &Account) -> bool {
     let rotation_seconds = DEMAND_REPORT_INBOX_DIVISOR * f64::from(account.limiters.size)
         / fleet.peer_inbox_rate.max(1.0);
@@ -191,7 +195,8 @@
     account.replication.update_due.current && now >= account.aggregation.reported_at + interval
 }
 
-/// The limiters that are sent a message, the most urgent first; urgency grows while a limiter is sent nothing.
+/// The limiters to send a message to now, the most urgent first. Urgency grows with the time since the last message to
+/// a limiter.
 fn most_urgent(now: Duration, fleet: &FleetConfig, batch: &Batch, peers: &PeerLinks) -> Vec<u32> {
     let urgency = |peer: u32| {
         let waited = now.saturating_sub(peers.links[peer as usize].sent_at);
@@ -205,7 +210,7 @@
     order
 }
 
-/// What a message holds is no longer due.
+/// Clears the due marks of the reports and estimates that a message holds.
 fn mark_sent(now: Duration, peer: u32, rows: &[CounterRow], quotas: &mut QuotaTable) {
     for row in rows {
         let index = quotas.by_customer[&row.customer];
@@ -223,7 +228,7 @@
     }
 }
 
-/// Adds estimates of customers that come through the receiver too, in rotation from message to message.
+/// Adds relayed estimates for customers that the receiver shares, in rotation from message to message.
 fn relay(
     fleet: &FleetConfig,
     peer: u32,
--- a/crates/merlinreel-policy/src/quota/counter.rs
+++ b/crates/merlinreel-policy/src/quota/counter.rs
@@ -1,4 +1,4 @@
-//! Decides which customers' units are added to the counter service, and how often it is called.
+//! Decides which customers' units are added to the counter service, and adjusts the rate of calls to it.
 
 use super::account_parts::CounterCall;
 use super::counter_client::CounterClient;
@@ -12,20 +12,23 @@
 use crate::time;
 use std::time::Duration;
 
-/// Calls that may accumulate: with many limiters each has less than one call per tick.
-const LEAST_CALL_BURST: f64 = 4.0;
-/// Time for which the counter counts as overloaded once a call had to wait.
-const OVERLOAD_MEMORY: Duration = Duration::from_secs(1);
+/// Calls that may always accumulate: in a large fleet, each limiter has a budget of less than one call per tick.
+const MIN_CALL_BURST: f64 = 4.0;
+/// Time for which the counter service is considered overloaded after a call had to wait.
+const OVERLOAD_DURATION: Duration = Duration::from_secs(1);
 const COUNTER_LIFETIME_WINDOWS: f64 = 3.0;
 const MAX_COUNTER_LIFETIME_SECONDS: f64 = 60.0;
-/// A call in twenty may fail before the rate falls.
-const RATE_INCREASE: f64 = 1.01;
-const RATE_DECREASE: f64 = 0.8;
-/// At 20 ms per tick: a call every two seconds.
-const LEAST_CALLS_PER_TICK: f64 = 0.01;
+/// Factor on the call rate after a reply. With [`RATE_DECREASE_FACTOR`], one call in twenty may fail before the rate
+/// falls.
+const RATE_INCREASE_FACTOR: f64 = 1.01;
+/// Factor on the call rate after a call without a reply.
+const RATE_DECREASE_FACTOR: f64 = 0.8;
+/// With ticks of 20 ms: one call every two seconds.
+const MIN_CALLS_PER_TICK: f64 = 0.01;
 const MAX_CALLS_PER_TICK: f64 = 64.0;
 
-/// Adds the units of the accounts that have an update due to the counter, in the order given, as far as the budget goes.
+/// Adds the units of accounts that have an update due to the counter service, in the order given, until the call budget
+/// is used up.
 pub fn send_updates(
     now: Duration,
     plans: &[Plan],
@@ -34,7 +37,7 @@
     dirty: &[DirtyAccount],
     actions: &mut dyn Actions,
 ) {
-    let burst = counter.calls_per_tick.max(LEAST_CALL_BURST);
+    let burst = counter.calls_per_tick.max(MIN_CALL_BURST);
     counter.call_credit = (counter.call_credit + counter.calls_per_tick).min(burst);
     for entry in dirty {
         let account = &mut quotas[entry.account];
@@ -43,7 +46,7 @@
                 continue;
             }
             if counter.call_credit < 1.0 {
-                counter.overloaded_until = now + OVERLOAD_MEMORY;
+                counter.overloaded_until = now + OVERLOAD_DURATION;
                 continue;
             }
             counter.call_credit -= 1.0;
@@ -58,27 +61,33 @@
             });
             account.replication.update_due[age] = false;
             account.replication.unreported_units = 0.0;
-            let lifetime = window_seconds(&plans[account.plan]) * COUNTER_LIFETIME_WINDOWS;
-            let keep = time::from_seconds(lifetime.min(MAX_COUNTER_LIFETIME_SECONDS));
+            let lifetime_seconds = window_seconds(&plans[account.plan]) * COUNTER_LIFETIME_WINDOWS;
+            let keep = time::from_seconds(lifetime_seconds.min(MAX_COUNTER_LIFETIME_SECONDS));
             actions.increment_counter(account.customer, window.0, amount, keep);
         }
     }
 }
 
-/// A counter that is overloaded or down gets fewer calls; the rate rises only where it limits the calls.
+/// Lowers the call rate after a call without a reply, as the counter service may be overloaded or down. A reply raises
+/// it, but only if calls had to wait recently.
 fn adjust_rate(now: Duration, counter: &mut CounterClient, replied: bool) {
     let increase = if now < counter.overloaded_until {
-        RATE_INCREASE
+        RATE_INCREASE_FACTOR
     } else {
         1.0
     };
-    counter.calls_per_tick *= if replied { increase } else { RATE_DECREASE };
+    counter.calls_per_tick *= if replied {
+        increase
+    } else {
+        RATE_DECREASE_FACTOR
+    };
     counter.calls_per_tick = counter
         .calls_per_tick
-        .clamp(LEAST_CALLS_PER_TICK, MAX_CALLS_PER_TICK);
+        .clamp(MIN_CALLS_PER_TICK, MAX_CALLS_PER_TICK);
 }
 
-/// Takes over the reply to a call. A call without a reply counts as made, unless it surely was not: then it is due again.
+/// Applies the reply to a call, or its absence. Units of a call without a reply count as added, unless they are known
+/// not to have been: then they are due again.
 pub fn apply_reply(
     now: Duration,
     reply: &CounterReply,
--- a/crates/merlinreel-policy/src/quota/counter_client.rs
+++ b/crates/merlinreel-policy/src/quota/counter_client.rs
@@ -1,20 +1,20 @@
-//! How much the counter service is called. Nothing is decided here.
+//! State of the calls to the counter service.
 
 use std::time::Duration;
 
-/// The budget of calls to the counter service.
+/// Budget of calls to the counter service.
 #[derive(Debug)]
 pub struct CounterClient {
-    /// Calls per tick.
+    /// Calls added to the credit in each tick; adjusted to the replies.
     pub calls_per_tick: f64,
-    /// Calls that may be made now.
+    /// Calls that may be made now; fractions accumulate.
     pub call_credit: f64,
-    /// Until then the counter counts as unable to take all calls.
+    /// Time until which the counter service is considered unable to take all calls; zero if it always could.
     pub overloaded_until: Duration,
 }
 
 impl CounterClient {
-    /// A client with so many calls per tick.
+    /// A client with this initial call rate and no credit yet.
     pub fn new(calls_per_tick: f64) -> CounterClient {
         CounterClient {
             calls_per_tick,
--- a/crates/merlinreel-policy/src/quota/estimate.rs
+++ b/crates/merlinreel-policy/src/quota/estimate.rs
@@ -1,45 +1,45 @@
-//! What a limiter knows of a customer's quota from its aggregator, by its own clock. Nothing is decided here.
+//! Estimates of a customer's quota, as its aggregator publishes them. Times are on the limiter's clock.
 
 use crate::model::plan::Plan;
 use crate::time;
 use std::time::Duration;
 
-/// The state of a customer's quota at one moment, as its aggregator or a limiter that relays it knows it.
+/// State of a customer's quota at one moment, as known to its aggregator or to a limiter that relays an estimate.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct QuotaSnapshot {
-    /// Units that were left.
+    /// Units that were left; negative where more was admitted than the quota allows.
     pub remaining: f64,
     /// Units requested per second.
     pub demand_rate: f64,
-    /// How old it is.
+    /// Time since that moment.
     pub age: Duration,
 }
 
-/// The estimate that was published last: at the aggregator the one that it sent, elsewhere the one that was received.
+/// The latest estimate: at the aggregator the one it published, at other limiters the one they received.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct PublishedEstimate {
-    /// Units that were left, less those admitted here since.
+    /// Units that were left at `at`, less those admitted at this limiter since.
     pub remaining: f64,
-    /// Units requested per second; `None` until an estimate was published.
+    /// Units requested per second; `None` until there is an estimate.
     pub demand_rate: Option<f64>,
-    /// When it was true.
+    /// Time that the estimate describes; zero until there is one.
     pub at: Duration,
 }
 
 impl PublishedEstimate {
-    /// Units that its holder must believe to be left now: refill that others request does not count.
+    /// Units to assume as left at `now`: of the refill since the estimate, only what exceeds the demand is added.
     pub fn remaining_at(&self, now: Duration, plan: &Plan) -> f64 {
         let free_rate = plan.rate - self.demand_rate.unwrap_or(0.0).min(plan.rate);
         let elapsed_seconds = time::seconds(now.saturating_sub(self.at));
         (self.remaining + free_rate * elapsed_seconds).min(plan.burst)
     }
 
-    /// The demand rate, if the estimate is younger than this lifetime.
+    /// The demand rate; `None` if there is no estimate or it is not younger than `lifetime`.
     pub fn fresh_demand_rate(&self, now: Duration, lifetime: Duration) -> Option<f64> {
         self.demand_rate.filter(|_| now < self.at + lifetime)
     }
 
-    /// The estimate with its age, if there is one.
+    /// The estimate with its age; `None` if there is none.
     pub fn snapshot(&self, now: Duration) -> Option<QuotaSnapshot> {
         let demand_rate = self.demand_rate?;
         Some(QuotaSnapshot {
--- a/crates/merlinreel-policy/src/quota/peer_links.rs
+++ b/crates/merlinreel-policy/src/quota/peer_links.rs
@@ -1,4 +1,4 @@
-//! What this limiter keeps of the messages to and from each other limiter. Nothing is decided here.
+//! State of the message exchange with each other limiter.
 
 use crate::actions::Actions;
 use crate::model::fleet::FleetConfig;
@@ -6,19 +6,19 @@
 use crate::rolling_window::RollingWindow;
 use std::time::Duration;
 
-/// Peer inboxes are limited by the second.
+/// Inbox limits of peers are rates per second.
 const INBOX_WINDOW: Duration = Duration::from_secs(1);
 
-/// The link to one other limiter.
+/// State of the message exchange with one other limiter.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct PeerLink {
-    /// Incarnation of the last message received.
+    /// Incarnation of the sender in its last message; 0 before the first.
     pub incarnation: u64,
-    /// Its number in that incarnation.
+    /// Sequence number of that message; 0 before the first.
     pub sequence: u64,
-    /// Reports sent since its last message.
+    /// Messages with reports sent to it, as an aggregator, since its last message.
     pub unanswered: u32,
-    /// When it was sent a message last by an aggregating fleet.
+    /// Time of the last message to it, where reports go through aggregators; zero before the first.
     pub sent_at: Duration,
 }
 
@@ -26,20 +26,20 @@
 pub struct PeerLinks {
     /// The link to each limiter, by its index.
     pub links: Vec<PeerLink>,
-    /// When this limiter started, which distinguishes its incarnations.
+    /// Time at which this limiter first processed events, from which its incarnation is made; `None` before.
     pub started_at: Option<Duration>,
-    /// Messages sent by this incarnation.
+    /// Number of messages sent since the start, to all limiters.
     pub sent: u64,
-    /// Messages that an aggregating fleet's limiter may send now.
+    /// Messages that may be sent now, where reports go through aggregators.
     pub message_credit: f64,
-    /// Messages received lately that hold an aggregator's estimate.
+    /// Messages received in the last second that hold an estimate from an aggregator.
     pub estimates_received: RollingWindow,
     /// When the next batch is due where limiters report to each other directly.
     pub next_broadcast_at: Duration,
 }
 
 impl PeerLinks {
-    /// Links over which nothing was sent yet.
+    /// Links over which no message has been sent or received yet.
     pub fn new(fleet: &FleetConfig) -> PeerLinks {
         PeerLinks {
             links: vec![PeerLink::default(); fleet.limiters as usize],
--- a/crates/merlinreel-policy/src/quota/peer_reports.rs
+++ b/crates/merlinreel-policy/src/quota/peer_reports.rs
@@ -1,4 +1,4 @@
-//! Decides what to make of another limiter's message. Malformed, old and duplicate messages change nothing.
+//! Applies messages from other limiters. Malformed, outdated and duplicate messages change nothing.
 
 use super::account::Account;
 use super::account_parts::Subscriber;
@@ -14,12 +14,12 @@
 use crate::peer_batch::{self, BatchHeader, CounterRow};
 use std::time::Duration;
 
-/// A row with a total of more units is not believed.
+/// A row with a larger total is ignored as invalid.
 const MAX_TOTAL_UNITS: f64 = 1e9;
-/// A row holds the last two bits of its window's number.
+/// A row holds only the lowest two bits of its window's number.
 const WINDOW_MASK: u64 = 3;
 
-/// Takes over what a message reports.
+/// Applies the rows of a message, if it is newer than all others from its sender.
 pub fn apply(
     now: Duration,
     peer_message: &PeerMessage,
@@ -59,7 +59,7 @@
     }
 }
 
-/// A limiter that has started again reports its totals from zero; what it reported before stays counted.
+/// A restarted limiter reports totals that count from zero again; the units that it reported before stay subtracted.
 fn forget_totals_of(now: Duration, limiter: u32, plans: &[Plan], quotas: &mut QuotaTable) {
     for account in &mut quotas.accounts {
         account.advance(now, &plans[account.plan]);
@@ -105,14 +105,14 @@
     }
 }
 
-/// The window of a row, of which only the last bits are known: the latest one that has begun.
+/// The window of a row: the latest one that has begun and whose number ends with the row's bits.
 fn window_of(row: &CounterRow, account: &Account) -> WindowNumber {
     let current = account.bucket.window.0;
     let windows_ago = current.wrapping_sub(row.window) & WINDOW_MASK;
     WindowNumber(current.saturating_sub(windows_ago))
 }
 
-/// Another limiter's own use, and its demand where this limiter aggregates.
+/// Applies another limiter's total and, if the row holds its demand, subscribes it to this limiter's estimates.
 fn apply_report(
     now: Duration,
     from: u32,
@@ -121,7 +121,7 @@
     plan: &Plan,
     account: &mut Account,
 ) {
-    // Units corrected by a response may leave a bucket below empty, by one large request at most.
+    // Units corrected by a response may take a bucket below zero, by one request of the maximum size at most.
     let debt_limit = if fleet.settles_units {
         fleet.max_units
     } else {
@@ -136,7 +136,7 @@
     }
 }
 
-/// The aggregator's estimate, less what it could not know of yet.
+/// Applies an estimate of the aggregator, less the units of this limiter that the aggregator had not counted yet.
 fn apply_estimate(
     now: Duration,
     row: &CounterRow,
@@ -161,7 +161,8 @@
     account.split_until = Duration::ZERO;
 }
 
-/// A limiter that reported is sent an estimate, unless it reported lately and so was sent each change since.
+/// Adds or renews a subscriber. An estimate is due to it unless it was subscribed already and has been sent the latest
+/// one.
 fn subscribe(now: Duration, peer: u32, subscribers: &mut Vec<Subscriber>) {
     let is_up_to_date = subscribers
         .iter()
--- a/crates/merlinreel-policy/src/quota/replication.rs
+++ b/crates/merlinreel-policy/src/quota/replication.rs
@@ -1,4 +1,5 @@
-//! Decides what limiters that are few enough report to each other directly, and whether the counter service is used.
+//! Decides whether usage is reported through aggregators, to the counter service or directly to the other limiters, and
+//! what a direct report holds.
 
 use super::aggregator_batch;
 use super::counter;
@@ -14,7 +15,7 @@
 use std::cmp::Ordering;
 use std::time::Duration;
 
-/// Sends what other limiters are to know. Each of them is sent only the customers that it shares.
+/// Sends the reports that are due. A limiter is sent only customers whose limiter set contains it.
 pub fn send_updates(
     now: Duration,
     fleet: &FleetConfig,
@@ -32,7 +33,8 @@
     if fleet.counter {
         counter::send_updates(now, plans, quotas, counter, &dirty, actions);
     }
-    // Beside a counter only while that cannot take all calls, as it is overloaded, slow or down.
+    // Where there is a counter service, limiters report directly only while it cannot take all calls because it is
+    // overloaded, slow or down.
     let counter_suffices = fleet.counter && now >= counter.overloaded_until;
     if !fleet.peer_messages || now < peers.next_broadcast_at || counter_suffices {
         return;
@@ -41,7 +43,8 @@
     broadcast(now, fleet, quotas, peers, &dirty, actions);
 }
 
-/// The accounts that have something to report, the emptiest first: what does not fit waits for the next time.
+/// The accounts that have something to report, those with the emptiest buckets first: reports that exceed the message
+/// or the call budget wait for a later tick.
 fn collect_dirty(
     now: Duration,
     fleet: &FleetConfig,
@@ -78,7 +81,8 @@
     order
 }
 
-/// One batch to each peer.
+/// Sends each peer at most one batch. A row is sent to all of its receivers together, or waits while one of their
+/// batches is full.
 fn broadcast(
     now: Duration,
     fleet: &FleetConfig,
--- a/crates/merlinreel-policy/src/quota/table.rs
+++ b/crates/merlinreel-policy/src/quota/table.rs
@@ -1,4 +1,4 @@
-//! The accounts of all customers that this limiter knows. Nothing is decided here.
+//! The accounts of all customers that this limiter knows.
 
 use super::account::Account;
 use crate::model::plan::Plan;
@@ -6,29 +6,29 @@
 use std::ops::{Index, IndexMut};
 use std::time::Duration;
 
-/// Position of an account in the table.
+/// Index of an account in the table; reused for another customer once the account has expired.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct AccountIndex(pub usize);
 
-/// An account that has something to report.
+/// An account that has changes to report.
 #[derive(Clone, Copy, Debug)]
 pub struct DirtyAccount {
-    /// What its token bucket has left, as a share of its capacity.
+    /// Fraction of its token bucket's capacity that is left; negative where the bucket is overdrawn.
     pub remaining_share: f64,
-    /// The account.
+    /// Index of the account.
     pub account: AccountIndex,
 }
 
-/// The accounts, by customer and by index.
+/// Accounts by index, with a lookup by customer and a list of those that may have something to report.
 pub struct QuotaTable {
-    /// All accounts; those of free indices are empty.
+    /// All accounts; a free index holds a default account.
     pub accounts: Vec<Account>,
     free: Vec<AccountIndex>,
-    /// The account of each customer.
+    /// Index of each customer's account.
     pub by_customer: HashMap<u64, AccountIndex>,
-    /// Accounts that may have something to report.
+    /// Accounts that may have something to report, each listed once.
     pub dirty: Vec<AccountIndex>,
-    /// Time over which demand is measured.
+    /// Time over which new accounts measure demand.
     demand_window: Duration,
 }
 
@@ -47,7 +47,7 @@
 }
 
 impl QuotaTable {
-    /// An empty table, whose accounts measure demand over this time.
+    /// An empty table whose accounts measure demand over `demand_window`.
     pub fn new(demand_window: Duration) -> QuotaTable {
         QuotaTable {
             accounts: Vec::new(),
@@ -58,7 +58,7 @@
         }
     }
 
-    /// The account of a customer, which is created if there is none.
+    /// Index of a customer's account, which is marked dirty. Creates an account of the given plan if there is none.
     pub fn find_or_create(
         &mut self,
         now: Duration,
@@ -88,7 +88,7 @@
         index
     }
 
-    /// Something concerned an account: it may have something to report, and does not expire yet.
+    /// Lists an account as one that may have something to report, and restarts its count of idle checks.
     pub fn mark_dirty(&mut self, index: AccountIndex) {
         let account = &mut self[index];
         account.idle_checks = 0;
@@ -97,7 +97,7 @@
         }
     }
 
-    /// Drops the accounts that are not in use and that are expired; the condition is called for each account not in use.
+    /// Removes the expired accounts. `is_expired` is called once for each account that is not in use.
     pub fn remove_expired(
         &mut self,
         plans: &[Plan],
--- a/crates/merlinreel-policy/src/quota/token_bucket.rs
+++ b/crates/merlinreel-policy/src/quota/token_bucket.rs
@@ -1,39 +1,39 @@
-//! A customer's quota as a token bucket whose use is counted by windows, here and at the other limiters.
+//! A customer's quota as a token bucket, with usage counted per window at this limiter and at the others.
 //!
-//! It only counts; who is admitted is decided in [`super::admission`].
+//! [`super::admission`] decides by these counts whether a request is admitted.
 
 use super::window::{CurrentAndPrevious, WindowAge, WindowChange, WindowNumber, window_seconds};
 use crate::model::plan::Plan;
 use crate::time;
 use std::time::Duration;
 
-/// Who reports use at other limiters.
+/// Source of a total of units admitted at other limiters.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UsageSource {
-    /// The counter service: the units of all other limiters.
+    /// The counter service, for the units of all other limiters together.
     Counter,
-    /// A limiter: its own units.
+    /// The limiter with this index, for its own units.
     Peer(u32),
 }
 
-/// What other limiters admitted.
+/// Units that other limiters admitted, from both kinds of sources.
 #[derive(Debug, Default)]
 pub struct UsageElsewhere {
-    /// Units that each limiter reported.
+    /// Units that each limiter reported, by its index; limiters beyond the end reported none.
     by_limiter: CurrentAndPrevious<Vec<f64>>,
-    /// The sum of these, kept beside them as it is read often.
+    /// Sum of `by_limiter`, stored because it is read often.
     reported: CurrentAndPrevious<f64>,
-    /// Units of all other limiters as the counter has them.
+    /// Units of all other limiters according to the counter service.
     pub counter: CurrentAndPrevious<f64>,
 }
 
 impl UsageElsewhere {
-    /// Units that other limiters admitted: as the counter has it, or as they report where that is more.
+    /// Units that other limiters admitted: the larger of the counter service's figure and the sum of their reports.
     pub fn units(&self, age: WindowAge) -> f64 {
         self.counter[age].max(self.reported[age])
     }
 
-    /// Units that one limiter reported.
+    /// Units that one limiter reported; 0 if it reported none.
     pub fn reported_by(&self, limiter: u32, age: WindowAge) -> f64 {
         self.by_limiter[age]
             .get(limiter as usize)
@@ -51,7 +51,7 @@
             .count()
     }
 
-    /// Replaces a source's total of a window.
+    /// Replaces a source's total for a window.
     pub fn set(&mut self, age: WindowAge, source: UsageSource, total: f64) {
         let limiter = match source {
             UsageSource::Counter => {
@@ -74,7 +74,7 @@
         if change == WindowChange::Same {
             return;
         }
-        // The lists are used again rather than allocated for each window.
+        // Reuses the allocations of the two lists.
         let CurrentAndPrevious { current, previous } = &mut self.by_limiter;
         std::mem::swap(current, previous);
         current.clear();
@@ -84,26 +84,28 @@
     }
 }
 
-/// A token bucket of a plan's rate and burst, shared by all limiters of the customer.
+/// A token bucket with a plan's rate and burst, shared by all limiters of the customer.
 ///
-/// A window begins with what the bucket held then, and refill comes evenly over it: a quota that was full again with each
-/// window would let all limiters admit a burst at once when the window changes.
+/// A window begins with the units left at the end of the one before and is refilled at a constant rate: if each window
+/// began with a full bucket, all limiters could admit a burst at once when the window changes.
 #[derive(Debug, Default)]
 pub struct TokenBucket {
     /// The current window.
     pub window: WindowNumber,
-    /// Units that the bucket held when the window began.
+    /// Units in the bucket at the start of the current window, less later charges to windows before it.
     pub carried_over: f64,
-    /// Refill of this window that found the bucket full.
+    /// Correction subtracted from the bucket in the current window: refill beyond its capacity, and the difference
+    /// where an estimate replaces its own count. Usage beyond the debt limit is added back, so the correction may be
+    /// negative.
     pub overflowed: f64,
-    /// Units that this limiter admitted.
+    /// Units that this limiter admitted and charged.
     pub own: CurrentAndPrevious<f64>,
     /// Units that other limiters admitted.
     pub elsewhere: UsageElsewhere,
 }
 
 impl TokenBucket {
-    /// A bucket that is full now.
+    /// A bucket that is full at `now`.
     pub fn new(now: Duration, plan: &Plan) -> TokenBucket {
         let window = WindowNumber::at(now, plan);
         let refill_seconds = time::seconds(now) - window.start_seconds(plan);
@@ -114,7 +116,7 @@
         }
     }
 
-    /// Units that are left; less than nothing where more was admitted than the quota allows.
+    /// Units left in the bucket; negative where more was admitted than the quota allows.
     pub fn remaining(&self, now: Duration, plan: &Plan) -> f64 {
         let refill_seconds = time::seconds(now) - self.window.start_seconds(plan);
         self.carried_over - self.overflowed + plan.rate * refill_seconds
@@ -122,7 +124,8 @@
             - self.elsewhere.units(WindowAge::Current)
     }
 
-    /// Moves on to the window of this time, and drops what the bucket cannot hold.
+    /// Begins the window that contains `now`, if it is later than the current one, and discards units above the
+    /// bucket's capacity.
     pub fn advance(&mut self, now: Duration, plan: &Plan) -> WindowChange {
         let change = self.begin_window(WindowNumber::at(now, plan), plan);
         let excess = self.remaining(now, plan) - plan.burst;
@@ -152,7 +155,7 @@
         change
     }
 
-    /// Which of the two windows this is; `None` for an older one and for one that has not begun.
+    /// Whether a window is the current or the previous one; `None` if it is older or has not begun.
     pub fn age(&self, window: WindowNumber) -> Option<WindowAge> {
         WindowAge::NEWEST_FIRST
             .into_iter()
@@ -166,7 +169,7 @@
         }
     }
 
-    /// The number of one of the two windows as other limiters and the counter know it.
+    /// Number of a window in peer messages and counter calls. Wraps around for the window before number 0.
     pub fn wire_number(&self, age: WindowAge) -> WindowNumber {
         match age {
             WindowAge::Current => self.window,
@@ -174,15 +177,15 @@
         }
     }
 
-    /// Units used before the current window began reduce what it began with.
+    /// Subtracts units of the previous window from those that the current window began with.
     fn deduct(&mut self, age: WindowAge, units: f64) {
         if age == WindowAge::Previous {
             self.carried_over -= units;
         }
     }
 
-    /// Charges units that this limiter admitted, or gives them back where they are negative. Says which window counts
-    /// them, if one still does.
+    /// Charges units that this limiter admitted to a window; negative units are a refund. Returns the window's age, or
+    /// `None` if the window is no longer kept: its units are then subtracted from those carried over.
     pub fn charge(&mut self, window: WindowNumber, units: f64) -> Option<WindowAge> {
         let Some(age) = self.age(window) else {
             self.carried_over -= units;
@@ -193,8 +196,8 @@
         Some(age)
     }
 
-    /// Takes over another source's total of a window. Units that were admitted when the bucket was already more than
-    /// `debt_limit` below empty took nothing from it.
+    /// Replaces a source's total for a window. An increase takes the bucket no further than `debt_limit` below zero:
+    /// units admitted beyond that are not subtracted.
     pub fn set_usage_elsewhere(
         &mut self,
         now: Duration,
@@ -214,7 +217,8 @@
         }
     }
 
-    /// Counts all use of a limiter that has started again as carried over, as its totals begin from zero.
+    /// Resets the totals of a limiter that has restarted, as it counts from zero again. Its usage so far is subtracted
+    /// from the units carried over.
     pub fn forget_totals_of(&mut self, limiter: u32) {
         self.carried_over -= self.elsewhere.reported_by(limiter, WindowAge::Current);
         for age in WindowAge::NEWEST_FIRST {
--- a/crates/merlinreel-policy/src/quota/window.rs
+++ b/crates/merlinreel-policy/src/quota/window.rs
@@ -1,55 +1,56 @@
-//! The windows in which a quota's use is counted. All limiters number them alike, from the zero of their clocks.
+//! The windows in which a quota's usage is counted. They are numbered from the zero of the limiter's clock, which all
+//! limiters share.
 
 use crate::model::plan::Plan;
 use crate::time;
 use std::ops::{Index, IndexMut};
 use std::time::Duration;
 
-const LEAST_WINDOW_SECONDS: f64 = 0.1;
-/// Length of the windows of a plan without a rate.
+const MIN_WINDOW_SECONDS: f64 = 0.1;
+/// Window length for a plan without a rate.
 const WINDOW_SECONDS_WITHOUT_RATE: f64 = 1.0;
 
-/// The length of a plan's windows: the time in which its token bucket fills.
+/// Length of a plan's windows: the time in which an empty token bucket of the plan fills.
 pub fn window_seconds(plan: &Plan) -> f64 {
     if plan.rate > 0.0 {
-        (plan.burst / plan.rate).max(LEAST_WINDOW_SECONDS)
+        (plan.burst / plan.rate).max(MIN_WINDOW_SECONDS)
     } else {
         WINDOW_SECONDS_WITHOUT_RATE
     }
 }
 
-/// The number of a window since the clock's zero.
+/// Number of a window; window 0 starts at the zero of the limiter's clock.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct WindowNumber(pub u64);
 
 impl WindowNumber {
-    /// The window of a plan at this time.
+    /// The window of a plan that contains `now`.
     pub fn at(now: Duration, plan: &Plan) -> WindowNumber {
         WindowNumber((time::seconds(now) / window_seconds(plan)) as u64)
     }
 
-    /// When it starts, in seconds since the clock's zero.
+    /// Start of the window, in seconds since the zero of the limiter's clock.
     pub fn start_seconds(self, plan: &Plan) -> f64 {
         self.0 as f64 * window_seconds(plan)
     }
 
-    /// When it ends, in seconds since the clock's zero.
+    /// End of the window, in seconds since the zero of the limiter's clock.
     pub fn end_seconds(self, plan: &Plan) -> f64 {
         (self.0 + 1) as f64 * window_seconds(plan)
     }
 
-    /// The window before it; the first one has none and is its own.
+    /// The window before this one; window 0 for window 0 itself.
     pub fn previous(self) -> WindowNumber {
         WindowNumber(self.0.saturating_sub(1))
     }
 }
 
-/// One of the two windows that are kept.
+/// One of the two windows for which usage is kept.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WindowAge {
-    /// The window of the present time.
+    /// The latest window that has begun.
     Current,
-    /// The one before it, which late reports still reach.
+    /// The window before it, which late reports still change.
     Previous,
 }
 
@@ -60,7 +61,7 @@
     pub const OLDEST_FIRST: [WindowAge; 2] = [WindowAge::Previous, WindowAge::Current];
 }
 
-/// A value of the current window and of the one before it.
+/// One value for the current window and one for the window before it.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct CurrentAndPrevious<T> {
     /// The value of the current window.
@@ -89,19 +90,19 @@
     }
 }
 
-/// How the current window changed.
+/// How the current window changed as time advanced.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WindowChange {
-    /// It is the same one.
+    /// The current window stays.
     Same,
-    /// The next one has begun.
+    /// The window directly after it has begun.
     Next,
-    /// A later one has begun: both windows that were kept are over.
+    /// A later window has begun, so that neither of the two kept windows is current or previous any more.
     Later,
 }
 
 impl<T: Default> CurrentAndPrevious<T> {
-    /// Begins a new window with a default value.
+    /// Moves the values by a window change; a window that is new gets the default value.
     pub fn advance(&mut self, change: WindowChange) {
         match change {
             WindowChange::Same => {}
