--- a/crates/merlinreel-policy/src/quota/tests/admission.rs
+++ b/crates/merlinreel-policy/src/quota/tests/admission.rs
@@ -15,10 +15,10 @@
     account.admits(at(now), &plan(), 1.0, &context)
 }
 
-#[test_case(0.0, 8.0, 0.0 => true ; "the first of a new customer")]
-#[test_case(0.0, 8.0, 4.0 => false ; "a new customer is split over its limiters")]
-#[test_case(1.0, 8.0, 4.0 => true ; "after one interval all of the quota counts")]
-#[test_case(1.0, 0.5, 0.0 => false ; "nothing above the quota")]
+#[test_case(0.0, 8.0, 0.0 => true ; "first request of a new customer")]
+#[test_case(0.0, 8.0, 4.0 => false ; "quota of a new customer is split over its limiters")]
+#[test_case(1.0, 8.0, 4.0 => true ; "all of the quota counts once the split has ended")]
+#[test_case(1.0, 0.5, 0.0 => false ; "fewer units left than requested")]
 fn new_customer_is_admitted_by_its_share(after: f64, remaining: f64, unreported: f64) -> bool {
     let mut account = lone_account(0.0);
     account.limiters.size = 2;
@@ -29,10 +29,10 @@
     admits_one_unit(&account, after, 0.999)
 }
 
-#[test_case(3.0, 0.0, 40.0 => true ; "an active peer leaves this limiter its share")]
-#[test_case(1.5, 0.0, 40.0 => false ; "the last unit is nobody's share")]
-#[test_case(3.0, 2.0, 40.0 => false ; "peers cannot know yet what was taken")]
-#[test_case(1.5, 0.0, 0.0 => true ; "a slow customer's quota is hardly split")]
+#[test_case(3.0, 0.0, 40.0 => true ; "share beside an active peer suffices")]
+#[test_case(1.5, 0.0, 40.0 => false ; "share beside an active peer is less than a unit")]
+#[test_case(3.0, 2.0, 40.0 => false ; "unreported units are taken from the share")]
+#[test_case(1.5, 0.0, 0.0 => true ; "quota of a customer with few requests is hardly split")]
 fn quota_is_split_over_active_limiters(remaining: f64, unreported: f64, requests: f64) -> bool {
     let mut account = lone_account(4.0);
     let elsewhere = &mut account.bucket.elsewhere;
@@ -44,10 +44,10 @@
     admits_one_unit(&account, 4.0, 0.0)
 }
 
-#[test_case(0.2, 1.0 => false ; "a restart finds no ceiling to spend")]
-#[test_case(4.0, 1.0 => true ; "its part fills with time")]
-#[test_case(60.0, 6.0 => false ; "up to its part of the capacity")]
-fn ceiling_admits_its_part(after: f64, units: f64) -> bool {
+#[test_case(0.2, 1.0 => false ; "share is almost empty after a restart")]
+#[test_case(4.0, 1.0 => true ; "share is refilled over time")]
+#[test_case(60.0, 6.0 => false ; "share of the capacity is not exceeded")]
+fn ceiling_admits_the_share_of_a_limiter(after: f64, units: f64) -> bool {
     let plan = Plan {
         ceiling_rate: 1.0,
         ceiling_burst: 10.0,
--- a/crates/merlinreel-policy/src/quota/tests/aggregation.rs
+++ b/crates/merlinreel-policy/src/quota/tests/aggregation.rs
@@ -1,4 +1,5 @@
-//! Quotas where limiters are too many to report to each other in time, and one of a customer's limiters aggregates.
+//! Quotas in a fleet too large for limiters to report to each other in time, where one of a customer's limiters
+//! aggregates the reports.
 
 use crate::events::PeerMessage;
 use crate::model::fleet::FleetConfig;
@@ -16,7 +17,8 @@
 use crate::tests::helpers::*;
 use test_case::test_case;
 
-const ANSWERED: [PeerLink; 90] = [PeerLink {
+/// Links to ninety limiters, none of which has left a report unanswered.
+const ALL_ANSWERED: [PeerLink; 90] = [PeerLink {
     incarnation: 0,
     sequence: 0,
     unanswered: 0,
@@ -30,7 +32,7 @@
     }
 }
 
-fn relayed(demand: f64, remaining: f64, age: f64) -> CounterRow {
+fn relayed_estimate(demand: f64, remaining: f64, age: f64) -> CounterRow {
     CounterRow {
         demand: Some(demand),
         age: Some(at(age)),
@@ -38,7 +40,8 @@
     }
 }
 
-fn request_of_sixty(id: u32) -> Request {
+/// A request of a customer whose limiter set has sixty limiters.
+fn request_in_set_of_sixty(id: u32) -> Request {
     Request {
         id: RequestIndex(id),
         set_size: 60,
@@ -47,16 +50,16 @@
     }
 }
 
-#[test_case(8.0, 1.0 => 1.0 ; "a full bucket admits")]
-#[test_case(8.0 / 3.0, 2.0 => 1.0 ; "so does a third of it where no more is requested than refilled")]
-#[test_case(8.0 / 3.0, 8.0 => 0.25 ; "four times the demand, a quarter admitted")]
-#[test_case(-1.0, 2.0 => 0.0 ; "nothing remains")]
+#[test_case(8.0, 1.0 => 1.0 ; "full bucket")]
+#[test_case(8.0 / 3.0, 2.0 => 1.0 ; "a third of the bucket and demand at the refill rate")]
+#[test_case(8.0 / 3.0, 8.0 => 0.25 ; "a third of the bucket and demand at four times the refill rate")]
+#[test_case(-1.0, 2.0 => 0.0 ; "overdrawn bucket")]
 fn admission_probability_follows_demand(remaining: f64, demand_rate: f64) -> f64 {
     admission_probability(remaining, demand_rate, &plan())
 }
 
 #[test_case(2.0 => 10.0 ; "thirty units within three seconds")]
-#[test_case(6.0 => 0.0 ; "a burst is soon forgotten")]
+#[test_case(6.0 => 0.0 ; "units older than the window do not count")]
 fn demand_rate_covers_its_window(read_at: f64) -> f64 {
     let mut account = lone_account(1.0);
     assert_eq!(DEMAND_WINDOW, at(3.0));
@@ -64,16 +67,16 @@
     account.demand_rate(at(read_at))
 }
 
-#[test_case(4 => true ; "some peer messages are lost")]
-#[test_case(5 => false ; "five unanswered: the next limiter of the set aggregates")]
+#[test_case(4 => true ; "kept after four unanswered reports as messages may be lost")]
+#[test_case(5 => false ; "replaced by the next limiter of the set after five")]
 fn silent_aggregator_is_replaced(unanswered: u32) -> bool {
     let mut account = lone_account(1.0);
     account.limiters = LimiterSet {
         size: 40,
         first: 50,
     };
-    let first = account.aggregator(&large_fleet(), &ANSWERED);
-    let mut links = ANSWERED;
+    let first = account.aggregator(&large_fleet(), &ALL_ANSWERED);
+    let mut links = ALL_ANSWERED;
     links[first as usize].unanswered = unanswered;
     account.aggregator(&large_fleet(), &links) == first
 }
@@ -84,30 +87,31 @@
     let account = account(&mut limiter);
     account.limiters = LimiterSet { size: 60, first: 1 };
     account.charge(WindowNumber(0), 1.0);
-    let aggregator = account.aggregator(&large_fleet(), &ANSWERED);
+    let aggregator = account.aggregator(&large_fleet(), &ALL_ANSWERED);
     let mut actions = RecordedActions::default();
     limiter.send_updates(at(1.0), &mut actions);
     assert_eq!(actions.receivers(), [aggregator]);
 }
 
-/// A new quota stays split over its sixty limiters past a tick, until the aggregator sends an estimate: else each of
-/// hundreds of limiters would use up the bucket.
-#[test_case(false => 1 ; "past a tick, no estimate yet: the first request only")]
-#[test_case(true => 4 ; "the aggregator reports a full bucket: all of them")]
+/// The number of requests admitted out of four. A new quota stays split over its limiters for longer than a tick, until
+/// the aggregator sends an estimate: otherwise each of hundreds of limiters would use up the bucket.
+#[test_case(false => 1 ; "no estimate yet, so only the first request is admitted")]
+#[test_case(true => 4 ; "estimate of a full bucket, so all requests are admitted")]
 fn requests_before_the_first_estimate_are_split(estimated: bool) -> usize {
     let mut limiter = limiter(Idempotency::Idempotent, large_fleet());
     let mut actions = RecordedActions::default();
-    limiter.handle_request(at(1.0), &request_of_sixty(0), &mut actions);
+    limiter.handle_request(at(1.0), &request_in_set_of_sixty(0), &mut actions);
     let estimate = CounterRow {
         demand: Some(1.0),
         ..row(0.0, Some(8.0))
     };
     let message = peer_message(1, 1, &[estimate]);
-    let from = first_account(&mut limiter).aggregator(&large_fleet(), &ANSWERED);
+    let from = first_account(&mut limiter).aggregator(&large_fleet(), &ALL_ANSWERED);
     if estimated {
         apply_peer_message(&mut limiter, at(1.2), &PeerMessage { from, ..message });
     }
-    (1..4).for_each(|id| limiter.handle_request(at(1.5), &request_of_sixty(id), &mut actions));
+    (1..4)
+        .for_each(|id| limiter.handle_request(at(1.5), &request_in_set_of_sixty(id), &mut actions));
     let rejected = actions
         .lines
         .iter()
@@ -129,10 +133,10 @@
     );
 }
 
-/// Messages to a limiter that reports again a little later: none where it was sent all that changed, as each of hundreds
-/// of reports would else cause an answer and those that matter would wait; one where the demand is much higher.
+/// The number of messages sent to a limiter in answer to its second report. A report that changes nothing must not be
+/// answered: answers to hundreds of such reports would delay the estimates that matter.
 #[test_case(0.0 => 0 ; "nothing changed")]
-#[test_case(60.0 => 1 ; "far more is requested")]
+#[test_case(60.0 => 1 ; "demand is much higher")]
 fn second_report_is_answered_after_a_change(demand: f64) -> usize {
     let mut limiter = limiter(Idempotency::Idempotent, large_fleet());
     let mut actions = RecordedActions::default();
@@ -145,12 +149,12 @@
     actions.peer_messages.len()
 }
 
-/// Whether a limiter that only rejects reports again after so long: the aggregator's inbox takes 40 messages per second,
-/// a quarter of that for such reports.
-#[test_case(60, 40.0, 5.0 => false ; "not yet in a set of sixty")]
-#[test_case(60, 40.0, 7.0 => true ; "then it does")]
-#[test_case(20, 40.0, 5.0 => true ; "sooner in a smaller set")]
-#[test_case(60, 0.0, 7.0 => false ; "an inbox that takes nothing is none to divide by")]
+/// Whether a limiter that only rejects requests reports again `after` seconds. A quarter of the aggregator's inbox
+/// rate, which is 40 messages per second, is available for such reports.
+#[test_case(60, 40.0, 5.0 => false ; "set of sixty after five seconds")]
+#[test_case(60, 40.0, 7.0 => true ; "set of sixty after seven seconds")]
+#[test_case(20, 40.0, 5.0 => true ; "set of twenty after five seconds")]
+#[test_case(60, 0.0, 7.0 => false ; "inbox rate of zero is not divided by")]
 fn demand_report_waits_its_turn(set_size: u32, peer_inbox_rate: f64, after: f64) -> bool {
     let fleet = FleetConfig {
         peer_inbox_rate,
@@ -170,8 +174,9 @@
     !actions.peer_messages.is_empty()
 }
 
-/// Messages in one tick of an aggregator that owes thirty limiters an estimate: four times its even share of the fleet's
-/// messages, else estimates come seconds late; its even share while inboxes, of which its own is the sample, fill up.
+/// The number of messages that an aggregator with estimates due to thirty limiters sends in one tick. It sends four
+/// times its even share of the fleet's messages, or estimates would arrive seconds late; but only its even share while
+/// estimates fill up its own inbox, which it takes as a sample of all inboxes.
 #[test_case(0.0 => 12 ; "inboxes have capacity")]
 #[test_case(20.0 => 3 ; "inboxes fill up")]
 fn messages_of_a_tick_follow_the_inbox(estimates: f64) -> usize {
@@ -186,8 +191,8 @@
     actions.peer_messages.len()
 }
 
-#[test_case(0, 2.0 ; "its estimate less what it could not know of")]
-#[test_case(5, 5.0 ; "one that does not aggregate is ignored")]
+#[test_case(0, 2.0 ; "estimate less the units not reported to the aggregator")]
+#[test_case(5, 5.0 ; "estimate from a limiter that is not the aggregator")]
 fn estimate_of_the_aggregator_is_applied(first: u32, remaining: f64) {
     let mut limiter = limiter(Idempotency::Idempotent, large_fleet());
     let own = account(&mut limiter);
@@ -205,50 +210,52 @@
     assert!((account.remaining(at(1.0), &plan()) - remaining).abs() < 1e-6);
 }
 
-/// A limiter that knows nothing of a customer yet receives an estimate from one that does not aggregate for it. Otherwise
-/// each of hundreds of limiters would admit a first request of a quota that was used up long ago.
-#[test_case(None => true ; "no estimate: its first request is admitted")]
-#[test_case(Some((0.0, 0.5)) => false ; "a relayed estimate: the bucket is empty")]
-#[test_case(Some((8.0, 0.5)) => true ; "a relayed estimate: the bucket is full")]
-#[test_case(Some((0.0, 6.0)) => true ; "too old to matter")]
+/// Whether a customer's first request at a limiter is admitted. An estimate relayed by a limiter that is not the
+/// aggregator counts too: otherwise each of hundreds of limiters would admit a first request against a quota that is
+/// used up.
+#[test_case(None => true ; "no estimate")]
+#[test_case(Some((0.0, 0.5)) => false ; "relayed estimate of an empty bucket")]
+#[test_case(Some((8.0, 0.5)) => true ; "relayed estimate of a full bucket")]
+#[test_case(Some((0.0, 6.0)) => true ; "relayed estimate past its lifetime")]
 fn relayed_estimate_decides_admission(estimate: Option<(f64, f64)>) -> bool {
     let mut limiter = limiter(Idempotency::Idempotent, large_fleet());
     if let Some((remaining, age)) = estimate {
-        let message = peer_message(1, 1, &[relayed(3.0, remaining, age)]);
+        let message = peer_message(1, 1, &[relayed_estimate(3.0, remaining, age)]);
         apply_peer_message(&mut limiter, at(10.0), &message);
     }
     let mut actions = RecordedActions::default();
-    limiter.handle_request(at(10.0), &request_of_sixty(0), &mut actions);
+    limiter.handle_request(at(10.0), &request_in_set_of_sixty(0), &mut actions);
     actions.lines.is_empty()
 }
 
-/// The newer of two estimates holds, whatever order they come in, and the aggregator uses none but its own.
-#[test_case(&[(1, 8.0, 0.1), (2, 0.0, 2.0)], 60 => 8.0 ; "an older one that comes later")]
-#[test_case(&[(1, 0.0, 2.0), (2, 8.0, 0.1)], 60 => 8.0 ; "a newer one")]
+/// The newer of two estimates is used, in whatever order they arrive. The aggregator uses only its own counts.
+#[test_case(&[(1, 8.0, 0.1), (2, 0.0, 2.0)], 60 => 8.0 ; "older estimate arrives last")]
+#[test_case(&[(1, 0.0, 2.0), (2, 8.0, 0.1)], 60 => 8.0 ; "newer estimate arrives last")]
 #[test_case(&[(1, 0.0, 0.1)], 1 => 8.0 ; "at the aggregator")]
-fn newest_estimate_holds(estimates: &[(u64, f64, f64)], set_size: u32) -> f64 {
+fn newest_estimate_is_used(estimates: &[(u64, f64, f64)], set_size: u32) -> f64 {
     let mut limiter = limiter(Idempotency::Idempotent, large_fleet());
     account(&mut limiter).limiters = LimiterSet {
         size: set_size,
         first: u32::from(set_size != 1),
     };
     for &(sequence, remaining, age) in estimates {
-        let message = peer_message(1, sequence, &[relayed(20.0, remaining, age)]);
+        let message = peer_message(1, sequence, &[relayed_estimate(20.0, remaining, age)]);
         apply_peer_message(&mut limiter, at(3.0), &message);
     }
     first_account(&mut limiter).remaining(at(3.0), &plan())
 }
 
-/// The aggregator of a customer that requests ten times its quota relays so in a message about another one, to a limiter
-/// that never reported; of one with little demand it informs nobody else.
-#[test_case(60.0 => 1 ; "much demand")]
-#[test_case(0.5 => 0 ; "little demand")]
+/// The number of relayed estimates in the messages of an aggregator. The estimate of a customer that requests ten times
+/// its quota is relayed in a message about another customer, to a limiter that never reported; with low demand it is
+/// not.
+#[test_case(60.0 => 1 ; "high demand")]
+#[test_case(0.5 => 0 ; "low demand")]
 fn high_demand_is_relayed(demand: f64) -> usize {
     let mut limiter = limiter(Idempotency::Idempotent, large_fleet());
     let busy = account(&mut limiter);
     busy.limiters = LimiterSet { size: 90, first: 0 };
-    // One that this limiter aggregates for.
-    while busy.aggregator(&large_fleet(), &ANSWERED) != 0 {
+    // Looks for a customer whose aggregator is this limiter.
+    while busy.aggregator(&large_fleet(), &ALL_ANSWERED) != 0 {
         busy.customer += 1;
     }
     let customer = busy.customer;
@@ -270,11 +277,12 @@
         .count()
 }
 
-/// Requests reported, to the next hundred, of two thousand small ones of a plan that admits far more than an aggregator's
-/// inbox takes. What they stand for is what was admitted, to a seventh: twice what chance leaves open.
-#[test_case(None => 2000 ; "no estimate yet: each is reported")]
-#[test_case(Some(100.0) => 200 ; "known: one in ten, each for ten")]
-fn report_stands_for_several_requests(demand_rate: Option<f64>) -> u32 {
+/// The number of requests reported out of 2000, rounded to hundreds, in a plan whose small requests would overload the
+/// aggregator's inbox. The units reported have to match those admitted within 15 %, twice the random variation of the
+/// sampling.
+#[test_case(None => 2000 ; "without an estimate each request is reported")]
+#[test_case(Some(100.0) => 200 ; "with an estimate one request in ten is reported")]
+fn report_of_one_request_represents_several(demand_rate: Option<f64>) -> u32 {
     let mut limiter = limiter(Idempotency::Idempotent, large_fleet());
     limiter.config.plans[0] = Plan {
         rate: 100.0,
@@ -284,7 +292,7 @@
     let (mut reports, mut units) = (0, 0.0);
     for id in 0..2000 {
         let account = account(&mut limiter);
-        // Each request alone: what was admitted before does not matter.
+        // Resets the account, so that requests admitted before do not affect the next one.
         account.bucket.own = CurrentAndPrevious::default();
         account.replication.pending_broadcasts = CurrentAndPrevious::default();
         account.replication.unreported_units = 0.0;
@@ -293,7 +301,7 @@
         published.remaining = 10_000.0;
         published.at = at(1.0);
         let mut actions = RecordedActions::default();
-        limiter.handle_request(at(1.0), &request_of_sixty(id), &mut actions);
+        limiter.handle_request(at(1.0), &request_in_set_of_sixty(id), &mut actions);
         let account = first_account(&mut limiter);
         reports += u32::from(account.replication.pending_broadcasts.current > 0);
         units += account.bucket.own.current;
@@ -302,10 +310,11 @@
     (reports + 50) / 100 * 100
 }
 
-/// A request that no report stands for returns nothing that was never counted, and one that stands for ten not too little.
-#[test_case(0.0 ; "none")]
-#[test_case(10.0 ; "for ten")]
-fn rejected_request_returns_what_was_counted(sampling_factor: f64) {
+/// A rejected request gives back exactly what was charged for it: nothing if it was not sampled, and the units of all
+/// the requests that it represents if it was.
+#[test_case(0.0 ; "not sampled")]
+#[test_case(10.0 ; "represents ten requests")]
+fn rejected_request_gives_back_what_was_charged(sampling_factor: f64) {
     let mut limiter = with_attempt(Idempotency::Idempotent);
     let remaining = first_account(&mut limiter).remaining(at(1.0), &plan());
     let window = (sampling_factor > 0.0).then_some(WindowNumber(0));
--- a/crates/merlinreel-policy/src/quota/tests/counter.rs
+++ b/crates/merlinreel-policy/src/quota/tests/counter.rs
@@ -24,9 +24,9 @@
     );
 }
 
-#[test_case(Some(9.0), false => (5.0, 2.0, 0) ; "the others' part of the total")]
-#[test_case(None, false => (0.0, 2.0, 0) ; "unanswered counts as made")]
-#[test_case(None, true => (0.0, 0.0, 1) ; "known not to be added is due again")]
+#[test_case(Some(9.0), false => (5.0, 2.0, 0) ; "total less the own units counts as usage of others")]
+#[test_case(None, false => (0.0, 2.0, 0) ; "call without a reply counts as made")]
+#[test_case(None, true => (0.0, 0.0, 1) ; "units known not to be added are due again")]
 fn counter_reply_is_applied(total: Option<f64>, not_added: bool) -> (f64, f64, u8) {
     let mut limiter = limiter(Idempotency::Idempotent, fleet_with_counter());
     let own = account(&mut limiter);
@@ -46,8 +46,8 @@
     )
 }
 
-#[test_case(None => 0.8 ; "fewer where calls fail")]
-#[test_case(Some(1.0) => 1.01 ; "more where they are answered and too few")]
+#[test_case(None => 0.8 ; "rate falls when a call fails")]
+#[test_case(Some(1.0) => 1.01 ; "rate rises after a reply while calls have to wait")]
 fn call_rate_follows_the_counter(total: Option<f64>) -> f64 {
     let mut limiter = limiter(Idempotency::Idempotent, fleet_with_counter());
     limiter.counter.calls_per_tick = 1.0;
--- a/crates/merlinreel-policy/src/quota/tests/replication.rs
+++ b/crates/merlinreel-policy/src/quota/tests/replication.rs
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn rows_that_exceed_a_message_wait_with_the_fullest_buckets_last() {
+fn rows_that_exceed_a_message_wait_and_the_emptiest_buckets_go_first() {
     let mut limiter = limiter(Idempotency::Idempotent, fleet());
     for customer in 0..60 {
         let account = account_of(&mut limiter, customer);
@@ -29,7 +29,7 @@
 }
 
 #[test_case(3 ; "a few limiters")]
-#[test_case(40 ; "many, with rare peer messages")]
+#[test_case(40 ; "many limiters with infrequent peer messages")]
 fn tick_interval_is_short(limiters: u32) {
     let fleet = FleetConfig {
         limiters,
--- a/crates/merlinreel-policy/src/quota/tests/token_bucket.rs
+++ b/crates/merlinreel-policy/src/quota/tests/token_bucket.rs
@@ -9,7 +9,7 @@
     account.set_usage_elsewhere(at(now), &plan(), source, WindowNumber(window), total, 0.0);
 }
 
-#[test_case(15.0, 3.9, 4.1, 1.2 ; "what remains is carried over, with no second allowance")]
+#[test_case(15.0, 3.9, 4.1, 1.2 ; "remaining units are carried over and the bucket is not filled up")]
 #[test_case(0.0, 1.0, 9.0, 8.0 ; "the bucket never holds more than its capacity")]
 fn window_change_keeps_what_remains(used: f64, used_at: f64, read_at: f64, remaining: f64) {
     let mut account = lone_account(0.0);
@@ -19,10 +19,11 @@
     assert!((account.remaining(at(read_at), &plan()) - remaining).abs() < 1e-6);
 }
 
-/// On sockets the clock is Unix time: windows, refill and rolling windows must be as exact there as near zero.
+/// Windows, refill and rolling windows have to be as exact with Unix time, which the limiter uses on sockets, as with
+/// times near zero: large numbers of seconds leave a float less precision.
 #[test_case(0.0 ; "near zero")]
 #[test_case(1_900_000_000.0 ; "Unix time")]
-fn account_at_any_clock_is_exact(start: f64) {
+fn account_is_exact_near_zero_and_in_unix_time(start: f64) {
     let mut account = lone_account(start + 0.5);
     account.charge(account.bucket.window, 8.0);
     account.aggregation.demand.add(at(start + 0.5), 8.0);
@@ -48,7 +49,7 @@
 }
 
 #[test]
-fn refill_after_a_window_change_comes_evenly() {
+fn refill_is_even_across_a_window_change() {
     let mut account = lone_account(0.0);
     account.advance(at(1.0), &plan());
     account.bucket.own.current = 8.0;
@@ -56,8 +57,8 @@
     assert!((account.remaining(at(5.0), &plan()) - 8.0).abs() < 1e-6);
 }
 
-#[test_case(0, 3.0, 5.0 ; "a total of this window")]
-#[test_case(9, 3.0, 8.0 ; "a window that has not begun is dropped")]
+#[test_case(0, 3.0, 5.0 ; "total of the current window")]
+#[test_case(9, 3.0, 8.0 ; "total of a window that has not begun is ignored")]
 fn reported_total_counts_once(window: u64, total: f64, remaining: f64) {
     let mut account = lone_account(1.0);
     set_usage_of_peer(&mut account, 1.0, window, total);
@@ -75,14 +76,14 @@
 }
 
 #[test]
-fn overshoot_takes_nothing_from_the_bucket() {
+fn usage_beyond_an_empty_bucket_is_not_subtracted() {
     let mut account = lone_account(1.0);
     set_usage_of_peer(&mut account, 1.0, 0, 12.0);
     assert!(account.remaining(at(1.0), &plan()).abs() < 1e-6);
 }
 
-#[test_case(0, 0.0, 1.0 => false ; "corrected later, in the window first charged")]
-#[test_case(1, 0.0, 1.0 => true ; "corrected in the current window")]
+#[test_case(0, 0.0, 1.0 => false ; "correction of the previous window")]
+#[test_case(1, 0.0, 1.0 => true ; "correction of the current window")]
 fn correction_counts_in_the_window_charged(window: u64, before: f64, units: f64) -> bool {
     let mut account = lone_account(5.0);
     account.bucket.own.current = before;
