--- a/crates/merlinreel-policy/src/peer_batch.rs
+++ b/crates/merlinreel-policy/src/peer_batch.rs
@@ -1,21 +1,21 @@
-//! The byte form of a peer message: a batch of window counters that one limiter sends to another.
+//! Encoding of peer messages: batches of window counters that one limiter sends to another.
 //!
-//! A message is a header and rows; all numbers are variable-length integers of seven bits a byte, the least significant
-//! first. A row is the customer, a kind (plan, flags and window number), the units admitted and, as the flags say, the
-//! demand and the remaining units.
+//! A message is a header followed by rows. All numbers are variable-length integers with seven bits per byte, the least
+//! significant first. A row consists of the customer, a kind (plan, flags and window number), the units admitted and,
+//! where their flags are set, the demand and the remaining units.
 
 use crate::time;
 use std::time::Duration;
 
-/// The most bytes of a peer message.
+/// Maximum size of a peer message.
 pub const MAX_BYTES: usize = 256;
-/// The most bytes of a header: two numbers.
+/// Maximum size of a header, which is two numbers.
 const MAX_HEADER_BYTES: usize = 12;
-/// The most bytes of a row with a total of typical size.
+/// Maximum size of a row that holds only a total, where that is of typical size.
 const TYPICAL_ROW_BYTES: usize = 9;
-/// Rows with a total only that fit into one message.
+/// Number of rows with a total only that fit into one message.
 pub const ROWS_PER_MESSAGE: usize = (MAX_BYTES - MAX_HEADER_BYTES) / TYPICAL_ROW_BYTES;
-/// Units are sent in steps of an eighth.
+/// Units are encoded in steps of 1/8.
 const STEPS_PER_UNIT: f64 = 8.0;
 
 const REMAINING_FLAG: u64 = 1 << 2;
@@ -26,29 +26,31 @@
 /// One customer's counter in a peer message.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CounterRow {
-    /// The customer.
+    /// Number that identifies the customer.
     pub customer: u64,
     /// Index of the customer's plan.
     pub plan: usize,
-    /// Number of the window; only its last two bits are sent, as older windows matter to nobody.
+    /// Number of the window. Only its lowest two bits are sent, as receivers do not use older windows.
     pub window: u64,
-    /// Units that the sender itself admitted in that window so far.
+    /// Units admitted in that window so far: by the sender, or by the receiver as far as the sender knows in a row with
+    /// an estimate. 0 in a relayed estimate.
     pub total: f64,
     /// Units requested: since the sender's last row, or per second in a row that has `remaining`.
     pub demand: Option<f64>,
-    /// Units that the sender believes are left of the customer's quota.
+    /// Estimated units left of the customer's quota; `None` in a row without an estimate.
     pub remaining: Option<f64>,
-    /// Age of the estimate where the sender relays another limiter's. A limiter that does not know such rows takes
-    /// them for an estimate by a limiter that is not the aggregator, which changes nothing.
+    /// Age of a relayed estimate; `None` in other rows. A limiter that does not support relayed estimates reads the row
+    /// as an estimate from a limiter that is not the aggregator, and ignores it.
     pub age: Option<Duration>,
 }
 
-/// What stands before the rows of a peer message.
+/// Header of a peer message, which precedes the rows.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct BatchHeader {
-    /// When the sender started, in milliseconds: a later incarnation counts its totals from zero.
+    /// Time at which the sender started, in milliseconds on the limiter's clock. A later incarnation counts its totals
+    /// from zero.
     pub incarnation: u64,
-    /// Number of the message in this incarnation.
+    /// Number of the message among those that this incarnation has sent to any limiter, from 1 on.
     pub sequence: u64,
 }
 
@@ -73,12 +75,13 @@
     None
 }
 
-/// Units as a number whose last bit is the sign.
+/// Zigzag encoding of units: the lowest bit holds the sign.
 fn zigzag(units: f64) -> u64 {
     let steps = (units * STEPS_PER_UNIT).round() as i64;
     ((steps << 1) ^ (steps >> 63)) as u64
 }
 
+/// Units from their zigzag encoding.
 fn units(zigzag: u64) -> f64 {
     ((zigzag >> 1) as i64 ^ -((zigzag & 1) as i64)) as f64 / STEPS_PER_UNIT
 }
@@ -105,7 +108,8 @@
         kind |= REMAINING_FLAG;
     }
     write_number(&mut bytes, kind);
-    // A relayed estimate has no total: its age stands in that place, as a number below zero.
+    // A relayed estimate has no total. Its age in seconds is encoded in that field as a negative number, less one step
+    // so that an age of zero is negative too.
     let total = row.age.map_or(row.total, |age| {
         -(time::seconds(age) + 1.0 / STEPS_PER_UNIT)
     });
@@ -118,7 +122,8 @@
     bytes
 }
 
-/// Encodes rows into as many messages as they need, numbered from the header's number on.
+/// Encodes rows into as many messages as they need, with sequence numbers that begin with the header's. An empty batch
+/// is one message without rows.
 pub fn encode(mut header: BatchHeader, rows: &[CounterRow]) -> Vec<Vec<u8>> {
     let mut messages = Vec::new();
     let mut message = header_bytes(header);
@@ -165,7 +170,7 @@
     })
 }
 
-/// Decodes a message; `None` where the bytes are not a complete message.
+/// Decodes a message; `None` if the bytes are not a complete message.
 pub fn decode(mut bytes: &[u8]) -> Option<(BatchHeader, Vec<CounterRow>)> {
     let header = BatchHeader {
         incarnation: read_number(&mut bytes)?,
