--- a/crates/merlinreel-testkit/src/scale/latency.rs
+++ b/crates/merlinreel-testkit/src/scale/latency.rs
@@ -1,10 +1,11 @@
-//! The time that a limiter adds to a request: a real process of the program before loopback servers, and clients on
-//! kept connections whose send times are planned. The same requests are sent to the servers directly and through the
-//! limiter; "added" is the difference of the two histograms' percentiles, not a percentile of differences.
+//! Measures the latency that a limiter adds to a request. A process of the program runs in front of loopback servers,
+//! and clients send requests on persistent connections at planned times. The same plan is sent to the servers directly
+//! and through the limiter; "added" is the difference of the two histograms' percentiles, not a percentile of the
+//! differences of single requests.
 //!
-//! The load is open: latency counts from a request's planned time, so that a stall is seen in every request that was
-//! due during it (no coordinated omission). The direct requests on the same machine show the share of the clients and
-//! the servers: late wake-ups, parsing, the loopback.
+//! The load is open-loop: latency counts from the planned send time, so that a stall counts for every request that was
+//! due during it (no coordinated omission). The direct requests show how much of the latency is due to the clients and
+//! servers on the same machine: late wake-ups, parsing, the loopback interface.
 
 mod error;
 mod load;
@@ -25,40 +26,43 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Requests per second.
+/// Default request rates, in requests per second.
 pub const RATE_SIZES: &[u64] = &[50, 200, 1_000, 3_000];
-/// Servers listed.
+/// Default numbers of listed servers.
 pub const SERVERS_SIZES: &[u64] = &[1, 20, 200, 1_000];
-/// Bytes of a response's body.
+/// Default lengths of response bodies, in bytes.
 pub const RESPONSE_SIZES: &[u64] = &[300, 4_096, 16_384, 65_536];
 
 const ROLE: &str = "request_path";
 /// The class of all requests: idempotent, with a deadline of four seconds.
 const CLASS: &str = "look";
-/// Bounds of the limiter that all sizes are within: its descriptors, and its memory in megabytes.
-const LIMITER_SOCKETS: u32 = 4_096;
-const LIMITER_MEMORY_MB: u32 = 512;
-/// Rate and burst of the plan: far more units than any size uses.
+/// The limiter's configured socket limit, which no default size reaches.
+const MAX_LIMITER_SOCKETS: u32 = 4_096;
+/// The limiter's configured memory limit, which no default size reaches.
+const MAX_LIMITER_MEMORY_MB: u32 = 512;
+/// The quota plan's rate in units per second and its burst in units: far more than any size uses.
 const AMPLE_UNITS: f64 = 1_000_000.0;
-/// Resident memory of servers, clients and the limiter: a base, and the connections and threads of servers.
+/// Estimated resident memory of the servers, the clients and the limiter, apart from what grows with the servers.
 const BASE_MB: u64 = 64;
+/// The connections and threads of this many servers are estimated at one megabyte.
 const SERVERS_PER_MB: u64 = 4;
-/// Requests to each server before anything is measured, so that connections are open.
+/// Warm-up requests for each server, so that connections are open when the measurement starts.
 const WARM_UP_REQUESTS_PER_SERVER: u64 = 4;
-const RESPONSE_SIZE_RATE: u64 = 200;
+/// Request rate while the length of responses varies.
+const RESPONSE_SIZES_REQUESTS_PER_SECOND: u64 = 200;
 
-/// The conditions of one size.
+/// The conditions of a measurement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LatencySetting {
-    /// The rate of requests.
+    /// Request rate of the direct load and of the load through the limiter.
     pub requests_per_second: u64,
-    /// Servers listed.
+    /// Number of servers, all of which discovery lists to the limiter.
     pub servers: u64,
-    /// Bytes of a response's body.
+    /// Length of each response body.
     pub response_bytes: u64,
-    /// Connections kept by the clients, to the limiter or to the servers; requests use them in turn.
+    /// Persistent client connections, to the limiter or to the servers; requests use them in turn.
     pub client_connections: usize,
-    /// The length of each run, once directly and once through the limiter.
+    /// Planned duration of one load. A run sends one load directly and one through the limiter.
     pub duration: Duration,
 }
 
@@ -75,12 +79,12 @@
 }
 
 impl LatencySetting {
-    /// Requests of a run.
+    /// Number of requests in one load, without the warm-up.
     pub fn requests(&self) -> u64 {
         (self.requests_per_second as f64 * self.duration.as_secs_f64()).ceil() as u64
     }
 
-    /// At least a second's requests, and some for each server.
+    /// The requests of one second or [`WARM_UP_REQUESTS_PER_SERVER`] for each server, whichever is more.
     fn warm_up_requests(&self) -> u64 {
         self.requests_per_second
             .max(WARM_UP_REQUESTS_PER_SERVER * self.servers)
@@ -96,7 +100,7 @@
     }
 }
 
-/// The setting as text of a data point.
+/// The text of a data point's `setting`.
 impl fmt::Display for LatencySetting {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         write!(
@@ -115,7 +119,7 @@
 /// Varies the request rate.
 ///
 /// # Errors
-/// A size exceeds the memory bound, or a request is not answered as expected.
+/// A size exceeds the memory bound, a request does not get the expected response, or a data point can't be written.
 pub fn measure_rate(request: &MeasureRequest, emit: Emit) -> Result<(), ScaleError> {
     let setting = |size| LatencySetting {
         requests_per_second: size,
@@ -127,7 +131,7 @@
 /// Varies the number of servers listed.
 ///
 /// # Errors
-/// A size exceeds the memory bound, or a request is not answered as expected.
+/// A size exceeds the memory bound, a request does not get the expected response, or a data point can't be written.
 pub fn measure_servers(request: &MeasureRequest, emit: Emit) -> Result<(), ScaleError> {
     let setting = |size| LatencySetting {
         servers: size,
@@ -136,14 +140,14 @@
     measure_sizes("servers", request, setting, emit)
 }
 
-/// Varies the length of responses.
+/// Varies the length of response bodies.
 ///
 /// # Errors
-/// A size exceeds the memory bound, or a request is not answered as expected.
+/// A size exceeds the memory bound, a request does not get the expected response, or a data point can't be written.
 pub fn measure_response_sizes(request: &MeasureRequest, emit: Emit) -> Result<(), ScaleError> {
     let setting = |size| LatencySetting {
         response_bytes: size,
-        requests_per_second: RESPONSE_SIZE_RATE,
+        requests_per_second: RESPONSE_SIZES_REQUESTS_PER_SECOND,
         ..LatencySetting::default()
     };
     measure_sizes("answer_bytes", request, setting, emit)
@@ -158,7 +162,7 @@
     for &size in &request.sizes {
         let setting = setting_of(size);
         request.check_memory(
-            "the servers and clients",
+            "a process with the servers and clients",
             BASE_MB + setting.servers / SERVERS_PER_MB,
         )?;
         measure_setting(variable, size, &setting, request, emit)?;
@@ -166,11 +170,11 @@
     Ok(())
 }
 
-/// Measures one size. Each run sends the requests to the servers directly, then through a limiter that is kept for all
-/// runs.
+/// Measures one size of a variable. Each run sends the plan to the servers directly, then through the limiter; one
+/// limiter process serves all runs.
 ///
 /// # Errors
-/// A request is not answered as expected, or a data point can't be written.
+/// A request does not get the expected response, or a data point can't be written.
 pub fn measure_setting(
     variable: &'static str,
     size: u64,
@@ -197,16 +201,16 @@
     let mut pairs = Vec::new();
     for _ in 0..request.runs {
         pairs.push(RunPair {
-            direct: run(setting, request.seed, &servers.addresses)?,
-            through: run(setting, request.seed, &[limiter.address()])?,
+            direct: run_load(setting, request.seed, &servers.addresses)?,
+            through: run_load(setting, request.seed, &[limiter.address()])?,
         });
     }
     Ok(pairs)
 }
 
-/// Sends the planned requests after a warm-up, on new connections: the limiter closes those that are idle while requests
-/// are sent to the servers directly.
-fn run(
+/// Opens client connections, and sends the warm-up and then the planned requests on them. Each load has connections of
+/// its own, as the limiter would close them as idle while the direct load runs.
+fn run_load(
     setting: &LatencySetting,
     seed: u64,
     targets: &[SocketAddr],
@@ -216,7 +220,7 @@
     clients.send(&setting.plan(setting.requests(), seed))
 }
 
-/// A process of the program, and the stub discovery that lists the servers to it.
+/// A limiter process, and the stub discovery agent that lists the servers to it.
 #[derive(Debug)]
 pub struct Limiter {
     program: Program,
@@ -224,7 +228,7 @@
 }
 
 impl Limiter {
-    /// Starts a limiter before the servers and waits until it is ready.
+    /// Starts a limiter in front of the servers and waits until it is ready.
     ///
     /// # Panics
     /// It does not become ready in time.
@@ -236,7 +240,7 @@
         }
     }
 
-    /// Where it serves clients.
+    /// The address at which the limiter accepts clients.
     pub fn address(&self) -> SocketAddr {
         self.program.address
     }
@@ -250,7 +254,7 @@
         .collect();
     let mut config = config(&instances);
     config["discovery"] = discovery.to_string().into();
-    config["limits"] = json!({"memory_mb": LIMITER_MEMORY_MB, "sockets": LIMITER_SOCKETS});
+    config["limits"] = json!({"memory_mb": MAX_LIMITER_MEMORY_MB, "sockets": MAX_LIMITER_SOCKETS});
     let plan = &mut config["settings"]["packages"][0];
     plan["unitsPerS"] = AMPLE_UNITS.into();
     plan["mostAtOnce"] = AMPLE_UNITS.into();
--- a/crates/merlinreel-testkit/src/scale/latency/error.rs
+++ b/crates/merlinreel-testkit/src/scale/latency/error.rs
@@ -1,72 +1,72 @@
-//! Why a latency measurement failed.
+//! Errors of the latency measurement.
 
 use crate::ReadError;
 use std::io;
 use std::net::SocketAddr;
 use thiserror::Error;
 
-/// Why a latency measurement failed: one request that is not answered as expected ends it.
+/// An error of a latency measurement. The first request without the expected response ends the measurement.
 #[derive(Debug, Error)]
 pub enum LatencyError {
-    /// The servers have no listener.
-    #[error("the servers cannot listen: {0}")]
+    /// The listening socket of the servers could not be opened.
+    #[error("loopback servers cannot open a listening socket: {0}")]
     Listen(#[source] io::Error),
-    /// A client's connection was not established.
-    #[error("no connection to {address}: {source}; check the limit of open descriptors")]
+    /// A client connection could not be established.
+    #[error("client cannot connect to {address}: {source}; check the limit of open descriptors")]
     Connect {
-        /// Where the client connected to.
+        /// Address of the server or limiter.
         address: SocketAddr,
-        /// Why it failed.
+        /// Error of the socket.
         source: io::Error,
     },
     /// A request could not be written.
-    #[error("request {id} was not sent: {source}")]
+    #[error("cannot write request {id}: {source}")]
     Send {
-        /// The request.
+        /// Id of the request, sent as `X-Txn`.
         id: String,
-        /// Why it failed.
+        /// Error of the socket.
         source: io::Error,
     },
-    /// A response is incomplete, malformed or late.
-    #[error("request {id} has no complete response: {source}")]
+    /// A response is truncated or malformed, or did not arrive before the read timeout.
+    #[error("cannot read the response to request {id}: {source}")]
     Receive {
-        /// The request.
+        /// Id of the request, sent as `X-Txn`.
         id: String,
-        /// Why it failed.
+        /// Why no complete response was read.
         source: ReadError,
     },
-    /// The connection ended before a response.
-    #[error("the connection ended before the response to request {id}")]
-    Ended {
-        /// The request.
+    /// The limiter or server closed the connection before it responded.
+    #[error("expected a response to request {id}, but the connection was closed")]
+    ConnectionClosed {
+        /// Id of the request, sent as `X-Txn`.
         id: String,
     },
-    /// A response has another status than 200.
-    #[error("request {id} was answered {status}, 200 was expected")]
+    /// A response has a status other than 200.
+    #[error("expected status 200 in the response to request {id}, found {status}")]
     Status {
-        /// The request.
+        /// Id of the request, sent as `X-Txn`.
         id: String,
-        /// The status code of its response.
+        /// Status code of the response.
         status: u16,
     },
-    /// A response belongs to another request.
-    #[error("request {id} got the response to {other}")]
-    OtherResponse {
-        /// The request.
+    /// A response does not carry the id of the outstanding request.
+    #[error("expected X-Txn {id} in the response, found {other}")]
+    MismatchedResponse {
+        /// Id of the request, sent as `X-Txn`.
         id: String,
-        /// The request that the response names.
+        /// `X-Txn` of the response; `none` if it has no such header.
         other: String,
     },
-    /// Bytes arrived after a response.
+    /// Bytes followed a response although no request was outstanding.
     #[error("unsolicited bytes arrived after the response to request {id}")]
     Unsolicited {
-        /// The request.
+        /// Id of the request, sent as `X-Txn`.
         id: String,
     },
-    /// A client's thread panicked.
-    #[error("a client's thread panicked")]
-    Panicked,
-    /// The histogram can't be created or does not accept a value.
-    #[error("the histogram does not accept a value: {0}")]
+    /// The thread of a client connection panicked.
+    #[error("the thread of a client connection panicked")]
+    ClientPanicked,
+    /// The histogram can't be created or does not accept a latency.
+    #[error("cannot create the latency histogram or record a latency in it: {0}")]
     Histogram(String),
 }
--- a/crates/merlinreel-testkit/src/scale/latency/load.rs
+++ b/crates/merlinreel-testkit/src/scale/latency/load.rs
@@ -1,4 +1,4 @@
-//! Clients on kept connections that send requests at planned times, and the latencies they measure.
+//! Clients that send requests on persistent connections at planned times, and measure their latencies.
 
 use super::{LatencyError, PlannedRequest, RequestPlan};
 use crate::TEST_TIMEOUT;
@@ -9,43 +9,44 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Decimal digits that the histogram keeps of a latency.
+/// Precision of latencies in the histogram, in significant decimal digits.
 const SIGNIFICANT_DIGITS: u8 = 3;
-/// Between the call and the first send time, so that each connection's thread has started by then.
+/// Delay from the call to the first send time, so that the thread of each connection has started by then.
 const LEAD_TIME: Duration = Duration::from_millis(50);
 
-/// The times of one request, counted from the start of the load.
+/// The times of one request, relative to the start of the load.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Sample {
     /// The planned send time.
     pub planned: Duration,
-    /// The actual send time.
+    /// When the client began to write the request.
     pub sent: Duration,
-    /// When the response was complete.
-    pub answered: Duration,
+    /// When the complete response was read.
+    pub completed: Duration,
 }
 
 impl Sample {
-    /// The time from the planned send time on, so that a stall counts for every request that was due during it.
+    /// Time from the planned send time to the complete response, so that a stall counts for every request that was due
+    /// during it.
     pub fn latency(&self) -> Duration {
-        self.answered.saturating_sub(self.planned)
+        self.completed.saturating_sub(self.planned)
     }
 }
 
-/// The latencies of all requests of a plan, each of which had one response with status 200.
+/// The latencies of all requests of a plan. Each request got one response with status 200.
 #[derive(Clone, Debug)]
 pub struct LoadResult {
-    /// The times of all requests, by planned send time.
+    /// The times of all requests, in order of planned send time.
     pub samples: Vec<Sample>,
-    /// Latencies in microseconds.
+    /// Latencies from the planned send times, in microseconds.
     pub histogram: Histogram<u64>,
 }
 
 impl LoadResult {
-    /// The result with these samples.
+    /// Records the latencies of the samples in a histogram.
     ///
     /// # Errors
-    /// The histogram does not accept a latency.
+    /// The histogram can't be created, or does not accept a latency.
     pub fn new(samples: Vec<Sample>) -> Result<LoadResult, LatencyError> {
         let mut histogram = Histogram::new(SIGNIFICANT_DIGITS)
             .map_err(|error| LatencyError::Histogram(error.to_string()))?;
@@ -58,17 +59,17 @@
     }
 }
 
-/// Connections that are kept over several loads.
+/// Persistent client connections, which can be used for several loads.
 #[derive(Debug)]
 pub struct ClientConnections {
     connections: Vec<ClientConnection>,
 }
 
 impl ClientConnections {
-    /// Connects to the targets in turn.
+    /// Opens this many connections, to the targets in turn.
     ///
     /// # Errors
-    /// A connection is not established.
+    /// A connection can't be established.
     pub fn open(
         targets: &[SocketAddr],
         connections: usize,
@@ -80,19 +81,20 @@
         Ok(ClientConnections { connections })
     }
 
-    /// Sends a plan's requests at their times, from shortly after now on.
+    /// Sends the requests of a plan at their planned times. The load starts after a short delay in which the client
+    /// threads start.
     ///
     /// # Errors
-    /// A request does not have one response with status 200.
+    /// A request does not get exactly one response with status 200.
     pub fn send(&mut self, plan: &RequestPlan) -> Result<LoadResult, LatencyError> {
         self.send_from(plan, Instant::now() + LEAD_TIME)
     }
 
-    /// Sends a plan's requests at their times, counted from `start`; a connection that waits for a response sends its
-    /// next requests late.
+    /// Sends the requests of a plan at their planned times, relative to `start`. A connection that waits for a response
+    /// sends its next requests late.
     ///
     /// # Errors
-    /// A request does not have one response with status 200.
+    /// A request does not get exactly one response with status 200.
     pub fn send_from(
         &mut self,
         plan: &RequestPlan,
@@ -110,7 +112,7 @@
                 .collect();
             threads
                 .into_iter()
-                .map(|thread| thread.join().unwrap_or(Err(LatencyError::Panicked)))
+                .map(|thread| thread.join().unwrap_or(Err(LatencyError::ClientPanicked)))
                 .collect()
         });
         let mut samples = Vec::with_capacity(plan.requests.len());
@@ -150,15 +152,15 @@
         let mut samples = Vec::new();
         for request in requests {
             let text = request.text();
-            thread::sleep((start + request.at).saturating_duration_since(Instant::now()));
+            thread::sleep((start + request.send_time).saturating_duration_since(Instant::now()));
             let sent = start.elapsed();
             self.exchange(request, &text)?;
             samples.push(Sample {
-                planned: request.at,
+                planned: request.send_time,
                 sent,
-                answered: start.elapsed(),
+                completed: start.elapsed(),
             });
-            self.check_nothing_unsolicited(request)?;
+            self.check_no_unsolicited_bytes(request)?;
         }
         Ok(samples)
     }
@@ -170,7 +172,7 @@
             .map_err(|source| LatencyError::Send { id: id(), source })?;
         let response = read(&mut self.reader, 0)
             .map_err(|source| LatencyError::Receive { id: id(), source })?
-            .ok_or_else(|| LatencyError::Ended { id: id() })?;
+            .ok_or_else(|| LatencyError::ConnectionClosed { id: id() })?;
         if response.status() != 200 {
             return Err(LatencyError::Status {
                 id: id(),
@@ -179,15 +181,15 @@
         }
         match response.header("x-txn") {
             Some(other) if other == request.id => Ok(()),
-            other => Err(LatencyError::OtherResponse {
+            other => Err(LatencyError::MismatchedResponse {
                 id: id(),
                 other: other.unwrap_or("none").to_owned(),
             }),
         }
     }
 
-    /// Checks that nothing has arrived after the response.
-    fn check_nothing_unsolicited(&self, request: &PlannedRequest) -> Result<(), LatencyError> {
+    /// Checks that no further bytes were read together with the response.
+    fn check_no_unsolicited_bytes(&self, request: &PlannedRequest) -> Result<(), LatencyError> {
         if self.reader.buffer().is_empty() {
             return Ok(());
         }
--- a/crates/merlinreel-testkit/src/scale/latency/loopback_servers.rs
+++ b/crates/merlinreel-testkit/src/scale/latency/loopback_servers.rs
@@ -1,4 +1,4 @@
-//! Servers on distinct loopback addresses that respond to each request at once, except one that a test may hold.
+//! Servers on distinct loopback addresses that respond to each request at once. A test may hold back one response.
 
 use super::LatencyError;
 use crate::http::read;
@@ -9,12 +9,12 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::thread;
 
-/// Addresses are 127.1.x.y, with this many for each x, from y = 1 on.
+/// Server addresses are 127.1.x.y, with this many values of y for each x, from 1 on.
 const ADDRESSES_PER_X: usize = 250;
-/// Readiness checks carry no such header and are not counted.
-const ID_HEADER: &str = "x-txn";
+/// Carries the request id. Health checks have no such header and are not counted.
+const REQUEST_ID_HEADER: &str = "x-txn";
 
-/// One response that is held until the test releases it.
+/// A response that the servers hold back until the test releases it.
 #[derive(Debug)]
 pub struct Hold {
     received: Receiver<()>,
@@ -22,19 +22,19 @@
 }
 
 impl Hold {
-    /// Waits until the request arrives whose response is held; false where it does not in time.
-    pub fn wait(&self) -> bool {
+    /// Waits until the request with the held response arrives. Returns whether it arrived within the test timeout.
+    pub fn wait_for_request(&self) -> bool {
         self.received.recv_timeout(crate::TEST_TIMEOUT).is_ok()
     }
 
-    /// Releases the response.
+    /// Lets the server send the response.
     pub fn release(self) {
-        // The server's thread has ended where the test is about to fail.
+        // Fails only if the servers' end is gone; the test then fails for lack of a response.
         let _ = self.release.send(());
     }
 }
 
-/// The servers' side of a [`Hold`].
+/// The servers' end of a [`Hold`].
 #[derive(Debug)]
 struct HeldResponse {
     id: String,
@@ -49,27 +49,27 @@
     held: Option<HeldResponse>,
 }
 
-/// Servers that serve until the test's process ends.
+/// Loopback servers, which run until the process ends.
 #[derive(Debug)]
 pub struct LoopbackServers {
-    /// By server, where it listens.
+    /// The address of each server.
     pub addresses: Vec<SocketAddr>,
     state: Arc<State>,
 }
 
 impl LoopbackServers {
-    /// Starts servers whose responses have bodies of that length.
+    /// Starts servers whose response bodies have this length.
     ///
     /// # Errors
-    /// There is no free port.
+    /// The listening socket can't be opened.
     pub fn start(servers: usize, response_bytes: usize) -> Result<LoopbackServers, LatencyError> {
         LoopbackServers::start_with(servers, response_bytes, None)
     }
 
-    /// Starts servers of which the response to the request of that id is held.
+    /// Starts servers that hold back the response to the request with this id.
     ///
     /// # Errors
-    /// There is no free port.
+    /// The listening socket can't be opened.
     pub fn start_holding(
         servers: usize,
         response_bytes: usize,
@@ -86,7 +86,7 @@
         Ok((servers, Hold { received, release }))
     }
 
-    /// Starts one listener for all addresses.
+    /// Starts one listener for the addresses of all servers.
     fn start_with(
         servers: usize,
         response_bytes: usize,
@@ -103,12 +103,12 @@
             requests: AtomicU64::new(0),
             held,
         });
-        let serving = state.clone();
-        thread::spawn(move || accept(&listener, &serving));
+        let accept_state = state.clone();
+        thread::spawn(move || accept(&listener, &accept_state));
         Ok(LoopbackServers { addresses, state })
     }
 
-    /// Requests received, directly and through limiters.
+    /// Number of requests received, directly and through limiters, without health checks.
     pub fn requests(&self) -> u64 {
         self.state.requests.load(Ordering::Relaxed)
     }
@@ -125,7 +125,7 @@
 
 fn accept(listener: &TcpListener, state: &Arc<State>) {
     for stream in listener.incoming().flatten() {
-        // The listener is bound to all addresses of the machine.
+        // The listener is bound to all addresses of the machine; only connections over loopback are served.
         if !stream.peer_addr().is_ok_and(|peer| peer.ip().is_loopback()) {
             continue;
         }
@@ -139,7 +139,7 @@
         stream.set_nodelay(true)?;
         let mut reader = BufReader::new(stream.try_clone()?);
         while let Some(request) = read(&mut reader, 0)? {
-            let Some(id) = request.header(ID_HEADER) else {
+            let Some(id) = request.header(REQUEST_ID_HEADER) else {
                 stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")?;
                 continue;
             };
@@ -158,13 +158,13 @@
         )
     }
 
-    /// Waits where this is the request whose response is held.
+    /// If the response to this request is held, reports its arrival and waits for the release.
     fn wait_for_release(&self, id: &str) {
         let Some(held) = self.held.as_ref().filter(|held| held.id == id) else {
             return;
         };
         let _ = held.received.send(());
-        // An error where the test has ended without a release.
+        // Fails if the test ended without releasing the response.
         let _ = held
             .released
             .lock()
--- a/crates/merlinreel-testkit/src/scale/latency/percentiles.rs
+++ b/crates/merlinreel-testkit/src/scale/latency/percentiles.rs
@@ -1,4 +1,4 @@
-//! Percentiles of the latencies directly and through the limiter, and their differences.
+//! Latency percentiles of direct requests and of requests through the limiter, and their differences.
 
 use super::LoadResult;
 use crate::scale::{Report, ScaleError, Source, Unit};
@@ -6,13 +6,13 @@
 /// One run: the same plan sent directly and through the limiter.
 #[derive(Debug)]
 pub struct RunPair {
-    /// Sent to the servers.
+    /// Result of the load that was sent to the servers.
     pub direct: LoadResult,
-    /// Sent to the limiter.
+    /// Result of the load that was sent to the limiter.
     pub through: LoadResult,
 }
 
-/// A share of the requests, and the names of its metrics.
+/// A quantile of the latencies (1 is the maximum) and the names of its metrics.
 struct Percentile {
     quantile: f64,
     direct: &'static str,
@@ -54,32 +54,34 @@
 ];
 
 impl Percentile {
-    /// The latency in microseconds.
-    fn of(&self, result: &LoadResult) -> f64 {
+    /// The latency at this quantile, in microseconds.
+    fn latency_us(&self, result: &LoadResult) -> f64 {
         result.histogram.value_at_quantile(self.quantile) as f64
     }
 
-    /// The added latency in microseconds; negative where a direct run met a stall.
-    fn added_in(&self, pair: &RunPair) -> f64 {
-        self.of(&pair.through) - self.of(&pair.direct)
+    /// The added latency in microseconds; negative if the direct load was slower, for example due to a stall.
+    fn added_us(&self, pair: &RunPair) -> f64 {
+        self.latency_us(&pair.through) - self.latency_us(&pair.direct)
     }
 }
 
-/// Reports all percentiles and the number of responses.
+/// Reports all percentiles, and the number of responses through the limiter.
 pub fn report(report: &mut Report, pairs: &[RunPair]) -> Result<(), ScaleError> {
     for percentile in &PERCENTILES {
-        let direct = pairs.iter().map(|pair| percentile.of(&pair.direct));
+        let direct = pairs.iter().map(|pair| percentile.latency_us(&pair.direct));
         report_latency(report, percentile.direct, direct.collect())?;
-        let through = pairs.iter().map(|pair| percentile.of(&pair.through));
+        let through = pairs
+            .iter()
+            .map(|pair| percentile.latency_us(&pair.through));
         report_latency(report, percentile.through, through.collect())?;
-        let added = pairs.iter().map(|pair| percentile.added_in(pair));
+        let added = pairs.iter().map(|pair| percentile.added_us(pair));
         report_latency(report, percentile.added, added.collect())?;
     }
-    let answered = pairs
+    let responses = pairs
         .iter()
         .map(|pair| pair.through.histogram.len() as f64)
         .collect();
-    report.runs("answered", Unit::Count, Source::Counted, answered)
+    report.runs("answered", Unit::Count, Source::Counted, responses)
 }
 
 fn report_latency(
--- a/crates/merlinreel-testkit/src/scale/latency/request_plan.rs
+++ b/crates/merlinreel-testkit/src/scale/latency/request_plan.rs
@@ -1,4 +1,4 @@
-//! The requests of a load, their send times and connections, all planned before the first is sent.
+//! Plans the requests of a load, with their send times and connections, before the first one is sent.
 
 use super::CLASS;
 use rand::{RngExt, SeedableRng};
@@ -6,24 +6,24 @@
 use std::time::Duration;
 
 const NANOSECONDS_PER_SECOND: u128 = 1_000_000_000;
-/// Customers that requests are drawn from.
+/// Number of customers, one of which is drawn for each request.
 const CUSTOMERS: u32 = 1_000;
 
-/// A request and its time, counted from the start of the load.
+/// A planned request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PlannedRequest {
-    /// The send time.
-    pub at: Duration,
-    /// The number of its connection.
+    /// Send time, relative to the start of the load.
+    pub send_time: Duration,
+    /// Index of the client connection that sends it.
     pub connection: usize,
-    /// The value of `X-Txn`.
+    /// Value of `X-Txn`, unique in the plan.
     pub id: String,
-    /// The customer that sends it.
+    /// Number of the customer, sent as `key`.
     pub customer: u32,
 }
 
 impl PlannedRequest {
-    /// As it is written to the connection.
+    /// The request as it is written to the connection.
     pub fn text(&self) -> String {
         format!(
             "GET /{CLASS}?key={:016x} HTTP/1.1\r\nHost: origin.svc\r\nX-Txn: {}\r\nX-Lane: {CLASS}\r\n\
@@ -33,19 +33,19 @@
     }
 }
 
-/// Requests at a fixed rate, on the connections in turn.
+/// Requests at a fixed rate, assigned to the connections in turn.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RequestPlan {
-    /// The requests by send time.
+    /// The requests in order of send time.
     pub requests: Vec<PlannedRequest>,
 }
 
 impl RequestPlan {
-    /// A plan with evenly spaced send times, to the nanosecond, and customers drawn from the seed.
+    /// Plans requests with evenly spaced send times, rounded down to a nanosecond, and customers drawn from the seed.
     pub fn new(per_second: u64, requests: u64, connections: usize, seed: u64) -> RequestPlan {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         let planned = |number: u64| PlannedRequest {
-            at: send_time(number, per_second),
+            send_time: send_time(number, per_second),
             connection: number as usize % connections,
             id: format!("{number:08x}"),
             customer: random.random_range(0..CUSTOMERS),
@@ -55,15 +55,15 @@
         }
     }
 
-    /// The last request's send time.
-    pub fn last_at(&self) -> Duration {
+    /// Send time of the last request; zero if there are no requests.
+    pub fn last_send_time(&self) -> Duration {
         self.requests
             .last()
-            .map(|request| request.at)
+            .map(|request| request.send_time)
             .unwrap_or_default()
     }
 
-    /// The requests of one connection, by send time.
+    /// The requests of one connection, in order of send time.
     pub fn on_connection(&self, connection: usize) -> impl Iterator<Item = &PlannedRequest> {
         self.requests
             .iter()
@@ -71,7 +71,7 @@
     }
 }
 
-/// Computed from the number, so that rounding errors do not accumulate.
+/// Send time of a request. Computed from the request's number, so that rounding errors do not accumulate.
 fn send_time(number: u64, per_second: u64) -> Duration {
     let nanoseconds = u128::from(number) * NANOSECONDS_PER_SECOND / u128::from(per_second);
     Duration::from_nanos(nanoseconds as u64)
--- a/crates/merlinreel-testkit/tests/scale_latency.rs
+++ b/crates/merlinreel-testkit/tests/scale_latency.rs
@@ -1,5 +1,5 @@
-//! The latency measurement in a short form: counts only, and what must hold whatever the machine's speed. Times are
-//! measured by the `scale` command.
+//! A short latency measurement that checks counts and properties that do not depend on the machine's speed. The `scale`
+//! command measures the latencies themselves.
 
 use merlinreel_testkit::scale::latency::{
     ClientConnections, LatencyError, LatencySetting, Limiter, LoadResult, LoopbackServers,
@@ -15,15 +15,15 @@
 const CONNECTIONS: usize = 4;
 const SERVERS: usize = 20;
 const RESPONSE_BYTES: usize = 300;
-/// Requests that reach the servers grow as those that clients send, an attempt each (exponent 1); the margin is for
-/// attempts that are made again.
+/// Requests at the servers grow in proportion to those that clients send, with one attempt each (exponent 1); the
+/// margin allows for retried attempts.
 const MAX_EXPONENT: f64 = 1.1;
 
 fn plan(requests: u64) -> RequestPlan {
     RequestPlan::new(PER_SECOND, requests, CONNECTIONS, SEED)
 }
 
-/// The result of a plan, and how many requests reached the servers.
+/// Sends a plan through a limiter. Returns the result and the number of requests that the servers received.
 fn send_through_limiter(plan: &RequestPlan, response_bytes: usize) -> (LoadResult, u64) {
     let servers = LoopbackServers::start(SERVERS, response_bytes).expect("servers");
     let limiter = Limiter::start(&servers);
@@ -31,7 +31,7 @@
         ClientConnections::open(&[limiter.address()], CONNECTIONS).expect("connections");
     let result = clients
         .send(plan)
-        .expect("each request is answered 200 once");
+        .expect("one response with status 200 to each request");
     (result, servers.requests())
 }
 
@@ -46,29 +46,32 @@
         planned,
         plan.requests
             .iter()
-            .map(|request| request.at)
+            .map(|request| request.send_time)
             .collect::<Vec<_>>()
     );
     let in_order =
-        |sample: &Sample| sample.planned <= sample.sent && sample.sent <= sample.answered;
+        |sample: &Sample| sample.planned <= sample.sent && sample.sent <= sample.completed;
     assert!(result.samples.iter().all(in_order));
     assert!(received >= 200, "{received}");
 }
 
-#[test_case(50 ; "evenly divided")]
-#[test_case(3_000 ; "with a remainder")]
+#[test_case(50 ; "interval of whole nanoseconds")]
+#[test_case(3_000 ; "interval of fractional nanoseconds")]
 fn planned_send_times_are_evenly_spaced(per_second: u64) {
     let plan = RequestPlan::new(per_second, 2 * per_second + 1, CONNECTIONS, SEED);
     let interval = Duration::from_secs(1) / per_second as u32;
     for pair in plan.requests.windows(2) {
-        let apart = pair[1].at.checked_sub(pair[0].at).expect("in order");
+        let gap = pair[1]
+            .send_time
+            .checked_sub(pair[0].send_time)
+            .expect("in order");
         assert!(
-            apart >= interval && apart <= interval + Duration::from_nanos(1),
-            "{apart:?}"
+            gap >= interval && gap <= interval + Duration::from_nanos(1),
+            "{gap:?}"
         );
     }
     assert_eq!(
-        plan.last_at(),
+        plan.last_send_time(),
         Duration::from_secs(2),
         "rounding errors accumulate"
     );
@@ -81,13 +84,13 @@
         plan(200),
         RequestPlan::new(PER_SECOND, 200, CONNECTIONS, SEED + 1)
     );
-    let answered = || {
+    let response_count = || {
         send_through_limiter(&plan(100), RESPONSE_BYTES)
             .0
             .histogram
             .len()
     };
-    assert_eq!(answered(), answered());
+    assert_eq!(response_count(), response_count());
 }
 
 #[test]
@@ -99,10 +102,10 @@
             send_through_limiter(&plan(size), RESPONSE_BYTES).1 as f64,
         )
     });
-    check_slope(&points, MAX_EXPONENT).expect("about one attempt a request");
+    check_slope(&points, MAX_EXPONENT).expect("about one attempt per request");
 }
 
-/// A deliberate cost, measured in the same way: the plan is sent once for each fifty of its requests.
+/// Checks that the slope test fails for a quadratic cost: the plan is sent once for every fifty of its requests.
 #[test]
 fn plan_that_is_sent_repeatedly_is_too_steep() {
     let servers = LoopbackServers::start(SERVERS, RESPONSE_BYTES).expect("servers");
@@ -112,14 +115,14 @@
             ClientConnections::open(&[limiter.address()], CONNECTIONS).expect("connections");
         let before = servers.requests();
         let plan = RequestPlan::new(PER_SECOND, size, CONNECTIONS, SEED);
-        (0..size / 50).for_each(|_| drop(clients.send(&plan).expect("answers")));
+        (0..size / 50).for_each(|_| drop(clients.send(&plan).expect("responses")));
         Point::new(size as f64, (servers.requests() - before) as f64)
     });
     check_slope(&points, MAX_EXPONENT).expect_err("quadratic");
 }
 
-/// The load is open: requests that were due while a response was held count from their planned times. Each bound is a
-/// lower one that holds because the release comes after the last planned time, however fast the machine is.
+/// The load is open-loop: the latency of requests that were due while a response was held counts from their planned send
+/// times. All bounds are lower bounds; they hold on any machine, as the response is released after the last planned time.
 #[test]
 fn stall_of_a_server_shows_in_all_requests_that_were_due_during_it() {
     const REQUESTS: u64 = 60;
@@ -131,53 +134,57 @@
     let limiter = Limiter::start(&servers);
     let mut clients = ClientConnections::open(&[limiter.address()], 1).expect("a connection");
     let start = Instant::now();
-    let release_at = plan.last_at();
+    let release_at = plan.last_send_time();
     let result = thread::scope(|scope| {
         let load = scope.spawn(|| clients.send_from(&plan, start));
-        assert!(hold.wait(), "the request reaches the server");
+        assert!(hold.wait_for_request(), "the request reaches the server");
         thread::sleep((start + release_at).saturating_duration_since(Instant::now()));
         hold.release();
         load.join()
             .expect("no panic")
-            .expect("each request is answered 200 once")
+            .expect("one response with status 200 to each request")
     });
     assert_eq!(result.histogram.len(), REQUESTS);
     let delayed = &result.samples[HELD_REQUEST..];
     assert!(delayed.iter().all(
         |sample| sample.latency() >= release_at.checked_sub(sample.planned).expect("in order")
     ));
-    // Those planned a quarter of a second before the release or earlier; the histogram's resolution is a thousandth.
+    // Requests that were due at least a quarter of a second before the release; the histogram's resolution is a
+    // thousandth.
     let quarter = Duration::from_millis(250);
-    let early = delayed
+    let long_delayed = delayed
         .iter()
         .filter(|sample| sample.planned + quarter <= release_at)
         .count() as u64;
-    assert_eq!(early, 26);
-    let least = quarter.as_micros() as u64 * 999 / 1_000;
-    let slow = result.histogram.count_between(least, u64::MAX);
-    assert!(slow >= early, "{slow} of {early}");
+    assert_eq!(long_delayed, 26);
+    let min_latency_us = quarter.as_micros() as u64 * 999 / 1_000;
+    let slow_responses = result.histogram.count_between(min_latency_us, u64::MAX);
+    assert!(
+        slow_responses >= long_delayed,
+        "{slow_responses} of {long_delayed}"
+    );
 }
 
 #[test]
 fn latency_of_a_late_request_counts_from_its_planned_time() {
-    let [planned, sent, answered] = [10, 110, 111].map(Duration::from_millis);
+    let [planned, sent, completed] = [10, 110, 111].map(Duration::from_millis);
     let result = LoadResult::new(vec![Sample {
         planned,
         sent,
-        answered,
+        completed,
     }])
     .expect("recorded");
     assert_eq!(result.histogram.value_at_quantile(1.0) / 1_000, 101);
 }
 
-/// A load never lacks requests silently: one without a response of status 200 ends it.
+/// Failed requests are never left out of a result silently: the first response with another status ends the load.
 #[test]
 fn rejected_request_ends_the_load_with_its_status() {
     let servers = LoopbackServers::start(1, RESPONSE_BYTES).expect("servers");
     let limiter = Limiter::start(&servers);
     let mut clients = ClientConnections::open(&[limiter.address()], 1).expect("a connection");
     let mut plan = RequestPlan::new(PER_SECOND, 4, 1, SEED);
-    // Two plans are named, which the limiter rejects.
+    // A second `X-Plan` header, which the limiter rejects.
     plan.requests[2].id = "9b\r\nX-Plan: other".to_owned();
     match clients.send(&plan) {
         Err(LatencyError::Status { status, .. }) => assert_eq!(status, 400),
@@ -185,8 +192,8 @@
     }
 }
 
-/// The direct load lasts longer than the limiter keeps a connection without a request, so that connections opened for
-/// both loads at once would be closed by then.
+/// The direct load lasts longer than the limiter's timeout for connections without a request: client connections to the
+/// limiter that were opened before it would be closed when the load through the limiter starts.
 #[test]
 fn measured_setting_has_every_percentile_directly_and_through_the_limiter() {
     let setting = LatencySetting {
@@ -203,21 +210,21 @@
         Ok(())
     };
     measure_setting("servers", 2, &setting, &request, &mut emit)
-        .expect("each request is answered 200 once");
-    let metric = |name: &str| points.iter().filter(|point| point.metric == name).count();
+        .expect("one response with status 200 to each request");
+    let points_named = |name: &str| points.iter().filter(|point| point.metric == name).count();
     for path in ["direct", "through", "added"] {
         for percentile in ["p50", "p90", "p99", "p99_9", "max"] {
             assert_eq!(
-                metric(&format!("{path}_{percentile}")),
+                points_named(&format!("{path}_{percentile}")),
                 1,
                 "{path}_{percentile}"
             );
         }
     }
-    let answered = points
+    let responses = points
         .iter()
         .find(|point| point.metric == "answered")
         .expect("counted");
-    assert_eq!((answered.value, answered.runs), (150.0, 1));
+    assert_eq!((responses.value, responses.runs), (150.0, 1));
     assert_eq!(points.len(), 16);
 }
