--- a/crates/merlinreel-testkit/src/scale/membership.rs
+++ b/crates/merlinreel-testkit/src/scale/membership.rs
@@ -1,5 +1,5 @@
-//! Membership and records of the mesh: what they cost each limiter, and how long a change takes to reach all limiters, by
-//! the number of limiters, by the rate of changes, and by how many limiters restart at once.
+//! Measures membership and records of the mesh: their cost at each limiter, and how long a change takes to reach all
+//! limiters. Varies the number of limiters, the rate of changes, and how many limiters restart at once.
 
 mod convergence;
 mod fleet;
@@ -15,15 +15,16 @@
 use propagation::{report_changes, report_records};
 use std::time::Duration;
 
-/// Limiters.
+/// Default numbers of limiters.
 pub const DEFAULT_SIZES: &[u64] = &[50, 150, 500, 1500, 2300];
-/// Records per day, at [`FIXED_LIMITERS`].
+/// Default rates of changes in a fleet of [`FIXED_LIMITERS`], in records per day.
 pub const CHANGE_SIZES: &[u64] = &[24_000, 86_400, 240_000, 864_000];
-/// Limiters that restart at once: one, a rack, a zone of eleven, half, all of [`FIXED_LIMITERS`].
+/// Default numbers of limiters that restart at once: one, a rack, one of eleven zones, half and all of
+/// [`FIXED_LIMITERS`].
 pub const RESTART_SIZES: &[u64] = &[1, 20, 46, 253, 506];
-/// Limiters, of which one restarts.
+/// Default numbers of limiters, one of which restarts.
 pub const RESTART_OF_ONE_SIZES: &[u64] = &[25, 50, 100, 200, 300];
-/// Limiters where something else is varied: eleven zones of 46.
+/// Number of limiters where something else is varied: eleven zones of 46.
 pub const FIXED_LIMITERS: usize = 506;
 
 const ROLE: &str = "membership";
@@ -43,27 +44,29 @@
     role: "membership_restart_of_one",
     name: "limiters",
 };
-/// After convergence, while what the limiters learnt of each other is still being passed on.
+/// Simulated time after convergence in which the limiters still relay what they learnt about each other.
 const SETTLE: Duration = Duration::from_secs(10);
-/// The time that one restarted limiter is given to converge.
-const RESTART_OF_ONE_CONVERGENCE: Duration = Duration::from_secs(1200);
+/// Timeout for convergence after the restart of one limiter, in simulated time.
+const RESTART_OF_ONE_TIMEOUT: Duration = Duration::from_secs(1200);
 /// How long a restarting limiter is down.
 const DOWNTIME: Duration = Duration::from_secs(2);
-/// An upper estimate of what one limiter holds of another, for the memory bound alone.
+/// Upper estimate of the memory in which one limiter holds its information about another. Only checked against the
+/// memory bound.
 const BYTES_PER_PAIR: u64 = 1600;
-/// Conditions that all measurements share, as text.
+/// Conditions of all measurements, as part of a data point's `setting` text.
 const CONDITIONS: &str = "1 % loss, 1 to 3 ms on the way, one record of its own each";
 
-/// How long a fleet is measured, on its clock. The cost of a second grows at least with the square of the size: large
-/// fleets are measured for less.
+/// Durations of the phases of a measurement, in simulated time. The processor time of a simulated second grows at least
+/// with the square of the number of limiters, so large fleets are measured for a shorter time.
 #[derive(Clone, Copy, Debug)]
 struct Phases {
-    /// A fleet that has not converged by then is measured as it is, with what it knows.
+    /// Timeout for convergence. A fleet that has not converged by then is measured in its incomplete state.
     convergence: Duration,
+    /// Time between convergence, or its timeout, and the first run of the idle fleet.
     settle: Duration,
-    /// One run of the idle fleet.
+    /// Duration of one run of the idle fleet.
     idle: Duration,
-    /// How long records are watched at most.
+    /// Maximum time for which the propagation of records is watched.
     watch: Duration,
 }
 
@@ -87,7 +90,7 @@
         Phases::of(FIXED_LIMITERS as u64)
     }
 
-    /// The phases as text of a data point's setting.
+    /// The phases as part of a data point's `setting` text.
     fn text(&self) -> String {
         let Phases {
             convergence,
@@ -101,7 +104,8 @@
     }
 }
 
-/// Varies the number of limiters: start of all, the idle fleet, an urgent record, a routine record.
+/// Varies the number of limiters. Measures the convergence after the start of all limiters, the idle fleet, and the
+/// propagation of urgent and routine records.
 ///
 /// # Errors
 /// A size exceeds the memory bound, or a measurement fails.
@@ -125,7 +129,7 @@
     Ok(())
 }
 
-/// Varies the rate of urgent records of random limiters, in a fleet of [`FIXED_LIMITERS`].
+/// Varies the rate at which random limiters in a fleet of [`FIXED_LIMITERS`] publish urgent records.
 ///
 /// # Errors
 /// The fleet exceeds the memory bound, or a measurement fails.
@@ -141,7 +145,7 @@
     Ok(())
 }
 
-/// Varies how many of [`FIXED_LIMITERS`] restart at once, with no memory.
+/// Varies how many of [`FIXED_LIMITERS`] restart at once, without their earlier state.
 ///
 /// # Errors
 /// The fleet exceeds the memory bound, or a measurement fails.
@@ -151,7 +155,7 @@
         let setting = format!("{FIXED_LIMITERS} limiters, away for {DOWNTIME:?}; {CONDITIONS}");
         let mut report = Report::new(request, RESTARTED_AT_ONCE, size, setting, emit);
         let mut fleet = start_settled_fleet(FIXED_LIMITERS, request.seed)?;
-        // The last ones by number: the seeds restart only where all do.
+        // The highest numbers restart: the seeds have the lowest ones and are included last.
         let limiters = FIXED_LIMITERS as u32;
         let restarted = (size as u32).min(limiters);
         fleet.restart(limiters - restarted..limiters, DOWNTIME);
@@ -161,7 +165,7 @@
     Ok(())
 }
 
-/// Varies the number of limiters, one of which restarts with no memory while the fleet is idle.
+/// Varies the number of limiters, one of which restarts without its earlier state while the fleet is idle.
 ///
 /// # Errors
 /// A size exceeds the memory bound, or a measurement fails.
@@ -172,7 +176,7 @@
         let mut report = Report::new(request, LIMITERS_OF_RESTART_OF_ONE, size, setting, emit);
         let mut fleet = start_settled_fleet(size as usize, request.seed)?;
         fleet.restart([size as u32 - 1], DOWNTIME);
-        report_convergence(&mut fleet, &mut report, RESTART_OF_ONE_CONVERGENCE)?;
+        report_convergence(&mut fleet, &mut report, RESTART_OF_ONE_TIMEOUT)?;
     }
     Ok(())
 }
@@ -191,7 +195,7 @@
     })
 }
 
-/// A fleet that has converged and settled.
+/// Starts a fleet, and runs it until it has converged (or the timeout has passed) and settled.
 fn start_settled_fleet(limiters: usize, seed: u64) -> Result<Fleet, ScaleError> {
     let mut fleet = start_fleet(limiters, seed)?;
     fleet.run_until_converged(Phases::of(limiters as u64).convergence);
--- a/crates/merlinreel-testkit/src/scale/membership/convergence.rs
+++ b/crates/merlinreel-testkit/src/scale/membership/convergence.rs
@@ -1,13 +1,14 @@
-//! Data points of a fleet's convergence and of an idle fleet.
+//! Reports data points about the convergence of a fleet and about an idle fleet.
 
 use super::{Fleet, FleetCounts, Phases};
 use crate::scale::{Meter, Report, ScaleError, Traffic, Unit};
 use std::time::Duration;
 
-/// How often it is checked whether each limiter knows nearly all others.
-const NEARLY_CONVERGED_CHECK: Duration = Duration::from_secs(2);
+/// Simulated time between two checks whether each limiter knows nearly all others.
+const NEARLY_CONVERGED_CHECK_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Runs until the fleet has converged, and reports what that took.
+/// Runs the fleet until it has converged or the timeout has passed. Reports the time and traffic that this took, and how
+/// much the limiters know at its end.
 pub fn report_convergence(
     fleet: &mut Fleet,
     report: &mut Report,
@@ -15,7 +16,7 @@
 ) -> Result<(), ScaleError> {
     let start = fleet.now();
     fleet.network_mut().reset_traffic();
-    let has_nearly_converged = fleet.run_until(timeout, NEARLY_CONVERGED_CHECK, |fleet| {
+    let has_nearly_converged = fleet.run_until(timeout, NEARLY_CONVERGED_CHECK_INTERVAL, |fleet| {
         fleet.knowledge().is_nearly_complete()
     });
     if has_nearly_converged {
@@ -46,7 +47,7 @@
         .try_for_each(|(metric, share)| report.counted(metric, Unit::Count, share))
 }
 
-/// Reports the cost of a fleet without changes.
+/// Runs the fleet without changes, and reports its traffic and processor time.
 pub fn report_idle(
     fleet: &mut Fleet,
     report: &mut Report,
@@ -68,7 +69,8 @@
     report.measured("cpu_share_per_limiter", Unit::CpuShare, shares)
 }
 
-/// Processor time of one limiter as a share of a core, the in-memory network included.
+/// Processor time of `run` per limiter, as a share of a core over the simulated `duration`. Includes the in-memory
+/// network.
 pub fn cpu_share(
     fleet: &mut Fleet,
     limiters: u64,
@@ -80,7 +82,7 @@
     meter.read().cpu_seconds / limiters as f64 / duration.as_secs_f64()
 }
 
-/// Reports the limiters' traffic since its last reset.
+/// Reports the mean and greatest traffic of a limiter since the last reset, which was this many simulated seconds ago.
 pub fn report_traffic(fleet: &Fleet, report: &mut Report, seconds: f64) -> Result<(), ScaleError> {
     let bytes = per_limiter(fleet, |traffic| traffic.sent_bytes as f64 / seconds);
     let messages = per_limiter(fleet, |traffic| traffic.sent_messages as f64 / seconds);
@@ -107,7 +109,8 @@
         .try_for_each(|(metric, unit, rate)| report.counted(metric, unit, rate))
 }
 
-/// Reports the share of messages that were not sent, as the limiter's budget was used up.
+/// Reports the share of messages since `before` that were not sent, because the byte budget of their limiter was
+/// exhausted.
 pub fn report_held_back(
     fleet: &Fleet,
     report: &mut Report,
--- a/crates/merlinreel-testkit/src/scale/membership/fleet.rs
+++ b/crates/merlinreel-testkit/src/scale/membership/fleet.rs
@@ -1,11 +1,11 @@
-//! Simulated limiters: each runs the real [`Node`] of the mesh, without a socket and without clients, over one in-memory
-//! network, on one simulated clock.
+//! A fleet of simulated limiters. Each runs the real [`Node`] of the mesh, without sockets and clients. All share an
+//! in-memory network and a simulated clock.
 
 mod knowledge;
 
 pub use knowledge::Knowledge;
 
-use super::record_watch::{RecordWatch, WATCHED_KIND, body_with};
+use super::record_watch::{RecordWatch, WATCHED_KIND, body_with_number};
 use crate::scale::{LinkConditions, Network};
 use merlinreel_mesh::{
     Capacity, Datagram, Event, Key, Keys, Kind, Member, MeshError, Node, NodeConfig, PublishError,
@@ -17,33 +17,33 @@
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::time::Duration;
 
-/// Each limiter's record of itself, as the program publishes it.
+/// Kind of the record that each limiter publishes about itself, as in the program.
 const LIMITER_KIND: Kind = 1;
 const LIMITER_RECORD_TTL: Duration = Duration::from_secs(60);
 const WATCHED_RECORD_TTL: Duration = Duration::from_secs(600);
-/// The Unix time at the start of the fleet's clock.
+/// Unix time at simulated time 0.
 const UNIX_START: Duration = Duration::from_secs(1_790_000_000);
 const PORT: u16 = 7946;
-/// Limiters start within this time, so that their timers are spread.
+/// Limiters start at random times within this duration, so that their timers are not synchronized.
 const START_SPREAD: Duration = Duration::from_secs(1);
-/// How often it is checked whether the fleet has converged.
-const CONVERGENCE_CHECK: Duration = Duration::from_secs(1);
+/// Simulated time between two checks whether the fleet has converged.
+const CONVERGENCE_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The conditions of a fleet.
+/// The configuration of a fleet.
 #[derive(Clone, Copy, Debug)]
 pub struct FleetSetting {
     /// The number of limiters.
     pub limiters: usize,
-    /// How many limiters, the first by number, are the seeds of all.
+    /// Number of seeds: the limiters with the lowest numbers, whose addresses all limiters know at their start.
     pub seeds: usize,
-    /// Bytes that a limiter may send each second; its burst is four times as many.
+    /// Budget of bytes that a limiter may send per second; its burst is four times as much.
     pub bytes_per_second: u32,
-    /// The conditions between limiters.
+    /// Delay, jitter and loss of datagrams between limiters.
     pub link_conditions: LinkConditions,
 }
 
 impl FleetSetting {
-    /// The program's own defaults, and three seeds.
+    /// The program's default byte budget, the default link conditions and three seeds.
     pub fn of(limiters: usize) -> FleetSetting {
         FleetSetting {
             limiters,
@@ -54,38 +54,42 @@
     }
 }
 
-/// The counters of all nodes together.
+/// Sums of the counters of all running nodes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct FleetCounts {
     /// Messages sent.
     pub sent: u64,
-    /// Messages not sent, as a limiter's budget was used up.
+    /// Messages not sent, because a limiter's byte budget was exhausted.
     pub held_back: u64,
     /// Messages received and dropped.
     pub dropped: u64,
 }
 
-/// Limiters numbered from 0 on. A limiter that is down has no node.
+/// A fleet of simulated limiters, numbered from 0.
 pub struct Fleet {
     setting: FleetSetting,
     keys: Keys,
     random: ChaCha8Rng,
+    /// By limiter; `None` while the limiter is down.
     nodes: Vec<Option<Node>>,
+    /// By limiter, the incarnation of its last start; 0 before the first one.
     incarnations: Vec<u64>,
     network: Network,
+    /// Simulated time since the fleet was created.
     now: Duration,
-    /// Scheduled calls by time.
+    /// Scheduled ticks of nodes, by time.
     wakeups: BTreeSet<(Duration, u32)>,
-    /// The same by limiter.
+    /// By limiter, the time of its scheduled tick; `None` while the limiter is down.
     wakeup_at: Vec<Option<Duration>>,
-    /// Limiters that are down, by the time of their start.
+    /// Limiters that are down, by the time of their next start.
     starts: BTreeSet<(Duration, u32)>,
     watches: Vec<RecordWatch>,
+    /// Number of records published so far, which is also the number in the last one.
     published: u64,
 }
 
 impl Fleet {
-    /// A fleet whose limiters start within a second and know only the seeds' addresses.
+    /// Creates a fleet. Its limiters start within the first simulated second, and know only the addresses of the seeds.
     ///
     /// # Errors
     /// The mesh rejects the keys.
@@ -112,7 +116,7 @@
         })
     }
 
-    /// The fleet's clock.
+    /// Simulated time since the fleet was created.
     pub fn now(&self) -> Duration {
         self.now
     }
@@ -122,7 +126,7 @@
         &self.network
     }
 
-    /// The network between the limiters.
+    /// The network between the limiters, to send datagrams or to reset the traffic counts.
     pub fn network_mut(&mut self) -> &mut Network {
         &mut self.network
     }
@@ -132,7 +136,7 @@
         self.random.random_range(0..self.setting.limiters as u32)
     }
 
-    /// The counters of the nodes that run now, since they started.
+    /// Sums of the counters of all running nodes. The counters of a node are 0 when it starts.
     pub fn counts(&self) -> FleetCounts {
         let mut all = FleetCounts::default();
         for node in self.nodes.iter().flatten() {
@@ -144,7 +148,7 @@
         all
     }
 
-    /// Stops these limiters abruptly; each starts again, with no memory, after the downtime.
+    /// Stops these limiters without an announcement to the others. Each starts again after the downtime, without its earlier state.
     pub fn restart(&mut self, limiters: impl IntoIterator<Item = u32>, downtime: Duration) {
         for limiter in limiters {
             self.nodes[limiter as usize] = None;
@@ -153,7 +157,7 @@
         }
     }
 
-    /// Publishes a record and watches who holds it; the watch's number.
+    /// Publishes a record and watches when each limiter receives it. Returns the index of the watch.
     ///
     /// # Errors
     /// The mesh rejects the record.
@@ -165,7 +169,7 @@
         Ok(self.watches.len() - 1)
     }
 
-    /// Publishes a record; the number in its body.
+    /// Publishes a record, unless its owner is down. Returns the number in its body.
     ///
     /// # Errors
     /// The mesh rejects the record.
@@ -175,7 +179,7 @@
         if let Some(node) = self.nodes[owner as usize].as_mut() {
             node.publish(
                 WATCHED_KIND,
-                body_with(self.published),
+                body_with_number(self.published),
                 WATCHED_RECORD_TTL,
                 urgency,
                 now,
@@ -185,19 +189,20 @@
         Ok(self.published)
     }
 
-    /// The watch of that number.
-    pub fn watch(&self, number: usize) -> &RecordWatch {
-        &self.watches[number]
+    /// The watch with an index that [`Fleet::publish_watched`] returned.
+    pub fn watch(&self, index: usize) -> &RecordWatch {
+        &self.watches[index]
     }
 
-    /// Runs for a duration of the fleet's clock.
+    /// Runs for a duration of simulated time.
     pub fn run(&mut self, duration: Duration) {
         let end = self.now + duration;
         while self.step(end) {}
         self.now = end;
     }
 
-    /// Runs until a condition holds, or the time is over; whether it holds. The condition is checked at each interval.
+    /// Runs until a condition holds or the timeout has passed, in simulated time. The condition is checked once per
+    /// interval. Returns whether it holds.
     pub fn run_until(
         &mut self,
         timeout: Duration,
@@ -214,11 +219,12 @@
         true
     }
 
-    /// Runs until each limiter knows all others and holds their records; whether they did in time. Checked each second.
+    /// Runs until each limiter knows all others and holds their records, or the timeout has passed. Returns whether the
+    /// fleet has converged. It is checked once per simulated second.
     pub fn run_until_converged(&mut self, timeout: Duration) -> bool {
-        // The last limiter that was found to miss something is checked first.
+        // Checks start with the limiter whose knowledge was incomplete at the last check.
         let mut first_incomplete = 0;
-        self.run_until(timeout, CONVERGENCE_CHECK, |fleet| {
+        self.run_until(timeout, CONVERGENCE_CHECK_INTERVAL, |fleet| {
             let others = first_incomplete..fleet.nodes.len();
             let next = others
                 .chain(0..first_incomplete)
@@ -228,7 +234,7 @@
         })
     }
 
-    /// Runs the next datagram, timer or start up to `end`; whether there was one.
+    /// Runs the next start, tick or datagram that is due by `end`. Returns whether there was one.
     fn step(&mut self, end: Duration) -> bool {
         let start = self.starts.first().map(|(at, _)| *at);
         let wakeup = self.wakeups.first().map(|(at, _)| *at);
@@ -270,12 +276,12 @@
             capacity: Capacity::for_limiters(self.setting.limiters),
         };
         let mut node = Node::new(config, self.now, unix);
-        let own =
+        let own_record =
             format!("{{\"name\":\"limiter-{limiter:05}\",\"program\":\"0.1.0\",\"serves\":true}}");
-        // A short first record of its kind is never rejected.
+        // Never rejected: the record is short and the first one of its node.
         let _ = node.publish(
             LIMITER_KIND,
-            own.into_bytes(),
+            own_record.into_bytes(),
             LIMITER_RECORD_TTL,
             Urgency::Routine,
             self.now,
@@ -308,7 +314,7 @@
         self.after_call(datagram.to);
     }
 
-    /// Sends a node's datagrams, passes its events to the watches, and schedules its next call.
+    /// After each call of a node: sends its datagrams, passes its events to the watches, and schedules its next tick.
     fn after_call(&mut self, limiter: u32) {
         let Some(node) = self.nodes[limiter as usize].as_mut() else {
             return;
--- a/crates/merlinreel-testkit/src/scale/membership/fleet/knowledge.rs
+++ b/crates/merlinreel-testkit/src/scale/membership/fleet/knowledge.rs
@@ -1,39 +1,41 @@
-//! How much each limiter of a fleet knows of the others.
+//! How much the limiters of a fleet know about each other.
 
 use super::{Fleet, LIMITER_KIND, limiter_at};
 use merlinreel_mesh::Member;
 
-/// The share of the others that each limiter knows in a fleet that has nearly converged.
-const NEARLY_COMPLETE: f64 = 0.99;
+/// Share of the other limiters, and of their records, that each limiter knows in a nearly converged fleet.
+const NEARLY_COMPLETE_FRACTION: f64 = 0.99;
 
-/// How much of what each limiter should know is known.
+/// Shares of the other limiters and their records that the limiters know, from 0 to 1. A limiter that is down knows
+/// none.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Knowledge {
-    /// Share of the other members, over all limiters.
+    /// Mean share of the other members that a limiter knows.
     pub members: f64,
-    /// Share of the limiters' own records in their present incarnation, over all limiters.
+    /// Mean share of the other limiters' own records, in their present incarnation, that a limiter holds.
     pub records: f64,
-    /// Share of the other members at the limiter that knows the fewest.
+    /// Share of the other members that is known by the limiter that knows the fewest.
     pub least_members: f64,
-    /// Share of the limiters' own records at the limiter that holds the fewest.
+    /// Share of the other limiters' own records that is held by the limiter that holds the fewest.
     pub least_records: f64,
 }
 
 impl Knowledge {
     /// Whether each limiter knows 99 % of the others and of their records.
     pub fn is_nearly_complete(&self) -> bool {
-        self.least_members >= NEARLY_COMPLETE && self.least_records >= NEARLY_COMPLETE
+        self.least_members >= NEARLY_COMPLETE_FRACTION
+            && self.least_records >= NEARLY_COMPLETE_FRACTION
     }
 }
 
-/// Shares of what limiters should know.
+/// Mean and least share over all limiters.
 struct Shares {
     mean: f64,
     least: f64,
 }
 
 impl Fleet {
-    /// How much is known over all limiters.
+    /// How much the limiters know now.
     pub fn knowledge(&self) -> Knowledge {
         let members = self.shares(|limiter| self.members_known(limiter));
         let records = self.shares(|limiter| self.records_held(limiter));
@@ -45,7 +47,7 @@
         }
     }
 
-    /// Shares of what all limiters should know of the others, from what each knows.
+    /// Mean and least share of the other limiters, from the number that each limiter knows.
     fn shares(&self, known: impl Fn(usize) -> usize) -> Shares {
         let limiters = self.setting.limiters;
         let others = (limiters - 1).max(1) as f64;
@@ -62,13 +64,13 @@
         self.members_known(limiter) == others && self.records_held(limiter) == others
     }
 
-    /// Others that run, in their present incarnation or a later one.
+    /// Number of running other limiters that a limiter knows in their present incarnation or a later one.
     fn members_known(&self, limiter: usize) -> usize {
         let Some(node) = &self.nodes[limiter] else {
             return 0;
         };
         node.members()
-            .filter(|member| self.is_present(member))
+            .filter(|member| self.is_current(member))
             .count()
     }
 
@@ -77,11 +79,11 @@
             return 0;
         };
         let held = node.view(self.now).raw(LIMITER_KIND).map(|held| held.owner);
-        held.filter(|owner| *owner != node.own() && self.is_present(owner))
+        held.filter(|owner| *owner != node.own() && self.is_current(owner))
             .count()
     }
 
-    fn is_present(&self, member: &Member) -> bool {
+    fn is_current(&self, member: &Member) -> bool {
         let Some(limiter) = limiter_at(member.address) else {
             return false;
         };
--- a/crates/merlinreel-testkit/src/scale/membership/propagation.rs
+++ b/crates/merlinreel-testkit/src/scale/membership/propagation.rs
@@ -1,4 +1,4 @@
-//! Data points of how records reach all limiters.
+//! Reports data points about the propagation of records to all limiters.
 
 use super::convergence::{cpu_share, report_held_back, report_traffic};
 use super::{FIXED_LIMITERS, Fleet, Urgency};
@@ -6,25 +6,26 @@
 use merlinreel_mesh::PublishError;
 use std::time::Duration;
 
-/// How often it is checked who holds a record.
-const WATCH_CHECK: Duration = Duration::from_millis(500);
+/// Simulated time between two checks whether all limiters hold the watched records.
+const WATCH_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 const URGENT_RECORDS: usize = 3;
 const ROUTINE_RECORDS: usize = 8;
-/// When the share of holders of a routine record is reported, as far as it is watched that long.
+/// Times after publication at which the share of limiters that hold a routine record is reported, with the metric. Times
+/// after the end of the watch are left out.
 const ROUTINE_SHARES: [(Duration, &str); 3] = [
     (Duration::from_secs(10), "routine_share_after_10_s"),
     (Duration::from_secs(30), "routine_share_after_30_s"),
     (Duration::from_secs(60), "routine_share_after_60_s"),
 ];
-/// A change of configuration must be in force at all limiters by then.
-const IN_FORCE: Duration = Duration::from_secs(4);
-/// How long changes are published at a rate.
-const CHANGES: Duration = Duration::from_secs(20);
+/// A change of configuration must have reached all limiters within this time.
+const MAX_URGENT_PROPAGATION: Duration = Duration::from_secs(4);
+/// Simulated time for which changes are published at a rate.
+const CHANGES_DURATION: Duration = Duration::from_secs(20);
 const SECONDS_PER_DAY: u64 = 86_400;
-/// Between a routine record and an urgent one of the same limiter.
-const ROUTINE_BEFORE_URGENT: Duration = Duration::from_secs(1);
+/// Simulated time between a routine record and an urgent one of the same limiter.
+const ROUTINE_TO_URGENT_DELAY: Duration = Duration::from_secs(1);
 
-/// The names of the values for when records were held by all limiters.
+/// Names of the metrics for records that all limiters hold.
 struct CompletionMetrics {
     records_held_by_all: &'static str,
     seconds_until_last: &'static str,
@@ -39,7 +40,8 @@
     seconds_until_last: "routine_seconds_until_last",
 };
 
-/// Publishes urgent and routine records at one moment, and reports when they were held by whom.
+/// Publishes urgent and routine records at the same time, and reports which share of the limiters holds them after some
+/// times, and when all do.
 pub fn report_records(
     fleet: &mut Fleet,
     report: &mut Report,
@@ -47,13 +49,19 @@
 ) -> Result<(), ScaleError> {
     let urgent = publish_several(fleet, report, URGENT_RECORDS, Urgency::Urgent)?;
     let routine = publish_several(fleet, report, ROUTINE_RECORDS, Urgency::Routine)?;
-    fleet.run_until(watch_time, WATCH_CHECK, |fleet| {
+    fleet.run_until(watch_time, WATCH_CHECK_INTERVAL, |fleet| {
         urgent
             .iter()
             .chain(&routine)
             .all(|watch| fleet.watch(*watch).is_held_by_all())
     });
-    report_share(fleet, report, &urgent, "urgent_share_after_4_s", IN_FORCE)?;
+    report_share(
+        fleet,
+        report,
+        &urgent,
+        "urgent_share_after_4_s",
+        MAX_URGENT_PROPAGATION,
+    )?;
     report_completion(fleet, report, &urgent, &URGENT_COMPLETION)?;
     for (after, metric) in ROUTINE_SHARES {
         if after <= watch_time {
@@ -64,16 +72,17 @@
     report_urgent_after_routine(fleet, report)
 }
 
-/// Urgent records of limiters that have just published a routine one, which not all limiters hold yet.
+/// Reports the propagation of urgent records whose limiters published a routine one shortly before, which not all
+/// limiters hold yet.
 fn report_urgent_after_routine(fleet: &mut Fleet, report: &mut Report) -> Result<(), ScaleError> {
     let mut shares = Vec::new();
     for _ in 0..URGENT_RECORDS {
         let owner = fleet.draw_limiter();
         publish_watched(fleet, report, owner, Urgency::Routine)?;
-        fleet.run(ROUTINE_BEFORE_URGENT);
+        fleet.run(ROUTINE_TO_URGENT_DELAY);
         let watch = publish_watched(fleet, report, owner, Urgency::Urgent)?;
-        fleet.run(IN_FORCE);
-        shares.push(fleet.watch(watch).share_after(IN_FORCE));
+        fleet.run(MAX_URGENT_PROPAGATION);
+        shares.push(fleet.watch(watch).share_after(MAX_URGENT_PROPAGATION));
     }
     report.runs(
         "urgent_after_routine_share_after_4_s",
@@ -83,7 +92,7 @@
     )
 }
 
-/// The share of limiters that held each record after a time.
+/// Reports the share of limiters that held each record within a time after its publication.
 fn report_share(
     fleet: &Fleet,
     report: &mut Report,
@@ -98,7 +107,7 @@
     report.runs(metric, Unit::Count, Source::Counted, shares)
 }
 
-/// How many records all limiters hold, and after what time the last one did.
+/// Reports how many records all limiters hold, and how long after publication the last limiter received each of them.
 fn report_completion(
     fleet: &Fleet,
     report: &mut Report,
@@ -144,20 +153,20 @@
         .map_err(|error| report.failed(error))
 }
 
-/// Publishes records at a rate, first to measure their cost, then to watch them.
+/// Publishes urgent records at the rate of the size, first to measure their cost, then to measure their propagation.
 pub fn report_changes(fleet: &mut Fleet, report: &mut Report) -> Result<(), ScaleError> {
     let interval = Duration::from_secs_f64(SECONDS_PER_DAY as f64 / report.size as f64);
     let limiters = FIXED_LIMITERS as u64;
     let before = fleet.counts();
     fleet.network_mut().reset_traffic();
     let mut outcome = Ok(());
-    let share = cpu_share(fleet, limiters, CHANGES, |fleet| {
+    let share = cpu_share(fleet, limiters, CHANGES_DURATION, |fleet| {
         outcome = run_with_changes(fleet, interval, |fleet, owner| {
             fleet.publish(owner, Urgency::Urgent).map(|_| ())
         });
     });
     outcome.map_err(|error| report.failed(error))?;
-    report_traffic(fleet, report, CHANGES.as_secs_f64())?;
+    report_traffic(fleet, report, CHANGES_DURATION.as_secs_f64())?;
     report_held_back(fleet, report, before)?;
     report.measured("cpu_share_per_limiter", Unit::CpuShare, vec![share])?;
     let mut watches = Vec::new();
@@ -166,16 +175,23 @@
         Ok(())
     })
     .map_err(|error| report.failed(error))?;
-    fleet.run(IN_FORCE);
-    report_share(fleet, report, &watches, "urgent_share_after_4_s", IN_FORCE)
+    fleet.run(MAX_URGENT_PROPAGATION);
+    report_share(
+        fleet,
+        report,
+        &watches,
+        "urgent_share_after_4_s",
+        MAX_URGENT_PROPAGATION,
+    )
 }
 
+/// Runs the fleet for [`CHANGES_DURATION`], and publishes a record of a random limiter at each interval.
 fn run_with_changes(
     fleet: &mut Fleet,
     interval: Duration,
     mut publish: impl FnMut(&mut Fleet, u32) -> Result<(), PublishError>,
 ) -> Result<(), PublishError> {
-    let end = fleet.now() + CHANGES;
+    let end = fleet.now() + CHANGES_DURATION;
     while fleet.now() < end {
         let owner = fleet.draw_limiter();
         publish(fleet, owner)?;
--- a/crates/merlinreel-testkit/tests/scale_membership.rs
+++ b/crates/merlinreel-testkit/tests/scale_membership.rs
@@ -1,4 +1,5 @@
-//! The cost of membership by the number of limiters, in a short form: counts only, which are the same each run.
+//! A short measurement of the cost of membership by the number of limiters. It checks counts only, which are the same in
+//! each run.
 
 use merlinreel_testkit::scale::membership::{Fleet, FleetSetting, Urgency, measure};
 use merlinreel_testkit::scale::{
@@ -9,44 +10,44 @@
 
 const SEED: u64 = 5;
 const SIZES: [u64; 3] = [48, 68, 96];
-/// A limiter of an idle fleet checks one other per second and sends one list of record versions per second, whatever the
-/// fleet's size; from 44 limiters on that list fills one datagram. What still grows between these sizes are updates about
-/// the start, which take longer to reach all limiters of a larger fleet.
+/// In an idle fleet of any size, a limiter probes one other limiter and sends one list of record versions per second.
+/// From 44 limiters on, that list fills one datagram. What still grows between these sizes is the traffic of updates
+/// about the start, which take longer to reach all limiters of a larger fleet.
 const MAX_EXPONENT: f64 = 0.45;
-const CONVERGENCE: Duration = Duration::from_secs(14);
-const IDLE: Duration = Duration::from_secs(3);
+const CONVERGENCE_DURATION: Duration = Duration::from_secs(14);
+const IDLE_DURATION: Duration = Duration::from_secs(3);
 
-/// Bytes that a limiter sent, by the number of limiters.
-struct Sent {
+/// Mean bytes that a limiter sent, by the number of limiters.
+struct SentBytes {
     idle: Vec<Point>,
-    /// With a deliberate cost.
+    /// With [`broadcast`], whose cost grows too steeply.
     broadcast: Vec<Point>,
 }
 
-static SENT: LazyLock<Sent> = LazyLock::new(|| {
-    let mut sent = Sent {
+static SENT_BYTES: LazyLock<SentBytes> = LazyLock::new(|| {
+    let mut sent = SentBytes {
         idle: Vec::new(),
         broadcast: Vec::new(),
     };
     for size in SIZES {
         let mut fleet = Fleet::start(FleetSetting::of(size as usize), SEED).expect("a key");
-        fleet.run(CONVERGENCE);
+        fleet.run(CONVERGENCE_DURATION);
         sent.idle.push(Point::new(
             size as f64,
-            bytes_sent(&mut fleet, size as u32, |_, _| {}),
+            bytes_sent_per_limiter(&mut fleet, size as u32, |_, _| {}),
         ));
         sent.broadcast.push(Point::new(
             size as f64,
-            bytes_sent(&mut fleet, size as u32, broadcast),
+            bytes_sent_per_limiter(&mut fleet, size as u32, broadcast),
         ));
     }
     sent
 });
 
-/// Bytes that each limiter of an idle fleet sent; `every_second` may send more.
-fn bytes_sent(fleet: &mut Fleet, size: u32, every_second: fn(&mut Fleet, u32)) -> f64 {
+/// Mean bytes that a limiter of an idle fleet sends in [`IDLE_DURATION`], including those that `every_second` sends.
+fn bytes_sent_per_limiter(fleet: &mut Fleet, size: u32, every_second: fn(&mut Fleet, u32)) -> f64 {
     fleet.network_mut().reset_traffic();
-    for _ in 0..IDLE.as_secs() {
+    for _ in 0..IDLE_DURATION.as_secs() {
         every_second(fleet, size);
         fleet.run(Duration::from_secs(1));
     }
@@ -54,12 +55,12 @@
         .network()
         .traffic()
         .iter()
-        .map(|one| one.sent_bytes)
+        .map(|traffic| traffic.sent_bytes)
         .sum();
     bytes as f64 / f64::from(size)
 }
 
-/// A deliberate cost: each limiter sends a message to all others.
+/// Sends a message from each limiter to all others, a cost that the slope test must reject.
 fn broadcast(fleet: &mut Fleet, size: u32) {
     const BYTES: usize = 100;
     let now = fleet.now();
@@ -72,21 +73,21 @@
 
 #[test]
 fn bytes_of_an_idle_limiter_grow_less_than_the_fleet() {
-    let law = check_slope(&SENT.idle, MAX_EXPONENT).expect("no steeper than allowed");
-    eprintln!("{law:?} through {:?}", SENT.idle);
+    let law = check_slope(&SENT_BYTES.idle, MAX_EXPONENT).expect("no steeper than allowed");
+    eprintln!("{law:?} through {:?}", SENT_BYTES.idle);
 }
 
 #[test]
 fn broadcast_by_all_limiters_is_too_steep() {
-    let slope = check_slope(&SENT.broadcast, MAX_EXPONENT);
-    eprintln!("{slope:?} through {:?}", SENT.broadcast);
+    let slope = check_slope(&SENT_BYTES.broadcast, MAX_EXPONENT);
+    eprintln!("{slope:?} through {:?}", SENT_BYTES.broadcast);
     assert!(
         matches!(slope, Err(SlopeError::TooSteep { .. })),
         "{slope:?}"
     );
 }
 
-fn counted(seed: u64) -> Vec<(&'static str, u64, f64, f64, f64)> {
+fn counts_of_small_fleets(seed: u64) -> Vec<(&'static str, u64, f64, f64, f64)> {
     let request = MeasureRequest::new(vec![6, 12], seed, 1, Some(64)).expect("valid");
     let mut counts = Vec::new();
     let mut emit = |point: DataPoint| {
@@ -107,10 +108,10 @@
 
 #[test]
 fn same_seed_gives_the_same_counts_and_another_seed_others() {
-    let first = counted(SEED);
+    let first = counts_of_small_fleets(SEED);
     assert!(first.len() > 20, "{first:?}");
-    assert_eq!(first, counted(SEED));
-    assert_ne!(first, counted(SEED + 1));
+    assert_eq!(first, counts_of_small_fleets(SEED));
+    assert_ne!(first, counts_of_small_fleets(SEED + 1));
 }
 
 #[test]
@@ -122,8 +123,12 @@
         fleet.knowledge()
     );
     let watch = fleet.publish_watched(7, Urgency::Urgent).expect("short");
-    let held = |fleet: &Fleet| fleet.watch(watch).is_held_by_all();
-    assert!(fleet.run_until(Duration::from_secs(30), Duration::from_millis(100), held));
+    let is_held_by_all = |fleet: &Fleet| fleet.watch(watch).is_held_by_all();
+    assert!(fleet.run_until(
+        Duration::from_secs(30),
+        Duration::from_millis(100),
+        is_held_by_all
+    ));
     assert!(fleet.watch(watch).time_to_all().is_some());
 }
 
