--- a/crates/merlinreel-testkit/src/scale/server_list.rs
+++ b/crates/merlinreel-testkit/src/scale/server_list.rs
@@ -1,8 +1,8 @@
-//! Scale of the list of servers: its size in bytes, reading it, the memory it takes, changes of it, and the decisions
-//! over its servers.
+//! Measures what the list of servers costs a limiter: its size in bytes, the processor time of reading and changing it,
+//! its memory, and the decisions over its servers.
 //!
-//! The real code runs: `merlinreel_discovery` from a message's bytes to the table of servers, and the decision module.
-//! Not measured: the connections to discovery, and what the program keeps of each server's connections.
+//! The program's own code runs: `merlinreel_discovery` from the bytes of a message to the table of servers, and the
+//! decision module. The connections to discovery and the state of connections to servers are not measured.
 
 mod decision_costs;
 mod list_consumer;
@@ -18,7 +18,7 @@
 
 use super::{Emit, MeasureRequest, Report, ScaleError, Variable};
 
-/// Servers on the list.
+/// Default numbers of servers in the list.
 pub const DEFAULT_SIZES: &[u64] = &[1_000, 5_000, 20_000, 60_000, 160_000];
 
 const SERVERS: Variable = Variable {
@@ -29,15 +29,17 @@
     role: "server_list",
     name: "limiters_restarting",
 };
-/// Memory of a server while it is measured, with its text in both formats.
+/// Estimated memory per server during a measurement, with its text in both formats.
 const BYTES_PER_SERVER: u64 = 4_096;
+/// Estimated memory that does not depend on the number of servers.
 const PROGRAM_MB: u64 = 64;
 
+/// Estimated memory of a measurement with this many servers, in megabytes.
 fn needed_mb(servers: u64) -> u64 {
     (servers * BYTES_PER_SERVER).div_ceil(1 << 20) + PROGRAM_MB
 }
 
-/// Varies the servers on the list of one limiter.
+/// Varies the number of servers in the list of one limiter.
 ///
 /// # Errors
 /// A size exceeds the memory bound, or a measurement fails.
@@ -45,7 +47,7 @@
     for &size in &request.sizes {
         request.check_memory(&format!("a list of {size} servers"), needed_mb(size))?;
     }
-    // Memory first, as the allocator keeps what the other measurements free.
+    // Memory is measured first, as the allocator keeps pages that the other measurements free.
     for &size in &request.sizes {
         update_costs::measure_memory(&mut report(request, emit, size))?;
     }
--- a/crates/merlinreel-testkit/src/scale/server_list/decision_costs.rs
+++ b/crates/merlinreel-testkit/src/scale/server_list/decision_costs.rs
@@ -1,22 +1,23 @@
-//! The decisions over the servers: what an idle limiter spends, and what a request costs.
+//! Measures the decision module with a list of servers: the processor time of an idle limiter and of a request.
 
 use super::update_costs::limiter_with_list;
 use crate::scale::{Meter, Report, ScaleError, Unit};
 use std::time::Duration;
 
-/// How long an idle limiter is measured on the simulated clock, at the largest size.
-const IDLE: Duration = Duration::from_secs(3);
+/// Simulated time of one run of an idle limiter at the largest size. It is multiplied at smaller sizes.
+const IDLE_DURATION: Duration = Duration::from_secs(3);
+/// Selection intervals in one run of requests.
 const SELECTION_INTERVALS: u64 = 10;
-/// Requests in each interval at the largest size.
-const REQUESTS: u64 = 40;
-/// After a list, before anything is measured.
+/// Requests in each selection interval at the largest size. They are multiplied at smaller sizes.
+const REQUESTS_PER_INTERVAL: u64 = 40;
+/// Simulated time between applying the list and the start of a measurement.
 const SETTLE: Duration = Duration::from_secs(1);
 
-/// Event batches as the decision module schedules them, once it has settled.
+/// Measures an idle limiter: the event batches that the decision module schedules, once it has settled.
 pub(super) fn measure_idle(report: &mut Report) -> Result<(), ScaleError> {
     let mut limiter = limiter_with_list(report)?;
     limiter.idle(SETTLE);
-    let duration = IDLE * report.repeats() as u32;
+    let duration = IDLE_DURATION * report.repeats() as u32;
     let mut shares = Vec::new();
     let mut wakeups = 0;
     for _ in 0..report.request.runs {
@@ -31,11 +32,12 @@
     report.counted("idle_rounds_per_10_s", Unit::Count, wakeups_per_10_s as f64)
 }
 
-/// One request at a time, answered at once, between two ticks: two event batches each.
+/// Measures requests one at a time, between two ticks. Each takes two event batches: one for the request, and one for
+/// its immediate result.
 pub(super) fn measure_requests(report: &mut Report) -> Result<(), ScaleError> {
     let mut limiter = limiter_with_list(report)?;
     limiter.idle(SETTLE);
-    let per_interval = REQUESTS * report.repeats();
+    let requests_per_interval = REQUESTS_PER_INTERVAL * report.repeats();
     let before = limiter.actions().attempts;
     let mut costs = Vec::new();
     for _ in 0..report.request.runs {
@@ -43,12 +45,12 @@
         for _ in 0..SELECTION_INTERVALS {
             limiter.advance_selection_interval();
             let meter = Meter::start();
-            (0..per_interval).for_each(|_| limiter.request());
+            (0..requests_per_interval).for_each(|_| limiter.request());
             cpu_seconds += meter.read().cpu_seconds;
         }
-        costs.push(cpu_seconds / (SELECTION_INTERVALS * per_interval) as f64);
+        costs.push(cpu_seconds / (SELECTION_INTERVALS * requests_per_interval) as f64);
     }
-    let requests = SELECTION_INTERVALS * per_interval * u64::from(report.request.runs);
+    let requests = SELECTION_INTERVALS * requests_per_interval * u64::from(report.request.runs);
     let attempts = limiter.actions().attempts - before;
     report.measured("request_cpu", Unit::CpuSeconds, costs)?;
     report.counted(
--- a/crates/merlinreel-testkit/src/scale/server_list/list_consumer.rs
+++ b/crates/merlinreel-testkit/src/scale/server_list/list_consumer.rs
@@ -1,18 +1,19 @@
-//! The steps of applying a full list, entry by entry, by the program's table or another one that counts its own.
+//! Counts the steps of applying a full list, entry by entry, with the program's table or another list consumer.
 
 use super::SERVERS;
 use super::list_source::{Format, ListSource};
 use crate::scale::{Emit, MeasureRequest, Report, ScaleError, Unit};
 use merlinreel_discovery::{DiscoveryUpdate, EndpointTable, decode};
 
-/// Applies lists, and counts its steps.
+/// Applies lists and counts its own steps.
 pub trait ListConsumer {
-    /// Applies an update; the number of steps: entries passed on, and comparisons or look-ups where they can be counted.
+    /// Applies an update. Returns the number of steps: entries passed on, and comparisons or look-ups if they can be
+    /// counted.
     fn apply(&mut self, update: DiscoveryUpdate) -> u64;
 }
 
-/// The program's table. Look-ups inside its maps can't be counted from outside: the steps are the entries that it passes
-/// to the decision module and the indices that it assigned.
+/// The program's table. Look-ups in its maps can't be counted from outside, so its steps are the entries that it passes
+/// to the decision module and the indices that it has assigned.
 #[derive(Default)]
 pub struct EndpointTableConsumer(EndpointTable);
 
@@ -23,10 +24,11 @@
     }
 }
 
-/// Counts the steps per server as a consumer applies the same full list twice: with all servers new, and all known.
+/// Counts the steps per server while a consumer applies the same full list twice: first all servers are new, then all
+/// are known.
 ///
 /// # Errors
-/// A message can't be written or read, or a data point can't be written.
+/// A message can't be encoded or decoded, or a data point can't be written.
 pub fn measure_steps(
     request: &MeasureRequest,
     new_consumer: &mut dyn FnMut() -> Box<dyn ListConsumer>,
--- a/crates/merlinreel-testkit/src/scale/server_list/list_source.rs
+++ b/crates/merlinreel-testkit/src/scale/server_list/list_source.rs
@@ -1,4 +1,4 @@
-//! The source of lists: servers drawn from a seed, their full list and change messages as bytes.
+//! Generates discovery messages as bytes: full lists and changes of servers that are drawn from a seed.
 
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -6,23 +6,23 @@
 use std::collections::HashSet;
 use std::net::{Ipv4Addr, SocketAddr};
 
-/// Servers of each service: 160,000 servers of 10,000 services.
+/// Servers of each service, so that 160,000 servers belong to 10,000 services.
 const SERVERS_PER_SERVICE: u32 = 16;
 const ZONES: u32 = 11;
 const PORT: u16 = 8443;
-/// Servers are assigned addresses of 10.0.0.0/8 in the order in which they are added.
-const FIRST_ADDRESS: u32 = 10 << 24;
+/// Servers are assigned the addresses after 10.0.0.0, in the order in which they are added.
+const BASE_ADDRESS: u32 = 10 << 24;
 
 /// The format of messages.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Format {
     /// JSON without whitespace.
     Compact,
-    /// Indented JSON, which a discovery agent may write, too.
+    /// Indented JSON, which a discovery agent may also send.
     Indented,
 }
 
-/// A server as it is written, with the members of [`crate::instance`].
+/// A server as it is encoded in a message, with the JSON members of [`crate::instance`].
 #[derive(Serialize)]
 #[serde(rename_all = "camelCase")]
 struct WireServer {
@@ -36,7 +36,7 @@
     started_at_ms: u64,
 }
 
-/// A message whose servers are written one by one, so that only the bytes of all are held at once.
+/// A message. Its servers are encoded one at a time, so that only their bytes are held in memory together.
 #[derive(Serialize)]
 struct WireMessage<Servers: Serialize> {
     generation: u64,
@@ -44,31 +44,38 @@
     instances: Servers,
 }
 
-struct EachServer<'a, ToWire: Fn(usize) -> WireServer> {
-    places: &'a [usize],
+/// Encodes the servers at these positions in sequence.
+struct ServerSequence<'a, ToWire: Fn(usize) -> WireServer> {
+    positions: &'a [usize],
     to_wire: ToWire,
 }
 
-impl<ToWire: Fn(usize) -> WireServer> Serialize for EachServer<'_, ToWire> {
+impl<ToWire: Fn(usize) -> WireServer> Serialize for ServerSequence<'_, ToWire> {
     fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
-        serializer.collect_seq(self.places.iter().map(|place| (self.to_wire)(*place)))
+        serializer.collect_seq(
+            self.positions
+                .iter()
+                .map(|position| (self.to_wire)(*position)),
+        )
     }
 }
 
 #[derive(Clone, Copy)]
 struct DrawnServer {
-    /// Part of the server's name, with its service; a replacement has another.
+    /// Part of the server's name, in addition to its service. A replacement has another suffix.
     suffix: u32,
+    /// IPv4 address as a number.
     address: u32,
 }
 
-/// The servers by their place in the list.
+/// The servers by their position in the list.
 struct ServerPool {
     servers: Vec<DrawnServer>,
-    next_address: u32,
+    /// The address that was assigned last.
+    last_address: u32,
 }
 
-/// Writes messages about its servers and counts their bytes.
+/// Generates messages about its servers and counts their bytes.
 pub struct ListSource {
     random: ChaCha8Rng,
     pool: ServerPool,
@@ -80,16 +87,16 @@
 
 impl ServerPool {
     fn draw(&mut self, random: &mut ChaCha8Rng) -> DrawnServer {
-        self.next_address += 1;
+        self.last_address += 1;
         DrawnServer {
             suffix: random.random(),
-            address: self.next_address,
+            address: self.last_address,
         }
     }
 
-    fn server(&self, place: usize, lifecycle: &'static str, started_at_ms: u64) -> WireServer {
-        let number = place as u32;
-        let drawn = self.servers[place];
+    fn server(&self, position: usize, lifecycle: &'static str, started_at_ms: u64) -> WireServer {
+        let number = position as u32;
+        let drawn = self.servers[position];
         let service = number / SERVERS_PER_SERVICE;
         let address = SocketAddr::from((Ipv4Addr::from_bits(drawn.address), PORT));
         WireServer {
@@ -106,13 +113,13 @@
 }
 
 impl ListSource {
-    /// A source with this many servers.
+    /// Creates a source and draws this many servers.
     pub fn new(servers: u64, seed: u64, format: Format) -> ListSource {
         let mut source = ListSource {
             random: ChaCha8Rng::seed_from_u64(seed),
             pool: ServerPool {
                 servers: Vec::new(),
-                next_address: FIRST_ADDRESS,
+                last_address: BASE_ADDRESS,
             },
             generation: 0,
             format,
@@ -125,22 +132,22 @@
         source
     }
 
-    /// The full list, with all servers up and started long ago.
+    /// A message with the full list. All servers are up and started at Unix time 0.
     ///
     /// # Errors
-    /// The message can't be written.
+    /// The message can't be encoded.
     pub fn full_list(&mut self) -> Result<Vec<u8>, serde_json::Error> {
-        let places: Vec<usize> = (0..self.pool.servers.len()).collect();
-        let servers = EachServer {
-            places: &places,
-            to_wire: |place| self.pool.server(place, "up", 0),
+        let positions: Vec<usize> = (0..self.pool.servers.len()).collect();
+        let servers = ServerSequence {
+            positions: &positions,
+            to_wire: |position| self.pool.server(position, "up", 0),
         };
         let bytes = self.write(true, servers)?;
         self.bytes_sent += bytes.len() as u64;
         Ok(bytes)
     }
 
-    /// Counts responses with a list that is already written.
+    /// Adds this many further responses with a list of this length to [`bytes_sent`](ListSource::bytes_sent).
     pub fn count_more_responses(&mut self, responses: u64, list_bytes: usize) {
         self.bytes_sent += responses * list_bytes as u64;
     }
@@ -164,51 +171,51 @@
         Ok(bytes)
     }
 
-    /// Draws distinct servers.
-    fn draw_places(&mut self, count: usize) -> Vec<usize> {
+    /// Draws the positions of this many distinct servers, or of all if there are fewer.
+    fn draw_positions(&mut self, count: usize) -> Vec<usize> {
         let servers = self.pool.servers.len();
-        let mut places = Vec::with_capacity(count);
+        let mut positions = Vec::with_capacity(count);
         let mut drawn = HashSet::new();
-        while places.len() < count.min(servers) {
-            let place = self.random.random_range(0..servers);
-            if drawn.insert(place) {
-                places.push(place);
+        while positions.len() < count.min(servers) {
+            let position = self.random.random_range(0..servers);
+            if drawn.insert(position) {
+                positions.push(position);
             }
         }
-        places
+        positions
     }
 
-    /// A change message about this many servers that have just restarted.
+    /// A change message about this many servers that restarted at this Unix time.
     ///
     /// # Errors
-    /// The message can't be written.
+    /// The message can't be encoded.
     pub fn restarts(
         &mut self,
         count: usize,
         started_at_ms: u64,
     ) -> Result<Vec<u8>, serde_json::Error> {
-        let places = self.draw_places(count);
-        let restarted = places
+        let positions = self.draw_positions(count);
+        let restarted = positions
             .iter()
-            .map(|place| self.pool.server(*place, "up", started_at_ms));
+            .map(|position| self.pool.server(*position, "up", started_at_ms));
         let restarted: Vec<WireServer> = restarted.collect();
         self.change(&restarted)
     }
 
-    /// A change message about this many servers that are removed, and as many others at other addresses.
+    /// A change message that removes this many servers and adds as many at other addresses, started at this Unix time.
     ///
     /// # Errors
-    /// The message can't be written.
+    /// The message can't be encoded.
     pub fn replacement(
         &mut self,
         count: usize,
         started_at_ms: u64,
     ) -> Result<Vec<u8>, serde_json::Error> {
         let mut changes = Vec::with_capacity(2 * count);
-        for place in self.draw_places(count) {
-            changes.push(self.pool.server(place, "removed", 0));
-            self.pool.servers[place] = self.pool.draw(&mut self.random);
-            changes.push(self.pool.server(place, "up", started_at_ms));
+        for position in self.draw_positions(count) {
+            changes.push(self.pool.server(position, "removed", 0));
+            self.pool.servers[position] = self.pool.draw(&mut self.random);
+            changes.push(self.pool.server(position, "up", started_at_ms));
         }
         self.change(&changes)
     }
--- a/crates/merlinreel-testkit/src/scale/server_list/list_source/tests.rs
+++ b/crates/merlinreel-testkit/src/scale/server_list/list_source/tests.rs
@@ -8,20 +8,20 @@
 const SERVERS: u64 = 50;
 
 #[test]
-fn written_server_has_the_members_of_an_instance() {
+fn encoded_server_has_the_members_of_an_instance() {
     let source = ListSource::new(SERVERS, 1, Format::Compact);
     let wire = source.pool.server(0, "up", 0);
     let address = wire.host_port.parse().expect("an address");
     let mut expected = crate::instance(&wire.instance_id, address, "up");
     expected["zone"] = Value::from(wire.zone.clone());
-    assert_eq!(serde_json::to_value(&wire).expect("written"), expected);
+    assert_eq!(serde_json::to_value(&wire).expect("encoded"), expected);
 }
 
 #[test_case(Format::Compact ; "compact")]
 #[test_case(Format::Indented ; "indented")]
 fn full_list_names_each_server_once_and_is_counted(format: Format) {
     let mut source = ListSource::new(SERVERS, 1, format);
-    let bytes = source.full_list().expect("written");
+    let bytes = source.full_list().expect("encoded");
     let update = decode(&bytes).expect("a list");
     let names: BTreeSet<&str> = update
         .endpoints
@@ -44,7 +44,7 @@
 #[test]
 fn replacement_removes_as_many_servers_as_it_adds() {
     let mut source = ListSource::new(SERVERS, 1, Format::Compact);
-    let update = decode(&source.replacement(30, 5).expect("written")).expect("a list");
+    let update = decode(&source.replacement(30, 5).expect("encoded")).expect("a list");
     let removed = update
         .endpoints
         .iter()
--- a/crates/merlinreel-testkit/src/scale/server_list/restart.rs
+++ b/crates/merlinreel-testkit/src/scale/server_list/restart.rs
@@ -1,15 +1,16 @@
-//! Limiters that start without a list, and all poll discovery for the full list.
+//! Measures limiters that restart without a stored list, so that all of them poll discovery for the full list.
 
 use super::RESTARTING_LIMITERS;
 use super::list_source::{Format, ListSource};
 use super::simulated_limiter::SimulatedLimiter;
 use crate::scale::{Emit, MeasureRequest, Meter, Report, ScaleError, Unit};
 
-/// One limiter, a rack, a zone, all.
+/// Default numbers of limiters that restart at once: one, a rack, a zone, all.
 pub const RESTARTING_LIMITER_SIZES: &[u64] = &[1, 20, 209, 2_300];
 
-/// Varies the limiters that restart at once, with this many servers. Each is sent a list of its own; the first, one for
-/// each run, also read it, as all others do on their own machines.
+/// Varies how many limiters restart at once, with this many servers in the list. Counts the bytes of one full list per
+/// limiter. The processor time of reading it is measured at one limiter per run; each of the others would spend it on a
+/// machine of its own.
 ///
 /// # Errors
 /// The list exceeds the memory bound, or a measurement fails.
--- a/crates/merlinreel-testkit/src/scale/server_list/simulated_limiter.rs
+++ b/crates/merlinreel-testkit/src/scale/server_list/simulated_limiter.rs
@@ -1,4 +1,4 @@
-//! A simulated limiter: the real table of servers and the real decision module.
+//! A simulated limiter: the program's table of servers and decision module, on a simulated clock.
 
 use crate::scale::simulated::{
     ActionObserver, InvalidSettings, Observed, read_settings, successful_attempt,
@@ -10,23 +10,23 @@
 use serde_json::{Value, json};
 use std::time::Duration;
 
-/// Limiters of the fleet, which share the servers and their concurrency limits.
+/// Number of limiters in the fleet, which share the servers and their concurrency limits.
 pub const LIMITERS: u64 = 2_300;
-/// The start of the simulated clock, in 2027: the program's clock runs on Unix time.
+/// Start of the simulated clock, as Unix time in 2027: the program's clock also runs on Unix time.
 const START: Duration = Duration::from_secs(1_800_000_000);
-/// After this time the decision module redistributes concurrency limits.
+/// Time after which the decision module changes the distribution of concurrency limits among the limiters.
 const SELECTION_INTERVAL: Duration = Duration::from_millis(500);
 const RESPONSE_TIME: Duration = Duration::from_millis(10);
 const CUSTOMER: u64 = 5;
 
-/// The decision module's actions, counted.
+/// Numbers of the decision module's actions.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ActionCounts {
     /// Attempts that were started.
     pub attempts: u64,
     /// Servers whose indices were released.
     pub releases: u64,
-    /// Times that it scheduled its next call.
+    /// Wakeups that were scheduled.
     pub wakeups: u64,
     /// All other actions.
     pub others: u64,
@@ -35,9 +35,11 @@
 #[derive(Default)]
 struct CountingObserver {
     counts: ActionCounts,
-    /// The server of the last attempt.
+    /// Server of the attempt that was started for the present request; `None` if none was started.
     attempt_server: Option<ServerIndex>,
+    /// Servers that were released in the present event batch.
     released: Vec<ServerIndex>,
+    /// Time until the next wakeup, from the event batch that scheduled it.
     wakeup_after: Duration,
 }
 
@@ -65,9 +67,9 @@
     }
 }
 
-/// One limiter of [`LIMITERS`].
+/// The first limiter in a fleet of [`LIMITERS`].
 pub struct SimulatedLimiter {
-    /// The servers by their indices.
+    /// Names, addresses and indices of the servers.
     pub table: EndpointTable,
     limiter: Limiter,
     observer: Observed<CountingObserver>,
@@ -75,7 +77,7 @@
 }
 
 impl SimulatedLimiter {
-    /// A limiter whose first event batch has been run, so that what comes next lies between two ticks.
+    /// Creates a limiter and runs its first event batch, so that batches at the same time are between two ticks.
     ///
     /// # Errors
     /// The program rejects the settings.
@@ -91,21 +93,22 @@
         Ok(simulated)
     }
 
-    /// The simulated time in milliseconds.
+    /// Simulated Unix time in milliseconds.
     pub fn now_ms(&self) -> u64 {
         self.now.as_millis() as u64
     }
 
-    /// All actions so far.
+    /// Numbers of actions so far.
     pub fn actions(&self) -> ActionCounts {
         self.observer.0.counts
     }
 
-    /// Servers that are listed and not removed, as the decision module knows them.
+    /// Number of servers that the decision module knows and that are not removed.
     pub fn servers_known(&self) -> u64 {
         self.limiter.endpoint_counts(self.now).known as u64
     }
 
+    /// Runs an event batch, and frees the indices of servers that the decision module releases.
     fn run_batch(&mut self, batch: &EventBatch) {
         self.limiter.process(self.now, batch, &mut self.observer);
         for server in std::mem::take(&mut self.observer.0.released) {
@@ -121,7 +124,7 @@
         });
     }
 
-    /// Reads a discovery message and passes it to the decision module; the number of entries passed.
+    /// Decodes a discovery message and passes it to the decision module. Returns the number of entries passed.
     ///
     /// # Errors
     /// The message is malformed.
@@ -134,7 +137,7 @@
         Ok(entries)
     }
 
-    /// Runs an empty batch at each wakeup that the decision module schedules.
+    /// Advances the clock by a duration, with an empty event batch at each wakeup that the decision module schedules.
     pub fn idle(&mut self, duration: Duration) {
         let end = self.now + duration;
         while self.now + self.observer.0.wakeup_after <= end {
@@ -144,7 +147,8 @@
         self.now = end;
     }
 
-    /// Runs an empty batch each second, which is as often as the decision module releases servers.
+    /// Advances the clock by whole seconds, with an empty event batch at each: as often as the decision module releases
+    /// servers.
     pub fn idle_by_seconds(&mut self, duration: Duration) {
         for _ in 0..duration.as_secs() {
             self.now += Duration::from_secs(1);
@@ -152,13 +156,13 @@
         }
     }
 
-    /// Advances to the next redistribution of concurrency limits.
+    /// Advances the clock to the next distribution of concurrency limits, and runs an empty event batch.
     pub fn advance_selection_interval(&mut self) {
         self.now += SELECTION_INTERVAL;
         self.run_batch(&EventBatch::default());
     }
 
-    /// One request, which succeeds at once where a server is selected; otherwise its client disconnects.
+    /// Passes a request. If a server is selected, the attempt succeeds at once; otherwise the client disconnects.
     pub fn request(&mut self) {
         let request = Request {
             id: RequestIndex(0),
--- a/crates/merlinreel-testkit/src/scale/server_list/update_costs.rs
+++ b/crates/merlinreel-testkit/src/scale/server_list/update_costs.rs
@@ -1,4 +1,5 @@
-//! Updates of the list of servers: their bytes, the processor time of each step, the memory, and changes.
+//! Measures updates of the list of servers: their bytes, the processor time of each step, the memory, changes and
+//! replacements.
 
 use super::list_source::{Format, ListSource};
 use super::simulated_limiter::SimulatedLimiter;
@@ -8,20 +9,21 @@
 use merlinreel_policy::EndpointUpdate;
 use std::time::Duration;
 
-/// Lists of known servers that the decision module applies in one measurement, each far quicker than one of new ones.
+/// Lists of known servers that the decision module applies for each list of new ones, as they take far less time.
 const KNOWN_LISTS: u64 = 10;
-/// Servers replaced by one message, as a share of all.
-const REPLACED_SHARE: f64 = 0.6;
-/// After this time the decision module has released removed servers.
+/// Fraction of the servers that one message replaces.
+const REPLACED_FRACTION: f64 = 0.6;
+/// Simulated time after which the decision module has released removed servers.
 const RELEASED_AFTER: Duration = Duration::from_secs(35);
-/// Long enough for a tick, which sorts the servers.
+/// Simulated time that includes a tick, which sorts the servers.
 const ONE_TICK: Duration = Duration::from_millis(200);
 
 /// Change messages of one length, and the names of their metrics.
 struct ChangeMessages {
+    /// Servers in each message.
     servers: usize,
-    /// Messages in a measurement for each server of the largest size: some ten thousand short ones at the full size.
-    per_server: f64,
+    /// Messages in a run, per server of the largest size: 20,000 of one server each at a largest size of 160,000.
+    messages_per_server: f64,
     bytes_metric: &'static str,
     cpu_metric: &'static str,
 }
@@ -29,13 +31,13 @@
 const CHANGE_MESSAGES: [ChangeMessages; 2] = [
     ChangeMessages {
         servers: 1,
-        per_server: 0.125,
+        messages_per_server: 0.125,
         bytes_metric: "change_1_bytes",
         cpu_metric: "change_1_cpu",
     },
     ChangeMessages {
         servers: 100,
-        per_server: 0.0025,
+        messages_per_server: 0.0025,
         bytes_metric: "change_100_bytes",
         cpu_metric: "change_100_cpu",
     },
@@ -50,7 +52,7 @@
     decode(&full_list(report, Format::Compact)?).map_err(|error| report.failed(error))
 }
 
-/// A limiter that has applied the full list.
+/// Creates a limiter that has applied the full list.
 pub(super) fn limiter_with_list(report: &Report) -> Result<SimulatedLimiter, ScaleError> {
     let mut limiter =
         SimulatedLimiter::new(report.request.seed).map_err(|error| report.failed(error))?;
@@ -62,17 +64,21 @@
     Ok(limiter)
 }
 
+/// Checks that the decision module knows all servers of the list.
 fn check_all_known(report: &Report, limiter: &SimulatedLimiter) -> Result<(), ScaleError> {
     let known = limiter.servers_known();
     if known == report.size {
         Ok(())
     } else {
-        Err(report.failed(format!("{known} servers are known")))
+        Err(report.failed(format!(
+            "expected the decision module to know all servers, found {known}"
+        )))
     }
 }
 
-/// Growth of resident memory by the list. Freed pages that the allocator keeps are included, as in the program. Exact for
-/// a process's first size; later sizes find the allocator as the earlier ones left it, and differ by up to a third.
+/// Measures the growth of resident memory by the list, including freed pages that the allocator keeps, as in the
+/// program. Exact only for the first size in a process: later values depend on the state in which earlier sizes left
+/// the allocator, and differ by up to a third.
 pub(super) fn measure_memory(report: &mut Report) -> Result<(), ScaleError> {
     let mut source = ListSource::new(report.size, report.request.seed, Format::Indented);
     let mut limiter =
@@ -94,6 +100,7 @@
     report.measured("held_memory", Unit::Bytes, held)
 }
 
+/// Counts the bytes of a full list in both formats.
 pub(super) fn count_bytes(report: &mut Report) -> Result<(), ScaleError> {
     let compact = full_list(report, Format::Compact)?.len() as f64;
     let indented = full_list(report, Format::Indented)?.len() as f64;
@@ -101,6 +108,7 @@
     report.counted("full_list_indented_bytes", Unit::Bytes, indented)
 }
 
+/// Measures the processor time of each step from the bytes of a full list to the decision module.
 pub(super) fn measure_processor_time(report: &mut Report) -> Result<(), ScaleError> {
     measure_decoding(report, "decode_cpu", Format::Compact)?;
     measure_decoding(report, "decode_indented_cpu", Format::Indented)?;
@@ -123,7 +131,7 @@
     )
 }
 
-/// The table applies a list of new servers, and one of known servers.
+/// Measures how the table applies a list of new servers and one of known servers.
 fn measure_table(report: &mut Report) -> Result<(), ScaleError> {
     let update = decoded_list(report)?;
     let repeats = report.repeats();
@@ -148,7 +156,7 @@
     )
 }
 
-/// The event batch that passes a list to the decision module.
+/// Measures the event batch that passes a list of new servers, or one of known servers, to the decision module.
 fn measure_decision_module(report: &mut Report) -> Result<(), ScaleError> {
     let list = EndpointTable::default().apply(decoded_list(report)?, false);
     let repeats = report.repeats();
@@ -179,14 +187,14 @@
     )
 }
 
-/// Change messages, from their bytes to the decision module, between two ticks.
+/// Measures change messages, from their bytes to the decision module, between two ticks.
 pub(super) fn measure_changes(report: &mut Report) -> Result<(), ScaleError> {
     for changes in &CHANGE_MESSAGES {
         let mut limiter = limiter_with_list(report)?;
         let now_ms = limiter.now_ms();
         let measured_size = report.measured_size();
         let mut source = ListSource::new(report.size, report.request.seed, Format::Compact);
-        let messages = ((report.largest_size() as f64 * changes.per_server) as u64).max(1);
+        let messages = ((report.largest_size() as f64 * changes.messages_per_server) as u64).max(1);
         report.cpu_of_each(
             changes.cpu_metric,
             || {
@@ -212,22 +220,24 @@
     Ok(())
 }
 
-/// What one replacement of a large part of the servers takes.
+/// Cost of the replacement of a large part of the servers.
 struct Replacement {
     message_bytes: usize,
     cpu_seconds: f64,
+    /// Indices in the table after the replacement, used and free.
     indices: usize,
-    /// After another replacement, which reuses the indices that were released.
+    /// Indices after another replacement, which reuses those that were released.
     indices_after_next: usize,
 }
 
-/// A large part of the servers is replaced by one message; later the indices of the removed ones are reused.
+/// Measures the replacement of a large part of the servers by one message, and counts the indices after it and after
+/// another one, which reuses the indices of removed servers.
 pub(super) fn measure_replacement(report: &mut Report) -> Result<(), ScaleError> {
     let replacements = (0..report.request.runs)
         .map(|_| replace(report))
         .collect::<Result<Vec<_>, _>>()?;
     let cpu = replacements.iter().map(|run| run.cpu_seconds).collect();
-    // The counts are the same each run.
+    // The counts are the same in each run.
     let Some(last) = replacements.last() else {
         return Ok(());
     };
@@ -246,7 +256,7 @@
 }
 
 fn replace(report: &Report) -> Result<Replacement, ScaleError> {
-    let count = (report.size as f64 * REPLACED_SHARE) as usize;
+    let count = (report.size as f64 * REPLACED_FRACTION) as usize;
     let mut limiter = limiter_with_list(report)?;
     let mut source = ListSource::new(report.size, report.request.seed, Format::Compact);
     let first = source
--- a/crates/merlinreel-testkit/tests/scale_server_list.rs
+++ b/crates/merlinreel-testkit/tests/scale_server_list.rs
@@ -1,4 +1,4 @@
-//! The measurement of the list of servers in a short form: counts only, which are the same each run.
+//! A short measurement of the list of servers. It checks counts only, which are the same in each run.
 
 use merlinreel_discovery::DiscoveryUpdate;
 use merlinreel_testkit::scale::server_list::{
@@ -13,10 +13,11 @@
 
 const SIZES: &[u64] = &[100, 200, 400, 800];
 const MEMORY_MB: u64 = 256;
-/// Numbers in texts differ by a digit, and counts are rounded; a cost that grows by another integral power is far steeper.
+/// Allows for numbers in messages that are a digit longer, and for rounded counts. A cost that grows with the next
+/// integral power of the size is far steeper.
 const EXPONENT_MARGIN: f64 = 0.1;
 
-/// A value of a metric at a size.
+/// The counted value of a metric at a size.
 #[derive(Clone, Debug, PartialEq)]
 struct Count {
     metric: &'static str,
@@ -28,7 +29,7 @@
     MeasureRequest::new(sizes.to_vec(), seed, 1, Some(MEMORY_MB)).expect("a valid request")
 }
 
-/// The counts of a measurement, without times and memory, which depend on the machine.
+/// The counts of a measurement. Times and memory are left out, as they depend on the machine.
 fn counts(run: impl FnOnce(Emit) -> Result<(), ScaleError>) -> Vec<Count> {
     let mut counts = Vec::new();
     let mut emit = |point: DataPoint| {
@@ -57,7 +58,8 @@
         .collect()
 }
 
-fn check(counts: &[Count], metric: &str, exponent: f64) {
+/// Checks that a metric grows with the size to at most this power, apart from the margin.
+fn check_growth(counts: &[Count], metric: &str, exponent: f64) {
     let points = points(counts, metric);
     assert_eq!(points.len(), SIZES.len(), "{metric}");
     check_slope(&points, exponent + EXPONENT_MARGIN)
@@ -67,8 +69,8 @@
 #[test]
 fn counts_grow_as_designed_and_are_the_same_for_one_seed() {
     let counted = counts_by_servers(7);
-    // A list names each server once, and a replacement each removed and each added one. An index is a server's until it is
-    // released.
+    // A full list contains each server once, and a replacement contains each removed and each added server. A server
+    // keeps its index until it is released.
     let linear = [
         "full_list_bytes",
         "full_list_indented_bytes",
@@ -77,10 +79,10 @@
         "indices_after_next_replacement",
     ];
     for metric in linear {
-        check(&counted, metric, 1.0);
+        check_growth(&counted, metric, 1.0);
     }
-    // A change message names only what changed; the tick does not depend on the servers; an entry of a list is passed on
-    // once, and has one index.
+    // A change message contains only the changed servers. The tick interval does not depend on the number of servers.
+    // An entry of a list is passed on once and has one index.
     let constant = [
         "change_1_bytes",
         "change_100_bytes",
@@ -88,9 +90,13 @@
         "list_steps_per_server",
     ];
     for metric in constant {
-        check(&counted, metric, 0.0);
+        check_growth(&counted, metric, 0.0);
     }
-    assert_eq!(counted, counts_by_servers(7), "one seed, different counts");
+    assert_eq!(
+        counted,
+        counts_by_servers(7),
+        "different counts with the same seed"
+    );
 }
 
 #[test]
@@ -112,7 +118,7 @@
     let sent = counts(|emit| measure_limiters_restarting(&request, SERVERS, emit));
     let list = ListSource::new(SERVERS, 7, Format::Indented)
         .full_list()
-        .expect("written")
+        .expect("encoded")
         .len() as f64;
     let expected: Vec<Point> = LIMITERS
         .iter()
@@ -127,7 +133,7 @@
     let mut limiter = SimulatedLimiter::new(7).expect("settings");
     let list = ListSource::new(SERVERS, 7, Format::Indented)
         .full_list()
-        .expect("written");
+        .expect("encoded");
     assert_eq!(limiter.receive(list).expect("a list"), SERVERS);
     assert_eq!(limiter.servers_known(), SERVERS);
     for _ in 0..40 {
@@ -144,7 +150,7 @@
     );
 }
 
-/// A deliberate cost: a table that is scanned for each entry, and counts the names that it compares.
+/// A table that is scanned for each entry, a cost that the slope test must reject. Counts the names that it compares.
 #[derive(Default)]
 struct ScannedTable(Vec<String>);
 
@@ -182,7 +188,7 @@
         Err(SlopeError::TooSteep { exponent, .. }) => {
             assert!(
                 exponent > 0.9,
-                "{exponent}, where each server is compared with all"
+                "exponent {exponent} although each server is compared with all"
             );
             false
         }
