--- a/crates/merlinreel-testkit/src/scale/configuration.rs
+++ b/crates/merlinreel-testkit/src/scale/configuration.rs
@@ -1,5 +1,5 @@
-//! What a limiter spends on its settings: reading the file at a start and at each change, and what remains of classes
-//! that were changed.
+//! Measures what the settings cost a limiter: reading the file at startup and at each change, and the request classes
+//! that the decision module keeps after they were changed.
 
 mod decision_module;
 mod entries;
@@ -11,11 +11,12 @@
 use super::{Emit, MeasureRequest, Report, ScaleError, Variable};
 use std::time::Duration;
 
-/// Routes, each a class of the settings; two beside the most that the settings allow, and the full size.
+/// Default numbers of routes, each of which is a request class. The settings allow 4,096; above that, reading fails.
+/// 110,000 is the full size.
 pub const DEFAULT_SIZES: &[u64] = &[100, 1_000, 4_000, 4_096, 4_097, 10_000, 110_000];
-/// Plans of the settings.
+/// Default numbers of plans.
 pub const PLAN_SIZES: &[u64] = DEFAULT_SIZES;
-/// Reloads, each with one changed class.
+/// Default numbers of reloads, each with one changed class.
 pub const RELOAD_SIZES: &[u64] = &[100, 300, 1_000, 3_000];
 
 const ROUTES: Variable = Variable {
@@ -30,19 +31,19 @@
     role: "configuration",
     name: "reloads",
 };
-/// 24,000 changes per day.
+/// Time between two changes of the settings: 24,000 changes per day.
 const CHANGE_INTERVAL: Duration = Duration::from_millis(3_600);
-/// Classes or plans while the other is varied.
-const FEW: u64 = 4;
-/// An upper estimate of an entry as text, as JSON, by its paths and in the decision module.
-const ENTRY_KB: u64 = 6;
+/// Number of plans while the classes vary, and of classes while the plans vary.
+const FIXED_ENTRIES: u64 = 4;
+/// Upper estimate of the memory of a class or plan: as text, as JSON, in the settings tree and in the decision module.
+const KB_PER_ENTRY: u64 = 6;
 
-/// Varies the routes, each with limits of its own.
+/// Varies the number of routes. Each is a request class with limits of its own.
 ///
 /// # Errors
 /// A size exceeds the memory bound, or a measurement fails.
 pub fn measure(request: &MeasureRequest, emit: Emit) -> Result<(), ScaleError> {
-    // Kept until the end: memory that one size freed would hide what the next one takes.
+    // Kept until the end: the next size would reuse freed memory, which would hide its growth.
     let mut limiters = Vec::new();
     for &size in &request.sizes {
         let setting = "decision module alone, all classes differ".to_owned();
@@ -51,23 +52,23 @@
     }
     let mut files = Vec::new();
     for &size in &request.sizes {
-        let entries = Entries::new(size, FEW, request.seed);
-        let setting = format!("{FEW} plans, all classes differ, a change each 3.6 s");
+        let entries = Entries::new(size, FIXED_ENTRIES, request.seed);
+        let setting = format!("{FIXED_ENTRIES} plans, all classes differ, a change each 3.6 s");
         let mut report = Report::new(request, ROUTES, size, setting, emit);
         files.push(file::measure(&mut report, &entries)?);
     }
     Ok(())
 }
 
-/// Varies the plans.
+/// Varies the number of plans.
 ///
 /// # Errors
 /// A size exceeds the memory bound, or a measurement fails.
 pub fn measure_plans(request: &MeasureRequest, emit: Emit) -> Result<(), ScaleError> {
     let mut files = Vec::new();
     for &size in &request.sizes {
-        let entries = Entries::new(FEW, size, request.seed);
-        let setting = format!("{FEW} classes, a change each 3.6 s");
+        let entries = Entries::new(FIXED_ENTRIES, size, request.seed);
+        let setting = format!("{FIXED_ENTRIES} classes, a change each 3.6 s");
         let mut report = Report::new(request, PLANS, size, setting, emit);
         files.push(file::measure(&mut report, &entries)?);
     }
@@ -75,10 +76,10 @@
 }
 
 fn check_memory(request: &MeasureRequest, what: &str, entries: u64) -> Result<(), ScaleError> {
-    request.check_memory(what, entries * ENTRY_KB / 1024 + 64)
+    request.check_memory(what, entries * KB_PER_ENTRY / 1024 + 64)
 }
 
-/// Processor time at each change as a share of a core.
+/// Processor times per change as shares of a core, with a change each [`CHANGE_INTERVAL`].
 fn share_of_change_interval(cpu_seconds: &[f64]) -> Vec<f64> {
     cpu_seconds
         .iter()
--- a/crates/merlinreel-testkit/src/scale/configuration/decision_module.rs
+++ b/crates/merlinreel-testkit/src/scale/configuration/decision_module.rs
@@ -1,62 +1,75 @@
-//! The decision module's part of a change of settings, which has no bound of its own: memory of the classes, and
-//! reconfiguring.
+//! Measures the decision module's part of a change of settings: the memory of its classes, and the processor time of
+//! reconfiguring it. It does not limit the number of classes itself.
 
 use super::file::repeat;
-use super::{Entries, FEW, RELOADS, check_memory, read, share_of_change_interval};
+use super::{Entries, FIXED_ENTRIES, RELOADS, check_memory, read, share_of_change_interval};
 use crate::scale::{Emit, MeasureRequest, Meter, Report, ScaleError, Unit};
 use merlinreel_policy::Limiter;
 use merlinreel_policy::{Idempotency, RequestClass, RequestLimits};
 use merlinreel_settings::Settings;
 use std::time::Duration;
 
+/// Number of classes in the settings while the number of reloads varies.
 const RELOADED_CLASSES: u64 = 1_000;
-/// The processor time of a reload is the mean of this many last ones.
+/// The processor time of a reload is averaged over this many last reloads.
 const LAST_RELOADS: u64 = 100;
-/// Above this many entries, times that grow with their square are measured once.
-const MAX_REPEATED_ENTRIES: u64 = 20_000;
-/// Classes compared in one measurement, over as many repetitions as the size needs: the kernel counts processor time in
-/// steps of some milliseconds.
-const COMPARISONS_MEASURED: u64 = 100_000_000;
+/// Up to this many classes, the time of reconfiguring is measured in several runs. It grows with their square, so it is
+/// measured only once above.
+const MAX_CLASSES_FOR_SEVERAL_RUNS: u64 = 20_000;
+/// Comparisons of classes in one run. Reconfiguring is repeated to reach this number, as the kernel counts processor time
+/// in steps of some milliseconds.
+const COMPARISONS_PER_RUN: u64 = 100_000_000;
+/// Limits the repetitions for few classes.
 const MAX_REPETITIONS: u64 = 1_000;
 
-/// Varies how often the settings were reloaded, each time with one class changed.
+/// Varies the number of reloads of the settings, each with one changed class.
 ///
 /// # Errors
 /// A size exceeds the memory bound, or a measurement fails.
 pub fn measure_reloads(request: &MeasureRequest, emit: Emit) -> Result<(), ScaleError> {
-    let mut kept = Vec::new();
+    // Kept until the end: the next size would reuse freed memory, which would hide its growth.
+    let mut limiters = Vec::new();
     for &size in &request.sizes {
         let setting = format!("{RELOADED_CLASSES} classes, one changed each reload");
         let mut report = Report::new(request, RELOADS, size, setting, emit);
-        check_memory(request, &format!("{size} reloads"), RELOADED_CLASSES + size)?;
+        check_memory(
+            request,
+            &format!("a limiter with {size} reloads"),
+            RELOADED_CLASSES + size,
+        )?;
         let mut classes = distinct_classes(RELOADED_CLASSES);
         let mut limiter = limiter_with(&report, &classes)?;
-        let all = Meter::start();
-        let mut last = all;
+        let total_meter = Meter::start();
+        let mut last_reloads_meter = total_meter;
         for reload in 0..size {
             if reload == size.saturating_sub(LAST_RELOADS) {
-                last = Meter::start();
+                last_reloads_meter = Meter::start();
             }
-            let place = reload as usize * 7 % classes.len();
-            classes[place] = distinct_class(RELOADED_CLASSES + reload);
+            let index = reload as usize * 7 % classes.len();
+            classes[index] = distinct_class(RELOADED_CLASSES + reload);
             reconfigure(&mut limiter, &classes);
         }
-        let last_cpu = last.read().cpu_seconds / size.min(LAST_RELOADS) as f64;
-        let usage = all.read();
+        let last_cpu = last_reloads_meter.read().cpu_seconds / size.min(LAST_RELOADS) as f64;
+        let usage = total_meter.read();
         report_classes_kept(&mut report, &limiter)?;
         let memory = usage.memory_bytes as f64;
         report.measured("growth_memory", Unit::Bytes, vec![memory])?;
         report.measured("last_retune_cpu", Unit::CpuSeconds, vec![last_cpu])?;
         report.measured("all_retunes_cpu", Unit::CpuSeconds, vec![usage.cpu_seconds])?;
-        kept.push(limiter);
+        limiters.push(limiter);
     }
     Ok(())
 }
 
-/// Reports the memory of a limiter's classes and the cost of reconfiguring them.
+/// Reports the memory of a limiter's classes, the number of classes kept after a change, and the processor time of
+/// reconfiguring.
 pub fn measure(report: &mut Report) -> Result<Limiter, ScaleError> {
     let size = report.size;
-    check_memory(report.request, &format!("{size} classes"), size)?;
+    check_memory(
+        report.request,
+        &format!("a limiter with {size} classes"),
+        size,
+    )?;
     let mut classes = distinct_classes(size);
     let meter = Meter::start();
     let mut limiter = limiter_with(report, &classes)?;
@@ -65,8 +78,8 @@
     classes[0] = distinct_class(size);
     reconfigure(&mut limiter, &classes);
     report_classes_kept(report, &limiter)?;
-    let repetitions = (COMPARISONS_MEASURED / (size * size)).clamp(1, MAX_REPETITIONS);
-    let runs = if size > MAX_REPEATED_ENTRIES {
+    let repetitions = (COMPARISONS_PER_RUN / (size * size)).clamp(1, MAX_REPETITIONS);
+    let runs = if size > MAX_CLASSES_FOR_SEVERAL_RUNS {
         1
     } else {
         report.request.runs
@@ -100,7 +113,7 @@
     (0..count).map(distinct_class).collect()
 }
 
-/// A class that differs from the others in its deadline alone.
+/// A class that differs from all others only in its deadline.
 fn distinct_class(number: u64) -> RequestClass {
     RequestClass {
         latency_objective: Duration::from_millis(500),
@@ -113,8 +126,8 @@
 
 fn limiter_with(report: &Report, classes: &[RequestClass]) -> Result<Limiter, ScaleError> {
     let seed = report.request.seed;
-    let settings =
-        read(&Entries::new(FEW, FEW, seed).text()).map_err(|error| report.failed(error))?;
+    let settings = read(&Entries::new(FIXED_ENTRIES, FIXED_ENTRIES, seed).text())
+        .map_err(|error| report.failed(error))?;
     Ok(Settings {
         classes: classes.to_vec(),
         ..settings
--- a/crates/merlinreel-testkit/src/scale/configuration/entries.rs
+++ b/crates/merlinreel-testkit/src/scale/configuration/entries.rs
@@ -1,4 +1,4 @@
-//! Settings with many classes and plans, drawn from a seed.
+//! Generates settings with many classes and plans, drawn from a seed.
 
 use crate::scale::simulated::{InvalidSettings, read_settings};
 use merlinreel_settings::Settings;
@@ -6,12 +6,12 @@
 use rand_chacha::ChaCha8Rng;
 use serde_json::{Value, json};
 
-/// Classes and plans of a configuration.
+/// The classes and plans of generated settings.
 pub struct Entries {
     classes: Vec<Value>,
     plans: Vec<Value>,
     random: ChaCha8Rng,
-    /// Classes drawn so far, the replaced ones included.
+    /// Number of classes drawn so far, replaced ones included.
     drawn_classes: u64,
 }
 
@@ -32,27 +32,27 @@
         }
     }
 
-    /// Gives a random class limits that no class had before.
+    /// Replaces the limits of a random class by limits that no class had before.
     pub fn change_one(&mut self) {
-        let number = self.random.random_range(0..self.classes.len());
-        self.change(number);
+        let index = self.random.random_range(0..self.classes.len());
+        self.change(index);
     }
 
-    /// Gives the class of that number limits that no class had before.
+    /// Replaces the limits of the class with this index by limits that no class had before.
     ///
     /// # Panics
     /// There is no such class.
-    pub fn change(&mut self, number: usize) {
-        self.classes[number] = class(number as u64, self.drawn_classes, &mut self.random);
+    pub fn change(&mut self, index: usize) {
+        self.classes[index] = class(index as u64, self.drawn_classes, &mut self.random);
         self.drawn_classes += 1;
     }
 
-    /// The number of classes.
+    /// Number of classes.
     pub fn classes(&self) -> usize {
         self.classes.len()
     }
 
-    /// The settings as they are written in the file.
+    /// The settings as JSON text, as in a file.
     pub fn text(&self) -> String {
         json!({
             "balancers": 2_300, "rank": 1, "classes": self.classes, "packages": self.plans,
@@ -62,9 +62,9 @@
     }
 }
 
-/// A class whose times, by the number of its limits, are unlike those of any other.
-fn class(number: u64, limits: u64, random: &mut ChaCha8Rng) -> Value {
-    let deadline = 1.0 + limits as f64 / 1e6;
+/// A class whose times differ from those of all classes with another `limits_number`.
+fn class(number: u64, limits_number: u64, random: &mut ChaCha8Rng) -> Value {
+    let deadline = 1.0 + limits_number as f64 / 1e6;
     json!({"name": format!("route-{number:06}"), "idempotency": "read_like", "promiseS": deadline / 2.0,
         "hardLimitS": deadline, "worth": random.random_range(1..10), "lateShare": 0.5})
 }
@@ -74,7 +74,7 @@
         "maxOut": 10, "price": 1, "overrunCost": 0.5, "beyondEarns": 0.2})
 }
 
-/// The settings as a limiter reads them from the file's text.
+/// Reads settings from the text of a file, as a limiter does.
 ///
 /// # Errors
 /// The text is not JSON, or the program rejects the settings.
--- a/crates/merlinreel-testkit/src/scale/configuration/file.rs
+++ b/crates/merlinreel-testkit/src/scale/configuration/file.rs
@@ -1,4 +1,4 @@
-//! The steps of reading the settings' file.
+//! Measures the steps of reading a settings file.
 
 use super::{Entries, check_memory, share_of_change_interval};
 use crate::scale::simulated::InvalidSettings;
@@ -6,39 +6,43 @@
 use merlinreel_settings::{Settings, SettingsTree};
 use serde_json::Value;
 
-/// Entries read in one measurement, over as many repetitions as the size needs: the kernel counts processor time in
-/// steps of some milliseconds.
-const ENTRIES_MEASURED: u64 = 50_000;
+/// Entries that are read at least in one run. Reading is repeated as often as the size needs, as the kernel counts
+/// processor time in steps of some milliseconds.
+const ENTRIES_PER_RUN: u64 = 50_000;
 
-/// All that is held of a file while it is read.
+/// Everything that is held in memory while a file is read.
 pub struct FileRead {
     _value: Value,
     _tree: SettingsTree,
     settings: Result<Settings, InvalidSettings>,
 }
 
-/// Processor times of the steps of reading, in seconds.
+/// Processor times of the steps of reading a file, in seconds, by run.
 #[derive(Default)]
 struct ReadTimes {
+    /// Parsing the text as JSON.
     json: Vec<f64>,
+    /// Building the settings tree by path.
     paths: Vec<f64>,
+    /// Reading the settings from the tree.
     settings: Vec<f64>,
+    /// Sum of the steps.
     total: Vec<f64>,
 }
 
 impl ReadTimes {
-    /// Measures the steps one after the other, each repeated.
+    /// Adds a run: measures the steps one after the other, each repeated. Returns the result of the last repetitions.
     fn measure(&mut self, text: &str, repetitions: u64) -> Result<FileRead, InvalidSettings> {
         let json = repeat(repetitions, || serde_json::from_str::<Value>(text));
         let value = json.output.map_err(InvalidSettings::new)?;
-        let flat = repeat(repetitions, || SettingsTree::from_json(&value));
-        let tree = flat.output.map_err(InvalidSettings::new)?;
+        let paths = repeat(repetitions, || SettingsTree::from_json(&value));
+        let tree = paths.output.map_err(InvalidSettings::new)?;
         let read = repeat(repetitions, || Settings::read(&tree));
         self.json.push(json.cpu_seconds);
-        self.paths.push(flat.cpu_seconds);
+        self.paths.push(paths.cpu_seconds);
         self.settings.push(read.cpu_seconds);
         self.total
-            .push(json.cpu_seconds + flat.cpu_seconds + read.cpu_seconds);
+            .push(json.cpu_seconds + paths.cpu_seconds + read.cpu_seconds);
         Ok(FileRead {
             settings: read.output.map_err(InvalidSettings::new),
             _value: value,
@@ -47,15 +51,15 @@
     }
 }
 
-/// Repeated work.
+/// Result of repeated work.
 pub struct Repeated<Output> {
-    /// The processor time of one repetition.
+    /// Mean processor time of one repetition, in seconds.
     pub cpu_seconds: f64,
     /// The output of the last repetition.
     pub output: Output,
 }
 
-/// Repeats work, at least once.
+/// Repeats work, at least once, and measures its processor time.
 pub fn repeat<Output>(repetitions: u64, mut work: impl FnMut() -> Output) -> Repeated<Output> {
     let meter = Meter::start();
     (1..repetitions).for_each(|_| drop(work()));
@@ -66,16 +70,17 @@
     }
 }
 
-/// Reports the file's length, the cost of reading it, and its share of a core at the rate of changes.
+/// Reports the length of a file, whether it is rejected, the memory and processor time of reading it, and the share of
+/// a core that this takes at the rate of changes.
 pub fn measure(report: &mut Report, entries: &Entries) -> Result<FileRead, ScaleError> {
     check_memory(
         report.request,
-        &format!("{} entries", report.size),
+        &format!("a settings file with {} entries", report.size),
         report.size,
     )?;
     let text = entries.text();
     let meter = Meter::start();
-    // The first reading is for the memory alone.
+    // The file is first read only to measure the memory.
     let first = ReadTimes::default()
         .measure(&text, 1)
         .map_err(|error| report.failed(error))?;
@@ -83,7 +88,7 @@
     let mut times = ReadTimes::default();
     for _ in 0..report.request.runs {
         times
-            .measure(&text, ENTRIES_MEASURED.div_ceil(report.size))
+            .measure(&text, ENTRIES_PER_RUN.div_ceil(report.size))
             .map_err(|error| report.failed(error))?;
     }
     report.counted("file", Unit::Bytes, text.len() as f64)?;
--- a/crates/merlinreel-testkit/tests/scale_configuration.rs
+++ b/crates/merlinreel-testkit/tests/scale_configuration.rs
@@ -1,4 +1,5 @@
-//! The settings' file grows with its routes and plans, and what remains of changed classes with the changes, no faster.
+//! Checks that the settings file grows only in proportion to its routes and plans, and the number of superseded classes
+//! only in proportion to the changes.
 
 use merlinreel_testkit::scale::configuration::{self, Entries};
 use merlinreel_testkit::scale::{
@@ -7,12 +8,12 @@
 
 const SIZES: [u64; 4] = [100, 200, 400, 800];
 const SEED: u64 = 11;
-/// A route is written once, and a change adds one class whatever the number of routes: the cost of one does not grow. The
-/// part that all files have in common makes the exponent negative.
+/// Each route is written once, and a change adds one class whatever the number of routes, so the cost per entry does
+/// not grow (exponent 0). The part that all files have in common makes the exponent negative.
 const MAX_EXPONENT_PER_ENTRY: f64 = 0.1;
 const CHANGES: usize = 5;
 
-/// Classes that a limiter keeps in addition to those of its settings, after some changes.
+/// Number of classes that a limiter keeps in addition to those of its settings, after [`CHANGES`] calls of `change`.
 fn superseded_classes(routes: u64, change: impl Fn(&mut Entries)) -> f64 {
     let mut entries = Entries::new(routes, 4, SEED);
     let mut limiter = configuration::read(&entries.text())
@@ -26,7 +27,8 @@
     (limiter.class_count() - entries.classes()) as f64
 }
 
-fn counted(
+/// The counts of a measurement, as metric, size and value.
+fn counts_of(
     measure: fn(&MeasureRequest, Emit) -> Result<(), ScaleError>,
     sizes: &[u64],
 ) -> Vec<(&'static str, u64, f64)> {
@@ -43,12 +45,12 @@
 
 #[test]
 fn bytes_of_a_route_or_plan_do_not_grow_with_their_number() {
-    let file = |classes, plans| Entries::new(classes, plans, SEED).text().len() as f64;
-    let routes = SIZES.map(|size| Point::new(size as f64, file(size, 4) / size as f64));
-    let plans = SIZES.map(|size| Point::new(size as f64, file(4, size) / size as f64));
-    for each in [routes, plans] {
-        check_slope(&each, MAX_EXPONENT_PER_ENTRY)
-            .unwrap_or_else(|error| panic!("bytes {error}: {each:?}"));
+    let file_bytes = |classes, plans| Entries::new(classes, plans, SEED).text().len() as f64;
+    let routes = SIZES.map(|size| Point::new(size as f64, file_bytes(size, 4) / size as f64));
+    let plans = SIZES.map(|size| Point::new(size as f64, file_bytes(4, size) / size as f64));
+    for points in [routes, plans] {
+        check_slope(&points, MAX_EXPONENT_PER_ENTRY)
+            .unwrap_or_else(|error| panic!("bytes {error}: {points:?}"));
     }
 }
 
@@ -66,11 +68,11 @@
     );
 }
 
-/// A deliberate cost of all routes for each change, measured in the same way.
+/// Checks that the slope test fails for a change that grows with the number of routes.
 #[test]
 fn change_of_all_classes_is_too_steep() {
     let change_all =
-        |entries: &mut Entries| (0..entries.classes()).for_each(|number| entries.change(number));
+        |entries: &mut Entries| (0..entries.classes()).for_each(|index| entries.change(index));
     let superseded: Vec<_> = SIZES
         .iter()
         .map(|&size| Point::new(size as f64, superseded_classes(size, change_all)))
@@ -82,39 +84,42 @@
     );
 }
 
-/// The rejection names the key at fault.
+/// The error names the setting that has too many entries.
 #[test]
 fn settings_with_more_than_4096_entries_are_rejected() {
-    let rejection = |classes, plans| {
+    let error_text = |classes, plans| {
         configuration::read(&Entries::new(classes, plans, SEED).text())
             .err()
             .map(|error| error.to_string())
     };
-    assert_eq!((rejection(4_096, 1), rejection(1, 4_096)), (None, None));
-    let why = |list: &str| Some(format!("setting {list}.count: 4097 is too many"));
-    assert_eq!(rejection(4_097, 1), why("classes"));
-    assert_eq!(rejection(1, 4_097), why("packages"));
+    assert_eq!((error_text(4_096, 1), error_text(1, 4_096)), (None, None));
+    let expected = |list: &str| Some(format!("setting {list}.count: 4097 is too many"));
+    assert_eq!(error_text(4_097, 1), expected("classes"));
+    assert_eq!(error_text(1, 4_097), expected("packages"));
 }
 
 #[test]
 fn same_seed_gives_the_same_counts() {
-    let reloads = counted(configuration::measure_reloads, &[10, 20]);
-    assert_eq!(reloads, counted(configuration::measure_reloads, &[10, 20]));
+    let reloads = counts_of(configuration::measure_reloads, &[10, 20]);
+    assert_eq!(
+        reloads,
+        counts_of(configuration::measure_reloads, &[10, 20])
+    );
     assert_eq!(
         reloads,
         [("classes_kept", 10, 1_010.0), ("classes_kept", 20, 1_020.0)]
     );
-    let plans = counted(configuration::measure_plans, &[50]);
+    let plans = counts_of(configuration::measure_plans, &[50]);
     assert!(
         plans.iter().any(|(metric, ..)| *metric == "file"),
         "{plans:?}"
     );
-    assert_eq!(plans, counted(configuration::measure_plans, &[50]));
-    let file = |seed| {
+    assert_eq!(plans, counts_of(configuration::measure_plans, &[50]));
+    let changed_text = |seed| {
         let mut entries = Entries::new(50, 4, seed);
         entries.change_one();
         entries.text()
     };
-    assert_eq!(file(SEED), file(SEED));
-    assert_ne!(file(SEED), file(SEED + 1));
+    assert_eq!(changed_text(SEED), changed_text(SEED));
+    assert_ne!(changed_text(SEED), changed_text(SEED + 1));
 }
--- a/crates/merlinreel-testkit/tests/scale_membership.rs
+++ b/crates/merlinreel-testkit/tests/scale_membership.rs
@@ -1,5 +1,5 @@
-//! A short measurement of the cost of membership by the number of limiters. It checks counts only, which are the same in
-//! each run.
+//! A short measurement of the cost of membership by the number of limiters. It checks counts only, which are the same
+//! in each run.
 
 use merlinreel_testkit::scale::membership::{Fleet, FleetSetting, Urgency, measure};
 use merlinreel_testkit::scale::{
@@ -15,7 +15,7 @@
 /// about the start, which take longer to reach all limiters of a larger fleet.
 const MAX_EXPONENT: f64 = 0.45;
 const CONVERGENCE_DURATION: Duration = Duration::from_secs(14);
-const IDLE_DURATION: Duration = Duration::from_secs(3);
+const IDLE: Duration = Duration::from_secs(3);
 
 /// Mean bytes that a limiter sent, by the number of limiters.
 struct SentBytes {
@@ -44,10 +44,10 @@
     sent
 });
 
-/// Mean bytes that a limiter of an idle fleet sends in [`IDLE_DURATION`], including those that `every_second` sends.
+/// Mean bytes that a limiter of an idle fleet sends in [`IDLE`], including those that `every_second` sends.
 fn bytes_sent_per_limiter(fleet: &mut Fleet, size: u32, every_second: fn(&mut Fleet, u32)) -> f64 {
     fleet.network_mut().reset_traffic();
-    for _ in 0..IDLE_DURATION.as_secs() {
+    for _ in 0..IDLE.as_secs() {
         every_second(fleet, size);
         fleet.run(Duration::from_secs(1));
     }
