--- a/crates/merlinreel-testkit/src/scale/configuration.rs
+++ b/crates/merlinreel-testkit/src/scale/configuration.rs
@@ -43,7 +43,7 @@
 /// # Errors
 /// A size exceeds the memory bound, or a measurement fails.
 pub fn measure(request: &MeasureRequest, emit: Emit) -> Result<(), ScaleError> {
-    // Kept until the end: the next size would reuse freed memory, which would hide its growth.
+    // Kept until the end: the next size would reuse freed memory, and its own use of memory would not show.
     let mut limiters = Vec::new();
     for &size in &request.sizes {
         let setting = "decision module alone, all classes differ".to_owned();
--- a/crates/merlinreel-testkit/src/scale/configuration/decision_module.rs
+++ b/crates/merlinreel-testkit/src/scale/configuration/decision_module.rs
@@ -1,5 +1,5 @@
 //! Measures the decision module's part of a change of settings: the memory of its classes, and the processor time of
-//! reconfiguring it. It does not limit the number of classes itself.
+//! reconfiguring it. The decision module does not limit the number of classes itself.
 
 use super::file::repeat;
 use super::{Entries, FIXED_ENTRIES, RELOADS, check_memory, read, share_of_change_interval};
@@ -13,11 +13,11 @@
 const RELOADED_CLASSES: u64 = 1_000;
 /// The processor time of a reload is averaged over this many last reloads.
 const LAST_RELOADS: u64 = 100;
-/// Up to this many classes, the time of reconfiguring is measured in several runs. It grows with their square, so it is
-/// measured only once above.
+/// Up to this many classes, the processor time of reconfiguring is measured in several runs. It grows with the square
+/// of their number, so with more classes it is measured only once.
 const MAX_CLASSES_FOR_SEVERAL_RUNS: u64 = 20_000;
-/// Comparisons of classes in one run. Reconfiguring is repeated to reach this number, as the kernel counts processor time
-/// in steps of some milliseconds.
+/// Comparisons of classes in one run. Reconfiguring is repeated to reach this number, as the kernel counts processor
+/// time in steps of some milliseconds.
 const COMPARISONS_PER_RUN: u64 = 100_000_000;
 /// Limits the repetitions for few classes.
 const MAX_REPETITIONS: u64 = 1_000;
@@ -27,7 +27,7 @@
 /// # Errors
 /// A size exceeds the memory bound, or a measurement fails.
 pub fn measure_reloads(request: &MeasureRequest, emit: Emit) -> Result<(), ScaleError> {
-    // Kept until the end: the next size would reuse freed memory, which would hide its growth.
+    // Kept until the end: the next size would reuse freed memory, and its own use of memory would not show.
     let mut limiters = Vec::new();
     for &size in &request.sizes {
         let setting = format!("{RELOADED_CLASSES} classes, one changed each reload");
--- a/crates/merlinreel-testkit/src/scale/latency/request_plan.rs
+++ b/crates/merlinreel-testkit/src/scale/latency/request_plan.rs
@@ -9,7 +9,7 @@
 /// Number of customers, one of which is drawn for each request.
 const CUSTOMERS: u32 = 1_000;
 
-/// A planned request.
+/// A request with its planned send time and connection.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PlannedRequest {
     /// Send time, relative to the start of the load.
--- a/crates/merlinreel-testkit/src/scale/membership/convergence.rs
+++ b/crates/merlinreel-testkit/src/scale/membership/convergence.rs
@@ -7,8 +7,8 @@
 /// Simulated time between two checks whether each limiter knows nearly all others.
 const NEARLY_CONVERGED_CHECK_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Runs the fleet until it has converged or the timeout has passed. Reports the time and traffic that this took, and how
-/// much the limiters know at its end.
+/// Runs the fleet until it has converged or the timeout has passed. Reports the time and traffic that this took, and
+/// how much the limiters know at its end.
 pub fn report_convergence(
     fleet: &mut Fleet,
     report: &mut Report,
--- a/crates/merlinreel-testkit/src/scale/membership/fleet.rs
+++ b/crates/merlinreel-testkit/src/scale/membership/fleet.rs
@@ -148,7 +148,8 @@
         all
     }
 
-    /// Stops these limiters without an announcement to the others. Each starts again after the downtime, without its earlier state.
+    /// Stops these limiters without an announcement to the others. Each starts again after the downtime, without its
+    /// earlier state.
     pub fn restart(&mut self, limiters: impl IntoIterator<Item = u32>, downtime: Duration) {
         for limiter in limiters {
             self.nodes[limiter as usize] = None;
--- a/crates/merlinreel-testkit/src/scale/membership/fleet/knowledge.rs
+++ b/crates/merlinreel-testkit/src/scale/membership/fleet/knowledge.rs
@@ -12,7 +12,7 @@
 pub struct Knowledge {
     /// Mean share of the other members that a limiter knows.
     pub members: f64,
-    /// Mean share of the other limiters' own records, in their present incarnation, that a limiter holds.
+    /// Mean share of the other limiters' own records, in their current incarnation, that a limiter holds.
     pub records: f64,
     /// Share of the other members that is known by the limiter that knows the fewest.
     pub least_members: f64,
@@ -64,7 +64,7 @@
         self.members_known(limiter) == others && self.records_held(limiter) == others
     }
 
-    /// Number of running other limiters that a limiter knows in their present incarnation or a later one.
+    /// Number of running other limiters that a limiter knows in their current incarnation or a later one.
     fn members_known(&self, limiter: usize) -> usize {
         let Some(node) = &self.nodes[limiter] else {
             return 0;
--- a/crates/merlinreel-testkit/src/scale/membership/propagation.rs
+++ b/crates/merlinreel-testkit/src/scale/membership/propagation.rs
@@ -10,8 +10,8 @@
 const WATCH_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 const URGENT_RECORDS: usize = 3;
 const ROUTINE_RECORDS: usize = 8;
-/// Times after publication at which the share of limiters that hold a routine record is reported, with the metric. Times
-/// after the end of the watch are left out.
+/// Times after publication at which the share of limiters that hold a routine record is reported, with the metric.
+/// Times after the end of the watch are left out.
 const ROUTINE_SHARES: [(Duration, &str); 3] = [
     (Duration::from_secs(10), "routine_share_after_10_s"),
     (Duration::from_secs(30), "routine_share_after_30_s"),
@@ -153,7 +153,8 @@
         .map_err(|error| report.failed(error))
 }
 
-/// Publishes urgent records at the rate of the size, first to measure their cost, then to measure their propagation.
+/// Publishes urgent records at the rate that the size gives, first to measure their cost, then to measure their
+/// propagation.
 pub fn report_changes(fleet: &mut Fleet, report: &mut Report) -> Result<(), ScaleError> {
     let interval = Duration::from_secs_f64(SECONDS_PER_DAY as f64 / report.size as f64);
     let limiters = FIXED_LIMITERS as u64;
--- a/crates/merlinreel-testkit/src/scale/server_list/decision_costs.rs
+++ b/crates/merlinreel-testkit/src/scale/server_list/decision_costs.rs
@@ -4,11 +4,13 @@
 use crate::scale::{Meter, Report, ScaleError, Unit};
 use std::time::Duration;
 
-/// Simulated time of one run of an idle limiter at the largest size. It is multiplied at smaller sizes.
+/// Simulated time of one run of an idle limiter at the largest size. Multiplied by [`Report::repeats`] at smaller
+/// sizes.
 const IDLE_DURATION: Duration = Duration::from_secs(3);
 /// Selection intervals in one run of requests.
 const SELECTION_INTERVALS: u64 = 10;
-/// Requests in each selection interval at the largest size. They are multiplied at smaller sizes.
+/// Requests in each selection interval at the largest size. Multiplied by [`Report::repeats`] at smaller
+/// sizes.
 const REQUESTS_PER_INTERVAL: u64 = 40;
 /// Simulated time between applying the list and the start of a measurement.
 const SETTLE: Duration = Duration::from_secs(1);
@@ -37,7 +39,7 @@
 pub(super) fn measure_requests(report: &mut Report) -> Result<(), ScaleError> {
     let mut limiter = limiter_with_list(report)?;
     limiter.idle(SETTLE);
-    let requests_per_interval = REQUESTS_PER_INTERVAL * report.repeats();
+    let per_interval = REQUESTS_PER_INTERVAL * report.repeats();
     let before = limiter.actions().attempts;
     let mut costs = Vec::new();
     for _ in 0..report.request.runs {
@@ -45,12 +47,12 @@
         for _ in 0..SELECTION_INTERVALS {
             limiter.advance_selection_interval();
             let meter = Meter::start();
-            (0..requests_per_interval).for_each(|_| limiter.request());
+            (0..per_interval).for_each(|_| limiter.request());
             cpu_seconds += meter.read().cpu_seconds;
         }
-        costs.push(cpu_seconds / (SELECTION_INTERVALS * requests_per_interval) as f64);
+        costs.push(cpu_seconds / (SELECTION_INTERVALS * per_interval) as f64);
     }
-    let requests = SELECTION_INTERVALS * requests_per_interval * u64::from(report.request.runs);
+    let requests = SELECTION_INTERVALS * per_interval * u64::from(report.request.runs);
     let attempts = limiter.actions().attempts - before;
     report.measured("request_cpu", Unit::CpuSeconds, costs)?;
     report.counted(
--- a/crates/merlinreel-testkit/src/scale/server_list/simulated_limiter.rs
+++ b/crates/merlinreel-testkit/src/scale/server_list/simulated_limiter.rs
@@ -147,8 +147,8 @@
         self.now = end;
     }
 
-    /// Advances the clock by whole seconds, with an empty event batch at each: as often as the decision module releases
-    /// servers.
+    /// Advances the clock by the whole seconds of a duration, with an empty event batch after each second, which is as
+    /// often as the decision module releases servers.
     pub fn idle_by_seconds(&mut self, duration: Duration) {
         for _ in 0..duration.as_secs() {
             self.now += Duration::from_secs(1);
--- a/crates/merlinreel-testkit/src/scale/server_list/update_costs.rs
+++ b/crates/merlinreel-testkit/src/scale/server_list/update_costs.rs
@@ -131,7 +131,7 @@
     )
 }
 
-/// Measures how the table applies a list of new servers and one of known servers.
+/// Measures the processor time in which the table applies a list of new servers and one of known servers.
 fn measure_table(report: &mut Report) -> Result<(), ScaleError> {
     let update = decoded_list(report)?;
     let repeats = report.repeats();
@@ -156,7 +156,8 @@
     )
 }
 
-/// Measures the event batch that passes a list of new servers, or one of known servers, to the decision module.
+/// Measures the processor time of the event batch that passes a list of new servers, or one of known servers, to the
+/// decision module.
 fn measure_decision_module(report: &mut Report) -> Result<(), ScaleError> {
     let list = EndpointTable::default().apply(decoded_list(report)?, false);
     let repeats = report.repeats();
@@ -187,7 +188,8 @@
     )
 }
 
-/// Measures change messages, from their bytes to the decision module, between two ticks.
+/// Measures the length of change messages and their processor time, from their bytes to the decision module, between
+/// two ticks.
 pub(super) fn measure_changes(report: &mut Report) -> Result<(), ScaleError> {
     for changes in &CHANGE_MESSAGES {
         let mut limiter = limiter_with_list(report)?;
--- a/crates/merlinreel-testkit/tests/scale_configuration.rs
+++ b/crates/merlinreel-testkit/tests/scale_configuration.rs
@@ -68,7 +68,7 @@
     );
 }
 
-/// Checks that the slope test fails for a change that grows with the number of routes.
+/// The slope check must fail for a change that grows with the number of routes.
 #[test]
 fn change_of_all_classes_is_too_steep() {
     let change_all =
--- a/crates/merlinreel-testkit/tests/scale_latency.rs
+++ b/crates/merlinreel-testkit/tests/scale_latency.rs
@@ -105,7 +105,7 @@
     check_slope(&points, MAX_EXPONENT).expect("about one attempt per request");
 }
 
-/// Checks that the slope test fails for a quadratic cost: the plan is sent once for every fifty of its requests.
+/// The slope check must fail for a quadratic cost: the plan is sent once for every fifty of its requests.
 #[test]
 fn plan_that_is_sent_repeatedly_is_too_steep() {
     let servers = LoopbackServers::start(SERVERS, RESPONSE_BYTES).expect("servers");
@@ -121,8 +121,9 @@
     check_slope(&points, MAX_EXPONENT).expect_err("quadratic");
 }
 
-/// The load is open-loop: the latency of requests that were due while a response was held counts from their planned send
-/// times. All bounds are lower bounds; they hold on any machine, as the response is released after the last planned time.
+/// The load is open-loop: the latency of requests that were due while a response was held counts from their planned
+/// send times. All bounds are lower bounds; they hold on any machine, as the response is released after the last
+/// planned time.
 #[test]
 fn stall_of_a_server_shows_in_all_requests_that_were_due_during_it() {
     const REQUESTS: u64 = 60;
--- a/crates/merlinreel-testkit/tests/scale_membership.rs
+++ b/crates/merlinreel-testkit/tests/scale_membership.rs
@@ -60,7 +60,7 @@
     bytes as f64 / f64::from(size)
 }
 
-/// Sends a message from each limiter to all others, a cost that the slope test must reject.
+/// Sends a message from each limiter to all others, a cost that the slope check must reject.
 fn broadcast(fleet: &mut Fleet, size: u32) {
     const BYTES: usize = 100;
     let now = fleet.now();
@@ -122,7 +122,7 @@
         "{:?}",
         fleet.knowledge()
     );
-    let watch = fleet.publish_watched(7, Urgency::Urgent).expect("short");
+    let watch = fleet.publish_watched(7, Urgency::Urgent).expect("a valid record");
     let is_held_by_all = |fleet: &Fleet| fleet.watch(watch).is_held_by_all();
     assert!(fleet.run_until(
         Duration::from_secs(30),
--- a/crates/merlinreel-testkit/tests/scale_server_list.rs
+++ b/crates/merlinreel-testkit/tests/scale_server_list.rs
@@ -150,7 +150,7 @@
     );
 }
 
-/// A table that is scanned for each entry, a cost that the slope test must reject. Counts the names that it compares.
+/// A table that is scanned for each entry, a cost that the slope check must reject. Counts the names that it compares.
 #[derive(Default)]
 struct ScannedTable(Vec<String>);
 
