--- a/crates/merlinreel-testkit/tests/scale_membership.rs
+++ b/crates/merlinreel-testkit/tests/scale_membership.rs
@@ -122,7 +122,9 @@
         "{:?}",
         fleet.knowledge()
     );
-    let watch = fleet.publish_watched(7, Urgency::Urgent).expect("a valid record");
+    let watch = fleet
+        .publish_watched(7, Urgency::Urgent)
+        .expect("a valid record");
     let is_held_by_all = |fleet: &Fleet| fleet.watch(watch).is_held_by_all();
     assert!(fleet.run_until(
         Duration::from_secs(30),
