--- a/crates/merlinreel-testkit/src/bin/scale.rs
+++ b/crates/merlinreel-testkit/src/bin/scale.rs
@@ -1,4 +1,5 @@
-//! The scale measurements as a command: data points as lines of JSON, progress on standard error.
+//! Command that runs the scale measurements and fits power laws to their results. Data points are written as lines of
+//! JSON, progress to standard error.
 
 use clap::{Parser, Subcommand};
 use merlinreel_testkit::scale::{
@@ -10,7 +11,7 @@
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
-/// Measures the cost of the control work of many limiters, by size.
+/// Measures how the cost of the limiters' control work grows with the size of a deployment.
 #[derive(Parser)]
 #[command(name = "scale")]
 struct Arguments {
@@ -22,35 +23,35 @@
 enum Command {
     /// Lists all measurements and their default sizes.
     List,
-    /// Runs measurements; all of them where no role is named.
+    /// Runs the selected measurements, by default all of them.
     Measure {
-        /// A role, as `list` names it.
+        /// Runs only the measurements of this role, as printed by `list`.
         #[arg(long)]
         role: Option<String>,
-        /// One variable of it.
+        /// Runs only the measurements of this variable, as printed by `list`.
         #[arg(long)]
         variable: Option<String>,
-        /// Sizes in ascending order, in place of the default ones.
+        /// Sizes in ascending order, separated by commas; by default those printed by `list`.
         #[arg(long, value_delimiter = ',')]
         sizes: Vec<u64>,
-        /// The seed that everything is drawn from.
+        /// Seed of all random number generators.
         #[arg(long, default_value_t = 7)]
         seed: u64,
-        /// How often times are measured at each size.
+        /// Number of runs in which processor times and latencies are measured at each size.
         #[arg(long, default_value_t = 3)]
         runs: u32,
-        /// The most megabytes that one size may take; half of the machine's memory where none is given.
+        /// Maximum memory of one size in megabytes; by default half of the machine's memory.
         #[arg(long)]
         memory_mb: Option<u64>,
-        /// The file that lines are written to; standard output where none is given.
+        /// File to write the data points to, replaced if it exists; by default standard output.
         #[arg(long)]
         output: Option<PathBuf>,
     },
-    /// Fits a power law to each metric of a file of data points.
+    /// Fits a power law to each metric in a file of data points.
     Fit {
-        /// The file, as `measure` writes it.
+        /// File of data points, as written by `measure`.
         file: PathBuf,
-        /// The size to evaluate every law at; its greatest measured one where none is given.
+        /// Size at which to evaluate each law; by default the largest measured size of the metric.
         #[arg(long)]
         at: Option<u64>,
     },
@@ -83,7 +84,7 @@
         } => {
             let measurements = select(role.as_deref(), variable.as_deref())?;
             let requests = requests(&measurements, &sizes, seed, runs, memory_mb)?;
-            let mut lines = writer(output.as_deref())?;
+            let mut lines = open_output(output.as_deref())?;
             let output_name = output.unwrap_or_else(|| PathBuf::from("standard output"));
             for (measurement, request) in measurements.iter().zip(&requests) {
                 measure(measurement, request, &mut *lines, &output_name)?;
@@ -95,12 +96,15 @@
 }
 
 fn list() {
-    for one in measurements() {
-        println!("{:14} {:15} {:?}", one.role, one.variable, one.sizes);
+    for measurement in measurements() {
+        println!(
+            "{:14} {:15} {:?}",
+            measurement.role, measurement.variable, measurement.sizes
+        );
     }
 }
 
-/// Validates all requests before the first measurement begins.
+/// Creates the requests of all measurements, so that they are all validated before the first measurement begins.
 fn requests(
     measurements: &[Measurement],
     sizes: &[u64],
@@ -108,26 +112,30 @@
     runs: u32,
     memory_mb: Option<u64>,
 ) -> Result<Vec<MeasureRequest>, ScaleError> {
-    let request = |one: &Measurement| {
-        let sizes = if sizes.is_empty() { one.sizes } else { sizes };
+    let request = |measurement: &Measurement| {
+        let sizes = if sizes.is_empty() {
+            measurement.sizes
+        } else {
+            sizes
+        };
         MeasureRequest::new(sizes.to_vec(), seed, runs, memory_mb)
     };
     measurements.iter().map(request).collect()
 }
 
-fn writer(output: Option<&Path>) -> Result<Box<dyn Write>, ScaleError> {
+fn open_output(output: Option<&Path>) -> Result<Box<dyn Write>, ScaleError> {
     match output {
         None => Ok(Box::new(io::stdout())),
         Some(path) => Ok(Box::new(BufWriter::new(
-            File::create(path).map_err(|why| failed(path, why))?,
+            File::create(path).map_err(|error| file_error(path, error))?,
         ))),
     }
 }
 
-fn failed(path: &Path, why: io::Error) -> ScaleError {
-    ScaleError::Output {
+fn file_error(path: &Path, error: io::Error) -> ScaleError {
+    ScaleError::File {
         path: path.display().to_string(),
-        why,
+        error,
     }
 }
 
@@ -142,14 +150,15 @@
         measurement.role, measurement.variable, request.sizes
     );
     (measurement.run)(request, &mut |data_point: DataPoint| {
-        let line = serde_json::to_string(&data_point).map_err(|why| failed(output, why.into()))?;
+        let line =
+            serde_json::to_string(&data_point).map_err(|error| file_error(output, error.into()))?;
         writeln!(lines, "{line}")
             .and_then(|()| lines.flush())
-            .map_err(|why| failed(output, why))
+            .map_err(|error| file_error(output, error))
     })
 }
 
-/// The values of one metric by the size of one variable.
+/// Identifies the values of one metric at all sizes of one variable.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct Curve {
     role: String,
@@ -158,12 +167,12 @@
 }
 
 fn fit(file: &Path, at: Option<u64>) -> Result<(), ScaleError> {
-    let lines = BufReader::new(File::open(file).map_err(|why| failed(file, why))?).lines();
+    let lines = BufReader::new(File::open(file).map_err(|error| file_error(file, error))?).lines();
     let mut curves: BTreeMap<Curve, Vec<Point>> = BTreeMap::new();
     for line in lines {
-        let line = line.map_err(|why| failed(file, why))?;
+        let line = line.map_err(|error| file_error(file, error))?;
         let data_point: serde_json::Value =
-            serde_json::from_str(&line).map_err(|why| failed(file, why.into()))?;
+            serde_json::from_str(&line).map_err(|error| file_error(file, error.into()))?;
         let text = |name: &str| data_point[name].as_str().unwrap_or_default().to_owned();
         let point = Point::new(
             data_point["size"].as_f64().unwrap_or(0.0),
@@ -178,24 +187,24 @@
             .or_default()
             .push(point);
     }
-    println!("role variable metric: points, exponent, R2, size, value there");
+    println!("role variable metric: points, exponent, R2, size, value at that size");
     for (curve, points) in curves {
         let Curve {
             role,
             variable,
             metric,
         } = curve;
-        let greatest = points.iter().map(|point| point.size).fold(0.0, f64::max);
-        let size = at.map_or(greatest, |at| at as f64);
-        match PowerLaw::through(&points) {
+        let largest = points.iter().map(|point| point.size).fold(0.0, f64::max);
+        let size = at.map_or(largest, |at| at as f64);
+        match PowerLaw::fit(&points) {
             Ok(law) => println!(
                 "{role} {variable} {metric}: {}, {:.2}, {:.3}, {size}, {:.6}",
                 points.len(),
                 law.exponent,
                 law.r_squared,
-                law.at(size)
+                law.value_at(size)
             ),
-            Err(why) => println!("{role} {variable} {metric}: no law, {why}"),
+            Err(error) => println!("{role} {variable} {metric}: no power law: {error}"),
         }
     }
     Ok(())
--- a/crates/merlinreel-testkit/src/scale.rs
+++ b/crates/merlinreel-testkit/src/scale.rs
@@ -1,8 +1,10 @@
-//! Scale measurements: the real control code of many limiters in one process, over an in-memory network on a simulated
-//! clock, without client traffic. Each module measures one role; `bin/scale.rs` runs them and writes [`DataPoint`]s.
+//! Scale measurements: run the real control code of one or many limiters in one process on a simulated clock, with an
+//! in-memory network in place of sockets. Only [`latency`] starts the program as a process and sends it requests in real
+//! time. Each module measures one role, a part of the program; `bin/scale.rs` runs the measurements and writes
+//! [`DataPoint`]s.
 //!
-//! Everything is drawn from a seed, so that counts (bytes, messages, event batches) are the same each run. Times and
-//! memory depend on the machine.
+//! All random values are drawn from a seed, so counts (bytes, messages, event batches) are the same in each run. Times
+//! and memory depend on the machine.
 
 mod catalogue;
 pub mod configuration;
--- a/crates/merlinreel-testkit/src/scale/catalogue.rs
+++ b/crates/merlinreel-testkit/src/scale/catalogue.rs
@@ -1,31 +1,31 @@
-//! All measurements by the name of their role and variable, each with the sizes that it is made at by default.
+//! The catalogue of all measurements by role and variable, with their default sizes.
 
 use super::{Emit, MeasureRequest, ScaleError};
 use super::{configuration, latency, membership, quotas, server_list, tenants};
 
-/// Measures at the sizes of a request.
+/// Measures at each size of a request and emits the data points.
 pub type Run = fn(&MeasureRequest, Emit) -> Result<(), ScaleError>;
 
 /// The measurement of a role by one variable.
 pub struct Measurement {
-    /// The part of the program that is measured.
+    /// Measured part of the program, as in [`DataPoint::role`](super::DataPoint::role).
     pub role: &'static str,
-    /// What is varied.
+    /// The quantity that is varied, by its name on the command line; data points may name it differently.
     pub variable: &'static str,
     /// The default sizes, in ascending order.
     pub sizes: &'static [u64],
-    /// Measures at the sizes of a request.
+    /// Runs the measurement.
     pub run: Run,
 }
 
-/// Servers in the list where the limiters that restart are varied.
+/// Servers in the server list while the number of restarting limiters is varied.
 const SERVERS_AT_RESTARTS: u64 = 160_000;
 
-/// A role by its name on the command line.
+/// Name of a role on the command line; creates the role's measurements.
 struct Role(&'static str);
 
 impl Role {
-    fn by(&self, variable: &'static str, sizes: &'static [u64], run: Run) -> Measurement {
+    fn measurement(&self, variable: &'static str, sizes: &'static [u64], run: Run) -> Measurement {
         Measurement {
             role: self.0,
             variable,
@@ -35,7 +35,7 @@
     }
 }
 
-/// All measurements, in the order in which a run of all makes them: the one that is sensitive to other load first.
+/// All measurements in the order in which they run: those of the request path first, as other load distorts them.
 pub fn measurements() -> Vec<Measurement> {
     let mut all = request_path_measurements();
     all.extend(server_list_measurements());
@@ -49,9 +49,9 @@
 fn request_path_measurements() -> Vec<Measurement> {
     let role = Role("request_path");
     vec![
-        role.by("rate", latency::RATE_SIZES, latency::measure_rate),
-        role.by("servers", latency::SERVERS_SIZES, latency::measure_servers),
-        role.by(
+        role.measurement("rate", latency::RATE_SIZES, latency::measure_rate),
+        role.measurement("servers", latency::SERVERS_SIZES, latency::measure_servers),
+        role.measurement(
             "answer",
             latency::RESPONSE_SIZES,
             latency::measure_response_sizes,
@@ -62,8 +62,8 @@
 fn server_list_measurements() -> Vec<Measurement> {
     let role = Role("server_list");
     vec![
-        role.by("servers", server_list::DEFAULT_SIZES, server_list::measure),
-        role.by(
+        role.measurement("servers", server_list::DEFAULT_SIZES, server_list::measure),
+        role.measurement(
             "restarts",
             server_list::RESTARTING_LIMITER_SIZES,
             |request, emit| {
@@ -76,26 +76,26 @@
 fn tenants_measurements() -> Vec<Measurement> {
     let role = Role("tenants");
     vec![
-        role.by("tenants", tenants::DEFAULT_SIZES, tenants::measure),
-        role.by("set_size", tenants::SET_SIZES, tenants::measure_sets),
-        role.by("fleet", tenants::FLEET_SIZES, tenants::measure_fleet),
+        role.measurement("tenants", tenants::DEFAULT_SIZES, tenants::measure),
+        role.measurement("set_size", tenants::SET_SIZES, tenants::measure_sets),
+        role.measurement("fleet", tenants::FLEET_SIZES, tenants::measure_fleet),
     ]
 }
 
 fn configuration_measurements() -> Vec<Measurement> {
     let role = Role("configuration");
     vec![
-        role.by(
+        role.measurement(
             "routes",
             configuration::DEFAULT_SIZES,
             configuration::measure,
         ),
-        role.by(
+        role.measurement(
             "plans",
             configuration::PLAN_SIZES,
             configuration::measure_plans,
         ),
-        role.by(
+        role.measurement(
             "reloads",
             configuration::RELOAD_SIZES,
             configuration::measure_reloads,
@@ -106,21 +106,21 @@
 fn quotas_measurements() -> Vec<Measurement> {
     let role = Role("quotas");
     vec![
-        role.by("limiters", quotas::DEFAULT_SIZES, quotas::measure),
-        role.by("set_size", quotas::SET_SIZES, quotas::measure_set_sizes),
-        role.by(
+        role.measurement("limiters", quotas::DEFAULT_SIZES, quotas::measure),
+        role.measurement("set_size", quotas::SET_SIZES, quotas::measure_set_sizes),
+        role.measurement(
             "customers",
             quotas::CUSTOMER_SIZES,
             quotas::measure_customers,
         ),
-        role.by(
+        role.measurement(
             "pressed",
             quotas::OVERLOADED_SIZES,
             quotas::measure_overloaded,
         ),
-        role.by("restarts", quotas::RESTART_SIZES, quotas::measure_restarts),
-        role.by("tenants", quotas::TENANT_SIZES, quotas::measure_tenants),
-        role.by(
+        role.measurement("restarts", quotas::RESTART_SIZES, quotas::measure_restarts),
+        role.measurement("tenants", quotas::TENANT_SIZES, quotas::measure_tenants),
+        role.measurement(
             "reported_tenants",
             quotas::REPORTED_TENANT_SIZES,
             quotas::measure_reported_tenants,
@@ -131,18 +131,18 @@
 fn membership_measurements() -> Vec<Measurement> {
     let role = Role("membership");
     vec![
-        role.by("limiters", membership::DEFAULT_SIZES, membership::measure),
-        role.by(
+        role.measurement("limiters", membership::DEFAULT_SIZES, membership::measure),
+        role.measurement(
             "changes",
             membership::CHANGE_SIZES,
             membership::measure_changes,
         ),
-        role.by(
+        role.measurement(
             "restarts",
             membership::RESTART_SIZES,
             membership::measure_restarts,
         ),
-        role.by(
+        role.measurement(
             "restart_of_one",
             membership::RESTART_OF_ONE_SIZES,
             membership::measure_restart_of_one,
@@ -150,29 +150,29 @@
     ]
 }
 
-/// The measurements of a role and of a variable, where they are given.
+/// The measurements of a role and a variable; `None` selects any.
 ///
 /// # Errors
-/// There is none.
+/// No measurement has this role and variable.
 pub fn select(role: Option<&str>, variable: Option<&str>) -> Result<Vec<Measurement>, ScaleError> {
-    let matches = |one: &Measurement| {
-        role.is_none_or(|role| role == one.role)
-            && variable.is_none_or(|variable| variable == one.variable)
+    let matches = |measurement: &Measurement| {
+        role.is_none_or(|role| role == measurement.role)
+            && variable.is_none_or(|variable| variable == measurement.variable)
     };
     let selected: Vec<Measurement> = measurements().into_iter().filter(matches).collect();
     if !selected.is_empty() {
         return Ok(selected);
     }
-    let given = [role, variable]
+    let value = [role, variable]
         .into_iter()
         .flatten()
         .collect::<Vec<_>>()
         .join(" ");
     Err(ScaleError::Argument {
         option: "role",
-        given,
-        why: "no measurement has this role and variable",
-        expected: "one that `scale list` names",
+        value,
+        problem: "no measurement has this role and variable",
+        expected: "a role and variable printed by `scale list`",
     })
 }
 
--- a/crates/merlinreel-testkit/src/scale/catalogue/tests.rs
+++ b/crates/merlinreel-testkit/src/scale/catalogue/tests.rs
@@ -3,15 +3,20 @@
 #[test]
 fn every_measurement_has_valid_sizes_and_a_unique_name() {
     let mut names = Vec::new();
-    for one in measurements() {
-        assert!(one.sizes.len() >= 4, "{} {}", one.role, one.variable);
-        MeasureRequest::new(one.sizes.to_vec(), 1, 1, Some(64)).expect("sound sizes");
-        names.push((one.role, one.variable));
+    for measurement in measurements() {
+        assert!(
+            measurement.sizes.len() >= 4,
+            "{} {}",
+            measurement.role,
+            measurement.variable
+        );
+        MeasureRequest::new(measurement.sizes.to_vec(), 1, 1, Some(64)).expect("valid sizes");
+        names.push((measurement.role, measurement.variable));
     }
-    let all = names.len();
+    let count = names.len();
     names.sort_unstable();
     names.dedup();
-    assert_eq!(names.len(), all);
+    assert_eq!(names.len(), count);
 }
 
 #[test]
--- a/crates/merlinreel-testkit/src/scale/data_point.rs
+++ b/crates/merlinreel-testkit/src/scale/data_point.rs
@@ -1,70 +1,70 @@
-//! One measured value, written as a line of JSON.
+//! The format of measured values, each of which is written as a line of JSON.
 
 use serde::Serialize;
 
-/// What a value counts.
+/// Unit of a value.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Unit {
-    /// Bytes.
+    /// Bytes of memory, or of an encoded message, file or list.
     Bytes,
-    /// Bytes per second of the simulated clock.
+    /// Bytes per second of simulated time.
     BytesPerSecond,
-    /// Messages.
+    /// Messages sent or received.
     Messages,
-    /// Messages per second of the simulated clock.
+    /// Messages per second of simulated time.
     MessagesPerSecond,
     /// Seconds of processor time.
     CpuSeconds,
-    /// Processor time as a share of one core, over the measured time of the simulated clock.
+    /// Processor time divided by the simulated time in which it was spent; 1 is one core in full use.
     CpuShare,
-    /// Seconds of the simulated clock.
+    /// Seconds of simulated time.
     Seconds,
-    /// Microseconds.
+    /// Microseconds of real time or of processor time, as [`Source`] states.
     Microseconds,
-    /// A number without a unit.
+    /// Number or ratio without a unit.
     Count,
 }
 
-/// Where a value comes from.
+/// How a value was obtained.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Source {
-    /// Counted: the same each run with the same seed.
+    /// Counted by the simulation: the same in each run with the same seed.
     Counted,
-    /// The kernel's accounting of this process, on this machine.
+    /// Read from the kernel's accounting of this process; depends on the machine.
     Kernel,
-    /// This process's monotonic clock, on this machine.
+    /// Measured by this process's monotonic clock; depends on the machine.
     Clock,
 }
 
-/// A value measured for a role while one variable has a size and all others are as `setting` says.
+/// One measured value of a role: `variable` had the value `size`, and `setting` describes all other conditions.
 #[derive(Clone, Debug, Serialize)]
 pub struct DataPoint {
-    /// The version of the package that measured it.
+    /// Version of the test kit that measured the value.
     pub version: &'static str,
-    /// The seed that everything was drawn from.
+    /// Seed of all random number generators.
     pub seed: u64,
-    /// The part of the program that was measured.
+    /// Measured part of the program, such as `quotas`.
     pub role: &'static str,
-    /// What is varied.
+    /// Name of the quantity that is varied over the sizes, such as `limiters`.
     pub variable: &'static str,
-    /// The variable's value.
+    /// Value of the variable.
     pub size: u64,
-    /// All other conditions, as text.
+    /// Description of all other conditions, as text.
     pub setting: String,
-    /// The name of the value.
+    /// Name of the measured quantity, such as `cpu_share`.
     pub metric: &'static str,
-    /// Its unit.
+    /// Unit of `value`, `least` and `most`.
     pub unit: Unit,
-    /// Where it comes from.
+    /// How the value was obtained.
     pub source: Source,
-    /// The median of the runs, or the only one.
+    /// Median of the runs; the greater of the two middle values if the number of runs is even.
     pub value: f64,
-    /// The least value of the runs.
+    /// Minimum of the runs.
     pub least: f64,
-    /// The greatest value of the runs.
+    /// Maximum of the runs.
     pub most: f64,
-    /// The number of runs.
+    /// Number of runs; for some metrics, the number of values observed in a single run.
     pub runs: u32,
 }
--- a/crates/merlinreel-testkit/src/scale/error.rs
+++ b/crates/merlinreel-testkit/src/scale/error.rs
@@ -1,50 +1,52 @@
-//! Why a scale run does not begin, or fails.
+//! Errors of the scale command and its measurements.
 
 use thiserror::Error;
 
-/// Why a scale run does not begin, or fails.
+/// Why a scale measurement or a fit can't start, or failed.
 #[derive(Debug, Error)]
 pub enum ScaleError {
     /// An option has an invalid value.
-    #[error("--{option} {given}: {why}; give {expected}")]
+    #[error("--{option} {value}: {problem}; expected {expected}")]
     Argument {
-        /// The option's name without dashes.
+        /// Name of the option without dashes.
         option: &'static str,
-        /// Its value.
-        given: String,
-        /// Why it is invalid.
-        why: &'static str,
-        /// What is valid.
+        /// Value of the option as given.
+        value: String,
+        /// Why the value is invalid.
+        problem: &'static str,
+        /// Description or example of a valid value.
         expected: &'static str,
     },
-    /// A size would exceed the memory bound.
+    /// The estimated memory of a size exceeds the limit.
     #[error(
-        "{what} needs about {needed_mb} MB, {given_mb} MB are allowed; raise --memory-mb, or ask for a smaller size"
+        "{what} needs about {needed_mb} MB, the limit is {max_mb} MB; raise --memory-mb or choose a smaller size"
     )]
     Memory {
-        /// What would be measured.
+        /// Description of what was to be measured, such as `2300 limiters`.
         what: String,
-        /// The estimated need in megabytes.
+        /// Estimated memory in megabytes.
         needed_mb: u64,
-        /// The bound in megabytes.
-        given_mb: u64,
+        /// Limit in megabytes.
+        max_mb: u64,
     },
-    /// A file can't be read or written.
-    #[error("{path}: {why}; check that the folder exists and can be written to")]
-    Output {
-        /// The file's path.
+    /// A file, or standard output, can't be read or written, or has a line that is not JSON.
+    #[error(
+        "{path}: {error}; check the path and its permissions, and that a file to fit has a data point on each line"
+    )]
+    File {
+        /// Path of the file, or `standard output`.
         path: String,
-        /// Why it fails.
-        why: std::io::Error,
+        /// The I/O or JSON error.
+        error: std::io::Error,
     },
     /// A measurement failed at a size.
     #[error("{role} at size {size}: {why}")]
     Failed {
-        /// The role that was measured.
+        /// Role that was measured.
         role: &'static str,
-        /// The size.
+        /// Size at which it failed.
         size: u64,
-        /// Why it failed.
+        /// Description of the underlying error.
         why: String,
     },
 }
--- a/crates/merlinreel-testkit/src/scale/meter.rs
+++ b/crates/merlinreel-testkit/src/scale/meter.rs
@@ -1,18 +1,18 @@
-//! Processor time and memory of this process, by the kernel's accounting.
+//! Measures a thread's processor time and the process's memory by the kernel's accounting.
 
 use super::proc_file::resident_bytes;
 use std::fs;
 
-/// What was used between a meter's start and a reading.
+/// Processor time and memory used between a meter's start and a reading.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Usage {
-    /// Processor time of the thread that measures, in seconds.
+    /// Processor time of the thread that reads the meter, in seconds.
     pub cpu_seconds: f64,
-    /// Growth of the process's resident memory, in bytes; 0 where it shrank.
+    /// Growth of the process's resident memory, in bytes; 0 if it shrank.
     pub memory_bytes: u64,
 }
 
-/// Measures the thread that it was started on.
+/// The kernel's values at the start of a measurement. Must be read on the thread that started it.
 #[derive(Clone, Copy, Debug)]
 pub struct Meter {
     cpu_nanoseconds: u64,
@@ -20,7 +20,7 @@
 }
 
 impl Meter {
-    /// Starts to measure.
+    /// Starts a measurement.
     pub fn start() -> Meter {
         Meter {
             cpu_nanoseconds: cpu_nanoseconds(),
@@ -28,7 +28,7 @@
         }
     }
 
-    /// What was used since the start.
+    /// Processor time and memory used since the start; the meter can be read again later.
     pub fn read(&self) -> Usage {
         let cpu = cpu_nanoseconds().saturating_sub(self.cpu_nanoseconds);
         Usage {
@@ -38,7 +38,7 @@
     }
 }
 
-/// The first value of the kernel's scheduling statistics of this thread.
+/// Processor time of this thread since its start, the first value of the kernel's scheduling statistics; 0 if unreadable.
 fn cpu_nanoseconds() -> u64 {
     let statistics = fs::read_to_string("/proc/thread-self/schedstat").unwrap_or_default();
     statistics
--- a/crates/merlinreel-testkit/src/scale/network.rs
+++ b/crates/merlinreel-testkit/src/scale/network.rs
@@ -1,18 +1,18 @@
-//! An in-memory network of datagrams with delay, loss and partitions, drawn from a seed, on a simulated clock.
+//! An in-memory datagram network on a simulated clock, with delay and loss drawn from a seed, and with partitions.
 
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// The conditions between endpoints that are not partitioned from each other.
+/// Delay and loss of datagrams between endpoints that are not partitioned from each other.
 #[derive(Clone, Copy, Debug)]
 pub struct LinkConditions {
-    /// The least delay.
+    /// Minimum delay.
     pub delay: Duration,
-    /// The most that is added to the delay, drawn for each datagram.
+    /// Maximum of the random time that is added to the delay of each datagram.
     pub jitter: Duration,
-    /// The share of datagrams that are lost.
+    /// Probability that a datagram is lost.
     pub loss: f64,
 }
 
@@ -26,56 +26,56 @@
     }
 }
 
-/// What an endpoint sent and received.
+/// Messages and bytes that an endpoint sent and received.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Traffic {
-    /// Messages sent, lost ones included.
+    /// Messages sent, including those lost.
     pub sent_messages: u64,
-    /// Bytes sent, without headers.
+    /// Bytes sent, including those lost, without UDP and IP headers.
     pub sent_bytes: u64,
-    /// Messages received.
+    /// Messages received from the network, whether or not the endpoint then drops them.
     pub received_messages: u64,
-    /// Bytes received, without headers.
+    /// Bytes received, without UDP and IP headers.
     pub received_bytes: u64,
 }
 
 /// A datagram in flight.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Datagram {
-    /// The endpoint that sent it.
+    /// Index of the endpoint that sent it.
     pub from: u32,
-    /// The endpoint that receives it.
+    /// Index of the endpoint that receives it.
     pub to: u32,
-    /// Its content.
+    /// Payload.
     pub bytes: Vec<u8>,
 }
 
-/// A network of endpoints numbered from 0 on.
+/// A network of endpoints with indices from 0.
 pub struct Network {
     conditions: LinkConditions,
     random: ChaCha8Rng,
-    /// By the time at which it is received; the number keeps those of one moment in order.
+    /// Datagrams by time of arrival; the sequence number keeps those with equal times in the order of sending.
     in_flight: BTreeMap<(Duration, u64), Datagram>,
-    number: u64,
+    last_sequence: u64,
     traffic: Vec<Traffic>,
     /// Groups of endpoints that reach only each other.
     partitions: Vec<BTreeSet<u32>>,
 }
 
 impl Network {
-    /// A network without partitions.
+    /// Creates a network without partitions.
     pub fn new(endpoints: usize, seed: u64, conditions: LinkConditions) -> Network {
         Network {
             conditions,
             random: ChaCha8Rng::seed_from_u64(seed),
             in_flight: BTreeMap::new(),
-            number: 0,
+            last_sequence: 0,
             traffic: vec![Traffic::default(); endpoints],
             partitions: Vec::new(),
         }
     }
 
-    /// By endpoint, the traffic since the start or the last reset.
+    /// Traffic of each endpoint since the start or the last reset.
     pub fn traffic(&self) -> &[Traffic] {
         &self.traffic
     }
@@ -85,20 +85,20 @@
         self.traffic.fill(Traffic::default());
     }
 
-    /// Partitions these endpoints from all others.
+    /// Partitions these endpoints from all others; datagrams sent between the two groups are dropped.
     pub fn partition(&mut self, endpoints: impl IntoIterator<Item = u32>) {
         self.partitions.push(endpoints.into_iter().collect());
     }
 
-    /// Ends all partitions.
+    /// Removes all partitions.
     pub fn heal(&mut self) {
         self.partitions.clear();
     }
 
-    /// Sends a datagram.
+    /// Sends a datagram, which may be lost.
     ///
     /// # Panics
-    /// `from` is no endpoint of the network.
+    /// `from` is not an endpoint of the network.
     pub fn send(&mut self, now: Duration, from: u32, to: u32, bytes: Vec<u8>) {
         let sender = &mut self.traffic[from as usize];
         sender.sent_messages += 1;
@@ -108,10 +108,10 @@
         if is_lost || self.is_partitioned(from, to) {
             return;
         }
-        self.number += 1;
+        self.last_sequence += 1;
         let at = now + self.conditions.delay + jitter;
         self.in_flight
-            .insert((at, self.number), Datagram { from, to, bytes });
+            .insert((at, self.last_sequence), Datagram { from, to, bytes });
     }
 
     fn is_partitioned(&self, from: u32, to: u32) -> bool {
@@ -120,15 +120,15 @@
             .any(|partition| partition.contains(&from) != partition.contains(&to))
     }
 
-    /// When the next datagram can be received.
+    /// Simulated time at which the next datagram arrives; `None` if none is in flight.
     pub fn next_due(&self) -> Option<Duration> {
         self.in_flight.first_key_value().map(|((at, _), _)| *at)
     }
 
-    /// Removes the next datagram that has arrived by `now`.
+    /// Removes and returns the next datagram that has arrived by `now`.
     ///
     /// # Panics
-    /// It was sent to no endpoint of the network.
+    /// The datagram's receiver is not an endpoint of the network.
     pub fn receive(&mut self, now: Duration) -> Option<Datagram> {
         let next = self
             .in_flight
--- a/crates/merlinreel-testkit/src/scale/network/tests.rs
+++ b/crates/merlinreel-testkit/src/scale/network/tests.rs
@@ -2,8 +2,9 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 
-/// Sends a hundred datagrams of eight bytes; what was received by a second later, and the traffic.
-fn play(seed: u64, is_partitioned: bool) -> (Vec<Datagram>, Vec<Traffic>) {
+/// Sends a hundred datagrams of eight bytes from endpoint 0 to endpoints 1 and 2 in turn. Returns the datagrams received
+/// within a second, and the traffic of each endpoint.
+fn exchange(seed: u64, is_partitioned: bool) -> (Vec<Datagram>, Vec<Traffic>) {
     let mut network = Network::new(
         3,
         seed,
@@ -29,29 +30,32 @@
 
 #[test]
 fn same_seed_delivers_the_same_datagrams() {
-    assert_eq!(play(7, false), play(7, false));
-    assert_ne!(play(7, false).0, play(8, false).0);
+    assert_eq!(exchange(7, false), exchange(7, false));
+    assert_ne!(exchange(7, false).0, exchange(8, false).0);
 }
 
 #[test]
 fn lost_datagrams_are_counted_as_sent_only() {
-    let (arrived, traffic) = play(7, false);
+    let (arrived, traffic) = exchange(7, false);
     assert!((60..100).contains(&arrived.len()), "{}", arrived.len());
     assert_eq!(
         (traffic[0].sent_messages, traffic[0].sent_bytes),
         (100, 800)
     );
-    let received: u64 = traffic.iter().map(|one| one.received_messages).sum();
+    let received: u64 = traffic
+        .iter()
+        .map(|endpoint| endpoint.received_messages)
+        .sum();
     assert_eq!(received, arrived.len() as u64);
 }
 
 #[test]
 fn partitioned_endpoint_receives_nothing() {
-    assert!(play(7, true).0.iter().all(|datagram| datagram.to == 1));
+    assert!(exchange(7, true).0.iter().all(|datagram| datagram.to == 1));
 }
 
 #[test]
-fn datagram_arrives_no_earlier_than_its_delay() {
+fn datagram_arrives_no_earlier_than_the_minimum_delay() {
     let mut network = Network::new(
         2,
         1,
--- a/crates/merlinreel-testkit/src/scale/report.rs
+++ b/crates/merlinreel-testkit/src/scale/report.rs
@@ -1,54 +1,54 @@
-//! Data points of one measured size.
+//! Creates and emits the data points of one measured size.
 
 use super::{DataPoint, MeasureRequest, Meter, ScaleError, Source, Unit};
 
-/// Receives data points as they are measured.
+/// Callback that receives each data point as soon as it is measured.
 pub type Emit<'a> = &'a mut dyn FnMut(DataPoint) -> Result<(), ScaleError>;
 
-/// What is varied of a role, by the names in its data points.
+/// The quantity of a role that is varied, by its names in data points.
 #[derive(Clone, Copy, Debug)]
 pub struct Variable {
-    /// The part of the program that is measured.
+    /// Measured part of the program, as in [`DataPoint::role`].
     pub role: &'static str,
-    /// The variable's name.
+    /// Name of the quantity, as in [`DataPoint::variable`].
     pub name: &'static str,
 }
 
-/// A role and a size of its variable, to name in errors.
+/// A role and the measured size, for error messages. Unlike a [`Report`], it can be copied into closures.
 #[derive(Clone, Copy, Debug)]
 pub struct MeasuredSize {
-    /// The role that is measured.
+    /// Measured part of the program, as in [`DataPoint::role`].
     pub role: &'static str,
-    /// The size.
+    /// Value of the variable.
     pub size: u64,
 }
 
 impl MeasuredSize {
-    /// The error of a measurement that failed at this size.
-    pub fn failed(self, why: impl ToString) -> ScaleError {
+    /// Creates the error of a measurement that failed at this size.
+    pub fn failed(self, error: impl ToString) -> ScaleError {
         ScaleError::Failed {
             role: self.role,
             size: self.size,
-            why: why.to_string(),
+            why: error.to_string(),
         }
     }
 }
 
-/// What all data points of one size have in common, and where they are emitted to.
+/// Emits the data points of one size, with the fields that they have in common.
 pub struct Report<'a> {
-    /// What was requested.
+    /// The request that is being measured, with the seed and the number of runs.
     pub request: &'a MeasureRequest,
-    /// What is varied.
+    /// The quantity that is varied.
     pub variable: Variable,
-    /// The variable's size.
+    /// Value of the variable.
     pub size: u64,
-    /// All other conditions, as text.
+    /// Description of all other conditions.
     setting: String,
     emit: Emit<'a>,
 }
 
 impl<'a> Report<'a> {
-    /// A report of a size; `setting` says all other conditions.
+    /// Creates the report of a size; `setting` describes all other conditions.
     pub fn new(
         request: &'a MeasureRequest,
         variable: Variable,
@@ -67,7 +67,7 @@
 }
 
 impl Report<'_> {
-    /// The role and size, to name in errors.
+    /// The role and size, for error messages.
     pub fn measured_size(&self) -> MeasuredSize {
         MeasuredSize {
             role: self.variable.role,
@@ -75,12 +75,12 @@
         }
     }
 
-    /// The error of a measurement that failed at this size.
-    pub fn failed(&self, why: impl ToString) -> ScaleError {
-        self.measured_size().failed(why)
+    /// Creates the error of a measurement that failed at this size.
+    pub fn failed(&self, error: impl ToString) -> ScaleError {
+        self.measured_size().failed(error)
     }
 
-    /// Emits a counted value.
+    /// Emits a value that was counted once, as it is the same in each run.
     ///
     /// # Errors
     /// The data point can't be written.
@@ -93,7 +93,7 @@
         self.runs(metric, unit, Source::Counted, vec![value])
     }
 
-    /// Emits a value of the kernel's accounting, by its runs; nothing where there were none.
+    /// Emits a value of the kernel's accounting from its values in each run; emits nothing if `runs` is empty.
     ///
     /// # Errors
     /// The data point can't be written.
@@ -106,7 +106,7 @@
         self.runs(metric, unit, Source::Kernel, runs)
     }
 
-    /// Emits a value by its runs; nothing where there were none.
+    /// Emits a data point from its values in each run; emits nothing if `runs` is empty.
     ///
     /// # Errors
     /// The data point can't be written.
@@ -138,22 +138,22 @@
         })
     }
 
-    /// How often work is repeated in one measurement, so that each size has about as much of it as the largest: the
-    /// kernel counts processor time in steps of some milliseconds.
+    /// Number of repetitions of the work in one measurement. Smaller sizes repeat it until it is about as much as at the
+    /// largest size, as the kernel counts processor time in steps of some milliseconds.
     pub fn repeats(&self) -> u64 {
         (self.largest_size() / self.size).max(1)
     }
 
-    /// The largest size of the request.
+    /// Largest size of the request.
     pub fn largest_size(&self) -> u64 {
         self.request.sizes.last().copied().unwrap_or(self.size)
     }
 
-    /// Emits the processor time of each piece of `work`, over as many inputs as `prepare` makes, once per run. Outputs
-    /// are dropped after the measurement.
+    /// Emits the mean processor time of a call of `work`. In each run, `prepare` creates the inputs, and `work` is measured
+    /// over all of them; its outputs are dropped after the measurement.
     ///
     /// # Errors
-    /// Preparation or work fails, or the data point can't be written.
+    /// `prepare` or `work` fails, or the data point can't be written.
     pub fn cpu_of_each<Input, Output>(
         &mut self,
         metric: &'static str,
--- a/crates/merlinreel-testkit/src/scale/request.rs
+++ b/crates/merlinreel-testkit/src/scale/request.rs
@@ -1,74 +1,74 @@
-//! The request of a scale run, validated before any of it begins.
+//! The sizes, seed and limits of a measurement, validated before it begins.
 
 use super::ScaleError;
 use super::proc_file;
 
-/// Assumed where the machine's memory is unknown, in kilobytes.
+/// Assumed memory of the machine if it is unknown.
 const DEFAULT_MEMORY_KB: u64 = 2 << 20;
 
-/// The sizes to measure at, and the bounds of the run.
+/// The sizes to measure at, the seed and the limits.
 #[derive(Clone, Debug)]
 pub struct MeasureRequest {
-    /// In ascending order.
+    /// Sizes in ascending order, each at least 1.
     pub sizes: Vec<u64>,
-    /// What everything is drawn from.
+    /// Seed of all random number generators.
     pub seed: u64,
-    /// How often times are measured at each size.
+    /// Number of runs in which processor times and latencies are measured at each size.
     pub runs: u32,
-    /// The most memory that one size may take, in megabytes.
+    /// Maximum estimated memory of one size, in megabytes.
     pub memory_mb: u64,
 }
 
 impl MeasureRequest {
-    /// A valid request. Without a memory bound, it is half of the machine's memory.
+    /// Creates a valid request. If `memory_mb` is `None`, the limit is half of the machine's memory.
     ///
     /// # Errors
-    /// Sizes are not in ascending order, one is 0 or given twice, or there are no sizes, runs or memory.
+    /// There are no sizes, a size is 0, the sizes are not in strictly ascending order, or `runs` or `memory_mb` is 0.
     pub fn new(
         sizes: Vec<u64>,
         seed: u64,
         runs: u32,
         memory_mb: Option<u64>,
     ) -> Result<MeasureRequest, ScaleError> {
-        let argument = |option, given: String, why, expected| {
+        let invalid = |option, value: String, problem, expected| {
             Err(ScaleError::Argument {
                 option,
-                given,
-                why,
+                value,
+                problem,
                 expected,
             })
         };
-        let given = format!("{sizes:?}");
+        let value = format!("{sizes:?}");
         if sizes.is_empty() || sizes.contains(&0) {
-            return argument(
+            return invalid(
                 "sizes",
-                given,
-                "a size must be 1 at least",
+                value,
+                "sizes must be at least 1, and at least one is needed",
                 "sizes such as 50,150,500",
             );
         }
         if !sizes.is_sorted_by(|a, b| a < b) {
-            return argument(
+            return invalid(
                 "sizes",
-                given,
-                "they are not in ascending order",
+                value,
+                "sizes must be in ascending order, each of them once",
                 "sizes such as 50,150,500",
             );
         }
         if runs == 0 {
-            return argument(
+            return invalid(
                 "runs",
                 "0".to_owned(),
-                "nothing would be measured",
+                "at least one run is needed",
                 "1 or more",
             );
         }
-        let memory_mb = memory_mb.unwrap_or_else(half_of_the_machine_mb);
+        let memory_mb = memory_mb.unwrap_or_else(half_of_machine_memory_mb);
         if memory_mb == 0 {
-            return argument(
+            return invalid(
                 "memory-mb",
                 "0".to_owned(),
-                "no size fits",
+                "no size fits into 0 MB",
                 "a number of megabytes, 64 or more",
             );
         }
@@ -80,10 +80,10 @@
         })
     }
 
-    /// Checks the estimated need of a size.
+    /// Checks the estimated memory of a size against the limit; `what` describes the size for the error message.
     ///
     /// # Errors
-    /// The need is over the bound.
+    /// The estimate exceeds the limit.
     pub fn check_memory(&self, what: &str, needed_mb: u64) -> Result<(), ScaleError> {
         if needed_mb <= self.memory_mb {
             return Ok(());
@@ -91,12 +91,12 @@
         Err(ScaleError::Memory {
             what: what.to_owned(),
             needed_mb,
-            given_mb: self.memory_mb,
+            max_mb: self.memory_mb,
         })
     }
 }
 
-fn half_of_the_machine_mb() -> u64 {
+fn half_of_machine_memory_mb() -> u64 {
     let kilobytes = proc_file::kilobytes("/proc/meminfo", "MemTotal:");
     kilobytes.unwrap_or(DEFAULT_MEMORY_KB) / 1024 / 2
 }
--- a/crates/merlinreel-testkit/src/scale/simulated.rs
+++ b/crates/merlinreel-testkit/src/scale/simulated.rs
@@ -1,5 +1,5 @@
-//! What the simulated limiters of several measurements share. Each runs the real decision module, without sockets and on
-//! a simulated clock.
+//! Shared parts of the simulated limiters of several measurements, which run the real decision module without sockets and
+//! on a simulated clock.
 
 use merlinreel_policy::{
     Actions, AttemptOutcome, AttemptResult, LoadReport, RejectReason, RequestIndex, ServerIndex,
@@ -9,7 +9,7 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// Settings that the program rejects: the reason names the key at fault.
+/// The program rejects the settings. The reason is that of the settings reader, which names the key at fault.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 #[error("{reason}")]
 pub struct InvalidSettings {
@@ -17,7 +17,7 @@
 }
 
 impl InvalidSettings {
-    /// Settings that were rejected for this reason.
+    /// Creates the error from the reason for which the settings were rejected.
     pub fn new(reason: impl ToString) -> InvalidSettings {
         InvalidSettings {
             reason: reason.to_string(),
@@ -25,14 +25,14 @@
     }
 }
 
-/// The settings of a JSON value, as the program reads them.
+/// Reads settings from a JSON value, as the program does.
 pub fn read_settings(value: &Value) -> Result<Settings, InvalidSettings> {
     SettingsTree::from_json(value)
         .and_then(|tree| Settings::read(&tree))
         .map_err(InvalidSettings::new)
 }
 
-/// The result of an attempt that succeeded, of request 0.
+/// The result of a successful first attempt of request 0 that also completes the request.
 pub fn successful_attempt(server: ServerIndex, latency: Duration) -> AttemptResult {
     AttemptResult {
         request: RequestIndex(0),
@@ -47,23 +47,23 @@
     }
 }
 
-/// Observes the decision module's actions; those that a measurement does not need are ignored.
+/// Observes the decision module's actions. The default implementations ignore them.
 pub trait ActionObserver {
-    /// An attempt is to be sent to a server.
+    /// The limiter starts an attempt at a server.
     fn attempt_started(&mut self, _server: ServerIndex) {}
-    /// A request is rejected.
+    /// The limiter rejects a request.
     fn request_rejected(&mut self, _request: RequestIndex) {}
-    /// A message is to be sent to another limiter.
+    /// The limiter sends a message to the limiter with this index.
     fn peer_message_sent(&mut self, _limiter: u32, _message: &[u8]) {}
-    /// A server's index may be used again.
+    /// The limiter no longer uses a server's index, which may be reused.
     fn endpoint_released(&mut self, _server: ServerIndex) {}
-    /// The decision module is to be called again after this time.
+    /// The limiter asks to be called again after this time.
     fn wakeup_scheduled(&mut self, _after: Duration) {}
     /// Any other action.
     fn other_action(&mut self) {}
 }
 
-/// Passes the decision module's actions on to an observer.
+/// Implements the decision module's actions by passing them to an observer.
 #[derive(Default)]
 pub struct Observed<Observer>(pub Observer);
 
