--- a/crates/merlinreel-testkit/src/scale/quotas.rs
+++ b/crates/merlinreel-testkit/src/scale/quotas.rs
@@ -1,8 +1,9 @@
-//! What quotas cost limiters and how well they are enforced: peer messages and aggregators, by the number of limiters,
-//! the size of customers' limiter sets, customers per limiter, the share of customers over their quota, and limiters that
-//! restart; and what one limiter's tables take for each tenant.
+//! Measures the cost of quotas and how well they are enforced by peer messages and aggregators. Varied are the number of
+//! limiters, the size of customers' limiter sets, the customers per limiter, the share of customers whose demand exceeds
+//! their quota, and the number of limiters that restart. Also measures the memory of one limiter's tables by the number
+//! of tenants.
 //!
-//! Bytes are those of the messages, without the datagrams' headers.
+//! Bytes of messages don't include the datagrams' UDP and IP headers.
 
 mod counts;
 mod customer;
@@ -23,7 +24,7 @@
 };
 
 use super::{Emit, MeasureRequest, Meter, Report, ScaleError, Source, Unit, Variable};
-use counts::{OBSERVED_AFTER_RESTART, TRACED_AT_ALL, WARM_UP, count_in};
+use counts::{OBSERVED_AFTER_RESTART, WARM_UP, WHOLE_SET_PHASE, count_in};
 use std::time::Duration;
 
 const LIMITERS: Variable = Variable {
@@ -46,25 +47,29 @@
     role: "quotas",
     name: "limiters_restarted",
 };
-const MEASURED: Duration = Duration::from_secs(20);
+/// Simulated time over which a fleet is measured after the warm-up.
+const MEASURED_TIME: Duration = Duration::from_secs(20);
+/// Traced customers of each fleet, spread evenly over its limiters.
 const TRACED_CUSTOMERS: u32 = 5;
-const RESTART_LIMITERS: u32 = 500;
+/// Limiters of the fleet while the number of restarts is varied.
+const FIXED_LIMITERS: u32 = 500;
 
-/// Sizes of [`measure`]: limiters.
+/// Default sizes of [`measure`]: limiters of the fleet.
 pub const DEFAULT_SIZES: &[u64] = &[20, 50, 150, 500, 1_500, 2_300];
-/// Limiters of a customer's set; the last is all limiters of the default fleet.
+/// Default sizes of [`measure_set_sizes`]: limiters in each customer's set; the last is all limiters of the default fleet.
 pub const SET_SIZES: &[u64] = &[1, 10, 37, 100, 300, 500];
-/// Customers of each limiter.
+/// Default sizes of [`measure_customers`]: customers of each limiter.
 pub const CUSTOMER_SIZES: &[u64] = &[5, 20, 80, 320];
-/// Customers over their quota, in percent.
+/// Default sizes of [`measure_overloaded`]: percentage of customers whose demand exceeds their quota.
 pub const OVERLOADED_SIZES: &[u64] = &[10, 25, 50, 100];
-/// Limiters that restart: one, a zone's eleventh, about a region's fifth, and all of the fleet.
+/// Default sizes of [`measure_restarts`]: limiters that restart, of 500. One, an eleventh (a zone), a fifth (about a
+/// region), and all.
 pub const RESTART_SIZES: &[u64] = &[1, 45, 100, 500];
 
 /// Varies the number of limiters.
 ///
 /// # Errors
-/// A size exceeds the memory bound, or a measurement fails.
+/// A size exceeds the memory limit, or a measurement fails.
 pub fn measure(request: &MeasureRequest, emit: Emit) -> Result<(), ScaleError> {
     let setting = |size| FleetSetting {
         limiters: size as u32,
@@ -73,11 +78,11 @@
     measure_fleets(request, LIMITERS, setting, emit)
 }
 
-/// Varies the size of customers' limiter sets. Each limiter's customers and traffic stay, so a customer's traffic and
-/// quota grow with its set.
+/// Varies the size of customers' limiter sets. The customers and traffic of each limiter stay the same, so the traffic
+/// and quota of a customer grow with its set.
 ///
 /// # Errors
-/// A size exceeds the memory bound, or a measurement fails.
+/// A size exceeds the memory limit, or a measurement fails.
 pub fn measure_set_sizes(request: &MeasureRequest, emit: Emit) -> Result<(), ScaleError> {
     let setting = |size| FleetSetting {
         set_size: size as u32,
@@ -86,10 +91,11 @@
     measure_fleets(request, SET_SIZE, setting, emit)
 }
 
-/// Varies the customers of each limiter. Its traffic stays, so a customer's traffic and quota shrink.
+/// Varies the number of customers of each limiter. The limiter's traffic stays the same, so the traffic and quota of each
+/// customer shrink as their number grows.
 ///
 /// # Errors
-/// A size exceeds the memory bound, or a measurement fails.
+/// A size exceeds the memory limit, or a measurement fails.
 pub fn measure_customers(request: &MeasureRequest, emit: Emit) -> Result<(), ScaleError> {
     let setting = |size| FleetSetting {
         customers_per_limiter: size as u32,
@@ -101,7 +107,7 @@
 /// Varies the percentage of customers whose demand exceeds their quota.
 ///
 /// # Errors
-/// A size exceeds the memory bound, or a measurement fails.
+/// A size exceeds the memory limit, or a measurement fails.
 pub fn measure_overloaded(request: &MeasureRequest, emit: Emit) -> Result<(), ScaleError> {
     let setting = |size| FleetSetting {
         overloaded_percent: size as u32,
@@ -113,10 +119,10 @@
 /// Varies the number of limiters that restart at once.
 ///
 /// # Errors
-/// The fleet exceeds the memory bound, or a measurement fails.
+/// The fleet exceeds the memory limit, or a measurement fails.
 pub fn measure_restarts(request: &MeasureRequest, emit: Emit) -> Result<(), ScaleError> {
     let setting = FleetSetting {
-        limiters: RESTART_LIMITERS,
+        limiters: FIXED_LIMITERS,
         ..FleetSetting::default()
     };
     for &size in &request.sizes {
@@ -125,7 +131,7 @@
         let restarted = (size as u32).min(setting.limiters);
         let recovery = count_recovery(setting, request.seed, restarted)
             .map_err(|error| report.failed(error))?;
-        // Where quotas are not enforced again within the observed time, that time is the lower bound.
+        // If quotas are not enforced again within the observed time, that time is reported as a lower bound.
         let enforced_after = recovery.enforced_after.unwrap_or(OBSERVED_AFTER_RESTART);
         report.counted(
             "quotas_hold_after",
@@ -157,8 +163,8 @@
     Ok(())
 }
 
-/// Checks that a fleet's tables fit: some numbers of each peer at each limiter, two windows of reports at each
-/// customer's aggregator, and the accounts.
+/// Checks that a fleet's tables fit into the memory limit: each limiter's state of every peer, the reports of two windows
+/// at each customer's aggregator, and the accounts.
 fn check_memory(request: &MeasureRequest, setting: &FleetSetting) -> Result<(), ScaleError> {
     const PEER_BYTES: u64 = 40;
     const REPORT_BYTES: u64 = 16;
@@ -171,8 +177,8 @@
     request.check_memory(&format!("a fleet of {}", setting.text()), needed_mb)
 }
 
-/// Reports the counts, which are the same each run, and the processor time and memory. Memory is reported for the first
-/// size alone: later ones reuse what was freed, and would seem to need less than they do.
+/// Reports the counts, which are the same in each run, the processor time and the memory. Memory is reported for the
+/// first size only: later sizes reuse freed memory, so their growth would be less than what they need.
 fn report_counts(report: &mut Report, setting: FleetSetting) -> Result<(), ScaleError> {
     let runs = measure_runs(report, setting)?;
     let without_peers = FleetSetting {
@@ -235,12 +241,12 @@
         .try_for_each(|(metric, unit, value)| report.counted(metric, unit, value))
 }
 
-/// One run of a fleet.
+/// Results of one run of a fleet.
 struct MeasuredRun {
     counts: Counts,
-    /// Processor time of each limiter as a share of a core, the simulation included.
+    /// Mean processor time of a limiter as a share of one core, including the simulation.
     cpu_share: f64,
-    /// Memory of each limiter.
+    /// Mean memory of a limiter, including the simulation.
     memory_bytes: f64,
 }
 
@@ -257,30 +263,31 @@
         Fleet::new(setting, report.request.seed).map_err(|error| report.failed(error))?;
     fleet.run(WARM_UP);
     fleet.reset_counts();
-    let measured = Meter::start();
-    fleet.run(MEASURED);
-    let cpu_seconds = measured.read().cpu_seconds;
+    let measured_part = Meter::start();
+    fleet.run(MEASURED_TIME);
+    let cpu_seconds = measured_part.read().cpu_seconds;
     let memory_bytes = entire_run.read().memory_bytes as f64;
     Ok(MeasuredRun {
-        counts: count_in(&fleet, &setting, MEASURED),
-        cpu_share: cpu_seconds / MEASURED.as_secs_f64() / limiters,
+        counts: count_in(&fleet, &setting, MEASURED_TIME),
+        cpu_share: cpu_seconds / MEASURED_TIME.as_secs_f64() / limiters,
         memory_bytes: memory_bytes / limiters,
     })
 }
 
-/// Reports the median, least and greatest of the traced customers. Where some limiter did not reject, the observed time
-/// is the lower bound.
+/// Reports the median, minimum and maximum over the traced customers. If a limiter of a customer's set rejected none of
+/// its requests, the observed time is reported as a lower bound.
 fn report_propagation(report: &mut Report, setting: FleetSetting) -> Result<(), ScaleError> {
     let traced = count_propagation(setting, report.request.seed, TRACED_CUSTOMERS)
         .map_err(|error| report.failed(error))?;
     let values = |value: fn(&Propagation) -> f64| traced.iter().map(value).collect();
-    let rejected_after = values(|one| {
-        one.all_rejected_after
-            .unwrap_or(TRACED_AT_ALL)
+    let rejected_after = values(|propagation| {
+        propagation
+            .all_rejected_after
+            .unwrap_or(WHOLE_SET_PHASE)
             .as_secs_f64()
     });
-    let last_overage_after = values(|one| one.last_overage_after.as_secs_f64());
-    let overage = values(|one| one.overage_over_refill);
+    let last_overage_after = values(|propagation| propagation.last_overage_after.as_secs_f64());
+    let overage = values(|propagation| propagation.overage_over_refill);
     let counted = Source::Counted;
     report.runs("all_refused_after", Unit::Seconds, counted, rejected_after)?;
     report.runs(
--- a/crates/merlinreel-testkit/src/scale/quotas/counts.rs
+++ b/crates/merlinreel-testkit/src/scale/quotas/counts.rs
@@ -1,67 +1,71 @@
-//! How well a fleet enforces quotas, and what its peer messages take: counts that are the same each run.
+//! Counts how well a fleet enforces quotas, and its peer messages and their bytes. Counts are the same in each run with
+//! the same seed.
 
 use super::{Fleet, FleetSetting, OVERLOADED_PLAN, TRACED_RATE, Usage};
 use crate::scale::{InvalidSettings, Traffic};
 use std::time::Duration;
 
-/// Four times the refill of a token bucket: buckets are full at first, and after one refill they still hide overage.
+/// Four times the time in which an empty token bucket fills. Buckets start full, and after only one such time the units
+/// that they started with would still cover overage.
 pub const WARM_UP: Duration = Duration::from_secs(40);
-/// How long a traced customer sends requests to one limiter alone, so that its aggregator must learn of it.
-const TRACED_AT_FIRST: Duration = Duration::from_secs(10);
-/// How long a traced customer sends requests to all limiters of its set.
-pub const TRACED_AT_ALL: Duration = Duration::from_secs(30);
-/// Requests per second of a traced customer at the first limiter of its set.
-const TRACED_REQUESTS_PER_SECOND: u32 = 5;
-/// How long a fleet is observed after a restart.
+/// How long a traced customer sends requests only to the first limiter of its set, whose reports inform the aggregator.
+const FIRST_LIMITER_PHASE: Duration = Duration::from_secs(10);
+/// How long a traced customer then sends requests to all limiters of its set.
+pub const WHOLE_SET_PHASE: Duration = Duration::from_secs(30);
+/// Request rate of a traced customer at the first limiter of its set.
+const FIRST_LIMITER_REQUESTS_PER_SECOND: u32 = 5;
+/// How long a fleet is observed after limiters restarted.
 pub const OBSERVED_AFTER_RESTART: Duration = Duration::from_secs(60);
-/// Quotas are enforced again once this many seconds in a row have no more overage than any second without restarts.
+/// Quotas count as enforced again from the first of this many consecutive seconds in each of which overage does not
+/// exceed its maximum in a second without restarts.
 const ENFORCED_SECONDS: usize = 3;
 
-/// What a fleet did in the measured time, for each limiter and second where nothing else is stated.
+/// Counts of a fleet in the measured time; those of messages and bytes are per limiter and second.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Counts {
-    /// Messages sent, the mean over the limiters.
+    /// Mean of the messages that the limiters sent.
     pub messages_sent: f64,
-    /// Messages sent by the limiter that sent most.
+    /// Messages sent by the limiter that sent the most of them.
     pub messages_sent_greatest: f64,
-    /// Bytes sent, the mean over the limiters.
+    /// Mean of the bytes that the limiters sent.
     pub bytes_sent: f64,
-    /// Bytes sent by the limiter that sent most.
+    /// Bytes sent by the limiter that sent the most of them.
     pub bytes_sent_greatest: f64,
-    /// Messages received by the limiter that received most.
+    /// Messages received by the limiter that received the most of them, including those that its full inbox dropped.
     pub messages_received_greatest: f64,
-    /// Messages dropped by full inboxes, the mean over the limiters.
+    /// Mean of the messages that the limiters' full inboxes dropped.
     pub messages_dropped: f64,
-    /// Share of the admitted units of overloaded customers that their quotas did not cover.
+    /// Overage of overloaded customers divided by their admitted units; 0 if none were admitted.
     pub overage_share: f64,
-    /// Admitted units of overloaded customers over what their quotas refilled.
+    /// Admitted units of overloaded customers divided by the units that their quotas refilled in the measured time.
     pub quota_used_share: f64,
 }
 
-/// How a customer's use at one limiter became known to the others of its set.
+/// How soon the usage of a traced customer at one limiter affected decisions at the other limiters of its set. Times
+/// count from the moment at which the customer begins to send requests to all of them.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Propagation {
-    /// Time until each other limiter of the set had rejected a request at least once, at a request per second; none
-    /// where some did not within the observed time.
+    /// Time until each other limiter, which receives a request per second, has rejected at least one; `None` if some
+    /// limiter rejected none in the observed time.
     pub all_rejected_after: Option<Duration>,
-    /// Time until the last unit of overage.
+    /// Time until the last unit of overage was admitted; zero if there was none.
     pub last_overage_after: Duration,
-    /// Units of overage over what the quota refilled meanwhile.
+    /// Units of overage divided by the units that the quota refilled in the observed time.
     pub overage_over_refill: f64,
 }
 
-/// How quotas were enforced again after limiters restarted.
+/// How soon quotas were enforced again after limiters restarted, and the overage until then.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Recovery {
-    /// Time until the first of three seconds in a row with no more overage than in any second without restarts; none
-    /// where there are none within the observed time.
+    /// Time until the first of three consecutive seconds in each of which overage does not exceed its maximum in a second
+    /// without restarts; `None` if there are no such seconds in the observed time.
     pub enforced_after: Option<Duration>,
-    /// Units of overage until then, or in all of the observed time, less as many as without restarts, over what the
-    /// quotas of overloaded customers refill in a second.
+    /// Units of overage until then, or in the entire observed time if `enforced_after` is `None`, less the mean overage
+    /// without restarts. Divided by the units that the quotas of overloaded customers refill in a second.
     pub overage_in_seconds_of_refill: f64,
 }
 
-/// Runs a fleet for its warm-up, and then counts for some time.
+/// Runs a fleet for the warm-up without counting, and then counts for `time`.
 ///
 /// # Errors
 /// The program rejects the fleet's settings.
@@ -78,7 +82,7 @@
     Ok(count_in(&fleet, &setting, time))
 }
 
-/// What a fleet has counted since it reset its counts, that long ago.
+/// The counts of a fleet whose counts were reset `time` ago.
 pub fn count_in(fleet: &Fleet, setting: &FleetSetting, time: Duration) -> Counts {
     let seconds = time.as_secs_f64();
     let limiters = f64::from(setting.limiters);
@@ -91,11 +95,11 @@
     let usage = overloaded_usage(fleet);
     let refill = setting.rate(OVERLOADED_PLAN) * seconds * overloaded_customers(fleet);
     Counts {
-        messages_sent: mean(|one| one.sent_messages),
-        messages_sent_greatest: greatest(|one| one.sent_messages),
-        bytes_sent: mean(|one| one.sent_bytes),
-        bytes_sent_greatest: greatest(|one| one.sent_bytes),
-        messages_received_greatest: greatest(|one| one.received_messages),
+        messages_sent: mean(|limiter| limiter.sent_messages),
+        messages_sent_greatest: greatest(|limiter| limiter.sent_messages),
+        bytes_sent: mean(|limiter| limiter.sent_bytes),
+        bytes_sent_greatest: greatest(|limiter| limiter.sent_bytes),
+        messages_received_greatest: greatest(|limiter| limiter.received_messages),
         messages_dropped: fleet.dropped() as f64 / limiters / seconds,
         overage_share: usage.overage as f64 / usage.admitted.max(1) as f64,
         quota_used_share: usage.admitted as f64 / refill.max(1.0),
@@ -121,7 +125,7 @@
         })
 }
 
-/// Traces customers that send requests to one limiter alone, and then to all of their sets.
+/// Traces customers that send requests first to one limiter of their sets only and then to all of them.
 ///
 /// # Errors
 /// The program rejects the fleet's settings.
@@ -135,16 +139,16 @@
     let traced: Vec<usize> = (0..customers)
         .map(|number| {
             let set_first = number * setting.limiters / customers;
-            fleet.trace_at_first(set_first, TRACED_REQUESTS_PER_SECOND)
+            fleet.trace_at_first_limiter(set_first, FIRST_LIMITER_REQUESTS_PER_SECOND)
         })
         .collect();
-    fleet.run(TRACED_AT_FIRST);
+    fleet.run(FIRST_LIMITER_PHASE);
     fleet.reset_counts();
     let start = fleet.now();
     for &customer in &traced {
-        fleet.trace_at_others(customer);
+        fleet.trace_at_other_limiters(customer);
     }
-    fleet.run(TRACED_AT_ALL);
+    fleet.run(WHOLE_SET_PHASE);
     Ok(traced
         .iter()
         .map(|&customer| propagation(&fleet, customer, start))
@@ -161,7 +165,7 @@
         .flatten()
         .collect();
     let last = rejected.iter().max().copied().unwrap_or(start);
-    let refill = TRACED_RATE * TRACED_AT_ALL.as_secs_f64();
+    let refill = TRACED_RATE * WHOLE_SET_PHASE.as_secs_f64();
     Propagation {
         all_rejected_after: (rejected.len() == others).then(|| last.saturating_sub(start)),
         last_overage_after: traced
@@ -171,7 +175,8 @@
     }
 }
 
-/// Restarts the first limiters at once after the warm-up, and compares with the same fleet without restarts.
+/// Restarts the first `restarted` limiters at once after the warm-up, and compares the overage with that of the same
+/// fleet without restarts.
 ///
 /// # Errors
 /// The program rejects the fleet's settings.
@@ -187,7 +192,7 @@
     Ok(recovery(&without_restarts, &with_restarts, refill))
 }
 
-/// Units of overage of overloaded customers in each second from the restart on.
+/// Units of overage of overloaded customers in each second after the restart of the first `restarted` limiters.
 fn overage_after_restart(fleet: &mut Fleet, restarted: u32) -> Vec<f64> {
     fleet.run(WARM_UP);
     fleet.restart(0..restarted);
@@ -201,15 +206,20 @@
         .collect()
 }
 
-/// From the units of overage in each second without and with restarts, and the quotas' refill in a second.
+/// Determines the recovery from the units of overage in each second without and with restarts, and from the units that
+/// the quotas refill in a second.
 fn recovery(without_restarts: &[f64], with_restarts: &[f64], refill: f64) -> Recovery {
     let mean = without_restarts.iter().sum::<f64>() / without_restarts.len().max(1) as f64;
-    let greatest = without_restarts.iter().copied().fold(0.0, f64::max);
-    let enforced_from = with_restarts
-        .windows(ENFORCED_SECONDS)
-        .position(|seconds| seconds.iter().all(|&overage| overage <= greatest));
-    let until = &with_restarts[..enforced_from.unwrap_or(with_restarts.len())];
-    let excess: f64 = until.iter().fold(0.0, |sum, overage| sum + overage - mean);
+    let max_without_restarts = without_restarts.iter().copied().fold(0.0, f64::max);
+    let enforced_from = with_restarts.windows(ENFORCED_SECONDS).position(|seconds| {
+        seconds
+            .iter()
+            .all(|&overage| overage <= max_without_restarts)
+    });
+    let before_enforced = &with_restarts[..enforced_from.unwrap_or(with_restarts.len())];
+    let excess: f64 = before_enforced
+        .iter()
+        .fold(0.0, |sum, overage| sum + overage - mean);
     Recovery {
         enforced_after: enforced_from.map(|seconds| Duration::from_secs(seconds as u64)),
         overage_in_seconds_of_refill: excess / refill.max(f64::MIN_POSITIVE),
--- a/crates/merlinreel-testkit/src/scale/quotas/customer.rs
+++ b/crates/merlinreel-testkit/src/scale/quotas/customer.rs
@@ -1,56 +1,57 @@
-//! A customer and its reference token bucket, which a single limiter that received all requests would have. Units
-//! admitted while the reference bucket is empty are overage.
+//! A customer and its reference token bucket: the bucket of a single limiter that received all of the customer's requests.
+//! Units admitted while the reference bucket is empty are overage.
 
 use std::time::Duration;
 
-/// What became of a customer's units, counted since the start or the last reset.
+/// A customer's requested and admitted units since the start or the last reset.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Usage {
     /// Units requested.
     pub requested: u64,
     /// Units admitted.
     pub admitted: u64,
-    /// Admitted units that the quota did not cover.
+    /// Admitted units that the reference bucket did not cover.
     pub overage: u64,
 }
 
-/// The limiters that a customer's requests reach: consecutive numbers, modulo the number of limiters.
+/// The limiters that receive a customer's requests: consecutive indices, where the fleet's first index follows its last.
 #[derive(Clone, Copy, Debug)]
 pub struct LimiterSet {
-    /// The first limiter.
+    /// Index of the first limiter.
     pub first: u32,
-    /// The number of limiters.
+    /// Number of limiters in the set.
     pub size: u32,
 }
 
 impl LimiterSet {
-    /// The limiters in order.
-    pub fn limiters(self, limiters: u32) -> impl Iterator<Item = u32> {
-        (0..self.size).map(move |place| (self.first + place) % limiters)
+    /// Indices of the set's limiters in order, in a fleet of `fleet_size` limiters.
+    pub fn limiters(self, fleet_size: u32) -> impl Iterator<Item = u32> {
+        (0..self.size).map(move |offset| (self.first + offset) % fleet_size)
     }
 }
 
-/// A customer whose requests take one unit each.
+/// A customer whose requests each require one unit.
 #[derive(Clone, Debug)]
 pub struct Customer {
-    /// Its number in requests.
+    /// Number that identifies the customer in requests and peer messages.
     pub number: u64,
-    /// The index of its plan.
+    /// Index of the customer's plan.
     pub plan: usize,
-    /// The limiters that its requests reach.
+    /// The limiters that receive the customer's requests.
     pub set: LimiterSet,
     rate: f64,
     burst: f64,
     tokens: f64,
     refilled_at: Duration,
-    /// Its units so far.
+    /// Units requested and admitted since the start or the last reset.
     pub usage: Usage,
-    /// When it last used a unit of overage.
+    /// Simulated time at which the last unit of overage was admitted; `None` if there was none since the start.
     pub last_overage_at: Option<Duration>,
 }
 
 impl Customer {
-    /// A customer with a full bucket, of a plan with this rate in units per second and burst in units.
+    /// Creates a customer whose reference bucket is full, with the rate of its plan in units per second and the burst in
+    /// units.
     pub fn new(number: u64, plan: usize, set: LimiterSet, rate: f64, burst: f64) -> Customer {
         Customer {
             number,
--- a/crates/merlinreel-testkit/src/scale/quotas/fleet.rs
+++ b/crates/merlinreel-testkit/src/scale/quotas/fleet.rs
@@ -1,10 +1,10 @@
-//! Simulated limiters: the real decision module of each, requests passed in without sockets, peer messages over the
-//! in-memory network.
+//! A fleet of simulated limiters. Each runs the real decision module; requests are passed to it without sockets, and peer
+//! messages are sent over the in-memory network.
 //!
-//! There are no servers: an admitted request waits for one, and its client disconnects at the limiter's next event batch,
-//! which charges the quota as a response does. With servers, their concurrency limits (four over the number of limiters
-//! at each) would hold requests back unless the list grew with the fleet, and selecting among them would hide the cost of
-//! quotas.
+//! There are no servers: an admitted request waits for a server until its client disconnects at the limiter's next event
+//! batch, which charges the quota as a response does. With servers, their concurrency limits (at first four attempts,
+//! divided by the number of limiters) would delay requests unless the endpoint list grew with the fleet, and the cost of
+//! server selection would hide that of quotas.
 
 mod event_queue;
 
@@ -25,18 +25,18 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// When the fleet starts, so that quota windows and incarnations are not the first.
+/// Simulated time at which the fleet starts, well after zero, so that quota windows and incarnations don't begin at 0.
 pub const START: Duration = Duration::from_secs(1000);
-/// Limiters start within this time, so that their ticks are spread.
+/// Each limiter starts after a random delay of at most this time, so that the limiters' ticks don't coincide.
 const START_SPREAD: Duration = Duration::from_millis(100);
-/// The remaining time of each request: the deadline of its class.
+/// Remaining time of each request: the deadline of its class.
 const REMAINING_TIME: Duration = Duration::from_secs(4);
-/// Request ids of one limiter; an id is free again at the limiter's next event batch.
+/// Number of request ids that a limiter uses in turn; an id is free again after the limiter's next event batch.
 const REQUEST_IDS: u32 = 256;
-/// The time between two requests of a traced customer at each limiter but the first of its set.
+/// Time between two requests of a traced customer at each limiter of its set except the first.
 const TRACE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The actions of one event batch.
+/// Actions of one event batch that the simulation carries out.
 #[derive(Default)]
 struct BatchActions {
     peer_messages: Vec<(u32, Vec<u8>)>,
@@ -58,9 +58,10 @@
 
 struct SimulatedLimiter {
     limiter: Limiter,
+    /// Number of restarts. Wakeups that an earlier incarnation scheduled are ignored.
     incarnation: u32,
     next_request: u32,
-    /// Admitted requests whose clients disconnect at the next event batch.
+    /// Admitted requests whose clients disconnect in the next event batch.
     disconnecting: Vec<RequestIndex>,
     inbox: PeerInbox,
 }
@@ -74,16 +75,17 @@
     limiters: Vec<SimulatedLimiter>,
     /// All customers, traced ones included.
     pub customers: Vec<Customer>,
-    /// By limiter, the customers that send requests there at the fleet's rate.
+    /// For each limiter, the customers whose requests it receives at the rate of the setting; no traced ones.
     customers_of: Vec<Vec<usize>>,
     network: Network,
     events: EventQueue,
-    /// By traced customer, when each limiter of its set first rejected a request since all received them.
+    /// For each traced customer that sends requests to its whole set, the simulated time at which each limiter of the set
+    /// first rejected one; `None` if it has rejected none.
     rejections: BTreeMap<usize, Vec<Option<Duration>>>,
 }
 
 impl Fleet {
-    /// A fleet that starts at [`START`], with full token buckets.
+    /// Creates a fleet that starts at [`START`] with full token buckets. The network and the fleet draw from the same seed.
     ///
     /// # Errors
     /// The program rejects the settings.
@@ -102,14 +104,14 @@
             rejections: BTreeMap::new(),
         };
         fleet.add_customers();
-        (0..setting.limiters).for_each(|rank| fleet.start_limiter(rank));
+        (0..setting.limiters).for_each(|index| fleet.start_limiter(index));
         Ok(fleet)
     }
 
     fn add_customers(&mut self) {
         let customers = u64::from(self.setting.customers());
-        for place in 0..customers {
-            let set_first = (place * u64::from(self.setting.limiters) / customers) as u32;
+        for position in 0..customers {
+            let set_first = (position * u64::from(self.setting.limiters) / customers) as u32;
             let is_overloaded = self.random.random_range(0..100) < self.setting.overloaded_percent;
             let plan = if is_overloaded {
                 OVERLOADED_PLAN
@@ -124,9 +126,9 @@
         }
     }
 
-    /// Adds a customer that sends no requests yet.
+    /// Adds a customer that does not send requests yet; returns its index.
     fn add_customer(&mut self, plan: usize, set_first: u32) -> usize {
-        // As long in a message as a hashed name.
+        // Takes as many bytes in a message as the hash of a customer's name.
         let number = self.random.random::<u64>() >> 2;
         let set = LimiterSet {
             first: set_first,
@@ -139,8 +141,8 @@
         self.customers.len() - 1
     }
 
-    fn start_limiter(&mut self, rank: u32) {
-        let limiter = self.new_limiter(rank);
+    fn start_limiter(&mut self, index: u32) {
+        let limiter = self.new_limiter(index);
         self.limiters.push(SimulatedLimiter {
             limiter,
             incarnation: 0,
@@ -149,15 +151,15 @@
             inbox: PeerInbox::default(),
         });
         let start = self.draw_start();
-        self.events.push(start, rank, Cause::Wakeup(0));
+        self.events.push(start, index, Cause::Wakeup(0));
         let first_request = start + self.draw_request_interval();
-        self.events.push(first_request, rank, Cause::Request);
+        self.events.push(first_request, index, Cause::Request);
     }
 
-    fn new_limiter(&mut self, rank: u32) -> Limiter {
+    fn new_limiter(&mut self, index: u32) -> Limiter {
         let seed = self.random.random::<u64>();
         let mut settings = self.settings.clone();
-        settings.fleet.own_index = rank;
+        settings.fleet.own_index = index;
         settings.limiter(seed)
     }
 
@@ -170,21 +172,21 @@
         Duration::from_secs_f64(mean * (0.5 + self.random.random::<f64>()))
     }
 
-    /// Restarts these limiters at once, with no memory.
-    pub fn restart(&mut self, ranks: impl IntoIterator<Item = u32>) {
-        for rank in ranks {
-            let limiter = self.new_limiter(rank);
-            let simulated = &mut self.limiters[rank as usize];
+    /// Restarts these limiters at once; they lose all state.
+    pub fn restart(&mut self, indices: impl IntoIterator<Item = u32>) {
+        for index in indices {
+            let limiter = self.new_limiter(index);
+            let simulated = &mut self.limiters[index as usize];
             simulated.limiter = limiter;
             simulated.incarnation += 1;
             simulated.disconnecting.clear();
             let incarnation = simulated.incarnation;
             let start = self.draw_start();
-            self.events.push(start, rank, Cause::Wakeup(incarnation));
+            self.events.push(start, index, Cause::Wakeup(incarnation));
         }
     }
 
-    /// Runs for a duration of the simulated clock.
+    /// Runs the fleet for a duration of simulated time.
     pub fn run(&mut self, duration: Duration) {
         let end = self.now + duration;
         while let Some(at) = self.next_at().filter(|at| *at <= end) {
@@ -242,7 +244,7 @@
         }
     }
 
-    /// Passes a request of a customer to a limiter.
+    /// Passes a request of a customer to a limiter and counts whether it was admitted.
     fn request(&mut self, limiter: u32, customer: usize) {
         let simulated = &mut self.limiters[limiter as usize];
         let id = RequestIndex(simulated.next_request);
@@ -278,13 +280,13 @@
         };
         let limiters = self.setting.limiters;
         let first = self.customers[customer].set.first;
-        let place = (limiter + limiters - first) % limiters;
-        rejections[place as usize].get_or_insert(self.now);
+        let offset = (limiter + limiters - first) % limiters;
+        rejections[offset as usize].get_or_insert(self.now);
     }
 
-    /// Runs one event batch of a limiter; the requests that it rejected.
-    fn run_batch(&mut self, rank: u32, batch: EventBatch) -> Vec<RequestIndex> {
-        let simulated = &mut self.limiters[rank as usize];
+    /// Runs one event batch of a limiter; returns the rejected requests.
+    fn run_batch(&mut self, index: u32, batch: EventBatch) -> Vec<RequestIndex> {
+        let simulated = &mut self.limiters[index as usize];
         let batch = EventBatch {
             disconnects: std::mem::take(&mut simulated.disconnecting),
             ..batch
@@ -294,11 +296,11 @@
         let incarnation = simulated.incarnation;
         let actions = observer.0;
         for (to, bytes) in actions.peer_messages {
-            self.send(rank, to, bytes);
+            self.send(index, to, bytes);
         }
         if let Some(after) = actions.wakeup_after {
             self.events
-                .push(self.now + after, rank, Cause::Wakeup(incarnation));
+                .push(self.now + after, index, Cause::Wakeup(incarnation));
         }
         actions.rejected
     }
@@ -311,8 +313,9 @@
         others.for_each(|other| self.network.send(self.now, from, other, bytes.clone()));
     }
 
-    /// Adds a traced customer that sends requests to the first limiter of its set alone; its index.
-    pub fn trace_at_first(&mut self, set_first: u32, per_second: u32) -> usize {
+    /// Adds a traced customer that sends `per_second` requests per second to the first limiter of its set only; returns its
+    /// index.
+    pub fn trace_at_first_limiter(&mut self, set_first: u32, per_second: u32) -> usize {
         let customer = self.add_customer(TRACED_PLAN, set_first);
         let interval = Duration::from_secs(1) / per_second;
         let cause = Cause::Repeat { customer, interval };
@@ -320,8 +323,8 @@
         customer
     }
 
-    /// Has a traced customer send a request each second to each other limiter of its set, too.
-    pub fn trace_at_others(&mut self, customer: usize) {
+    /// Lets a traced customer also send a request per second to each other limiter of its set.
+    pub fn trace_at_other_limiters(&mut self, customer: usize) {
         let set = self.customers[customer].set;
         self.rejections
             .insert(customer, vec![None; set.size as usize]);
@@ -335,12 +338,13 @@
         }
     }
 
-    /// By place in a traced customer's set, when that limiter first rejected a request since all received them.
+    /// For each limiter of a traced customer's set, the simulated time at which it first rejected a request since the whole
+    /// set receives them; `None` if it has rejected none. Empty if the customer doesn't send requests to the whole set.
     pub fn first_rejections(&self, customer: usize) -> Vec<Option<Duration>> {
         self.rejections.get(&customer).cloned().unwrap_or_default()
     }
 
-    /// Sets all counts to 0; token buckets and limiters stay as they are.
+    /// Sets the counts of traffic, dropped messages and customers' usage to 0; token buckets and limiters keep their state.
     pub fn reset_counts(&mut self) {
         self.network.reset_traffic();
         for simulated in &mut self.limiters {
@@ -351,17 +355,17 @@
         }
     }
 
-    /// The simulated time.
+    /// Current simulated time.
     pub fn now(&self) -> Duration {
         self.now
     }
 
-    /// By limiter, the traffic since the last reset.
+    /// Traffic of each limiter since the start or the last reset.
     pub fn traffic(&self) -> &[Traffic] {
         self.network.traffic()
     }
 
-    /// Messages that arrived at full inboxes since the last reset.
+    /// Messages dropped by all limiters' full inboxes since the start or the last reset.
     pub fn dropped(&self) -> u64 {
         self.limiters
             .iter()
--- a/crates/merlinreel-testkit/src/scale/quotas/fleet/event_queue.rs
+++ b/crates/merlinreel-testkit/src/scale/quotas/fleet/event_queue.rs
@@ -1,4 +1,4 @@
-//! What happens when in a fleet, beside the datagrams of its network.
+//! Scheduled calls of a fleet's limiters in order of simulated time. Datagrams are scheduled by the network.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -7,57 +7,57 @@
 /// Why a limiter is called.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Cause {
-    /// The limiter of this incarnation scheduled it.
+    /// The limiter scheduled a wakeup while it had this incarnation.
     Wakeup(u32),
-    /// A random customer of the limiter sends a request, and the next one does later.
+    /// A random customer of the limiter sends a request; another such event follows after a random interval.
     Request,
-    /// This customer sends a request there, and again after the interval.
+    /// This customer sends a request to the limiter, and again after each interval.
     Repeat {
-        /// The customer's index.
+        /// Index of the customer in the fleet.
         customer: usize,
-        /// The time between two requests.
+        /// Time between two requests.
         interval: Duration,
     },
 }
 
-/// A call of a limiter.
+/// A scheduled call of a limiter; events are ordered by time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Event {
-    /// The time of the call.
+    /// Simulated time of the call.
     pub at: Duration,
-    /// Keeps events of one moment in order.
-    number: u64,
-    /// The limiter.
+    /// Keeps events with equal times in the order in which they were scheduled.
+    sequence: u64,
+    /// Index of the limiter.
     pub limiter: u32,
-    /// Why it is called.
+    /// Why the limiter is called.
     pub cause: Cause,
 }
 
-/// Events in the order of time.
+/// Queue of events, the earliest first.
 #[derive(Default)]
 pub struct EventQueue {
     events: BinaryHeap<Reverse<Event>>,
-    last_number: u64,
+    last_sequence: u64,
 }
 
 impl EventQueue {
-    /// Schedules a call.
+    /// Schedules a call of a limiter at a simulated time.
     pub fn push(&mut self, at: Duration, limiter: u32, cause: Cause) {
-        self.last_number += 1;
+        self.last_sequence += 1;
         self.events.push(Reverse(Event {
             at,
-            number: self.last_number,
+            sequence: self.last_sequence,
             limiter,
             cause,
         }));
     }
 
-    /// The time of the next event.
+    /// Simulated time of the next event; `None` if the queue is empty.
     pub fn next_at(&self) -> Option<Duration> {
         self.events.peek().map(|event| event.0.at)
     }
 
-    /// Removes the next event that is due by `now`.
+    /// Removes and returns the next event if it is due by `now`.
     pub fn pop_due(&mut self, now: Duration) -> Option<Event> {
         self.next_at().filter(|at| *at <= now)?;
         self.events.pop().map(|event| event.0)
--- a/crates/merlinreel-testkit/src/scale/quotas/fleet_setting.rs
+++ b/crates/merlinreel-testkit/src/scale/quotas/fleet_setting.rs
@@ -1,42 +1,44 @@
-//! The setting of a fleet of simulated limiters, and the limiters' settings that follow from it.
+//! The parameters of a fleet of simulated limiters, and the limiters' settings derived from them.
 
 use crate::scale::simulated::{InvalidSettings, read_settings};
 use merlinreel_settings::Settings;
 use serde_json::json;
 
-/// Plan of customers whose demand is twice their quota.
+/// Index of the plan of customers whose demand is twice their quota.
 pub const OVERLOADED_PLAN: usize = 0;
-/// Plan of customers whose demand is a quarter of their quota.
+/// Index of the plan of customers whose demand is a quarter of their quota.
 pub const UNDERLOADED_PLAN: usize = 1;
-/// Plan of traced customers, whose use at one limiter must become known to the others.
+/// Index of the plan of traced customers, by which the propagation of usage between limiters is measured.
 pub const TRACED_PLAN: usize = 2;
 
-/// Peer messages that a limiter accepts in a second.
+/// Maximum number of peer messages that a limiter accepts per second.
 pub const PEER_INBOX_PER_SECOND: u32 = 40;
-/// The burst of a plan, in seconds of its refill.
+/// Burst of each plan divided by its rate: the time in which an empty token bucket fills.
 const BURST_SECONDS: f64 = 10.0;
-/// Demand over quota.
+/// Demand of an overloaded customer divided by its quota.
 const OVERLOADED_DEMAND: f64 = 2.0;
+/// Demand of an underloaded customer divided by its quota.
 const UNDERLOADED_DEMAND: f64 = 0.25;
-/// The quota of a traced customer, in units per second.
+/// Quota of a traced customer, in units per second.
 pub const TRACED_RATE: f64 = 1.0;
 
-/// The setting of a fleet; each variable that is measured is a member of it.
+/// Parameters of a fleet, among them each variable of the measurements of fleets except the number of restarts.
 #[derive(Clone, Copy, Debug)]
 pub struct FleetSetting {
-    /// The number of limiters.
+    /// Number of limiters.
     pub limiters: u32,
-    /// Limiters that each customer's requests reach.
+    /// Size of each customer's limiter set; at least 1 and at most the number of limiters are used.
     pub set_size: u32,
-    /// Customers whose requests reach each limiter.
+    /// Number of customers whose requests each limiter receives, traced ones excluded.
     pub customers_per_limiter: u32,
-    /// Customers whose demand exceeds their quota, in percent.
+    /// Probability that a customer's demand exceeds its quota, in percent.
     pub overloaded_percent: u32,
-    /// Requests per second at each limiter, over all its customers.
+    /// Requests per second at each limiter, from all of its customers together.
     pub requests_per_second: u32,
-    /// Whether limiters send peer messages.
+    /// Whether limiters send peer messages; without them, each decides by its own counts only.
     pub peer_messages: bool,
-    /// A deliberate cost for tests: each message of a limiter is sent to all others.
+    /// Sends each peer message to all other limiters, not only to its receiver: a deliberate cost for tests, which check that
+    /// it is detected.
     pub broadcasts_messages: bool,
 }
 
@@ -55,24 +57,24 @@
 }
 
 impl FleetSetting {
-    /// The size of a customer's set, which is no larger than the fleet.
+    /// Size of a customer's limiter set, limited to the size of the fleet.
     pub fn set_size(&self) -> u32 {
         self.set_size.clamp(1, self.limiters)
     }
 
-    /// Customers of the fleet, so that each limiter has its number of them.
+    /// Number of customers of the fleet, so that each limiter has at least `customers_per_limiter` on average.
     pub fn customers(&self) -> u32 {
-        let places = u64::from(self.customers_per_limiter) * u64::from(self.limiters);
-        places.div_ceil(u64::from(self.set_size())) as u32
+        let set_members = u64::from(self.customers_per_limiter) * u64::from(self.limiters);
+        set_members.div_ceil(u64::from(self.set_size())) as u32
     }
 
-    /// Units per second that a customer requests over its set.
+    /// Units per second that a customer requests at all limiters of its set together.
     fn demand(&self) -> f64 {
         let share = f64::from(self.requests_per_second) / f64::from(self.customers_per_limiter);
         share * f64::from(self.set_size())
     }
 
-    /// The rate of a plan, in units per second.
+    /// Rate of a plan, in units per second.
     pub fn rate(&self, plan: usize) -> f64 {
         match plan {
             OVERLOADED_PLAN => self.demand() / OVERLOADED_DEMAND,
@@ -81,15 +83,15 @@
         }
     }
 
-    /// The burst of a plan, in units.
+    /// Burst of a plan, in units.
     pub fn burst(&self, plan: usize) -> f64 {
         self.rate(plan) * BURST_SECONDS
     }
 
-    /// The settings of the first limiter; those of the others differ in the rank alone.
+    /// Settings of the limiter with index 0; those of the others differ only in the index.
     ///
     /// # Errors
-    /// The program rejects them.
+    /// The program rejects the settings.
     pub fn settings(&self) -> Result<Settings, InvalidSettings> {
         let plan = |name: &str, index: usize| {
             let (rate, burst) = (self.rate(index), self.burst(index));
@@ -109,7 +111,7 @@
         read_settings(&settings)
     }
 
-    /// The setting as text of a data point.
+    /// Description of the parameters for data points.
     pub fn text(&self) -> String {
         format!(
             "{} limiters, sets of {}, {} customers a limiter, {} % pressed, {} requests/s a limiter, inbox {}/s",
--- a/crates/merlinreel-testkit/src/scale/quotas/tenant_tables.rs
+++ b/crates/merlinreel-testkit/src/scale/quotas/tenant_tables.rs
@@ -1,5 +1,6 @@
-//! What one limiter's tables take for each tenant: an account for each that sent a request there, a count of each peer
-//! for each whose peers reported; and the cost of a peer's restart, which looks at every account.
+//! Measures the memory of one limiter's tables by the number of tenants: an account for each tenant that sent a request to
+//! the limiter, and a count of each peer for each tenant that peers reported. Also measures the processor time of a peer's
+//! restart, which visits every account.
 
 use super::fleet_setting::UNDERLOADED_PLAN;
 use super::{FleetSetting, START};
@@ -11,11 +12,12 @@
 use merlinreel_policy::{EventBatch, PeerMessage, Request};
 use std::time::Duration;
 
-/// Tenants that sent a request to one limiter; the last is all.
+/// Default sizes of [`measure_tenants`]: tenants that sent a request to one limiter; the last is all tenants.
 pub const TENANT_SIZES: &[u64] = &[1_000, 6_100, 30_000, 100_000, 380_000];
-/// Tenants whose counts one limiter aggregates; the first is an even share of all.
+/// Default sizes of [`measure_reported_tenants`]: tenants whose counts one limiter aggregates; the first is an equal share
+/// of all tenants.
 pub const REPORTED_TENANT_SIZES: &[u64] = &[165, 1_000, 4_000, 16_000];
-/// Limiters of the full fleet: each limiter keeps some numbers of each other one.
+/// Limiters of the largest fleet; each limiter keeps state of every other one.
 const LIMITERS: u32 = 2_300;
 const TENANTS_ASKED: Variable = Variable {
     role: "quotas",
@@ -25,40 +27,41 @@
     role: "quotas",
     name: "tenants_reported",
 };
-/// Peers whose first message after a restart is measured; enough for the resolution of the kernel's accounting.
+/// Number of peers whose first message after a restart is processed in a measurement; enough for the resolution of the
+/// kernel's accounting.
 const RESTARTED_PEERS: u32 = 200;
-/// An upper estimate of an account and its place in the tables.
+/// Upper estimate of the memory of an account and its table entries.
 const ACCOUNT_BYTES: u64 = 1_024;
-/// A peer's report of one window.
+/// Memory of one peer's count of one tenant in one window.
 const REPORT_BYTES: u64 = 8;
 const IDLE: Duration = Duration::from_secs(5);
 const TICK: Duration = Duration::from_millis(100);
-/// Tenants in one message, few enough to fit.
+/// Tenants reported in one message, few enough to fit into a datagram.
 const TENANTS_PER_MESSAGE: usize = 8;
 
-/// Ignores all actions.
+/// Ignores all actions of the limiter.
 #[derive(Default)]
 struct IgnoreActions;
 
 impl ActionObserver for IgnoreActions {}
 
-/// One limiter of the full fleet and its tenants.
+/// One limiter of the largest fleet, which has index 0, and the accounts of its tenants.
 pub struct TenantTables {
     limiter: Limiter,
     now: Duration,
     setting: FleetSetting,
 }
 
-/// Processor times, a value for each run.
+/// Processor times, with a value for each run.
 struct ProcessorTimes {
-    /// Microseconds for a peer's restart.
+    /// Microseconds per restarted peer.
     peer_restart: Vec<f64>,
-    /// The share of a core for ticks without requests.
+    /// Share of one core in use by ticks without requests.
     idle: Vec<f64>,
 }
 
 impl TenantTables {
-    /// A limiter without tenants.
+    /// Creates a limiter without tenants.
     ///
     /// # Errors
     /// The program rejects the settings.
@@ -81,13 +84,13 @@
         self.limiter.process(self.now, &batch, &mut observer);
     }
 
-    /// Each of the tenants sends a request and disconnects.
+    /// Lets each tenant send a request, whose client then disconnects.
     pub fn request_once(&mut self, tenants: u64) {
         for tenant in 0..tenants {
-            // Two request ids alternate: each batch has a request and the disconnect of the one before.
+            // Two request ids alternate, as each batch contains a request and the disconnect of the previous one.
             let request = Request {
                 id: RequestIndex((tenant % 2) as u32),
-                customer: tenant_number(tenant),
+                customer: customer_number(tenant),
                 plan: UNDERLOADED_PLAN,
                 class: 0,
                 units: 1.0,
@@ -108,17 +111,17 @@
         });
     }
 
-    /// The last limiter reports a unit of each of the tenants.
+    /// Receives reports from the last limiter of one admitted unit of each tenant.
     pub fn receive_reports(&mut self, tenants: u64) {
         let tenants: Vec<u64> = (0..tenants).collect();
-        for (number, tenants) in tenants.chunks(TENANTS_PER_MESSAGE).enumerate() {
+        for (message_index, tenants) in tenants.chunks(TENANTS_PER_MESSAGE).enumerate() {
             let rows: Vec<CounterRow> = tenants
                 .iter()
-                .map(|&tenant| self.report_of(tenant))
+                .map(|&tenant| self.report_row(tenant))
                 .collect();
             let header = BatchHeader {
                 incarnation: 1,
-                sequence: number as u64 + 1,
+                sequence: message_index as u64 + 1,
             };
             let peer_messages = encode(header, &rows)
                 .into_iter()
@@ -134,11 +137,11 @@
         }
     }
 
-    fn report_of(&self, tenant: u64) -> CounterRow {
+    fn report_row(&self, tenant: u64) -> CounterRow {
         let plan = UNDERLOADED_PLAN;
         let window_seconds = self.setting.burst(plan) / self.setting.rate(plan);
         CounterRow {
-            customer: tenant_number(tenant),
+            customer: customer_number(tenant),
             plan,
             window: (self.now.as_secs_f64() / window_seconds) as u64,
             total: 1.0,
@@ -148,7 +151,7 @@
         }
     }
 
-    /// The first message of that incarnation of each of the peers.
+    /// Receives the first message of a new incarnation from each of the first `peers` peers.
     pub fn receive_restarts(&mut self, incarnation: u64, peers: u32) {
         for from in 1..=peers {
             let header = BatchHeader {
@@ -184,7 +187,7 @@
         times
     }
 
-    /// Runs ticks without requests.
+    /// Runs ticks without requests for a duration of simulated time.
     pub fn idle(&mut self, duration: Duration) {
         let end = self.now + duration;
         while self.now < end {
@@ -194,18 +197,18 @@
     }
 }
 
-/// As long in a message as a hashed name.
-fn tenant_number(tenant: u64) -> u64 {
+/// Customer number of a tenant. Takes as many bytes in a message as the hash of a customer's name.
+fn customer_number(tenant: u64) -> u64 {
     tenant.wrapping_add(1).wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 2
 }
 
-/// Varies the tenants that sent a request to one limiter. The tables of all sizes are kept to the end: memory that is
-/// freed and reused would not be measured as growth.
+/// Varies the number of tenants that sent a request to one limiter. The tables of all sizes are kept until the end, as
+/// memory that is freed and reused would not be measured as growth.
 ///
 /// # Errors
-/// A size exceeds the memory bound, or a measurement fails.
+/// A size exceeds the memory limit, or a measurement fails.
 pub fn measure_tenants(request: &MeasureRequest, emit: Emit) -> Result<(), ScaleError> {
-    let mut kept = Vec::new();
+    let mut kept_tables = Vec::new();
     let mut tenants = 0;
     for &size in &request.sizes {
         tenants += size;
@@ -220,7 +223,7 @@
         tables.request_once(size);
         let memory = meter.read().memory_bytes as f64;
         let times = tables.processor_times(request.runs);
-        kept.push(tables);
+        kept_tables.push(tables);
         report.measured("memory", Unit::Bytes, vec![memory])?;
         report.measured(
             "cpu_of_a_peer_s_new_life",
@@ -232,12 +235,13 @@
     Ok(())
 }
 
-/// Varies the tenants that the last peer reported to one limiter; the tables are kept as in [`measure_tenants`].
+/// Varies the number of tenants that the last peer reported to one limiter. The tables of all sizes are kept until the
+/// end, as in [`measure_tenants`].
 ///
 /// # Errors
-/// A size exceeds the memory bound, or a measurement fails.
+/// A size exceeds the memory limit, or a measurement fails.
 pub fn measure_reported_tenants(request: &MeasureRequest, emit: Emit) -> Result<(), ScaleError> {
-    let mut kept = Vec::new();
+    let mut kept_tables = Vec::new();
     let mut tenants = 0;
     for &size in &request.sizes {
         tenants += size;
@@ -254,7 +258,7 @@
         let meter = Meter::start();
         tables.receive_reports(size);
         let memory = meter.read().memory_bytes as f64;
-        kept.push(tables);
+        kept_tables.push(tables);
         report.measured("memory", Unit::Bytes, vec![memory])?;
     }
     Ok(())
--- a/crates/merlinreel-testkit/src/scale/tenants/simulated_limiter.rs
+++ b/crates/merlinreel-testkit/src/scale/tenants/simulated_limiter.rs
@@ -1,4 +1,4 @@
-//! One limiter's decision module with many tenants, without sockets, on a clock that the caller advances.
+//! The decision module of one limiter with many tenants, without sockets, on a simulated clock that the caller advances.
 
 use crate::scale::simulated::{
     ActionObserver, InvalidSettings, Observed, read_settings, successful_attempt,
@@ -14,31 +14,34 @@
 use serde_json::json;
 use std::time::Duration;
 
-/// The decision module's tick, where it has nothing to send to its peers sooner.
+/// Interval of the decision module's ticks in a fleet whose limiters message each other less often than this.
 const TICK: Duration = Duration::from_millis(100);
-/// Ticks between two sweeps, which remove idle accounts.
+/// Ticks from one sweep to the next. A sweep checks all accounts and removes the expired ones.
 pub const TICKS_PER_SWEEP: u64 = 10;
-/// Seconds of one counting window: the plan's burst over its rate.
+/// Length of a counting window: the plan's burst divided by its rate.
 pub const WINDOW_SECONDS: u64 = 4;
 /// Units of an ordinary request.
 const UNITS: f64 = 1.0;
-/// More than the ceiling's slack: admitted only where an account has been kept for some seconds.
+/// Units of a request that exceeds the ceiling's slack, so that it is admitted only if the account has existed for some
+/// seconds.
 const KEPT_ACCOUNT_UNITS: f64 = 2.0;
+/// Servers in the endpoint list.
 const SERVERS: u32 = 8;
-/// The remaining time of each request, far more than it takes.
+/// Remaining time of each request, far more than [`RESPONSE_TIME`].
 const REMAINING_TIME: Duration = Duration::from_secs(2);
+/// Latency of each attempt, as reported to the limiter.
 const RESPONSE_TIME: Duration = Duration::from_millis(100);
 
-/// A fleet and the part of it that each tenant's requests reach.
+/// Size of a fleet and of its tenants' limiter sets.
 #[derive(Clone, Copy, Debug)]
 pub struct FleetSetting {
-    /// The number of limiters.
+    /// Number of limiters.
     pub limiters: u32,
-    /// Limiters of each tenant's set.
+    /// Limiters in each tenant's set.
     pub set_size: u32,
 }
 
-/// The decisions of a limiter, counted.
+/// Counts of a limiter's decisions and peer messages since it was created.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct DecisionCounts {
     /// Requests admitted.
@@ -51,16 +54,16 @@
     pub peer_bytes: u64,
 }
 
-/// Counts messages to peers, and keeps the actions that the simulation responds to.
+/// Counts peer messages and records the actions that the simulation responds to.
 #[derive(Default)]
 struct DecisionObserver {
     counts: DecisionCounts,
-    /// The server of the last attempt.
+    /// Server of the last attempt since the last request was passed in; `None` if there was none.
     attempt_server: Option<ServerIndex>,
     /// Whether the last request was rejected.
     is_rejected: bool,
-    /// Peers that messages were sent to.
-    messaged_peers: Vec<u32>,
+    /// Receivers of the messages that have not been acknowledged yet.
+    unacknowledged_peers: Vec<u32>,
 }
 
 impl ActionObserver for DecisionObserver {
@@ -73,7 +76,7 @@
     fn peer_message_sent(&mut self, limiter: u32, message: &[u8]) {
         self.counts.peer_messages += 1;
         self.counts.peer_bytes += message.len() as u64;
-        self.messaged_peers.push(limiter);
+        self.unacknowledged_peers.push(limiter);
     }
 }
 
@@ -83,28 +86,28 @@
     set_first: u32,
 }
 
-/// A limiter, its tenants, and peers that acknowledge messages and send nothing more.
+/// A limiter and its tenants. Its peers acknowledge its messages, and send others only when a caller asks for them.
 pub struct SimulatedLimiter {
     limiter: Limiter,
     fleet: FleetSetting,
-    rank: u32,
+    own_index: u32,
     now: Duration,
     tenants: Vec<Tenant>,
     random: ChaCha8Rng,
     first_customer: u64,
     observer: Observed<DecisionObserver>,
-    /// By peer, its incarnation and the number of its last message.
+    /// For each peer, the incarnation and sequence number of its last message.
     peer_headers: Vec<BatchHeader>,
 }
 
 impl SimulatedLimiter {
-    /// The last limiter of its fleet, which has received a message of each other one and knows no tenant.
+    /// Creates the last limiter of a fleet, which has received a message from every other limiter and knows no tenants.
     ///
     /// # Errors
     /// The program rejects the settings.
     pub fn new(fleet: FleetSetting, seed: u64) -> Result<SimulatedLimiter, InvalidSettings> {
-        let rank = fleet.limiters - 1;
-        let settings = read_settings(&settings(fleet, rank))?;
+        let own_index = fleet.limiters - 1;
+        let settings = read_settings(&settings(fleet, own_index))?;
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         let first_customer = u64::from(random.random::<u32>());
         let first_header = BatchHeader {
@@ -114,7 +117,7 @@
         let mut simulated = SimulatedLimiter {
             limiter: settings.limiter(seed),
             fleet,
-            rank,
+            own_index,
             now: Duration::from_millis(1),
             tenants: Vec::new(),
             random,
@@ -123,19 +126,19 @@
             peer_headers: vec![first_header; fleet.limiters as usize],
         };
         simulated.run_batch(&EventBatch {
-            endpoint_updates: vec![server_list()],
+            endpoint_updates: vec![endpoint_list()],
             ..EventBatch::default()
         });
-        simulated.receive_acknowledgements(0..rank);
+        simulated.receive_acknowledgements(0..own_index);
         Ok(simulated)
     }
 
-    /// The decisions so far.
+    /// Counts of the decisions so far.
     pub fn counts(&self) -> DecisionCounts {
         self.observer.0.counts
     }
 
-    /// The number of tenants that were added.
+    /// Number of tenants that were added.
     pub fn tenants(&self) -> u64 {
         self.tenants.len() as u64
     }
@@ -144,7 +147,7 @@
         self.limiter.process(self.now, batch, &mut self.observer);
     }
 
-    /// A message without rows from each of these peers.
+    /// Receives a message without rows from each of these peers, which acknowledges the limiter's messages.
     fn receive_acknowledgements(&mut self, peers: impl IntoIterator<Item = u32>) {
         let peer_messages = peers
             .into_iter()
@@ -167,11 +170,12 @@
             .collect()
     }
 
-    /// Adds a tenant, whose set of limiters includes this one, with its first request.
+    /// Adds a tenant whose limiter set includes this limiter, and passes its first request.
     pub fn add_tenant(&mut self) {
         let customer = self.first_customer + self.tenants();
-        let limiters_before = self.random.random_range(0..self.fleet.set_size);
-        let set_first = (self.rank + self.fleet.limiters - limiters_before) % self.fleet.limiters;
+        let position_in_set = self.random.random_range(0..self.fleet.set_size);
+        let set_first =
+            (self.own_index + self.fleet.limiters - position_in_set) % self.fleet.limiters;
         self.tenants.push(Tenant {
             customer,
             set_first,
@@ -179,7 +183,7 @@
         self.request(self.tenants.len() - 1);
     }
 
-    /// Adds tenants evenly over some ticks.
+    /// Adds `count` tenants, spread evenly over `ticks` ticks.
     pub fn add_tenants(&mut self, count: u64, ticks: u64) {
         for tick in 1..=ticks {
             while self.tenants() < count * tick / ticks {
@@ -189,8 +193,8 @@
         }
     }
 
-    /// Passes a request of a tenant; an admitted one is completed, or its client disconnects, at once. Whether it was
-    /// admitted.
+    /// Passes a request of a tenant and returns whether it was admitted. An admitted request succeeds at once or, if no
+    /// attempt was started, its client disconnects.
     pub fn request(&mut self, tenant: usize) -> bool {
         self.request_units(tenant, UNITS)
     }
@@ -236,34 +240,34 @@
         true
     }
 
-    /// Passes a request of each tenant, at one moment.
+    /// Passes a request of each tenant at the same moment.
     pub fn request_from_all(&mut self) {
         (0..self.tenants.len()).for_each(|tenant| {
             self.request(tenant);
         });
     }
 
-    /// Advances the clock to the next tick and runs it; then the peers acknowledge the messages that were sent.
+    /// Advances the clock by the tick interval and runs a tick, after which the peers acknowledge the messages sent.
     pub fn run_tick(&mut self) {
         self.advance(TICK);
     }
 
-    /// Advances the clock and runs a tick, as after a pause without any.
+    /// Advances the clock by `time` and runs a single tick, after which the peers acknowledge the messages sent.
     pub fn advance(&mut self, time: Duration) {
         self.now += time;
         self.run_batch(&EventBatch::default());
-        let messaged_peers = std::mem::take(&mut self.observer.0.messaged_peers);
-        if !messaged_peers.is_empty() {
-            self.receive_acknowledgements(messaged_peers);
+        let unacknowledged_peers = std::mem::take(&mut self.observer.0.unacknowledged_peers);
+        if !unacknowledged_peers.is_empty() {
+            self.receive_acknowledgements(unacknowledged_peers);
         }
     }
 
-    /// Runs ticks.
+    /// Runs `count` ticks.
     pub fn run_ticks(&mut self, count: u64) {
         (0..count).for_each(|_| self.run_tick());
     }
 
-    /// Receives a message of a peer that has restarted.
+    /// Receives the first message of a peer that has restarted.
     pub fn restart_peer(&mut self, peer: u32) {
         let header = &mut self.peer_headers[peer as usize];
         header.incarnation += 1;
@@ -271,15 +275,16 @@
         self.receive_acknowledgements([peer]);
     }
 
-    /// Receives reports of one unit in the present window from all others of each tenant's set; the number of rows.
+    /// Receives a report of one unit in the current window for each tenant from each other limiter of its set. Returns the
+    /// number of rows received.
     pub fn receive_reports(&mut self) -> u64 {
         let window = self.now.as_secs() / WINDOW_SECONDS;
         let mut rows: Vec<Vec<CounterRow>> = vec![Vec::new(); self.fleet.limiters as usize];
         for tenant in &self.tenants {
-            for place in 0..self.fleet.set_size {
-                let peer = (tenant.set_first + place) % self.fleet.limiters;
-                if peer != self.rank {
-                    rows[peer as usize].push(report(tenant.customer, window));
+            for offset in 0..self.fleet.set_size {
+                let peer = (tenant.set_first + offset) % self.fleet.limiters;
+                if peer != self.own_index {
+                    rows[peer as usize].push(report_row(tenant.customer, window));
                 }
             }
         }
@@ -295,8 +300,9 @@
         received
     }
 
-    /// How many accounts have been kept for some seconds: a new account's ceiling admits less than theirs. The requests
-    /// that show it create accounts in place of removed ones, so nothing can be measured afterwards.
+    /// Number of tenants whose account has been kept for some seconds, determined by a request of each tenant that the
+    /// ceiling of a new account rejects. The requests create accounts in place of removed ones, so nothing can be measured
+    /// afterwards.
     pub fn accounts_kept(&mut self) -> u64 {
         (0..self.tenants.len())
             .map(|tenant| u64::from(self.request_units(tenant, KEPT_ACCOUNT_UNITS)))
@@ -304,7 +310,7 @@
     }
 }
 
-fn report(customer: u64, window: u64) -> CounterRow {
+fn report_row(customer: u64, window: u64) -> CounterRow {
     CounterRow {
         customer,
         plan: 0,
@@ -316,7 +322,7 @@
     }
 }
 
-fn server_list() -> EndpointUpdate {
+fn endpoint_list() -> EndpointUpdate {
     let endpoint = |server: u32| Endpoint {
         server: ServerIndex(server),
         ring_hash: ring_hash(&server.to_string()),
@@ -332,15 +338,15 @@
     }
 }
 
-/// One plan of two units per second. Its ceiling refills by one unit per second at each limiter, and its slack admits an
-/// ordinary request of a new account, but none of [`KEPT_ACCOUNT_UNITS`].
-fn settings(fleet: FleetSetting, rank: u32) -> serde_json::Value {
-    let set = f64::from(fleet.set_size);
+/// Settings with one plan of two units per second. At each limiter, its ceiling refills by one unit per second, and the
+/// slack admits an ordinary request of a new account but not one of [`KEPT_ACCOUNT_UNITS`].
+fn settings(fleet: FleetSetting, own_index: u32) -> serde_json::Value {
+    let set_size = f64::from(fleet.set_size);
     json!({
-        "balancers": fleet.limiters, "rank": rank,
+        "balancers": fleet.limiters, "rank": own_index,
         "classes": [{"name": "read", "idempotency": "read_like", "promiseS": 0.5, "hardLimitS": 2, "worth": 1}],
         "packages": [{"name": "basic", "unitsPerS": 2, "mostAtOnce": 2 * WINDOW_SECONDS, "price": 1,
-            "ceilingRate": set, "capDepth": 8.0 * set, "capSlack": 2.0 * set}],
+            "ceilingRate": set_size, "capDepth": 8.0 * set_size, "capSlack": 2.0 * set_size}],
         "policyLimits": {"peers": true, "sendCap": 2, "mayCancel": true, "mostHeld": 1000},
         "familyInfo": {"inboxPerS": 40, "maxUnits": 8},
     })
--- a/crates/merlinreel-testkit/tests/scale_quotas.rs
+++ b/crates/merlinreel-testkit/tests/scale_quotas.rs
@@ -1,4 +1,4 @@
-//! The quota measurements in a short form: counts only, which are the same each run.
+//! Short runs of the quota measurements. The tests check counts, which are the same in each run, not times.
 
 use merlinreel_testkit::scale::quotas::{
     Counts, FleetSetting, count, count_propagation, count_recovery, measure, measure_overloaded,
@@ -11,13 +11,13 @@
 
 const SEED: u64 = 7;
 const WARM_UP: Duration = Duration::from_secs(4);
-/// The token bucket of an overloaded customer, full at first, is empty by then.
-const BUCKETS_EMPTY: Duration = Duration::from_secs(15);
-const TIME: Duration = Duration::from_secs(3);
+/// Warm-up after which the token buckets of overloaded customers, which start full, are empty.
+const EMPTYING_WARM_UP: Duration = Duration::from_secs(15);
+const MEASURED_TIME: Duration = Duration::from_secs(3);
 const LIMITERS: [u32; 4] = [20, 40, 80, 160];
 
-/// What a limiter sends is bounded by its peers' inboxes and its customers, not by the fleet. The margin is for random
-/// differences between small sizes.
+/// The messages of a limiter are limited by its peers' inboxes and by its customers, and do not grow with the fleet. The
+/// margin above 0 allows for random differences between small sizes.
 const MAX_EXPONENT_BY_LIMITERS: f64 = 0.15;
 
 fn fleet(limiters: u32) -> FleetSetting {
@@ -29,11 +29,11 @@
 }
 
 fn counted(setting: FleetSetting) -> Counts {
-    count(setting, SEED, WARM_UP, TIME).expect("valid settings")
+    count(setting, SEED, WARM_UP, MEASURED_TIME).expect("valid settings")
 }
 
-/// The counts of fleets, by the number of limiters.
-fn by_limiters(sizes: &[u32], broadcasts_messages: bool) -> Vec<(f64, Counts)> {
+/// Counts of fleets with these numbers of limiters.
+fn counts_by_limiters(sizes: &[u32], broadcasts_messages: bool) -> Vec<(f64, Counts)> {
     let point = |&limiters: &u32| {
         let setting = FleetSetting {
             broadcasts_messages,
@@ -53,27 +53,27 @@
 
 #[test]
 fn messages_and_bytes_of_a_limiter_do_not_grow_with_the_fleet() {
-    let checked: [fn(&Counts) -> f64; 3] = [
+    let values: [fn(&Counts) -> f64; 3] = [
         |counts| counts.messages_sent,
         |counts| counts.bytes_sent,
         |counts| counts.messages_received_greatest,
     ];
-    let counts = by_limiters(&LIMITERS, false);
-    for value in checked {
+    let counts = counts_by_limiters(&LIMITERS, false);
+    for value in values {
         let points = points(&counts, value);
         assert!(
             points.iter().all(|point| point.value > 0.0),
             "nothing was sent: {points:?}"
         );
         check_slope(&points, MAX_EXPONENT_BY_LIMITERS)
-            .unwrap_or_else(|steep| panic!("{steep}: {points:?}"));
+            .unwrap_or_else(|error| panic!("{error}: {points:?}"));
     }
 }
 
 #[test]
-fn broadcast_of_every_message_is_too_steep() {
-    // Three sizes are enough for a slope so steep, and take as long as the other test.
-    let points = points(&by_limiters(&LIMITERS[..3], true), |counts| {
+fn cost_of_broadcasting_every_message_is_too_steep() {
+    // Three sizes suffice for so steep a slope; with broadcasts, they take as long as four sizes without.
+    let points = points(&counts_by_limiters(&LIMITERS[..3], true), |counts| {
         counts.bytes_sent
     });
     let slope = check_slope(&points, MAX_EXPONENT_BY_LIMITERS);
@@ -88,7 +88,7 @@
     assert_eq!(counted(fleet(30)), counted(fleet(30)));
     assert_ne!(
         counted(fleet(30)),
-        count(fleet(30), SEED + 1, WARM_UP, TIME).expect("valid settings")
+        count(fleet(30), SEED + 1, WARM_UP, MEASURED_TIME).expect("valid settings")
     );
     let propagation = || count_propagation(fleet(20), SEED, 2).expect("valid settings");
     assert_eq!(propagation(), propagation());
@@ -97,18 +97,18 @@
 }
 
 #[test]
-fn overloaded_customers_exceed_their_quotas_without_peer_messages_only() {
+fn overloaded_customers_exceed_their_quotas_only_without_peer_messages() {
     let counted = |peer_messages| {
         let setting = FleetSetting {
             peer_messages,
             ..fleet(30)
         };
-        count(setting, SEED, BUCKETS_EMPTY, TIME * 2).expect("valid settings")
+        count(setting, SEED, EMPTYING_WARM_UP, MEASURED_TIME * 2).expect("valid settings")
     };
     let with_messages = counted(true);
     let without_messages = counted(false);
     assert_eq!(without_messages.messages_sent, 0.0);
-    // Their demand is twice their quota: limiters that know nothing of each other admit nearly all of it.
+    // Demand is twice the quota, and limiters without reports from each other admit nearly all of it.
     assert!(
         without_messages.quota_used_share > 1.5,
         "{without_messages:?}"
@@ -124,7 +124,7 @@
 }
 
 #[test]
-fn restart_of_all_limiters_admits_more_overage_than_that_of_one() {
+fn restart_of_all_limiters_admits_more_overage_than_restart_of_one() {
     let overage = |restarted| {
         count_recovery(fleet(30), SEED, restarted)
             .expect("valid settings")
@@ -135,14 +135,14 @@
 }
 
 #[test]
-fn data_points_have_their_setting_and_a_size_over_the_memory_bound_is_rejected() {
+fn data_points_have_their_setting_and_sizes_over_the_memory_limit_are_rejected() {
     let request = MeasureRequest::new(vec![20, 30], SEED, 1, Some(512)).expect("valid");
     let mut points: Vec<DataPoint> = Vec::new();
-    let mut keep = |point| {
+    let mut emit = |point| {
         points.push(point);
         Ok(())
     };
-    measure(&request, &mut keep).expect("it fits");
+    measure(&request, &mut emit).expect("measured");
     assert!(
         points
             .iter()
@@ -153,10 +153,13 @@
             .iter()
             .any(|point| point.size == 30 && point.metric == "bytes_sent_greatest")
     );
-    let of_memory = points
+    let memory_points = points
         .iter()
         .filter(|point| point.metric == "memory_per_limiter");
-    assert_eq!(of_memory.map(|point| point.size).collect::<Vec<_>>(), [20]);
+    assert_eq!(
+        memory_points.map(|point| point.size).collect::<Vec<_>>(),
+        [20]
+    );
     let small = MeasureRequest::new(vec![50], SEED, 1, Some(64)).expect("valid");
     for rejected in [
         measure_overloaded(&small, &mut |_| Ok(())),
@@ -173,12 +176,12 @@
 fn tenant_tables_are_measured_at_each_size() {
     let request = MeasureRequest::new(vec![100, 200], SEED, 2, Some(128)).expect("valid");
     let mut points: Vec<DataPoint> = Vec::new();
-    let mut keep = |point| {
+    let mut emit = |point| {
         points.push(point);
         Ok(())
     };
-    measure_tenants(&request, &mut keep).expect("it fits");
-    measure_reported_tenants(&request, &mut keep).expect("it fits");
+    measure_tenants(&request, &mut emit).expect("measured");
+    measure_reported_tenants(&request, &mut emit).expect("measured");
     let found: Vec<_> = points
         .iter()
         .map(|point| (point.variable, point.size, point.runs))
--- a/crates/merlinreel-testkit/tests/scale_tenants.rs
+++ b/crates/merlinreel-testkit/tests/scale_tenants.rs
@@ -1,4 +1,5 @@
-//! What a limiter reports of its tenants grows with their number, and no faster; accounts of idle ones are removed.
+//! Tests of the tenant measurements: a limiter's reports grow no faster than the number of its tenants, and accounts of
+//! idle tenants are removed.
 
 use merlinreel_testkit::scale::tenants::{
     self, DecisionCounts, FleetSetting, SimulatedLimiter, TICKS_PER_SWEEP,
@@ -7,22 +8,22 @@
     DataPoint, MeasureRequest, Point, SlopeError, Source, check_slope,
 };
 
-/// Few enough that all that must be reported fits into the messages of a minute.
+/// Numbers of tenants, few enough that all reports fit into the messages of a minute.
 const SIZES: [u64; 4] = [50, 100, 200, 400];
 const FLEET: FleetSetting = FleetSetting {
     limiters: 300,
     set_size: 37,
 };
 const SEED: u64 = 11;
-/// A tenant's counts are reported to one limiter of its set: rows and requests per tenant are the same at each size, but
-/// for messages that are not full and random differences.
+/// A tenant's counts are reported to one limiter of its set, so bytes and requests per tenant are the same at each size,
+/// except for messages that are not full and for random differences.
 const MAX_EXPONENT_PER_TENANT: f64 = 0.12;
 
 fn limiter(seed: u64) -> SimulatedLimiter {
     SimulatedLimiter::new(FLEET, seed).expect("valid settings")
 }
 
-/// The decisions from the tenants' first requests until twenty seconds after their last.
+/// Counts from the tenants' first requests until twenty seconds after the last one.
 fn counts(tenants: u64, seed: u64) -> DecisionCounts {
     let mut limiter = limiter(seed);
     limiter.add_tenants(tenants, 50);
@@ -30,15 +31,15 @@
     limiter.counts()
 }
 
-fn per_tenant(of: impl Fn(u64) -> u64) -> Vec<Point> {
+fn per_tenant(count: impl Fn(u64) -> u64) -> Vec<Point> {
     SIZES
         .iter()
-        .map(|&size| Point::new(size as f64, of(size) as f64 / size as f64))
+        .map(|&size| Point::new(size as f64, count(size) as f64 / size as f64))
         .collect()
 }
 
 #[test]
-fn messages_and_requests_of_a_tenant_do_not_grow_with_their_number() {
+fn bytes_and_requests_per_tenant_do_not_grow_with_the_number_of_tenants() {
     let bytes = per_tenant(|size| counts(size, SEED).peer_bytes);
     check_slope(&bytes, MAX_EXPONENT_PER_TENANT)
         .unwrap_or_else(|error| panic!("peer bytes {error}: {bytes:?}"));
@@ -54,10 +55,10 @@
     assert_ne!(counts(200, SEED), counts(200, SEED + 1));
 }
 
-/// A deliberate cost that grows with the square: with each new tenant, all earlier ones send a request.
+/// A deliberate quadratic cost: all earlier tenants send a request for each new one.
 #[test]
-fn requests_of_all_tenants_for_each_new_one_are_too_steep() {
-    let admitted = per_tenant(|size| {
+fn cost_of_requests_from_all_tenants_for_each_new_one_is_too_steep() {
+    let requests = per_tenant(|size| {
         let mut limiter = limiter(SEED);
         for tenant in 0..size as usize {
             limiter.add_tenant();
@@ -70,7 +71,7 @@
         } = limiter.counts();
         admitted + rejected
     });
-    let slope = check_slope(&admitted, MAX_EXPONENT_PER_TENANT);
+    let slope = check_slope(&requests, MAX_EXPONENT_PER_TENANT);
     assert!(
         matches!(slope, Err(SlopeError::TooSteep { exponent, .. }) if exponent > 0.8),
         "{slope:?}"
@@ -89,7 +90,7 @@
 }
 
 #[test]
-fn accounts_kept_are_the_same_each_run() {
+fn accounts_kept_are_the_same_in_each_run() {
     let counted = || {
         let request = MeasureRequest::new(vec![50, 100], SEED, 1, None).expect("valid");
         let mut points = Vec::new();
