--- a/crates/merlinreel-testkit/src/bin/scale.rs
+++ b/crates/merlinreel-testkit/src/bin/scale.rs
@@ -146,7 +146,7 @@
     output: &Path,
 ) -> Result<(), ScaleError> {
     eprintln!(
-        "{} by {}: {:?}",
+        "scale: measuring {} by {} at sizes {:?}",
         measurement.role, measurement.variable, request.sizes
     );
     (measurement.run)(request, &mut |data_point: DataPoint| {
