--- a/crates/merlinreel/src/event_loop.rs
+++ b/crates/merlinreel/src/event_loop.rs
@@ -1,5 +1,5 @@
-//! The one task that owns the policy. Everything else reaches it through its queue: it takes the waiting events into one
-//! batch, carries the decisions out in order, and sleeps until an event arrives or a wakeup is due.
+//! The task that owns the policy. All other tasks reach it through its queue: it processes the queued events as one
+//! batch, carries out the policy's decisions in order, and sleeps until an event arrives or a wakeup is due.
 
 mod action_executor;
 mod clock;
@@ -27,34 +27,34 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::sleep_until;
 
-/// Runs the policy on the events of its queue.
+/// Passes queued events to the policy and carries out its decisions.
 pub struct EventLoop {
     limiter: Limiter,
     metrics: Arc<Metrics>,
-    hold_ups: Arc<HoldUpMonitor>,
-    /// Passes reloaded settings on to the client listener.
+    stall_monitor: Arc<HoldUpMonitor>,
+    /// Sends reloaded settings to the client listener; without it, only the policy and the metrics get them.
     settings_sender: Option<watch::Sender<Arc<ActiveSettings>>>,
     executor: ActionExecutor,
-    /// Requests in flight at once.
+    /// Maximum number of requests that wait for a response at the same time; further ones are rejected.
     max_requests: usize,
-    /// Events in one batch.
+    /// Maximum number of events in one batch.
     batch_size: usize,
 }
 
 impl EventLoop {
-    /// An event loop that has seen no event. `peer_sender` is there where limiters exchange messages.
+    /// Creates an event loop without requests or endpoints. `peer_sender` is `None` if limiters exchange no messages.
     pub fn new(
         limiter: Limiter,
         upstreams: UpstreamPool,
         peer_sender: Option<PeerSender>,
         clock: Clock,
         metrics: Arc<Metrics>,
-        hold_ups: Arc<HoldUpMonitor>,
+        stall_monitor: Arc<HoldUpMonitor>,
     ) -> EventLoop {
         let limits = upstreams.limits().event_loop.clone();
         EventLoop {
             limiter,
-            hold_ups,
+            stall_monitor,
             settings_sender: None,
             max_requests: limits.max_requests,
             batch_size: limits.batch_size,
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Reloaded settings are passed on to `settings_sender` once the policy has them.
+    /// Makes the event loop send reloaded settings to `settings_sender` after the policy has applied them.
     pub fn with_settings_sender(
         mut self,
         settings_sender: watch::Sender<Arc<ActiveSettings>>,
@@ -78,7 +78,8 @@
         self
     }
 
-    /// Runs until every sender of the queue is dropped; `cached_endpoints` are those of the process before.
+    /// Runs until every sender of the queue is dropped. `cached_endpoints` is the endpoint list of an earlier process,
+    /// used until discovery responds.
     pub async fn run(
         mut self,
         cached_endpoints: Option<DiscoveryUpdate>,
@@ -95,7 +96,7 @@
         tokio::pin!(timer);
         loop {
             let wake_at = self.executor.wake_at;
-            self.hold_ups.set_next_due(wake_at);
+            self.stall_monitor.set_next_due(wake_at);
             if let Some(at) = wake_at {
                 timer.as_mut().reset(at.into());
             }
@@ -110,11 +111,11 @@
         }
     }
 
-    /// Runs one batch with all of `events`, in their order.
+    /// Runs one batch of all `events`, in their order, and empties the vector.
     fn process_events(&mut self, events: &mut Vec<Event>) {
         let mut batch = EventBatch::default();
         self.executor.now = Instant::now();
-        self.hold_ups.record_run(self.executor.now);
+        self.stall_monitor.record_run(self.executor.now);
         for event in events.drain(..) {
             self.add_event(event, &mut batch);
         }
@@ -139,17 +140,17 @@
             Event::EndpointUpdate(update) => {
                 let update = self.executor.upstreams.apply_endpoints(update);
                 batch.endpoint_updates.push(update);
-                self.executor.withdraw_attempts_from_unready_servers();
+                self.executor.cancel_unstarted_attempts_at_unready_servers();
             }
             Event::PeerMessage(message) => batch.peer_messages.push(message),
         }
     }
 
-    /// Adds a request to the batch, or rejects it where the maximum is in flight.
+    /// Adds a request to the batch, or rejects it if `max_requests` requests are waiting for a response already.
     fn add_request(&mut self, incoming: IncomingRequest, batch: &mut EventBatch) {
         if self.executor.requests.waiting() >= self.max_requests {
             self.metrics.count_excess_request();
-            // No server has seen it: a retry is harmless.
+            // The request was not sent to any server, so the client can retry it safely.
             let _ = incoming
                 .response_sender
                 .send(ClientResponse::Rejected(None));
@@ -160,7 +161,7 @@
             deadline: incoming.deadline,
             upstream_request: Arc::new(incoming.upstream_request),
             response_sender: Some(incoming.response_sender),
-            attempts_numbered: 0,
+            next_attempt_number: 0,
             attempts: Vec::new(),
         });
         batch.requests.push(Request {
@@ -172,14 +173,15 @@
         });
     }
 
-    /// Reloaded settings reach the policy first, so that the client listener never names a class that it does not know.
+    /// Applies reloaded settings: to the policy first, so that the client listener never uses a class that the policy
+    /// does not know.
     fn reconfigure(&mut self, settings: Settings) {
         let indices = self
             .limiter
             .reconfigure(&settings.classes, settings.request_limits);
         self.metrics.set_classes(&settings.sockets.classes);
         log!(
-            "settings reloaded: classes {} and their request limits in effect",
+            "configuration: settings reloaded; classes {} and their request limits are now in effect",
             settings.sockets.classes.join(", ")
         );
         if let Some(settings_sender) = &self.settings_sender {
@@ -187,7 +189,7 @@
         }
     }
 
-    /// Runs a batch, and a further one as long as attempts of the last one could not be sent.
+    /// Runs a batch, then further ones with the results of attempts that could not be sent, until there are none.
     fn run_batch(&mut self, mut batch: EventBatch) {
         loop {
             let executor = &mut self.executor;
@@ -195,7 +197,7 @@
             if executor.wake_at.is_some_and(|at| at <= executor.now) {
                 executor.wake_at = None;
             }
-            let now = executor.clock.at(executor.now);
+            let now = executor.clock.unix_time_at(executor.now);
             self.limiter.process(now, &batch, executor);
             let endpoints = self.limiter.endpoint_counts(now);
             self.metrics
--- a/crates/merlinreel/src/event_loop/action_executor.rs
+++ b/crates/merlinreel/src/event_loop/action_executor.rs
@@ -1,4 +1,4 @@
-//! Carries out what the policy decides: starts and cancels attempts, answers clients, sends peer messages.
+//! Carries out the policy's decisions: starts and cancels attempts, responds to clients, sends peer messages.
 
 use super::clock::Clock;
 use super::in_flight::{AttemptReference, InFlightAttempt, InFlightRequests};
@@ -13,36 +13,36 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Everything that actions need.
+/// The state that the policy's actions read and change.
 pub struct ActionExecutor {
-    /// Translates instants for the policy.
+    /// Converts instants to the Unix time that the policy uses.
     pub clock: Clock,
-    /// Connections to servers.
+    /// The pool of connections to servers.
     pub upstreams: UpstreamPool,
-    /// Sends peer messages, where limiters exchange any.
+    /// Sends peer messages; `None` if limiters exchange none.
     pub peer_sender: Option<PeerSender>,
-    /// Attempts end this long before their client gives up.
+    /// How long before its client's deadline an attempt must end, so that the response reaches the client in time.
     pub response_margin: Duration,
-    /// Requests in flight.
+    /// Requests in flight, by index.
     pub requests: InFlightRequests,
-    /// Attempts in flight.
+    /// Attempts in flight, by id.
     pub attempts: HashMap<AttemptId, InFlightAttempt>,
-    /// The id of the attempt that was started last.
+    /// Id of the attempt that was started last; 0 before the first one.
     pub last_attempt_id: AttemptId,
-    /// Results of attempts that could not be sent, for the next batch.
+    /// Results of attempts of the current batch that could not be sent; the next batch reports them to the policy.
     pub not_sent: Vec<AttemptResult>,
-    /// Indices of requests that may be finished at the end of the batch.
+    /// Indices of requests to check at the end of the batch; those that are finished are released.
     pub maybe_finished: Vec<RequestIndex>,
-    /// Counts rejections.
+    /// Metrics, in which rejections are counted.
     pub metrics: Arc<Metrics>,
-    /// When the policy wants to be called again.
+    /// When the policy is to be called again even without an event; `None` if it has asked for no wakeup.
     pub wake_at: Option<Instant>,
-    /// The time of the present batch.
+    /// The time of the current batch.
     pub now: Instant,
 }
 
 impl ActionExecutor {
-    /// An executor without requests.
+    /// Creates an executor without requests.
     pub fn new(
         clock: Clock,
         upstreams: UpstreamPool,
@@ -66,22 +66,22 @@
         }
     }
 
-    /// Sends the client its final response; any further one is dropped.
+    /// Sends the client its final response. Drops the response if the client had one before or has disconnected.
     pub fn send_response(&mut self, request: RequestIndex, response: ClientResponse) {
         let Some(in_flight) = self.requests.get_mut(request) else {
             return;
         };
         if let Some(response_sender) = in_flight.response_sender.take() {
             let request_id = in_flight.request_id;
-            // A client that disconnected meanwhile needs none.
+            // Sending fails if the client has disconnected meanwhile; the response is then not needed.
             let _ = response_sender.send(response);
             self.requests.stop_waiting(request_id);
             self.maybe_finished.push(request);
         }
     }
 
-    /// The client has disconnected: attempts that have not started never do, also where attempts that have started may
-    /// not be cancelled.
+    /// Handles the disconnect of a request's client: cancels the attempts of which nothing was written yet, even if the
+    /// settings forbid the cancellation of started attempts.
     pub fn handle_disconnect(&mut self, request: RequestIndex) {
         let Some(in_flight) = self.requests.get_mut(request) else {
             return;
@@ -97,9 +97,9 @@
         self.maybe_finished.push(request);
     }
 
-    /// Cancels attempts that have not started at servers that are draining or removed: a connection may come up only
-    /// after the drain's grace.
-    pub fn withdraw_attempts_from_unready_servers(&self) {
+    /// Cancels attempts of which nothing was written yet at servers that are draining or removed: their connections
+    /// might be established only after the drain grace.
+    pub fn cancel_unstarted_attempts_at_unready_servers(&self) {
         for (&attempt_id, attempt) in &self.attempts {
             if !self.upstreams.is_ready(attempt.server) {
                 attempt.connection.cancel_if_not_started(attempt_id);
@@ -107,15 +107,15 @@
         }
     }
 
-    /// Gives the indices of finished requests back.
+    /// Frees the indices of finished requests.
     pub fn release_finished_requests(&mut self) {
         for request in std::mem::take(&mut self.maybe_finished) {
             self.requests.release_if_finished(request);
         }
     }
 
-    /// Takes an attempt's result: the connection goes back to the pool, and a successful response to the client. `None`
-    /// where the attempt or its request is not in flight.
+    /// Handles the completion of an attempt: returns a reusable connection to the pool and sends a successful response
+    /// to the client. Returns the result for the policy, or `None` if the attempt or its request is not in flight.
     pub fn complete_attempt(&mut self, completion: AttemptCompletion) -> Option<AttemptResult> {
         let attempt = self.attempts.remove(&completion.attempt_id)?;
         if completion.reusable {
@@ -143,7 +143,7 @@
         })
     }
 
-    /// Records an attempt that a connection has taken.
+    /// Records an attempt that was handed to a connection.
     fn track_attempt(&mut self, attempt_id: AttemptId, attempt: InFlightAttempt) {
         self.last_attempt_id = attempt_id;
         if let Some(in_flight) = self.requests.get_mut(attempt.request) {
@@ -155,7 +155,7 @@
         self.attempts.insert(attempt_id, attempt);
     }
 
-    /// The result of an attempt that no connection could take.
+    /// Queues the result of an attempt that could not be handed to a connection.
     fn report_not_sent(&mut self, request: RequestIndex, number: u32, server: ServerIndex) {
         self.not_sent.push(AttemptResult {
             request,
@@ -191,8 +191,8 @@
         let Some(in_flight) = self.requests.get_mut(request) else {
             return;
         };
-        let number = in_flight.attempts_numbered;
-        in_flight.attempts_numbered += 1;
+        let number = in_flight.next_attempt_number;
+        in_flight.next_attempt_number += 1;
         let attempt = Attempt {
             attempt_id,
             upstream_request: in_flight.upstream_request.clone(),
@@ -254,14 +254,17 @@
         }
     }
 
-    /// Never called: a configuration with a counter is rejected at start.
+    /// Never called: a configuration with a counter service is rejected at startup.
     fn increment_counter(&mut self, customer: u64, window: u64, _: f64, _: Duration) {
-        log!("no counter service to update for customer {customer}, window {window}");
+        log!(
+            "counter service: none is configured; an increment for customer {customer}, window {window} was dropped"
+        );
     }
 
-    /// The endpoint list is always watched.
+    /// Does nothing: the endpoint list is always watched.
     fn set_endpoint_subscription(&mut self, _: bool) {}
 
+    /// Does nothing: the endpoint list is always watched.
     fn poll_endpoints(&mut self) {}
 
     fn close_idle_connections(&mut self, server: ServerIndex) {
--- a/crates/merlinreel/src/event_loop/in_flight.rs
+++ b/crates/merlinreel/src/event_loop/in_flight.rs
@@ -8,67 +8,68 @@
 use std::time::{Duration, Instant};
 use tokio::sync::oneshot;
 
-/// An attempt whose result is still to come.
+/// An attempt that has no result yet.
 pub struct InFlightAttempt {
-    /// Index of its request.
+    /// The request that the attempt is made for.
     pub request: RequestIndex,
-    /// Its number among the attempts of its request, from 0.
+    /// Position among the attempts of the request, from 0.
     pub number: u32,
-    /// Index of its server.
+    /// The server at which the attempt is made.
     pub server: ServerIndex,
-    /// The connection that carries it.
+    /// The connection that carries the attempt.
     pub connection: ConnectionHandle,
 }
 
-/// Names an attempt in flight to its request.
+/// Refers from a request to one of its attempts in flight.
 #[derive(Clone, Copy)]
 pub struct AttemptReference {
-    /// The number by which the policy knows it, from 0 for each request.
+    /// The policy's number for the attempt: its position among the attempts of the request, from 0.
     pub number: u32,
-    /// Its id in this process.
+    /// The attempt's id, unique within this process.
     pub attempt_id: AttemptId,
 }
 
 /// A request that has no response yet, or still has attempts in flight.
 pub struct InFlightRequest {
-    /// The id that its client's connection gave it.
+    /// The id assigned when the request was read from the client's connection; names the request in disconnect events.
     pub request_id: u64,
-    /// When the client gives up.
+    /// When the client stops waiting for a response.
     pub deadline: Instant,
-    /// What servers receive.
+    /// The request as it is sent to servers, shared by all attempts.
     pub upstream_request: Arc<UpstreamRequest>,
-    /// Takes the response; none once that is sent, or the client has disconnected.
+    /// Where the response is sent; `None` once it was sent or the client has disconnected.
     pub response_sender: Option<oneshot::Sender<ClientResponse>>,
-    /// How many attempts have had a number.
-    pub attempts_numbered: u32,
+    /// The number of the next attempt; those that could not be sent count too.
+    pub next_attempt_number: u32,
     /// Attempts in flight.
     pub attempts: Vec<AttemptReference>,
 }
 
 impl InFlightRequest {
-    /// Whether the client has its response or has disconnected.
+    /// Whether the response was sent or the client has disconnected.
     pub fn is_completed(&self) -> bool {
         self.response_sender.is_none()
     }
 
-    /// When an attempt must have its response, so that it reaches the client `margin` before the deadline.
+    /// Until when an attempt may wait for a response, so that the response can reach the client `margin` before the
+    /// client's deadline.
     pub fn attempt_deadline(&self, margin: Duration) -> Instant {
         self.deadline.checked_sub(margin).unwrap_or(self.deadline)
     }
 }
 
-/// The requests in flight by the index that the policy knows them by.
+/// The requests in flight, by the index that the policy uses for them.
 #[derive(Default)]
 pub struct InFlightRequests {
     pub(super) slots: Vec<Option<InFlightRequest>>,
-    /// Indices of empty slots.
+    /// Indices of empty slots, which are reused.
     free: Vec<RequestIndex>,
-    /// Indices of the requests that have no response and whose clients are connected.
+    /// Indices of the requests without a response whose clients are connected, by request id.
     waiting: HashMap<u64, RequestIndex>,
 }
 
 impl InFlightRequests {
-    /// How many requests have no response yet and a client that waits for it.
+    /// The number of requests that have no response yet and whose clients are connected.
     pub fn waiting(&self) -> usize {
         self.waiting.len()
     }
@@ -84,19 +85,19 @@
         index
     }
 
-    /// The request at `index`.
+    /// The request at `index`; `None` if that slot is empty.
     pub fn get_mut(&mut self, index: RequestIndex) -> Option<&mut InFlightRequest> {
         self.slots
             .get_mut(index.position())
             .and_then(Option::as_mut)
     }
 
-    /// Nobody waits for the response of this request any more; returns its index where it had none yet.
+    /// Marks a request as no longer waiting for a response. Returns its index, or `None` if it was not waiting.
     pub fn stop_waiting(&mut self, request_id: u64) -> Option<RequestIndex> {
         self.waiting.remove(&request_id)
     }
 
-    /// Whether the request at `index` is completed or not there.
+    /// Whether the request at `index` is completed; true if there is no such request.
     pub fn is_completed(&self, index: RequestIndex) -> bool {
         self.slots
             .get(index.position())
--- a/crates/merlinreel/src/event_loop/tests.rs
+++ b/crates/merlinreel/src/event_loop/tests.rs
@@ -11,23 +11,23 @@
     let unix = SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .expect("after 1970");
-    assert!(unix.abs_diff(clock.at(Instant::now())) < Duration::from_secs(60));
+    assert!(unix.abs_diff(clock.unix_time_at(Instant::now())) < Duration::from_secs(60));
     let later = clock.started + Duration::from_secs(3600);
     assert_eq!(
-        clock.at(later),
-        clock.at(clock.started) + Duration::from_secs(3600)
+        clock.unix_time_at(later),
+        clock.unix_time_at(clock.started) + Duration::from_secs(3600)
     );
 }
 
-/// An event loop with one request in flight at most.
+/// An event loop that accepts one request at a time.
 fn event_loop() -> (EventLoop, Queue, mpsc::Receiver<Event>) {
     let settings = serde_json::json!({"classes": [{"idempotency": "non_idempotent", "promiseS": 30.0,
         "hardLimitS": 60.0}], "packages": [{"unitsPerS": 9.0, "mostAtOnce": 9.0}],
         "policyLimits": {"mostHeld": 1, "mayCancel": true}});
-    let paths = merlinreel_settings::SettingsTree::from_json(&settings);
-    let settings = paths
-        .and_then(|paths| merlinreel_settings::Settings::read(&paths))
-        .expect("sound");
+    let tree = merlinreel_settings::SettingsTree::from_json(&settings);
+    let settings = tree
+        .and_then(|tree| merlinreel_settings::Settings::read(&tree))
+        .expect("valid settings");
     let limits = crate::config::limits::Limits::new(1024, 192, &settings).expect("enough memory");
     let (queue, events) = mpsc::channel(16);
     let metrics = Metrics::new(&[]);
@@ -85,7 +85,7 @@
     let (mut event_loop, _queue, _events) = event_loop();
     let ((first, mut first_response), (second, mut second_response)) =
         (incoming_request(1), incoming_request(2));
-    // All waiting events go into one batch, in order.
+    // Both events are processed in one batch, in order.
     event_loop.process_events(&mut vec![first, second]);
     assert!(first_response.try_recv().is_err());
     assert!(matches!(
