--- a/crates/merlinreel/src/endpoints.rs
+++ b/crates/merlinreel/src/endpoints.rs
@@ -1,4 +1,4 @@
-//! The watch of discovery for the list of servers. As long as discovery is silent the last list is kept.
+//! Watches discovery for the endpoint list. While discovery does not respond, the last list stays in use.
 
 mod address_watch;
 mod call_timing;
@@ -16,9 +16,10 @@
 use std::net::SocketAddr;
 use tokio::sync::{oneshot, watch};
 
-/// Watches discovery until it is dropped, from the list of `version` on where one is known. Where `address` changes the
-/// open calls are dropped and the other address is asked for the full list at once, as its versions may be others. Updates
-/// go to `queue`; `first_list` is notified once the first one is there.
+/// Watches discovery until the future is dropped. `version` is that of the cached endpoint list, or `None` if there is
+/// no such list. When `address` changes, the open calls are dropped and the full list is fetched from the new address
+/// at once, as its version numbers may differ. Updates are sent to `queue`; `first_list` is notified after the first
+/// response, once its update is in the queue.
 pub async fn watch(
     mut address: watch::Receiver<SocketAddr>,
     mut version: Option<u64>,
@@ -28,19 +29,19 @@
 ) {
     let mut first_list = Some(first_list);
     loop {
-        let present = *address.borrow_and_update();
+        let current = *address.borrow_and_update();
         tokio::select! {
             biased;
             changed = address.changed() => match changed {
                 Ok(()) => version = None,
-                // The address can't change any more.
+                // The sender was dropped, so the address can't change any more.
                 Err(_) => {
-                    return AddressWatch::new(present, version, &limits, &queue, &mut first_list)
+                    return AddressWatch::new(current, version, &limits, &queue, &mut first_list)
                         .run()
                         .await;
                 }
             },
-            () = AddressWatch::new(present, version, &limits, &queue, &mut first_list).run() => {}
+            () = AddressWatch::new(current, version, &limits, &queue, &mut first_list).run() => {}
         }
     }
 }
--- a/crates/merlinreel/src/endpoints/address_watch.rs
+++ b/crates/merlinreel/src/endpoints/address_watch.rs
@@ -1,9 +1,10 @@
-//! The watch of discovery at one address.
+//! Watches discovery at one address by long polling.
 //!
-//! Each call follows the last response at once. Where a call fails or is silent the list is kept, and another call is made
-//! on a connection of its own beside those that are silent: the first response of any counts and ends all others, so that
-//! none arrives late. A discovery that is back is noticed while a call of the outage is still open, and a slow one is not
-//! given up just short of its response. Where too many calls are open one is ended (see [`OpenCalls`]).
+//! After a response the next call starts at once. When a call fails or stays without a response, the list is kept and
+//! another call starts on a connection of its own, while calls that are still open stay open: the first response to any
+//! of them is used and all other calls are aborted, so that no outdated response arrives later. In this way the end of
+//! an outage is noticed even while a call made during the outage is still open, and a slow agent's response is not lost
+//! by giving up just before it arrives. If too many calls are open, one is aborted (see [`OpenCalls`]).
 
 use super::call_timing::{CallKind, CallTiming, pause_after};
 use super::discovery_connection::{DiscoveryConnection, DiscoveryError};
@@ -19,23 +20,23 @@
 use tokio::task::JoinSet;
 use tokio::time::{sleep, timeout};
 
-/// A response, and the connection that can carry the next call.
+/// A response to a call, and the connection that it came on.
 pub struct CallResponse {
-    /// The connection.
+    /// Idle; can carry the next call.
     pub connection: DiscoveryConnection,
-    /// The list, or what has changed of it.
+    /// The complete list or the changes since the requested version.
     pub update: DiscoveryUpdate,
 }
 
-/// The tasks of the open calls.
+/// The tasks that run the open calls.
 pub type CallTasks = JoinSet<Result<CallResponse, DiscoveryError>>;
 
-/// The result of the first call that ends by itself, before the newest one counts as silent. Calls that were aborted have
-/// no result: else each of them would be followed by another call at once, without end.
+/// Waits up to `silent_after` for the first call that responds or fails, and returns its result. Aborted calls are
+/// ignored: otherwise each of them would start another call at once, which aborts the next one, and so on.
 ///
 /// # Errors
 ///
-/// That call failed, or all are silent.
+/// That call failed, or no call ended within `silent_after`.
 pub async fn first_result(
     calls: &mut CallTasks,
     silent_after: Duration,
@@ -51,29 +52,29 @@
     };
     timeout(silent_after, first)
         .await
-        .unwrap_or(Err(DiscoveryError::NoAnswer(silent_after)))
+        .unwrap_or(Err(DiscoveryError::NoResponse(silent_after)))
 }
 
-/// The watch of discovery at one address.
+/// The state of the watch of discovery at one address.
 pub struct AddressWatch<'a> {
     address: SocketAddr,
-    /// Of the list that is known.
+    /// Version of the last list received or cached; `None` if the full list is needed.
     version: Option<u64>,
     limits: &'a Limits,
     queue: &'a Queue,
-    /// Taken once the queue has the first list.
+    /// Notified after the first response; `None` from then on.
     first_list: &'a mut Option<oneshot::Sender<()>>,
-    /// Consecutive calls that failed or were silent.
-    failed: u32,
+    /// Number of calls that failed or stayed without a response since the last response.
+    consecutive_failures: u32,
     failure_log: FailureLog,
     open_calls: OpenCalls,
     calls: CallTasks,
-    /// Idle since the last response.
+    /// The connection of the last response; idle, so the next call uses it.
     connection: Option<DiscoveryConnection>,
 }
 
 impl<'a> AddressWatch<'a> {
-    /// A watch that has made no call; see [`watch`](super::watch) for its parts.
+    /// Creates a watch that has made no call; see [`watch`](super::watch) for the parameters.
     pub fn new(
         address: SocketAddr,
         version: Option<u64>,
@@ -87,7 +88,7 @@
             limits,
             queue,
             first_list,
-            failed: 0,
+            consecutive_failures: 0,
             failure_log: FailureLog::default(),
             open_calls: OpenCalls::default(),
             calls: CallTasks::new(),
@@ -95,14 +96,18 @@
         }
     }
 
-    /// Runs until it is dropped.
+    /// Runs until the future is dropped.
     pub async fn run(mut self) {
         loop {
-            let kind = CallKind::next(self.version, self.first_list.is_some(), self.failed);
+            let kind = CallKind::next(
+                self.version,
+                self.first_list.is_some(),
+                self.consecutive_failures,
+            );
             let timing = CallTiming::new(kind, &self.limits.endpoints);
             self.start_call(timing);
             match first_result(&mut self.calls, timing.silent_after).await {
-                Ok(response) => self.take_response(response).await,
+                Ok(response) => self.handle_response(response).await,
                 Err(error) => {
                     self.record_failure(&error);
                     sleep(pause_after(&error, &self.limits.endpoints)).await;
@@ -121,7 +126,7 @@
         }
     }
 
-    /// Makes a call on the idle connection, or on a new one.
+    /// Starts a call on the idle connection, or on a new one if there is none.
     fn start_call(&mut self, timing: CallTiming) {
         let path = self.path(timing);
         let address = self.address;
@@ -146,32 +151,34 @@
         );
     }
 
-    /// Ends all other calls and passes the update on, where it says anything.
-    async fn take_response(&mut self, response: CallResponse) {
+    /// Aborts all other calls and sends the update to the queue, unless it contains no change.
+    async fn handle_response(&mut self, response: CallResponse) {
         self.calls.shutdown().await;
         self.open_calls.clear();
         self.connection = Some(response.connection);
         let update = response.update;
         self.version = Some(update.version);
-        if self.failed > 0 {
-            log!("discovery: discovery answers again");
+        if self.consecutive_failures > 0 {
+            log!("discovery: the agent responds again; endpoint updates resume");
         }
-        self.failed = 0;
+        self.consecutive_failures = 0;
         self.failure_log = FailureLog::default();
         if !update.endpoints.is_empty() || update.complete {
             let _ = self.queue.send(Event::EndpointUpdate(update)).await;
         }
         if let Some(first_list) = self.first_list.take() {
-            // Whoever starts the process may have stopped waiting.
+            // Sending fails if startup has stopped waiting for the first list.
             let _ = first_list.send(());
         }
     }
 
     fn record_failure(&mut self, error: &DiscoveryError) {
-        self.failed = self.failed.saturating_add(1);
-        if self.failure_log.admits(error) {
-            let failed = self.failed;
-            log!("discovery: {error}; the last list is kept ({failed} consecutive failed calls)");
+        self.consecutive_failures = self.consecutive_failures.saturating_add(1);
+        if self.failure_log.should_log(error) {
+            let consecutive_failures = self.consecutive_failures;
+            log!(
+                "discovery: {error}; keeping the last endpoint list (consecutive failed calls: {consecutive_failures})"
+            );
         }
     }
 }
--- a/crates/merlinreel/src/endpoints/call_timing.rs
+++ b/crates/merlinreel/src/endpoints/call_timing.rs
@@ -1,43 +1,48 @@
-//! When discovery is called, and for how long a call may last.
+//! How long a call to discovery may take, and the pause before the next one.
 
 use super::discovery_connection::DiscoveryError;
 use crate::config::limits::EndpointWatchLimits;
 use std::time::Duration;
 
-/// What a call asks for.
+/// What a call requests from discovery.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum CallKind {
-    /// The complete list, at once.
+    /// The complete list; discovery responds at once.
     FullList,
-    /// What has changed since a version, at once.
+    /// The changes since a version; discovery responds almost at once, even if there are none.
     ImmediateWatch,
-    /// What has changed since a version, as soon as something has.
+    /// The changes since a version; discovery responds when there are some, or at the end of the wait.
     Watch,
 }
 
 impl CallKind {
-    /// The next call, where the process knows the list of `version`, has had its first list or not, and where `failed`
-    /// consecutive calls failed or were silent. After a failure what is known is wanted at once, as at the start.
-    pub fn next(version: Option<u64>, awaits_first_list: bool, failed: u32) -> CallKind {
+    /// The kind of the next call. `version` is that of the known list, `None` if there is none; `awaits_first_list` is
+    /// set until the first response; `consecutive_failures` counts calls that failed or stayed without a response. At
+    /// startup and after a failure the current state is requested at once instead of on its next change.
+    pub fn next(
+        version: Option<u64>,
+        awaits_first_list: bool,
+        consecutive_failures: u32,
+    ) -> CallKind {
         match version {
             None => CallKind::FullList,
-            Some(_) if awaits_first_list || failed > 0 => CallKind::ImmediateWatch,
+            Some(_) if awaits_first_list || consecutive_failures > 0 => CallKind::ImmediateWatch,
             Some(_) => CallKind::Watch,
         }
     }
 }
 
-/// The times of one call.
+/// The time limits of one call.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CallTiming {
-    /// How long discovery may wait for a change before it responds.
+    /// How long discovery may wait for a change before it responds; zero in a call for the complete list.
     pub wait: Duration,
-    /// After this the call counts as silent, and another one is made beside it.
+    /// If no response has arrived after this time, the call counts as silent: it stays open and another one starts.
     pub silent_after: Duration,
 }
 
 impl CallTiming {
-    /// The times of a call of this kind.
+    /// The time limits of a call of the given kind.
     pub fn new(kind: CallKind, limits: &EndpointWatchLimits) -> CallTiming {
         let wait = match kind {
             CallKind::FullList => Duration::ZERO,
@@ -51,11 +56,11 @@
     }
 }
 
-/// How long to wait before the next call. A silent one has taken its time already, and a list that is too long is not
-/// fetched as often as it can be sent.
+/// The pause between a failed call and the next one. There is none after a silent call, which has taken long enough,
+/// and a longer one after a list that is too long, so that it is not fetched as fast as it can be sent.
 pub fn pause_after(error: &DiscoveryError, limits: &EndpointWatchLimits) -> Duration {
     match error {
-        DiscoveryError::NoAnswer(_) => Duration::ZERO,
+        DiscoveryError::NoResponse(_) => Duration::ZERO,
         DiscoveryError::TooLong { .. } => limits.watch_timeout,
         _ => limits.retry_delay,
     }
--- a/crates/merlinreel/src/endpoints/discovery_connection.rs
+++ b/crates/merlinreel/src/endpoints/discovery_connection.rs
@@ -1,4 +1,4 @@
-//! A connection to the discovery agent, and one call on it.
+//! A connection to the discovery agent, and the calls made on it.
 
 use super::open_calls::Progress;
 use crate::net::late_deadline::timeout_caught_up;
@@ -17,41 +17,45 @@
 use tokio::net::TcpStream;
 use tokio::task::AbortHandle;
 
-/// Why a call to discovery brought no list.
+/// Why a call to discovery failed.
 #[derive(Debug, Error)]
 pub enum DiscoveryError {
-    /// The connection did not come up in time.
-    #[error("no connection within {0:?}; see whether the agent on this machine runs")]
+    /// The connection was not established within this time.
+    #[error(
+        "no connection to the agent within {0:?}; check that the agent on this machine is running"
+    )]
     NoConnection(Duration),
-    /// The connection was refused, or failed in another way.
-    #[error("{0}; see whether the agent on this machine runs")]
+    /// Connecting failed, for example because the connection was refused.
+    #[error("connecting to the agent failed: {0}; check that the agent on this machine is running")]
     Connection(#[from] std::io::Error),
-    /// The response did not arrive in time.
-    #[error("no answer within {0:?}; the agent is silent, or its discovery is down")]
-    NoAnswer(Duration),
-    /// The connection broke.
-    #[error("{0}; the connection to the agent broke")]
+    /// No open call had a response within this time.
+    #[error(
+        "no response from the agent within {0:?}; check that the agent is responsive and that its discovery service is up"
+    )]
+    NoResponse(Duration),
+    /// The connection failed before the response was complete.
+    #[error("connection to the agent failed: {0}")]
     Broken(#[from] hyper::Error),
     /// The status is not 200.
-    #[error("discovery answers {0}; see its own log")]
+    #[error("expected status 200 from the agent, received {0}; see the agent's log")]
     Status(StatusCode),
-    /// The list takes more memory than there is for it.
+    /// The list is longer than the memory set aside for it.
     #[error(
-        "a list of more than {max_bytes} bytes, which is its share of limits.memory_mb; give the limiter more memory"
+        "endpoint list exceeds {max_bytes} bytes, its share of limits.memory_mb; give the limiter more memory"
     )]
     TooLong {
-        /// Bytes that a list may have.
+        /// Maximum length of a list, in bytes.
         max_bytes: usize,
     },
-    /// The list is malformed.
-    #[error("{0}")]
+    /// The list is malformed; the text names the first fault.
+    #[error("malformed endpoint list: {0}")]
     Message(#[from] MessageError),
     /// The request could not be built.
-    #[error("{0}")]
+    #[error("request to the agent could not be built: {0}")]
     Request(#[from] hyper::http::Error),
 }
 
-/// A connection to the discovery agent; its task ends with it.
+/// A connection to the discovery agent; dropping it aborts the task that drives the connection.
 pub struct DiscoveryConnection {
     address: SocketAddr,
     sender: SendRequest<Empty<Bytes>>,
@@ -65,11 +69,11 @@
 }
 
 impl DiscoveryConnection {
-    /// Connects within this time.
+    /// Connects to the agent at `address` within the given time.
     ///
     /// # Errors
     ///
-    /// The agent does not accept the connection, or not in time.
+    /// The connection fails or is not established in time.
     pub async fn open(
         address: SocketAddr,
         within: Duration,
@@ -87,11 +91,12 @@
         })
     }
 
-    /// Fetches the list at `path`, of `max_bytes` at most.
+    /// Requests `path` and decodes the response, of at most `max_bytes`. `progress` is kept up to date while the body
+    /// arrives.
     ///
     /// # Errors
     ///
-    /// The connection broke, or the response is no list.
+    /// The connection failed, the status is not 200, or the body is too long or malformed.
     pub async fn fetch(
         &mut self,
         path: String,
@@ -111,7 +116,7 @@
     }
 }
 
-/// All bytes of a list; one that is announced as too long is not read.
+/// Reads a body of at most `max_bytes`. A body whose `Content-Length` is greater is rejected without being read.
 async fn read_body(
     mut body: Incoming,
     max_bytes: usize,
@@ -121,7 +126,7 @@
     if announced > max_bytes as u64 {
         return Err(DiscoveryError::TooLong { max_bytes });
     }
-    // Of the announced size from the start: a buffer that grows would hold a long list twice while it is copied.
+    // Allocated at the announced size: a growing buffer would hold a long list in memory twice while it is copied.
     let mut bytes = Vec::with_capacity(usize::try_from(announced).unwrap_or(0));
     while let Some(frame) = body.frame().await {
         let Ok(data) = frame?.into_data() else {
--- a/crates/merlinreel/src/endpoints/open_calls.rs
+++ b/crates/merlinreel/src/endpoints/open_calls.rs
@@ -1,24 +1,25 @@
-//! Open calls to discovery: how much of each response has arrived, and which call is ended where there are too many.
+//! The open calls to discovery: how much of each response has arrived, and which call is aborted if there are too many.
 
 use std::collections::VecDeque;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 use tokio::task::AbortHandle;
 
-/// What has arrived of a response's body.
+/// The part of a response's body that has arrived.
 #[derive(Clone, Copy, Debug)]
 struct Received {
     bytes: usize,
-    /// When the last of them arrived.
+    /// When its last bytes arrived.
     at: Instant,
 }
 
-/// How much of a response's body has arrived; shared between a call and [`OpenCalls`].
+/// How much of a response's body has arrived; `None` before its first bytes. Shared between a call's task and
+/// [`OpenCalls`].
 #[derive(Clone, Debug, Default)]
 pub struct Progress(Arc<Mutex<Option<Received>>>);
 
 impl Progress {
-    /// Records that this many bytes have arrived by now.
+    /// Records the total number of bytes that have arrived by now.
     pub fn record(&self, bytes: usize) {
         *self.lock() = Some(Received {
             bytes,
@@ -26,7 +27,7 @@
         });
     }
 
-    /// Bytes that have arrived; none where the last of them did so longer than `stalled_after` ago.
+    /// The number of bytes that have arrived; 0 if none has arrived for `stalled_after`.
     fn bytes_unless_stalled(&self, stalled_after: Duration) -> usize {
         let received = *self.lock();
         received
@@ -45,12 +46,12 @@
     progress: Progress,
 }
 
-/// The open calls, the oldest first.
+/// The open calls, oldest first.
 #[derive(Debug, Default)]
 pub struct OpenCalls(VecDeque<OpenCall>);
 
 impl OpenCalls {
-    /// Adds a call, and ends one where there are then more than `max_open`. A response of which nothing has arrived for
+    /// Adds a call, and aborts one if more than `max_open` are then open. A response of which no byte has arrived for
     /// `stalled_after` counts as stalled.
     pub fn add(
         &mut self,
@@ -62,15 +63,16 @@
         self.0.push_back(OpenCall { task, progress });
         self.0.retain(|call| !call.task.is_finished());
         if self.0.len() > max_open
-            && let Some(call) = self.0.remove(self.position_to_end(stalled_after))
+            && let Some(call) = self.0.remove(self.position_to_abort(stalled_after))
         {
             call.task.abort();
         }
     }
 
-    /// The oldest call, or the second oldest where the oldest one has received most and still receives: a long list, or one
-    /// from a slow agent, is not given up for calls that start from its first byte again.
-    fn position_to_end(&self, stalled_after: Duration) -> usize {
+    /// Position of the call to abort: the oldest one, or the second oldest if the oldest has received the most bytes
+    /// and has not stalled. A long list, or one from a slow agent, is thus not abandoned for calls that start again at
+    /// its first byte.
+    fn position_to_abort(&self, stalled_after: Duration) -> usize {
         let bytes = |position: usize| {
             self.0[position]
                 .progress
@@ -80,7 +82,7 @@
         usize::from(most > 0 && bytes(0) == most)
     }
 
-    /// Forgets all calls, as one of them was answered.
+    /// Removes all calls; the caller has aborted them after the response to one.
     pub fn clear(&mut self) {
         self.0.clear();
     }
--- a/crates/merlinreel/src/endpoints/tests.rs
+++ b/crates/merlinreel/src/endpoints/tests.rs
@@ -14,43 +14,44 @@
 use test_case::test_case;
 
 fn limits() -> Limits {
-    let paths = merlinreel_settings::SettingsTree::from_json(
+    let tree = merlinreel_settings::SettingsTree::from_json(
         &serde_json::json!({"rules": {"drainGraceS": 2}}),
     );
-    let settings = paths
-        .and_then(|paths| merlinreel_settings::Settings::read(&paths))
-        .expect("sound");
+    let settings = tree
+        .and_then(|tree| merlinreel_settings::Settings::read(&tree))
+        .expect("valid settings");
     Limits::new(1024, 192, &settings).expect("enough memory")
 }
 
-/// A watch's next call behind so many that failed or were silent.
+/// The time limits of a watch's next call after `failed` consecutive calls without a response.
 fn timing(limits: &Limits, failed: u32) -> CallTiming {
     CallTiming::new(CallKind::next(Some(1), false, failed), &limits.endpoints)
 }
 
-/// From a watch's falling silent, at worst as it begins, to the response to a call that discovery takes, with
-/// so many silent calls in between. A change counts as reported after 6 s.
+/// A change counts as reported to the limiter after 6 s. In the worst case it happens as the first of `silent`
+/// consecutive calls without a response starts; the response to the next call must still arrive in time, here within
+/// 5.5 s.
 #[test_case(1 => true)]
 #[test_case(5 => true)]
 #[test_case(8 => true)]
 #[test_case(9 => false)]
-fn response_after_silent_calls_arrives_within_the_list_s_time_limit(silent: u32) -> bool {
+fn response_after_silent_calls_arrives_before_a_change_counts_as_reported(silent: u32) -> bool {
     let limits = limits();
     let each = |failed| timing(&limits, failed).silent_after;
     (0..silent).map(each).sum::<Duration>() + limits.endpoints.immediate_timeout
         < Duration::from_millis(5500)
 }
 
-/// However long an outage lasted, a call is made within half of a drain's grace of its end: the agent's list then counts
-/// as reported at once, and a drain is over after its grace.
-#[test_case(2.0, 0.5 ; "a long grace")]
-#[test_case(0.5, 0.25 ; "a short one")]
-fn end_of_an_outage_is_noticed_within_a_drain_s_grace(grace: f64, within: f64) {
+/// However long an outage of discovery lasted, the next call starts within half the drain grace of its end: from the
+/// end of the outage the agent's list counts as reported, and a drain ends after its grace.
+#[test_case(2.0, 0.5 ; "long grace")]
+#[test_case(0.5, 0.25 ; "short grace")]
+fn end_of_an_outage_is_noticed_within_the_drain_grace(grace: f64, within: f64) {
     let settings = serde_json::json!({"rules": {"drainGraceS": grace}});
-    let paths = merlinreel_settings::SettingsTree::from_json(&settings);
-    let settings = paths
-        .and_then(|paths| merlinreel_settings::Settings::read(&paths))
-        .expect("sound");
+    let tree = merlinreel_settings::SettingsTree::from_json(&settings);
+    let settings = tree
+        .and_then(|tree| merlinreel_settings::Settings::read(&tree))
+        .expect("valid settings");
     let limits = Limits::new(1024, 192, &settings).expect("enough memory");
     for failed in 1..40 {
         let call = timing(&limits, failed);
@@ -62,10 +63,10 @@
     }
 }
 
-/// An agent that is silent at first: the silent call is answered only once another one is open beside it. A list on its
-/// way is not given up, and a list that is there does not wait for a call of the outage.
+/// The agent responds to a silent call, or to the one started beside it, only when both are open. Either response is
+/// used: the older call was not given up, and the newer one's list does not wait for the older call.
 #[test_case(true ; "the older call is answered")]
-#[test_case(false ; "the newer one")]
+#[test_case(false ; "the newer call is answered")]
 #[tokio::test]
 async fn silent_call_is_kept_beside_the_next_one(older: bool) -> std::io::Result<()> {
     const LIST: &str = r#"{"generation":7,"reset":true,"instances":[]}"#;
@@ -104,8 +105,8 @@
     Ok(())
 }
 
-/// A call that was ended, as too many were open, is no response: the newest one still has its time. Else call would follow
-/// call without a pause.
+/// A call that was aborted because too many were open does not count as a result: the newest call still has its full
+/// time. Otherwise calls would follow each other without a pause.
 #[tokio::test]
 async fn aborted_call_has_no_result() {
     let mut calls = CallTasks::new();
@@ -120,7 +121,7 @@
     assert!(result.is_err());
 }
 
-/// An agent that never responds holds only a few of this limiter's descriptors.
+/// Calls to an agent that never responds use only a few of the limiter's descriptors.
 #[tokio::test]
 async fn silent_calls_are_bounded() -> std::io::Result<()> {
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await?;
@@ -135,7 +136,7 @@
     let (_address_sender, address) = watch::channel(listener.local_addr()?);
     let watching = tokio::spawn(super::watch(address, None, limits, queue, first_list));
     let mut calls = Vec::new();
-    // One more than the maximum has arrived: the first one was ended for it, at the latest as the next one arrives.
+    // One call more than the maximum makes the watch abort the first one, at the latest when the next call arrives.
     for _ in 0..max_open + 2 {
         calls.push(listener.accept().await?.0);
     }
@@ -158,7 +159,7 @@
     assert!(error.starts_with(begins), "{error}");
 }
 
-/// A list of that many servers as discovery writes it, indented as some agents do.
+/// A full list of `servers` endpoints as discovery writes it, indented as by some agents.
 fn long_list(servers: u32) -> String {
     let address = |i: u32| SocketAddr::from(([10, (i >> 16) as u8, (i >> 8) as u8, i as u8], 9000));
     let endpoint = |i| merlinreel_testkit::instance(&format!("server-{i:06}"), address(i), "up");
@@ -166,8 +167,9 @@
     serde_json::to_string_pretty(&merlinreel_testkit::full_list(7, &servers)).expect("a list")
 }
 
-/// A discovery on a socket of its own; each connection's calls are answered by `answer`, with the connection's number.
-async fn discovery<F, A>(answer: F) -> std::io::Result<SocketAddr>
+/// Starts a stub of discovery and returns its address; `answer` serves each connection, given the connection's number
+/// from 0.
+async fn start_stub_discovery<F, A>(answer: F) -> std::io::Result<SocketAddr>
 where
     F: Fn(usize, tokio::net::TcpStream) -> A + Send + 'static,
     A: Future<Output = std::io::Result<()>> + Send + 'static,
@@ -184,8 +186,8 @@
     Ok(at)
 }
 
-/// Reads a call up to its head's end.
-async fn call(stream: &mut tokio::net::TcpStream) -> std::io::Result<()> {
+/// Reads a request up to the end of its head.
+async fn read_request(stream: &mut tokio::net::TcpStream) -> std::io::Result<()> {
     let mut head = Vec::new();
     while !head.ends_with(b"\r\n\r\n") {
         head.push(tokio::io::AsyncReadExt::read_u8(stream).await?);
@@ -211,17 +213,17 @@
     format!("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{chunks}0\r\n\r\n")
 }
 
-/// With the default memory lists of the sizes in sight are read completely.
-#[test_case(1_500 ; "more than a thousand")]
-#[test_case(20_000 ; "a large one")]
-#[test_case(160_000 ; "the largest in sight")]
+/// With the default memory, lists of the expected sizes are read completely.
+#[test_case(1_500 ; "more than a thousand servers")]
+#[test_case(20_000 ; "large list")]
+#[test_case(160_000 ; "largest expected list")]
 #[tokio::test]
 async fn long_list_is_read_completely(servers: u32) -> std::io::Result<()> {
     let list = std::sync::Arc::new(with_length(&long_list(servers)));
-    let at = discovery(move |_, mut stream| {
+    let at = start_stub_discovery(move |_, mut stream| {
         let list = list.clone();
         async move {
-            call(&mut stream).await?;
+            read_request(&mut stream).await?;
             tokio::io::AsyncWriteExt::write_all(&mut stream, list.as_bytes()).await
         }
     });
@@ -229,7 +231,7 @@
     let (queue, mut events) = tokio::sync::mpsc::channel(4);
     let (first_list, _first) = oneshot::channel();
     let (_address_sender, address) = watch::channel(at);
-    // However slow the machine that tests is, no call counts as silent.
+    // Long enough that no call counts as silent on a slow test machine.
     let limits = {
         let mut changed = limits();
         changed.endpoints.response_grace = Duration::from_secs(60);
@@ -245,11 +247,11 @@
     Ok(())
 }
 
-/// A list is rejected at its first byte too many, whether its length is announced or not, and accepted at the last byte that
-/// there is memory for.
-#[test_case(with_length, 0 => true ; "just in")]
+/// A list of exactly the maximum length is accepted and one of a byte more is rejected, with `Content-Length` and in
+/// chunks alike.
+#[test_case(with_length, 0 => true ; "maximum length")]
 #[test_case(with_length, 1 => false ; "one byte too many")]
-#[test_case(in_chunks, 0 => true ; "in chunks, just in")]
+#[test_case(in_chunks, 0 => true ; "in chunks, maximum length")]
 #[test_case(in_chunks, 1 => false ; "in chunks, one byte too many")]
 #[tokio::test]
 async fn list_is_accepted_up_to_the_memory_for_it(
@@ -259,10 +261,10 @@
     let list = long_list(40);
     let max = list.len() - excess;
     let answer = written(&list);
-    let at = discovery(move |_, mut stream| {
+    let at = start_stub_discovery(move |_, mut stream| {
         let answer = answer.clone();
         async move {
-            call(&mut stream).await?;
+            read_request(&mut stream).await?;
             tokio::io::AsyncWriteExt::write_all(&mut stream, answer.as_bytes()).await
         }
     });
@@ -280,7 +282,7 @@
     }
 }
 
-/// A list over the bound leaves the last one in place; the next valid one is taken.
+/// A list over the maximum length leaves the last one in use; the next valid list is used.
 #[tokio::test]
 async fn too_long_list_changes_nothing() -> std::io::Result<()> {
     let answers = [
@@ -289,11 +291,11 @@
         long_list(1),
     ];
     let next = std::sync::Arc::new(std::sync::atomic::AtomicUsize::new(0));
-    let at = discovery(move |_, mut stream| {
+    let at = start_stub_discovery(move |_, mut stream| {
         let (answers, next) = (answers.clone(), next.clone());
         async move {
             loop {
-                call(&mut stream).await?;
+                read_request(&mut stream).await?;
                 let position = next.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
                 let Some(answer) = answers.get(position) else {
                     return std::future::pending().await;
@@ -325,18 +327,18 @@
     Ok(())
 }
 
-/// An agent so slow that many more calls are made than may be open at once, each of which it answers as slowly, a part
-/// at each further call: the list that is furthest on is waited for. Else each call would be ended for one that starts
-/// again.
+/// An agent sends each list in many small parts, one part for each further call, so that many more calls are made than
+/// may be open at once. The call that has received the most is kept; otherwise every call would be aborted for one that
+/// starts again.
 #[tokio::test]
 async fn slow_list_is_read_completely_in_the_end() -> std::io::Result<()> {
     const PARTS: usize = 24;
     let (step, steps) = watch::channel(0);
-    let at = discovery(move |number, mut stream| {
+    let at = start_stub_discovery(move |number, mut stream| {
         step.send_replace(number + 1);
         let mut steps = steps.clone();
         async move {
-            call(&mut stream).await?;
+            read_request(&mut stream).await?;
             let answer = with_length(&long_list(40));
             for part in answer.as_bytes().chunks(answer.len().div_ceil(PARTS)) {
                 tokio::io::AsyncWriteExt::write_all(&mut stream, part).await?;
@@ -363,11 +365,12 @@
     Ok(())
 }
 
-/// Of five calls one is ended: the oldest, but not where its response is furthest on and still arriving.
+/// One of five calls is aborted: the oldest, or the second oldest if the oldest has received the most and has not
+/// stalled.
 #[test_case(&[0, 0, 0, 0, 0] => 0 ; "all are silent")]
-#[test_case(&[9, 0, 3, 0, 0] => 1 ; "the oldest is furthest on")]
-#[test_case(&[3, 0, 9, 0, 0] => 0 ; "another is")]
-fn oldest_call_is_ended_unless_it_is_furthest_on(reached: &[usize]) -> usize {
+#[test_case(&[9, 0, 3, 0, 0] => 1 ; "the oldest has received the most")]
+#[test_case(&[3, 0, 9, 0, 0] => 0 ; "another has received the most")]
+fn oldest_call_is_aborted_unless_it_has_received_the_most(reached: &[usize]) -> usize {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .build()
         .expect("a runtime");
@@ -393,13 +396,13 @@
         tasks
             .iter()
             .position(tokio::task::JoinHandle::is_finished)
-            .expect("one ended")
+            .expect("one call was aborted")
     })
 }
 
-/// A call that is furthest on but has stalled is ended like any other.
+/// A call that has received the most but has stalled is aborted like any other.
 #[tokio::test]
-async fn stalled_call_is_ended() {
+async fn stalled_call_is_aborted() {
     let mut open = OpenCalls::default();
     let (first, second) = (
         tokio::spawn(std::future::pending::<()>()),
@@ -417,14 +420,15 @@
     assert!(first.await.is_err_and(|error| error.is_cancelled()) && !second.is_finished());
 }
 
-/// In an outage each kind of failure is logged once, whatever came before it.
+/// During an outage each kind of failure is logged once, whatever was logged before it.
 #[test]
 fn repeated_failure_is_logged_once() {
     let mut failure_log = FailureLog::default();
     let (silent, long) = (
-        DiscoveryError::NoAnswer(Duration::ZERO),
+        DiscoveryError::NoResponse(Duration::ZERO),
         DiscoveryError::TooLong { max_bytes: 9 },
     );
-    let logged = [&silent, &silent, &long, &silent, &long].map(|error| failure_log.admits(error));
+    let logged =
+        [&silent, &silent, &long, &silent, &long].map(|error| failure_log.should_log(error));
     assert_eq!(logged, [true, false, true, false, false]);
 }
--- a/crates/merlinreel/src/endpoints/tests/wire.rs
+++ b/crates/merlinreel/src/endpoints/tests/wire.rs
@@ -1,4 +1,4 @@
-//! The bytes that discovery receives.
+//! The exact bytes of the requests to discovery.
 
 use super::*;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -11,7 +11,7 @@
     Ok(String::from_utf8_lossy(&head).into_owned())
 }
 
-/// The first call asks for the complete list, each further one waits for what changes after the version that arrived.
+/// The first call requests the complete list; each further one waits for changes after the version received last.
 #[tokio::test]
 async fn discovery_calls_have_these_bytes() -> std::io::Result<()> {
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await?;
@@ -45,7 +45,7 @@
     Ok(())
 }
 
-/// A process that knows a list from before asks what has changed since, and wants the answer at once.
+/// A process with a cached list first requests the changes since that list's version, with a short wait.
 #[tokio::test]
 async fn first_call_with_a_known_version_has_these_bytes() -> std::io::Result<()> {
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await?;
