--- a/crates/merlinreel/src/peers.rs
+++ b/crates/merlinreel/src/peers.rs
@@ -1,4 +1,4 @@
-//! Peer messages between limiters: datagrams, whose sender is known by its address.
+//! Peer messages between limiters: UDP datagrams, whose senders are identified by their addresses.
 
 use crate::log;
 use crate::messages::{Event, Queue};
@@ -12,26 +12,26 @@
 use std::sync::Arc;
 use tokio::net::UdpSocket;
 
-/// Who may bind the address of peer messages.
+/// Which processes may bind the address for peer messages at the same time.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum PortSharing {
-    /// This process alone; a second holder is an error.
+    /// Only this process; binding fails if another one holds the address.
     Exclusive,
-    /// Processes that follow each other, with `SO_REUSEPORT`: in an upgrade the new process starts while the old one still
-    /// holds the address.
+    /// The old and the new process of an upgrade, by `SO_REUSEPORT`: the new one starts while the old one still holds
+    /// the address.
     Shared,
 }
 
-/// The socket for peer messages.
+/// The socket that sends and receives peer messages.
 #[derive(Clone)]
 pub struct PeerSender {
     socket: Arc<UdpSocket>,
-    /// By the limiter's index, this one's included.
+    /// Addresses of all limiters by index, this one included.
     peers: Arc<[SocketAddr]>,
 }
 
 impl PeerSender {
-    /// Binds the address `at`; `peers` are the addresses of all limiters by their index.
+    /// Binds the address `at`; `peers` are the addresses of all limiters by index.
     ///
     /// # Errors
     ///
@@ -51,25 +51,30 @@
         })
     }
 
-    /// Sends a message to a limiter. One that can't leave at once is lost, as any datagram may be.
+    /// Sends a message to the limiter with this index. The message is dropped if the limiter is unknown, the message is
+    /// too long or the socket's send buffer is full: peers have to cope with lost datagrams in any case.
     pub fn send(&self, limiter: u32, peer_message: &[u8]) {
         let Some(&to) = self.peers.get(limiter as usize) else {
             return;
         };
         if peer_message.len() > MAX_BYTES {
             let length = peer_message.len();
-            log!("peer messages: one of {length} bytes was not sent");
+            log!(
+                "peer messages: a message of {length} bytes exceeds the maximum of {MAX_BYTES}; it was dropped"
+            );
             return;
         }
         if let Err(error) = self.socket.try_send_to(peer_message, to)
             && error.kind() != io::ErrorKind::WouldBlock
         {
-            log!("peer messages: to limiter {limiter}: {error}");
+            log!(
+                "peer messages: sending to limiter {limiter} failed: {error}; the message was dropped"
+            );
         }
     }
 
-    /// Passes received messages on to the queue until it is dropped. Messages of unknown senders are dropped, as are those
-    /// that find the queue full.
+    /// Sends received messages to the queue until the future is dropped. Messages from unknown senders, messages that
+    /// are too long and messages that arrive while the queue is full are dropped.
     pub async fn receive(self, queue: Queue) {
         let senders: HashMap<SocketAddr, u32> = self.peers.iter().copied().zip(0..).collect();
         let mut buffer = [0; MAX_BYTES + 1];
@@ -84,10 +89,10 @@
                     }
                 }
                 Ok(_) => {}
-                // The network reports a peer that is down here; the socket is still usable.
+                // The error may also report that a peer is down; the socket stays usable.
                 Err(error) => {
-                    log!("peer messages: {error}");
-                    // An error that stays must not take the processor.
+                    log!("peer messages: receiving failed: {error}; trying again");
+                    // A persistent error must not keep the processor busy.
                     backoff.pause().await;
                 }
             }
--- a/crates/merlinreel/src/peers/tests.rs
+++ b/crates/merlinreel/src/peers/tests.rs
@@ -5,11 +5,11 @@
 
 #[tokio::test]
 async fn peer_messages_of_known_senders_are_queued_and_others_dropped() {
-    let free = SocketAddr::from(([127, 0, 0, 1], 0));
-    let [one, two, stranger] = [
-        UdpSocket::bind(free).await.expect("a port"),
-        UdpSocket::bind(free).await.expect("a port"),
-        UdpSocket::bind(free).await.expect("a port"),
+    let any_port = SocketAddr::from(([127, 0, 0, 1], 0));
+    let [one, two, unknown] = [
+        UdpSocket::bind(any_port).await.expect("a port"),
+        UdpSocket::bind(any_port).await.expect("a port"),
+        UdpSocket::bind(any_port).await.expect("a port"),
     ];
     let peers: Arc<[SocketAddr]> = [&one, &two].map(|s| s.local_addr().expect("bound")).into();
     let (queue, mut events) = mpsc::channel(8);
@@ -22,7 +22,7 @@
         peers: peers.clone(),
     };
     tokio::spawn(receiver.receive(queue));
-    let _ = stranger.send_to(b"odd", peers[0]).await;
+    let _ = unknown.send_to(b"odd", peers[0]).await;
     sender.send(0, &[0; MAX_BYTES + 1]);
     sender.send(7, b"nobody");
     sender.send(0, b"hello");
