--- a/crates/merlinreel/src/event_loop.rs
+++ b/crates/merlinreel/src/event_loop.rs
@@ -12,7 +12,7 @@
 use crate::hold_up::HoldUpMonitor;
 use crate::log;
 use crate::messages::{ActiveSettings, ClientResponse, Event, IncomingRequest};
-use crate::peers::PeerSender;
+use crate::peers::PeerSocket;
 use crate::telemetry::metrics::Metrics;
 use crate::upstream::UpstreamPool;
 use action_executor::ActionExecutor;
@@ -42,11 +42,11 @@
 }
 
 impl EventLoop {
-    /// Creates an event loop without requests or endpoints. `peer_sender` is `None` if limiters exchange no messages.
+    /// Creates an event loop without requests or endpoints. `peer_socket` is `None` if limiters exchange no messages.
     pub fn new(
         limiter: Limiter,
         upstreams: UpstreamPool,
-        peer_sender: Option<PeerSender>,
+        peer_socket: Option<PeerSocket>,
         clock: Clock,
         metrics: Arc<Metrics>,
         stall_monitor: Arc<HoldUpMonitor>,
@@ -61,7 +61,7 @@
             executor: ActionExecutor::new(
                 clock,
                 upstreams,
-                peer_sender,
+                peer_socket,
                 limits.response_margin,
                 metrics.clone(),
             ),
--- a/crates/merlinreel/src/event_loop/action_executor.rs
+++ b/crates/merlinreel/src/event_loop/action_executor.rs
@@ -4,7 +4,7 @@
 use super::in_flight::{AttemptReference, InFlightAttempt, InFlightRequests};
 use crate::log;
 use crate::messages::{AttemptCompletion, AttemptId, ClientResponse};
-use crate::peers::PeerSender;
+use crate::peers::PeerSocket;
 use crate::telemetry::metrics::Metrics;
 use crate::upstream::{Attempt, ConnectionHandle, UpstreamPool};
 use merlinreel_policy::{Actions, AttemptOutcome, AttemptResult, LoadReport};
@@ -19,8 +19,8 @@
     pub clock: Clock,
     /// The pool of connections to servers.
     pub upstreams: UpstreamPool,
-    /// Sends peer messages; `None` if limiters exchange none.
-    pub peer_sender: Option<PeerSender>,
+    /// The socket for peer messages; `None` if limiters exchange none.
+    pub peer_socket: Option<PeerSocket>,
     /// How long before its client's deadline an attempt must end, so that the response reaches the client in time.
     pub response_margin: Duration,
     /// Requests in flight, by index.
@@ -46,14 +46,14 @@
     pub fn new(
         clock: Clock,
         upstreams: UpstreamPool,
-        peer_sender: Option<PeerSender>,
+        peer_socket: Option<PeerSocket>,
         response_margin: Duration,
         metrics: Arc<Metrics>,
     ) -> ActionExecutor {
         ActionExecutor {
             clock,
             upstreams,
-            peer_sender,
+            peer_socket,
             response_margin,
             requests: InFlightRequests::default(),
             attempts: HashMap::new(),
@@ -249,8 +249,8 @@
     }
 
     fn send_peer_message(&mut self, limiter: u32, peer_message: &[u8]) {
-        if let Some(peer_sender) = &self.peer_sender {
-            peer_sender.send(limiter, peer_message);
+        if let Some(peer_socket) = &self.peer_socket {
+            peer_socket.send(limiter, peer_message);
         }
     }
 
--- a/crates/merlinreel/src/peers.rs
+++ b/crates/merlinreel/src/peers.rs
@@ -24,13 +24,13 @@
 
 /// The socket that sends and receives peer messages.
 #[derive(Clone)]
-pub struct PeerSender {
+pub struct PeerSocket {
     socket: Arc<UdpSocket>,
     /// Addresses of all limiters by index, this one included.
     peers: Arc<[SocketAddr]>,
 }
 
-impl PeerSender {
+impl PeerSocket {
     /// Binds the address `at`; `peers` are the addresses of all limiters by index.
     ///
     /// # Errors
@@ -40,12 +40,12 @@
         at: SocketAddr,
         peers: &[SocketAddr],
         sharing: PortSharing,
-    ) -> io::Result<PeerSender> {
+    ) -> io::Result<PeerSocket> {
         let socket = match sharing {
             PortSharing::Exclusive => UdpSocket::bind(at).await?,
             PortSharing::Shared => bind_shared(at)?,
         };
-        Ok(PeerSender {
+        Ok(PeerSocket {
             socket: Arc::new(socket),
             peers: peers.into(),
         })
--- a/crates/merlinreel/src/peers/tests.rs
+++ b/crates/merlinreel/src/peers/tests.rs
@@ -13,11 +13,11 @@
     ];
     let peers: Arc<[SocketAddr]> = [&one, &two].map(|s| s.local_addr().expect("bound")).into();
     let (queue, mut events) = mpsc::channel(8);
-    let receiver = PeerSender {
+    let receiver = PeerSocket {
         socket: Arc::new(one),
         peers: peers.clone(),
     };
-    let sender = PeerSender {
+    let sender = PeerSocket {
         socket: Arc::new(two),
         peers: peers.clone(),
     };
--- a/crates/merlinreel/src/startup/background_tasks.rs
+++ b/crates/merlinreel/src/startup/background_tasks.rs
@@ -5,7 +5,7 @@
 use crate::config::GatewayConfig;
 use crate::mesh::{MeshConfig, reload_keys};
 use crate::messages::{Event, Queue};
-use crate::peers::PeerSender;
+use crate::peers::PeerSocket;
 use crate::{admin, endpoints};
 use merlinreel_mesh::runtime::Mesh;
 use merlinreel_settings::Settings;
@@ -42,7 +42,7 @@
     }
 
     /// Passes peer messages on to the event loop.
-    pub fn receive_peer_messages(&mut self, peer_sender: &Option<PeerSender>, queue: &Queue) {
+    pub fn receive_peer_messages(&mut self, peer_sender: &Option<PeerSocket>, queue: &Queue) {
         if let Some(peer_sender) = peer_sender.clone() {
             self.0
                 .push(tokio::spawn(peer_sender.receive(queue.clone())));
--- a/crates/merlinreel/src/startup/sockets.rs
+++ b/crates/merlinreel/src/startup/sockets.rs
@@ -5,7 +5,7 @@
 use crate::log;
 use crate::net::backoff::Backoff;
 use crate::net::system_errors::is_of_this_machine;
-use crate::peers::{PeerSender, PortSharing};
+use crate::peers::{PeerSocket, PortSharing};
 use std::io;
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -18,7 +18,7 @@
     /// Where the listener comes from.
     pub origin: ListenerOrigin,
     /// Where peer messages arrive; none where limiters exchange none.
-    pub peer_sender: Option<PeerSender>,
+    pub peer_sender: Option<PeerSocket>,
 }
 
 impl Sockets {
@@ -66,7 +66,7 @@
 async fn bind_peers(
     config: &GatewayConfig,
     origin: ListenerOrigin,
-) -> io::Result<Option<PeerSender>> {
+) -> io::Result<Option<PeerSocket>> {
     let Some(address) = config
         .peer_listen
         .filter(|_| config.settings.fleet.peer_messages)
@@ -78,7 +78,7 @@
         ListenerOrigin::Bound => PortSharing::Exclusive,
     };
     bind_with_retry(config.limits.listener.bind_timeout, async || {
-        PeerSender::open(address, &config.peers, sharing).await
+        PeerSocket::open(address, &config.peers, sharing).await
     })
     .await
     .map(Some)
