--- a/crates/merlinreel/src/upstream.rs
+++ b/crates/merlinreel/src/upstream.rs
@@ -1,5 +1,5 @@
-//! Connections to servers: the pool, one task for each connection, and health checks. A connection carries one attempt at
-//! a time, and nothing is ever sent twice by this module alone.
+//! Connections to servers: the connection pool, one task per connection, and health checks. A connection carries one
+//! attempt at a time, and this module never sends a request a second time on its own.
 
 mod attempt;
 mod connection;
--- a/crates/merlinreel/src/upstream/attempt.rs
+++ b/crates/merlinreel/src/upstream/attempt.rs
@@ -1,4 +1,4 @@
-//! An attempt to make at a server, and the event loop's handle on the connection that carries it.
+//! An attempt at a server, and the event loop's handle to the connection that carries it.
 
 use crate::messages::{AttemptId, UpstreamRequest};
 use std::net::SocketAddr;
@@ -6,41 +6,42 @@
 use std::time::Instant;
 use tokio::sync::mpsc;
 
-/// One attempt to make at a server.
+/// One attempt to send a request to a server.
 #[derive(Debug)]
 pub struct Attempt {
-    /// Identifies it.
+    /// Identifies the attempt in commands and in its [`AttemptCompletion`](crate::messages::AttemptCompletion).
     pub attempt_id: AttemptId,
-    /// What the server receives.
+    /// The request, shared by all attempts that are made for it.
     pub upstream_request: Arc<UpstreamRequest>,
-    /// When it was decided.
+    /// When the event loop decided to make the attempt; its latency is measured from here.
     pub started: Instant,
-    /// The limiter waits for the response until then.
+    /// The limiter waits for the response until this time.
     pub deadline: Instant,
-    /// Where it is set, the last byte is written by then or never.
+    /// An attempt whose last byte has not been written by this time is abandoned; `None` where only `deadline` applies.
     pub write_deadline: Option<Instant>,
 }
 
 impl Attempt {
-    /// The last byte is written by then or never.
-    pub(super) fn written_by(&self) -> Instant {
+    /// The earlier of the two deadlines: the last byte is written by this time or not at all.
+    pub(super) fn effective_write_deadline(&self) -> Instant {
         self.write_deadline
-            .map_or(self.deadline, |at| at.min(self.deadline))
+            .map_or(self.deadline, |deadline| deadline.min(self.deadline))
     }
 }
 
-/// What the event loop asks of a connection's task.
+/// A command of the event loop to a connection's task.
 #[derive(Debug)]
 pub(super) enum Command {
-    /// Makes an attempt.
+    /// Make this attempt.
     Start(Attempt),
-    /// Closes the connection, whatever part of the attempt was written.
+    /// Cancel the attempt by closing the connection, even if some or all of the request was written.
     Cancel(AttemptId),
-    /// The same, but only where nothing of the attempt was written yet.
+    /// Cancel the attempt by closing the connection, but only if none of the request was written yet.
     CancelIfNotStarted(AttemptId),
 }
 
-/// The event loop's handle on one connection, which closes once this is dropped.
+/// The event loop's handle to one connection. Dropping it closes the connection, unless a response is being streamed to
+/// its client: the connection then closes when the stream ends.
 #[derive(Debug)]
 pub struct ConnectionHandle {
     pub(super) commands: mpsc::Sender<Command>,
@@ -48,12 +49,12 @@
 }
 
 impl ConnectionHandle {
-    /// Closes the connection if it still carries this attempt.
+    /// Closes the connection if it still carries this attempt, even if some or all of the request was written.
     pub fn cancel(&self, attempt_id: AttemptId) {
         let _ = self.commands.try_send(Command::Cancel(attempt_id));
     }
 
-    /// Closes the connection if it still carries this attempt and has written nothing of it.
+    /// Closes the connection if it still carries this attempt and none of the request was written yet.
     pub fn cancel_if_not_started(&self, attempt_id: AttemptId) {
         let _ = self
             .commands
--- a/crates/merlinreel/src/upstream/connection.rs
+++ b/crates/merlinreel/src/upstream/connection.rs
@@ -1,4 +1,4 @@
-//! One connection to a server: what its task needs, and the commands and ends that interrupt an attempt.
+//! The state of a connection's task, and how it handles cancellation and the end of the connection.
 
 use super::attempt::Command;
 use super::response_memory::ResponseMemory;
@@ -10,29 +10,29 @@
 use std::sync::Arc;
 use tokio::sync::mpsc;
 
-/// One connection to a server.
+/// One connection to a server, from before it is opened until its task ends.
 pub struct UpstreamConnection {
-    /// Commands of the event loop, which ends the connection by dropping the other side.
+    /// Commands of the event loop, which closes the connection by dropping the sender.
     pub commands: mpsc::Receiver<Command>,
-    /// The server's address.
+    /// The server's address; a new connection is opened to it if the server has closed an idle one.
     pub address: SocketAddr,
-    /// The bounds in effect.
+    /// The limits that applied when the connection was opened.
     pub limits: Limits,
-    /// Whether load reports of responses count.
+    /// Whether load reports in responses are read; if not, they are ignored.
     pub responses_carry_load: bool,
-    /// The memory for complete responses.
+    /// The memory for complete responses, shared by all connections.
     pub response_memory: ResponseMemory,
-    /// Where results go.
+    /// Receives the result of each attempt.
     pub queue: Queue,
-    /// Counts attempts.
+    /// Counts attempts by class.
     pub metrics: Arc<Metrics>,
-    /// Records what servers send without a request.
+    /// Whether any server has sent unsolicited bytes; shared by all connections.
     pub unsolicited_bytes: Arc<UnsolicitedBytes>,
 }
 
 impl UpstreamConnection {
-    /// Waits for a command to cancel this attempt, or for the event loop's end. A command to cancel it if it has not
-    /// started counts as long as `has_started` is false.
+    /// Waits until this attempt is cancelled, or the event loop drops the connection's handle. A command to cancel the
+    /// attempt if it has not started is ignored once `has_started` returns true.
     pub(super) async fn wait_for_cancellation(
         &mut self,
         attempt_id: AttemptId,
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Records that a connection has ended, maybe because of what its server sent behind a response.
+    /// Records unsolicited bytes if they are the reason why the connection ended.
     pub(super) fn record_connection_end(&self, result: hyper::Result<()>) {
         if result.is_err_and(|error| is_unsolicited(&error)) {
             self.unsolicited_bytes.record();
--- a/crates/merlinreel/src/upstream/connection_task.rs
+++ b/crates/merlinreel/src/upstream/connection_task.rs
@@ -1,4 +1,4 @@
-//! The task of one connection to a server: it carries one attempt at a time and reports each one's result.
+//! The task of one connection to a server: makes one attempt at a time and reports the result of each.
 
 use super::attempt::{Attempt, Command};
 use super::connection::UpstreamConnection;
@@ -13,7 +13,7 @@
 use tokio::sync::{OwnedSemaphorePermit, oneshot};
 use tokio::time::{sleep, sleep_until};
 
-/// An attempt that this connection was given.
+/// The parts of an attempt that its result needs, kept after the request is dropped.
 #[derive(Clone, Copy)]
 struct StartedAttempt {
     attempt_id: AttemptId,
@@ -30,7 +30,8 @@
 }
 
 impl UpstreamConnection {
-    /// Makes `attempt` and those that follow it, until the connection closes; the permit is held as long.
+    /// Makes `attempt` and the attempts that follow it, until the connection closes. The permit is released at that
+    /// time.
     pub async fn run(mut self, mut attempt: Attempt, _permit: OwnedSemaphorePermit) {
         let mut idle: Option<OpenConnection> = None;
         loop {
@@ -44,8 +45,8 @@
             };
             let written_before = open.observer.bytes_written();
             let result = match self.exchange(&mut open, &attempt).await {
-                // The server closed the connection while it was idle, and nothing of this attempt was written: it
-                // starts again on a new connection.
+                // The server closed the connection while it was idle, and none of this request was written: the attempt
+                // is made on a new connection.
                 Err(AttemptOutcome::Rejected)
                     if written_before > 0 && open.observer.bytes_written() == written_before =>
                 {
@@ -53,7 +54,7 @@
                 }
                 result => result,
             };
-            // An idle connection keeps nothing of the request in memory.
+            // Frees the request's memory before the connection becomes idle.
             drop(attempt);
             match result {
                 Ok(Exchange::Complete { response, reusable }) => {
@@ -67,7 +68,7 @@
                     return drive_until_stream_ends(open, end).await;
                 }
                 Err(outcome) => {
-                    // Closed before the result is reported, and so before the next attempt starts.
+                    // The connection is closed before the result is reported, and so before the next attempt starts.
                     drop(open);
                     return self.report_outcome(started, outcome).await;
                 }
@@ -82,7 +83,7 @@
         }
     }
 
-    /// Opens a connection for an attempt.
+    /// Opens a connection for an attempt; the error is the attempt's outcome.
     async fn open(&mut self, attempt: &Attempt) -> Result<OpenConnection, AttemptOutcome> {
         let connecting = connect(self.address, self.limits.connect_timeout);
         let stream = tokio::select! {
@@ -91,7 +92,7 @@
                 return Err(AttemptOutcome::NotSent);
             }
             result = connecting => result?,
-            () = sleep_until(attempt.written_by().into()) => {
+            () = sleep_until(attempt.effective_write_deadline().into()) => {
                 return Err(match attempt.write_deadline {
                     Some(_) => AttemptOutcome::NotSent,
                     None => AttemptOutcome::Unreachable,
@@ -103,7 +104,8 @@
             .map_err(|_| AttemptOutcome::Unreachable)
     }
 
-    /// Waits for the next attempt as long as the connection is good. `None` once no further attempt can come.
+    /// Waits for the next attempt, until the connection ends or has reached its idle timeout. `None` if no attempt
+    /// follows.
     async fn wait_for_attempt(&mut self, open: &mut OpenConnection) -> Option<Attempt> {
         let idle_timeout = sleep(self.limits.upstream.idle_timeout);
         tokio::pin!(idle_timeout);
@@ -122,12 +124,12 @@
                 else => break,
             }
         }
-        self.take_waiting_attempt().await
+        self.take_queued_attempt().await
     }
 
-    /// An attempt that was commanded while the connection ended goes out on a new one. Any further command finds the
-    /// channel closed.
-    async fn take_waiting_attempt(&mut self) -> Option<Attempt> {
+    /// Returns an attempt that was commanded while the connection was ending; it is made on a new connection. If there
+    /// is none, closes the command channel, and reports an attempt that arrived before it was closed as not sent.
+    async fn take_queued_attempt(&mut self) -> Option<Attempt> {
         while let Ok(command) = self.commands.try_recv() {
             if let Command::Start(attempt) = command {
                 return Some(attempt);
@@ -143,7 +145,7 @@
         None
     }
 
-    /// Reports an attempt that had no response.
+    /// Reports an attempt that ended without a response.
     async fn report_outcome(&self, attempt: StartedAttempt, outcome: AttemptOutcome) {
         let response = DecodedResponse::without_response(outcome);
         self.report(attempt, response, false).await;
@@ -163,8 +165,8 @@
     }
 }
 
-/// Keeps the connection open and reading until the client has all of its response or has disconnected, which can take
-/// minutes; then closes it.
+/// Keeps reading from the connection until the client has received the whole response or has disconnected, which can
+/// take minutes; then closes the connection.
 async fn drive_until_stream_ends(mut open: OpenConnection, end: oneshot::Receiver<StreamEnd>) {
     let mut end = pin!(end);
     while !open.ended {
--- a/crates/merlinreel/src/upstream/exchange.rs
+++ b/crates/merlinreel/src/upstream/exchange.rs
@@ -1,4 +1,4 @@
-//! One request and its response on a connection, and what the end of an attempt proves.
+//! Sends one request on a connection and reads its response, and derives the outcome of an attempt that is interrupted.
 
 use super::attempt::Attempt;
 use super::connection::UpstreamConnection;
@@ -17,64 +17,69 @@
 use tokio::sync::oneshot;
 use tokio::time::sleep_until;
 
-/// An attempt whose response may go to the client.
+/// The response to an attempt, and how its connection goes on.
 pub enum Exchange {
-    /// Complete.
+    /// The whole response was received.
     Complete {
-        /// The response.
+        /// The response with its whole body.
         response: DecodedResponse,
-        /// The connection may carry another attempt; else it closes.
+        /// Whether the connection may carry another attempt; if not, it must be closed.
         reusable: bool,
     },
-    /// Long and still arriving: the connection serves this response alone until its end.
+    /// The body is long and still arriving; the connection carries this response only, and closes at its end.
     Streaming {
-        /// The response.
+        /// The response; its body streams to the client.
         response: DecodedResponse,
         /// Receives how the body ended.
         end: oneshot::Receiver<StreamEnd>,
     },
 }
 
-/// Where a request lies among the bytes that are written to a connection.
+/// The range of a request in the bytes written to a connection since it opened.
 #[derive(Clone, Copy)]
 struct WriteRange {
-    /// Bytes written before it.
+    /// Bytes written before the request.
     start: u64,
-    /// Bytes written with its last one.
+    /// Bytes written up to and including the request's last byte.
     end: u64,
 }
 
-/// What an interrupted attempt proves. Short of the last byte no server can have run the request.
+/// The outcome of an interrupted attempt. A server cannot have run a request whose last byte was not written.
 fn interrupted_outcome(interruption: AttemptOutcome, fully_written: bool) -> AttemptOutcome {
     match interruption {
         _ if fully_written => interruption,
-        // The server took the connection and would not have the attempt: it is neither down nor restarted.
+        // The server accepted the connection and closed it before it had the whole request: it is neither down nor
+        // restarted.
         AttemptOutcome::ConnectionLost => AttemptOutcome::Rejected,
         _ => AttemptOutcome::NotSent,
     }
 }
 
-/// Waits until `written_by`, and further without end where the last byte was written by then.
-async fn wait_for_unwritten(written_by: Instant, observer: &WriteObserver, range: WriteRange) {
-    sleep_until(written_by.into()).await;
+/// Completes at `write_deadline` if the request's last byte has not been written by then, otherwise never.
+async fn wait_for_missed_write_deadline(
+    write_deadline: Instant,
+    observer: &WriteObserver,
+    range: WriteRange,
+) {
+    sleep_until(write_deadline.into()).await;
     if observer.bytes_written() >= range.end {
         std::future::pending::<()>().await;
     }
 }
 
 impl UpstreamConnection {
-    /// Makes an attempt on a connection that is up.
+    /// Makes an attempt on an open connection.
     ///
     /// # Errors
     ///
-    /// The outcome of an attempt without a response; the connection must be closed.
+    /// The outcome of an attempt without a usable response; the connection must be closed.
     pub(super) async fn exchange(
         &mut self,
         open: &mut OpenConnection,
         attempt: &Attempt,
     ) -> Result<Exchange, AttemptOutcome> {
-        // The clock itself is read, as a timer may fire a millisecond late.
-        if attempt.written_by() <= Instant::now() {
+        // Checked against the clock, because a timer may fire a millisecond late.
+        if attempt.effective_write_deadline() <= Instant::now() {
             return Err(AttemptOutcome::NotSent);
         }
         let remaining_time = attempt.deadline.saturating_duration_since(Instant::now());
@@ -86,7 +91,7 @@
             end: start + length,
         };
         let result = self.await_response(open, attempt, request, range).await;
-        // Nothing is written any more.
+        // The connection is no longer polled, so nothing more is written.
         let fully_written = open.observer.bytes_written() >= range.end;
         if result.is_ok() || fully_written {
             self.metrics
@@ -98,7 +103,7 @@
         }
     }
 
-    /// Sends the request and waits for its response, or for what interrupts the attempt.
+    /// Sends the request and waits for its response, or until the attempt is interrupted.
     async fn await_response(
         &mut self,
         open: &mut OpenConnection,
@@ -119,7 +124,8 @@
             receive(sender.send_request(request).await?, &memory, max_bytes).await
         };
         let deadline = sleep_until_caught_up(attempt.deadline);
-        let write_deadline = wait_for_unwritten(attempt.written_by(), observer, range);
+        let write_deadline =
+            wait_for_missed_write_deadline(attempt.effective_write_deadline(), observer, range);
         tokio::pin!(response, deadline, write_deadline);
         let has_started = || observer.bytes_written() > range.start;
         loop {
@@ -128,17 +134,23 @@
                 () = self.wait_for_cancellation(attempt.attempt_id, has_started) => {
                     return Err(AttemptOutcome::Cancelled);
                 }
-                // Before anything more is written: where the connection came up late or takes the request in parts, a
-                // retry with an idempotency key must not arrive after the servers have forgotten the key.
+                // Polled before the connection, so that nothing more is written once the deadline has passed: if the
+                // connection opened late or takes the request in parts, a retry with an idempotency key must not arrive
+                // after the servers have forgotten the key.
                 () = &mut write_deadline => return Err(AttemptOutcome::DeadlineExceeded),
-                // Before the response, as that is what it reads: the response is then there in the same poll.
+                // Polled before the response: polling the connection reads the response, which is then ready in the
+                // same poll.
                 result = http.as_mut(), if !*ended => {
                     self.record_connection_end(result);
                     *ended = true;
                 }
                 response = &mut response => return response.map_err(|error| {
-                    let part = if observer.bytes_written() < range.end { "before" } else { "after" };
-                    log!("server at {}: connection broke {part} an attempt's last byte: {error}", self.address);
+                    let stage = if observer.bytes_written() < range.end {
+                        "before its last byte was written, so the server did not run it"
+                    } else {
+                        "after its last byte was written, so the server may have run it"
+                    };
+                    log!("server at {}: attempt failed {stage}: {error}", self.address);
                     AttemptOutcome::ConnectionLost
                 }),
                 () = &mut deadline => return Err(AttemptOutcome::DeadlineExceeded),
--- a/crates/merlinreel/src/upstream/health_check.rs
+++ b/crates/merlinreel/src/upstream/health_check.rs
@@ -16,27 +16,27 @@
 use tokio::net::TcpStream;
 use tokio::sync::OwnedSemaphorePermit;
 
-/// Where a server is asked for its load.
+/// Path of the health check that returns a load report.
 const LOAD_PATH: &str = "/metrics/load";
-/// Where a server without load reports is asked whether it is alive.
+/// Path of the health check of servers that send no load reports.
 const ALIVE_PATH: &str = "/alive";
 
-/// One health check, on a connection of its own.
+/// One health check of a server, made on a new connection.
 pub struct HealthCheck {
-    /// The server's index.
+    /// Index of the server; the result carries it.
     pub server: ServerIndex,
-    /// The server's address.
+    /// Address to connect to.
     pub address: SocketAddr,
-    /// Whether the response is a load report.
+    /// Whether servers return load reports; selects the path of the check.
     pub carries_load: bool,
-    /// It has failed after this.
+    /// The check has failed if the response is not complete after this time.
     pub timeout: Duration,
-    /// Bytes of the response's body.
+    /// Maximum size of the response's body; the check fails if it is longer.
     pub max_body_bytes: usize,
 }
 
 impl HealthCheck {
-    /// Makes the check and sends its result to the queue; `permit` is held as long as the connection is open.
+    /// Makes the check and sends its result to the queue. `permit` is held while the connection is open.
     pub async fn run(self, permit: OwnedSemaphorePermit, queue: Queue) {
         let started = Instant::now();
         let load = timeout_caught_up(self.timeout, self.fetch_load())
@@ -53,7 +53,8 @@
         let _ = queue.send(Event::HealthCheck(result)).await;
     }
 
-    /// The load that the server reports; `None` where it does not answer 200.
+    /// The load in the server's response, empty if it reports none; `None` if there is no complete response with status
+    /// 200.
     async fn fetch_load(&self) -> Option<LoadReport> {
         let stream = TcpStream::connect(self.address).await.ok()?;
         let (mut sender, connection) = handshake(TokioIo::new(stream)).await.ok()?;
@@ -75,7 +76,7 @@
             let _ = connection.await;
             std::future::pending::<()>().await;
         };
-        // The connection ends with the response, or with the time for it.
+        // The connection is dropped, and so closed, once the response is read or the timeout has passed.
         tokio::select! {
             load = load => load,
             () = drive_connection => None,
--- a/crates/merlinreel/src/upstream/idle_connections.rs
+++ b/crates/merlinreel/src/upstream/idle_connections.rs
@@ -3,31 +3,33 @@
 use super::attempt::ConnectionHandle;
 use std::time::{Duration, Instant};
 
-/// A connection that carries no attempt.
+/// An open connection without an attempt in flight.
 pub(super) struct IdleConnection {
-    /// Since when.
+    /// When the connection became idle.
     pub since: Instant,
-    /// Keeps it open.
+    /// Handle to the connection, which closes when the handle is dropped.
     pub handle: ConnectionHandle,
 }
 
-/// Which idle connections may carry an attempt.
+/// Which idle connections may carry an attempt. A connection is settled once it has been idle for the settle time.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(super) enum Reuse {
-    /// Settled ones first, then any.
+    /// A settled connection if there is one, otherwise any.
     PreferSettled,
-    /// Settled ones only.
+    /// Only a settled connection.
     OnlySettled,
 }
 
-/// The idle connections to one server, the newest last.
+/// The idle connections to one server, in the order in which they became idle.
 #[derive(Default)]
 pub(super) struct IdleConnections(pub Vec<IdleConnection>);
 
 impl IdleConnections {
-    /// The newest connection that has been idle for `settle_time`, so that few stay open; else the oldest one, where
-    /// `reuse` allows that. A server that closes the connection behind a response, or sends a second one, does so before
-    /// the connection is settled, and the close would cross the next attempt.
+    /// Takes the newest connection that has been idle for `settle_time`, so that surplus ones reach their idle timeout.
+    /// If there is none and `reuse` allows it, takes the oldest connection.
+    ///
+    /// A server that closes the connection after a response, or sends a second response, does so before the connection
+    /// is settled; on a connection that is reused earlier, the close would race with the next attempt.
     pub fn take(
         &mut self,
         now: Instant,
@@ -43,7 +45,7 @@
         Some(self.0.remove(position).handle)
     }
 
-    /// Adds a connection that has become idle now, and drops those that have closed.
+    /// Adds a connection that has just become idle, and removes connections that have closed.
     pub fn add(&mut self, handle: ConnectionHandle) {
         self.0.retain(|idle| !idle.handle.commands.is_closed());
         self.0.push(IdleConnection {
@@ -52,7 +54,7 @@
         });
     }
 
-    /// Closes the connection that has been idle for longest, if there is one.
+    /// Closes the connection that has been idle the longest, if there is one.
     pub fn close_oldest(&mut self) {
         if !self.0.is_empty() {
             self.0.remove(0);
--- a/crates/merlinreel/src/upstream/load_report.rs
+++ b/crates/merlinreel/src/upstream/load_report.rs
@@ -1,10 +1,11 @@
-//! The load reports of servers, as health checks and responses carry them.
+//! Parses servers' load reports, which arrive in responses and health checks.
 
 use merlinreel_policy::LoadReport;
 use std::collections::HashMap;
 
-/// Reads a load report: a JSON object of numbers, of which servers use either of two names. What it does not hold is
-/// absent, and so is everything where it is no such object.
+/// Parses a load report: a JSON object of numbers, each under one of two names, depending on the server. A value that
+/// is missing or not finite is `None`, and other names are ignored. The report is empty if `bytes` is not such an
+/// object.
 pub fn read_load(bytes: &[u8]) -> LoadReport {
     let Ok(fields) = serde_json::from_slice::<HashMap<String, f64>>(bytes) else {
         return LoadReport::default();
--- a/crates/merlinreel/src/upstream/message.rs
+++ b/crates/merlinreel/src/upstream/message.rs
@@ -1,4 +1,4 @@
-//! A request as a server receives it, and what the response to it means.
+//! Encodes requests to servers and decodes their responses.
 
 use super::load_report::read_load;
 use crate::messages::streaming_body::StreamingBody;
@@ -11,16 +11,16 @@
 use merlinreel_policy::{AttemptOutcome, LoadReport};
 use std::time::Duration;
 
-/// How long the limiter waits for the response, in milliseconds with the suffix `m`.
+/// Request header: how long the limiter waits for the response, in milliseconds with the suffix `m`.
 const REMAINING_TIME: HeaderName = HeaderName::from_static("x-remaining");
-/// `1` where the server rejected the request without running it.
+/// Response header: `1` if the server rejected the request without running it.
 const REJECTED: HeaderName = HeaderName::from_static("x-turned-away");
-/// The server's load report.
+/// Response header: the server's load report, as JSON.
 pub const LOAD: HeaderName = HeaderName::from_static("x-pressure");
-/// The quota units that the request took.
+/// Response header: the quota units that the server charged for the request.
 const UNITS_CHARGED: HeaderName = HeaderName::from_static("x-units-charged");
 
-/// The bytes that a request takes on the wire at least.
+/// The minimum number of bytes of a request on the wire.
 pub fn wire_length(request: &Request<Full<Bytes>>, body_length: usize) -> u64 {
     let path = request
         .uri()
@@ -35,7 +35,8 @@
     (request_line + headers + "\r\n".len() + body_length) as u64
 }
 
-/// A request as a server receives it: unchanged but for the time that the limiter will wait.
+/// Builds the HTTP request to a server. The remaining time is added, and the length of a body that is not empty;
+/// everything else is the client's.
 pub fn encode(
     upstream_request: &UpstreamRequest,
     remaining_time: Duration,
@@ -57,7 +58,8 @@
     request
 }
 
-/// Removes the headers that concern one connection only, and the length, which follows from the body.
+/// Removes the hop-by-hop headers, which apply to one connection only, and `Content-Length`, which is set again from
+/// the body.
 pub fn strip_hop_by_hop(headers: &mut HeaderMap) {
     let connection_options: Vec<String> = headers
         .get_all(CONNECTION)
@@ -76,20 +78,20 @@
     }
 }
 
-/// What a response means.
+/// The result of an attempt, as decoded from the server's response.
 pub struct DecodedResponse {
-    /// What became of the attempt.
+    /// How the attempt ended.
     pub outcome: AttemptOutcome,
-    /// The quota units that the server charged, where the response names them.
+    /// The quota units that the server charged; `None` if the response has no positive, finite number of them.
     pub units: Option<f64>,
-    /// The server's load.
+    /// The server's load; empty if the response carries no load report.
     pub load: LoadReport,
-    /// The response for the client; only of a successful attempt.
+    /// The response for the client; `None` unless the attempt succeeded.
     pub upstream_response: Option<UpstreamResponse>,
 }
 
 impl DecodedResponse {
-    /// The outcome of an attempt that had no response.
+    /// The result of an attempt without a response.
     pub fn without_response(outcome: AttemptOutcome) -> DecodedResponse {
         DecodedResponse {
             outcome,
@@ -100,8 +102,8 @@
     }
 }
 
-/// Reads a response. Its body is either complete, or `streaming_body` with an empty `body`. A load report counts where the
-/// settings say that responses carry it.
+/// Decodes a response. Its body is either complete in `body`, or it is `streaming_body` and `body` is empty. Without
+/// `carries_load` a load report is ignored.
 pub fn decode(
     mut head: Parts,
     body: Bytes,
@@ -131,12 +133,13 @@
     }
 }
 
-/// A server proves that it did not run a request by the status and the header together; the header alone proves nothing.
+/// Only the status and the header together prove that the server did not run the request; the header alone proves
+/// nothing.
 fn decode_outcome(head: &Parts) -> AttemptOutcome {
-    let has_rejected = head.headers.get(REJECTED).is_some_and(|value| value == "1");
+    let has_rejected_header = head.headers.get(REJECTED).is_some_and(|value| value == "1");
     match head.status {
         StatusCode::OK => AttemptOutcome::Success,
-        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if has_rejected => {
+        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if has_rejected_header => {
             AttemptOutcome::Rejected
         }
         _ => AttemptOutcome::Error,
--- a/crates/merlinreel/src/upstream/open_connection.rs
+++ b/crates/merlinreel/src/upstream/open_connection.rs
@@ -1,4 +1,4 @@
-//! A connection to a server that is up.
+//! Opens connections to servers, and counts the bytes written to them.
 
 use super::unsolicited_bytes::UnsolicitedBytes;
 use crate::config::limits::Limits;
@@ -20,10 +20,11 @@
 use std::time::Duration;
 use tokio::net::TcpStream;
 
-/// Counts the bytes that the kernel took, which proves that a request's last byte was not written.
+/// Counts the bytes that the kernel has accepted, which proves that an attempt whose last byte was not written never
+/// ran. Also records bytes that arrive while the connection is idle.
 pub struct WriteObserver {
     bytes_written: AtomicU64,
-    /// The last response is complete, and nothing was written since.
+    /// The last response is complete, and nothing has been written since.
     idle: AtomicBool,
     unsolicited_bytes: Arc<UnsolicitedBytes>,
 }
@@ -37,12 +38,12 @@
         }
     }
 
-    /// Bytes written since the connection came up.
+    /// Bytes written since the connection was opened.
     pub fn bytes_written(&self) -> u64 {
         self.bytes_written.load(Ordering::Relaxed)
     }
 
-    /// The response is complete: until the next write nothing may arrive.
+    /// Marks the response as complete: any bytes that arrive before the next write are unsolicited.
     pub fn set_idle(&self) {
         self.idle.store(true, Ordering::Relaxed);
     }
@@ -64,59 +65,60 @@
         self.idle.swap(false, Ordering::Relaxed)
     }
 
-    /// A response is due.
+    /// A response is outstanding.
     fn expects_more(&self) -> bool {
         self.bytes_written() > 0 && !self.idle.load(Ordering::Relaxed)
     }
 }
 
-/// The HTTP library's connection, which makes progress only while it is polled.
+/// The HTTP library's connection, which makes progress only when it is polled.
 type HttpConnection = Connection<TokioIo<ObservedStream<WriteObserver>>, Full<Bytes>>;
 
-/// A connection that is up.
+/// An open HTTP connection to a server.
 pub struct OpenConnection {
-    /// Sends requests.
+    /// Passes requests to `http`.
     pub sender: SendRequest<Full<Bytes>>,
-    /// Reads and writes while it is polled.
+    /// Reads from and writes to the socket when polled.
     pub http: Pin<Box<HttpConnection>>,
-    /// Counts what was written.
+    /// Counts the bytes written.
     pub observer: Arc<WriteObserver>,
-    /// It has ended; what it received before may still be read.
+    /// The connection has ended or reached its idle timeout, and `http` is not polled any more. A response that was
+    /// received before can still be read.
     pub ended: bool,
 }
 
-/// Connects within this time.
+/// Opens a TCP connection, unless that takes longer than `within`.
 ///
 /// # Errors
 ///
-/// What it proves about an attempt that no connection came up for it.
+/// The outcome of the attempt that the connection was for.
 pub async fn connect(address: SocketAddr, within: Duration) -> Result<TcpStream, AttemptOutcome> {
     match timeout_caught_up(within, connect_with_retry(address)).await {
         Ok(Ok(stream)) => Ok(stream),
         Ok(Err(error)) => {
-            log!("server at {address}: no connection: {error}");
+            log!("server at {address}: connection failed: {error}");
             Err(match error.kind() {
-                // The connection was up.
+                // The server accepted the connection and then reset it, so it is not down.
                 ErrorKind::ConnectionReset => AttemptOutcome::Rejected,
                 ErrorKind::ConnectionRefused => AttemptOutcome::ConnectionRefused,
                 _ => AttemptOutcome::Unreachable,
             })
         }
         Err(_) => {
-            log!("server at {address}: no connection within {within:?}");
+            log!("server at {address}: connection not established within {within:?}");
             Err(AttemptOutcome::Unreachable)
         }
     }
 }
 
-/// Connects, and tries again while the fault is this machine's own: it says nothing about the server, and may be over in
-/// a moment.
+/// Opens a TCP connection, retrying after errors of this machine: they say nothing about the server, and may be
+/// short-lived.
 async fn connect_with_retry(address: SocketAddr) -> io::Result<TcpStream> {
     let mut backoff = Backoff::default();
     loop {
         match TcpStream::connect(address).await {
             Err(error) if is_of_this_machine(&error) => {
-                log!("server at {address}: {error}; this machine can't connect, tried again");
+                log!("server at {address}: connection failed on this machine: {error}; retrying");
                 backoff.pause().await;
             }
             result => return result,
@@ -125,11 +127,11 @@
 }
 
 impl OpenConnection {
-    /// Prepares a stream for requests.
+    /// Sets up HTTP on an established TCP connection.
     ///
     /// # Errors
     ///
-    /// The HTTP library does not take the stream.
+    /// The HTTP library's handshake failed.
     pub async fn new(
         stream: TcpStream,
         limits: &Limits,
--- a/crates/merlinreel/src/upstream/pool.rs
+++ b/crates/merlinreel/src/upstream/pool.rs
@@ -18,22 +18,23 @@
 use tokio::sync::mpsc::error::TrySendError;
 use tokio::sync::{OwnedSemaphorePermit, Semaphore, mpsc};
 
-/// Commands that wait at a connection: an attempt, and its cancellation.
+/// Capacity of a connection's command queue, which holds an attempt and its cancellation.
 const COMMAND_QUEUE_LENGTH: usize = 4;
 
-/// The servers by index, with their connections.
+/// The servers that discovery has listed, and the connections to them.
 pub struct UpstreamPool {
     pub(super) limits: Limits,
-    /// Responses carry load reports.
+    /// Whether servers' responses may carry load reports.
     responses_carry_load: bool,
-    /// Health checks are answered with load reports.
+    /// Whether servers' responses to health checks are load reports.
     health_checks_carry_load: bool,
-    health_checks: bool,
+    /// Whether health checks are made at all.
+    health_checks_enabled: bool,
     response_memory: ResponseMemory,
     endpoints: EndpointTable,
-    /// By the server's index.
+    /// The idle connections to each server, by the server's index.
     pub(super) idle: Vec<IdleConnections>,
-    /// A permit for each connection that may be open.
+    /// One permit per connection that may be open or opening.
     connection_permits: Arc<Semaphore>,
     queue: Queue,
     metrics: Arc<Metrics>,
@@ -41,7 +42,7 @@
 }
 
 impl UpstreamPool {
-    /// A pool without servers. Results of attempts and health checks go to `queue`.
+    /// Creates a pool without servers. Results of attempts and health checks are sent to `queue`.
     pub fn new(
         limits: Limits,
         settings: &Settings,
@@ -51,7 +52,7 @@
         UpstreamPool {
             responses_carry_load: settings.sockets.load_reports_in_responses,
             health_checks_carry_load: settings.sockets.load_reports_in_health_checks,
-            health_checks: settings.endpoints.health_checks,
+            health_checks_enabled: settings.endpoints.health_checks,
             response_memory: ResponseMemory::new(&limits),
             endpoints: EndpointTable::new(settings.sockets.zones.clone()),
             idle: Vec::new(),
@@ -63,26 +64,28 @@
         }
     }
 
-    /// The bounds that it was made with.
+    /// The limits that the pool was created with.
     pub fn limits(&self) -> &Limits {
         &self.limits
     }
 
-    /// Takes discovery's endpoints and translates them for the policy.
+    /// Applies an endpoint list or update from discovery, and returns it for the policy, with indices in place of
+    /// names.
     pub fn apply_endpoints(&mut self, update: DiscoveryUpdate) -> EndpointUpdate {
         let update = self.endpoints.apply(update, false);
         self.close_connections_of_unready_servers(&update);
         update
     }
 
-    /// Takes the endpoints that a process before had from discovery, and translates them for the policy.
+    /// Applies an endpoint list that an earlier process received from discovery and stored, and returns it for the
+    /// policy, with indices in place of names and marked as cached.
     pub fn apply_cached_endpoints(&mut self, update: DiscoveryUpdate) -> EndpointUpdate {
         let update = self.endpoints.apply(update, true);
         self.close_connections_of_unready_servers(&update);
         update
     }
 
-    /// No idle connection stays open to a server that is draining or removed.
+    /// Closes the idle connections to servers that are draining or removed.
     fn close_connections_of_unready_servers(&mut self, update: &EndpointUpdate) {
         self.idle
             .resize_with(self.endpoints.index_count(), IdleConnections::default);
@@ -109,14 +112,14 @@
         self.endpoints.is_ready(server)
     }
 
-    /// Forgets a server; its index may be another's from now on.
+    /// Closes the server's idle connections and frees its index, which another server may then get.
     pub fn release_endpoint(&mut self, server: ServerIndex) {
         self.close_idle_connections(server);
         self.endpoints.release(server);
     }
 
-    /// Starts an attempt on an idle connection, else on a new one. `None` where the server is not known or every
-    /// connection is taken.
+    /// Starts an attempt on an idle connection, or on a new one if there is none. `None` if the server is unknown, the
+    /// connection limit is reached or the idle connection's command queue is full; the attempt is then not made.
     pub fn start_attempt(
         &mut self,
         server: ServerIndex,
@@ -165,8 +168,8 @@
         ConnectionHandle { commands, address }
     }
 
-    /// A permit for one more connection. Where it is the last one, the oldest idle connection of the server that has most
-    /// of them closes, so that the next attempt finds a permit.
+    /// Acquires a permit for one more connection. If none is left afterwards, the oldest idle connection of the server
+    /// with the most idle connections is closed, so that the next attempt finds a permit.
     fn acquire_connection_permit(&mut self) -> Option<OwnedSemaphorePermit> {
         let permit = self.connection_permits.clone().try_acquire_owned().ok();
         if self.connection_permits.available_permits() == 0 {
@@ -176,12 +179,14 @@
             }
         }
         if permit.is_none() {
-            log!("no descriptor is free for a connection to a server");
+            log!(
+                "servers: connection limit reached, an attempt or health check was not made; raise limits.sockets or limits.memory_mb"
+            );
         }
         permit
     }
 
-    /// Takes back a connection whose attempt is over, unless the server has another address by now.
+    /// Takes back a connection whose attempt has ended. It is closed if the server has a different address by now.
     pub fn return_connection(&mut self, server: ServerIndex, connection: ConnectionHandle) {
         if self.endpoints.address(server) != Some(connection.address) {
             return;
@@ -191,19 +196,20 @@
         }
     }
 
-    /// Closes the server's idle connections.
+    /// Closes all idle connections to a server.
     pub fn close_idle_connections(&mut self, server: ServerIndex) {
         if let Some(idle) = self.idle.get_mut(server.position()) {
             idle.0.clear();
         }
     }
 
-    /// Checks a server's health, where the settings want that and a connection is free; the result goes to the queue.
+    /// Starts a health check of a server, whose result goes to the queue. Does nothing if the settings disable health
+    /// checks, the server is unknown or the connection limit is reached.
     pub fn start_health_check(&mut self, server: ServerIndex) {
         let Some(address) = self.endpoints.address(server) else {
             return;
         };
-        if !self.health_checks {
+        if !self.health_checks_enabled {
             return;
         }
         let Some(permit) = self.acquire_connection_permit() else {
--- a/crates/merlinreel/src/upstream/response.rs
+++ b/crates/merlinreel/src/upstream/response.rs
@@ -1,4 +1,4 @@
-//! A server's response as it is read from its connection: complete, or long and still arriving.
+//! Receives a server's response: reads the whole body, or streams it if it is too long to be buffered.
 
 use super::response_memory::{BodyError, BufferedBody, ResponseMemory, read_to_end};
 use crate::messages::streaming_body::{StreamEnd, StreamingBody};
@@ -9,59 +9,63 @@
 use thiserror::Error;
 use tokio::sync::oneshot;
 
-/// Why what a server sent is not a usable response. The attempt may have run all the same.
+/// Why a server's response is unusable. The server may have run the request nevertheless.
 #[derive(Debug, Error)]
 pub enum ResponseError {
-    /// The connection broke.
-    #[error("{0}; the connection to the server ended")]
+    /// The connection failed.
+    #[error("connection failed: {0}")]
     Connection(#[from] hyper::Error),
-    /// The body is not usable.
+    /// The body was not received completely, or there is no memory for it.
     #[error("{0}")]
     Body(#[from] BodyError),
-    /// A 1xx status that the HTTP library passes on.
-    #[error("status {0} announces another response or protocol and is none itself")]
+    /// A 1xx status that the HTTP library returned as a response, such as 101 (Switching Protocols).
+    #[error("expected a final response, found informational status {0}")]
     Informational(StatusCode),
-    /// Clients and servers could read different messages from it.
-    #[error("both Content-Length and Transfer-Encoding are present (RFC 9112, section 6.3)")]
+    /// `Content-Length` and `Transfer-Encoding` are both present, so recipients may disagree on where the response
+    /// ends.
+    #[error(
+        "expected either Content-Length or Transfer-Encoding, found both (RFC 9112, section 6.3)"
+    )]
     AmbiguousFraming,
     /// The announced length exceeds the maximum.
-    #[error("{announced} bytes are announced, {max} are the maximum of a response")]
+    #[error("response announces a body of {announced} bytes, the maximum is {max}")]
     TooLong {
-        /// Bytes.
+        /// Announced length of the body, in bytes.
         announced: u64,
-        /// Bytes.
+        /// Maximum length of a body, in bytes.
         max: u64,
     },
 }
 
 /// The body of a response.
 pub enum ReceivedBody {
-    /// All of it.
+    /// The whole body.
     Complete(Bytes),
-    /// A long one that is still arriving.
+    /// A body that is too long to be buffered and is still arriving.
     Streaming {
-        /// Takes it to the client.
+        /// Delivers the body to the client.
         body: Box<StreamingBody>,
-        /// Receives how it ended.
+        /// Receives how the body ended.
         end: oneshot::Receiver<StreamEnd>,
     },
 }
 
-/// A response that may go to the client.
+/// A response whose framing was checked.
 pub struct ReceivedResponse {
     /// Status and headers.
     pub head: Parts,
-    /// The body; empty where it was long and no client gets it.
+    /// The body; empty if it was too long to be buffered and the status is not 200.
     pub body: ReceivedBody,
-    /// Its framing delimits it, so that the connection may carry another request.
+    /// Whether the framing marks the end of the body, so that the connection may carry another request; if not, the
+    /// body ends with the connection.
     pub is_self_delimited: bool,
 }
 
-/// Reads one response until it is complete or longer than is buffered. At most `max_bytes` may be announced.
+/// Reads one response until it is complete or its body exceeds the buffer limit. At most `max_bytes` may be announced.
 ///
 /// # Errors
 ///
-/// The connection broke, or the response is not usable.
+/// The connection failed, or the response is unusable.
 pub async fn receive(
     response: Response<Incoming>,
     memory: &ResponseMemory,
@@ -80,7 +84,7 @@
                 end,
             }
         }
-        // Of any other status the client gets none of the server's body.
+        // A client receives the server's body only if the status is 200.
         BufferedBody::TooLong { rest, .. } => {
             read_to_end(rest).await?;
             ReceivedBody::Complete(Bytes::new())
@@ -93,7 +97,8 @@
     })
 }
 
-/// A response that was not made for this request, or whose end is ambiguous, must not reach the client.
+/// Rejects responses that must not reach the client: one that is not the final response to this request, has an
+/// ambiguous end or announces too long a body.
 fn check_framing(head: &Parts, body: &Incoming, max_bytes: u64) -> Result<(), ResponseError> {
     let announced = body.size_hint().lower();
     if head.status.is_informational() {
--- a/crates/merlinreel/src/upstream/response_memory.rs
+++ b/crates/merlinreel/src/upstream/response_memory.rs
@@ -1,5 +1,4 @@
-//! Bodies of servers' responses: read until they are complete, or longer than a body that is buffered, within the memory
-//! that all responses share.
+//! Buffers the bodies of servers' responses, within a memory limit that all responses share.
 
 use crate::config::limits::Limits;
 use bytes::Bytes;
@@ -9,42 +8,42 @@
 use thiserror::Error;
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 
-/// The memory that responses take from the moment they are complete until their clients have them.
+/// Limits the memory of response bodies, from when they are complete until their clients have received them.
 #[derive(Clone, Debug)]
 pub struct ResponseMemory {
-    /// A permit for each byte.
+    /// One permit per byte.
     bytes: Arc<Semaphore>,
-    /// A body of no more bytes than this is passed on only once it is complete. The memory for one that is arriving is
-    /// part of what a connection takes.
-    max_buffered: usize,
+    /// A body of up to this many bytes is passed on only once it is complete. The memory of a body that is still
+    /// arriving is part of its connection's share.
+    max_buffered_bytes: usize,
 }
 
-/// Why a body is not usable.
+/// Why a body is unusable.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum BodyError {
-    /// The connection ended before the body did, after so many bytes of it.
-    #[error("the response broke off after {0} bytes of its body")]
-    BrokeOff(usize),
-    /// It is larger than all memory for responses.
-    #[error("no memory is left for responses; raise limits.memory_mb")]
+    /// Reading failed after this many bytes of the body: the connection ended, or the framing is malformed.
+    #[error("response body incomplete or malformed after {0} bytes")]
+    Incomplete(usize),
+    /// Its length exceeds what the memory limit can count (`u32`).
+    #[error("response body exceeds the memory for responses; raise limits.memory_mb")]
     NoMemory,
 }
 
-/// A body as far as it was read.
+/// The result of buffering a body.
 #[derive(Debug, PartialEq)]
 pub enum BufferedBody<B> {
-    /// All of it.
+    /// The whole body.
     Complete(Bytes),
-    /// More has arrived than is buffered.
+    /// More bytes have arrived than the buffer limit allows.
     TooLong {
-        /// What was read.
+        /// The bytes read so far.
         first_part: Bytes,
-        /// What is still to be read.
+        /// The body, from which the remaining bytes are read.
         rest: B,
     },
 }
 
-/// The bytes of a complete body; their memory is given back once the client has them.
+/// The bytes of a complete body; dropping them, once the client has received them, releases their share of the memory.
 struct AccountedBytes {
     bytes: Bytes,
     _memory: OwnedSemaphorePermit,
@@ -57,34 +56,35 @@
 }
 
 impl ResponseMemory {
-    /// Memory of the size that the limits give.
+    /// Creates the memory limit with the sizes in `limits`.
     pub fn new(limits: &Limits) -> ResponseMemory {
         ResponseMemory {
             bytes: Arc::new(Semaphore::new(limits.upstream.max_buffered_response_bytes)),
-            max_buffered: limits.max_body_bytes,
+            max_buffered_bytes: limits.max_body_bytes,
         }
     }
 
-    /// Reads a body until it is complete, or until more of it has arrived than is buffered. Whatever its framing, a body
-    /// that breaks off before that is a failed attempt and no client sees its beginning. A complete one waits until there
-    /// is memory for it.
+    /// Reads a body until it is complete, or until more bytes have arrived than the buffer limit allows. A body that
+    /// ends early before that, whatever its framing, makes the attempt fail, and no client receives its beginning. A
+    /// complete body is returned once there is memory for it.
     ///
     /// # Errors
     ///
-    /// The body broke off, or is larger than all memory for responses.
+    /// The body ended early, or its length exceeds what the memory limit can count.
     pub async fn buffer<B: Body<Data = Bytes> + Unpin>(
         &self,
         mut body: B,
     ) -> Result<BufferedBody<B>, BodyError> {
-        let announced = usize::try_from(body.size_hint().lower()).unwrap_or(self.max_buffered);
-        let mut bytes = Vec::with_capacity(announced.min(self.max_buffered));
+        let announced =
+            usize::try_from(body.size_hint().lower()).unwrap_or(self.max_buffered_bytes);
+        let mut bytes = Vec::with_capacity(announced.min(self.max_buffered_bytes));
         while let Some(frame) = body.frame().await {
-            let frame = frame.map_err(|_| BodyError::BrokeOff(bytes.len()))?;
+            let frame = frame.map_err(|_| BodyError::Incomplete(bytes.len()))?;
             let Ok(data) = frame.into_data() else {
                 continue;
             };
             bytes.extend_from_slice(&data);
-            if bytes.len() > self.max_buffered {
+            if bytes.len() > self.max_buffered_bytes {
                 return Ok(BufferedBody::TooLong {
                     first_part: bytes.into(),
                     rest: body,
@@ -94,6 +94,7 @@
         self.account(bytes).await.map(BufferedBody::Complete)
     }
 
+    /// Waits until there is memory for a complete body.
     async fn account(&self, bytes: Vec<u8>) -> Result<Bytes, BodyError> {
         let count = u32::try_from(bytes.len()).map_err(|_| BodyError::NoMemory)?;
         let memory = self.bytes.clone().acquire_many_owned(count).await;
@@ -104,15 +105,15 @@
     }
 }
 
-/// Reads the rest of a body that no client gets; only its end matters.
+/// Reads and discards the rest of a body that is not passed on to a client; only whether it is complete matters.
 ///
 /// # Errors
 ///
-/// The body broke off.
+/// The body ended early.
 pub async fn read_to_end<B: Body<Data = Bytes> + Unpin>(mut body: B) -> Result<(), BodyError> {
     let mut length = 0;
     while let Some(frame) = body.frame().await {
-        let frame = frame.map_err(|_| BodyError::BrokeOff(length))?;
+        let frame = frame.map_err(|_| BodyError::Incomplete(length))?;
         length += frame.data_ref().map_or(0, Bytes::len);
     }
     Ok(())
--- a/crates/merlinreel/src/upstream/response_memory/tests.rs
+++ b/crates/merlinreel/src/upstream/response_memory/tests.rs
@@ -7,18 +7,18 @@
 use std::task::{Context, Poll, Waker};
 use test_case::test_case;
 
-/// Bodies of up to four bytes are buffered, and sixteen bytes in all.
+/// Buffers bodies of up to 4 bytes, and 16 bytes in total.
 fn memory() -> ResponseMemory {
     ResponseMemory {
         bytes: Arc::new(Semaphore::new(16)),
-        max_buffered: 4,
+        max_buffered_bytes: 4,
     }
 }
 
-/// A body of unknown length in frames of two bytes, that ends or breaks off behind them.
+/// A body of unknown length in frames of two bytes, which ends or fails after them.
 struct Frames {
-    left: usize,
-    breaks_off: bool,
+    remaining: usize,
+    fails: bool,
 }
 
 impl Body for Frames {
@@ -29,93 +29,93 @@
         mut self: Pin<&mut Self>,
         _: &mut Context,
     ) -> Poll<Option<io::Result<Frame<Bytes>>>> {
-        if self.left > 0 {
-            self.left -= 1;
+        if self.remaining > 0 {
+            self.remaining -= 1;
             return Poll::Ready(Some(Ok(Frame::data(Bytes::from_static(b"ab")))));
         }
         Poll::Ready(
-            self.breaks_off
+            self.fails
                 .then(|| Err(io::ErrorKind::ConnectionReset.into())),
         )
     }
 }
 
-/// What became of a body: complete, or what had arrived when it was passed on.
+/// The bytes of a complete body, or those that had arrived when a longer body was passed on.
 #[derive(Debug, PartialEq)]
-enum Seen {
+enum BufferedLength {
     Complete(usize),
     TooLong(usize),
 }
 
-fn seen<B>(received: BufferedBody<B>) -> Seen {
+fn buffered_length<B>(received: BufferedBody<B>) -> BufferedLength {
     match received {
-        BufferedBody::Complete(bytes) => Seen::Complete(bytes.len()),
-        BufferedBody::TooLong { first_part, .. } => Seen::TooLong(first_part.len()),
+        BufferedBody::Complete(bytes) => BufferedLength::Complete(bytes.len()),
+        BufferedBody::TooLong { first_part, .. } => BufferedLength::TooLong(first_part.len()),
     }
 }
 
-#[test_case(0, false => Ok(Seen::Complete(0)) ; "empty")]
-#[test_case(2, false => Ok(Seen::Complete(4)) ; "as long as is buffered")]
-#[test_case(3, false => Ok(Seen::TooLong(6)) ; "longer")]
-#[test_case(9, true => Ok(Seen::TooLong(6)) ; "longer, and cut after it was passed on")]
-#[test_case(0, true => Err(BodyError::BrokeOff(0)) ; "cut behind its head")]
-#[test_case(2, true => Err(BodyError::BrokeOff(4)) ; "cut behind its last byte, before its end")]
+#[test_case(0, false => Ok(BufferedLength::Complete(0)) ; "empty")]
+#[test_case(2, false => Ok(BufferedLength::Complete(4)) ; "exactly the limit")]
+#[test_case(3, false => Ok(BufferedLength::TooLong(6)) ; "over the limit")]
+#[test_case(9, true => Ok(BufferedLength::TooLong(6)) ; "over the limit, and cut after it was passed on")]
+#[test_case(0, true => Err(BodyError::Incomplete(0)) ; "cut after the head")]
+#[test_case(2, true => Err(BodyError::Incomplete(4)) ; "cut after its last byte, before its end")]
 #[tokio::test]
-async fn body_of_unknown_length_is_buffered_up_to_the_bound(
+async fn body_of_unknown_length_is_buffered_up_to_the_limit(
     frames: usize,
-    breaks_off: bool,
-) -> Result<Seen, BodyError> {
+    fails: bool,
+) -> Result<BufferedLength, BodyError> {
     memory()
         .buffer(Frames {
-            left: frames,
-            breaks_off,
+            remaining: frames,
+            fails,
         })
         .await
-        .map(seen)
+        .map(buffered_length)
 }
 
-#[test_case(4 => Ok(Seen::Complete(4)) ; "as long as is buffered")]
-#[test_case(5 => Ok(Seen::TooLong(5)) ; "longer")]
+#[test_case(4 => Ok(BufferedLength::Complete(4)) ; "exactly the limit")]
+#[test_case(5 => Ok(BufferedLength::TooLong(5)) ; "over the limit")]
 #[tokio::test]
-async fn body_of_known_length_is_buffered_up_to_the_bound(
+async fn body_of_known_length_is_buffered_up_to_the_limit(
     length: usize,
-) -> Result<Seen, BodyError> {
+) -> Result<BufferedLength, BodyError> {
     memory()
         .buffer(Full::new(Bytes::from(vec![1; length])))
         .await
-        .map(seen)
+        .map(buffered_length)
 }
 
 #[test_case(9, false => Ok(()) ; "complete")]
-#[test_case(9, true => Err(BodyError::BrokeOff(18)) ; "cut")]
+#[test_case(9, true => Err(BodyError::Incomplete(18)) ; "cut")]
 #[tokio::test]
-async fn body_that_no_client_gets_is_read_to_its_end(
-    frames: usize,
-    breaks_off: bool,
-) -> Result<(), BodyError> {
+async fn discarded_body_is_read_to_its_end(frames: usize, fails: bool) -> Result<(), BodyError> {
     read_to_end(Frames {
-        left: frames,
-        breaks_off,
+        remaining: frames,
+        fails,
     })
     .await
 }
 
-/// The memory of a complete response is in use until its client has it; the next response waits until then.
+/// A complete response occupies memory until its client has received it; the next response waits until memory is free.
 #[tokio::test]
 async fn complete_response_waits_for_memory_until_another_is_delivered() {
     let memory = memory();
-    let mut delivered_later = Vec::new();
+    let mut undelivered = Vec::new();
     for _ in 0..4 {
         let Ok(BufferedBody::Complete(bytes)) =
             memory.buffer(Full::new(Bytes::from_static(b"held"))).await
         else {
             panic!("a body that fits")
         };
-        delivered_later.push(bytes);
+        undelivered.push(bytes);
     }
     let mut next = pin!(memory.buffer(Full::new(Bytes::from_static(b"next"))));
     let mut context = Context::from_waker(Waker::noop());
     assert!(next.as_mut().poll(&mut context).is_pending());
-    delivered_later.pop();
-    assert_eq!(next.await.map(seen), Ok(Seen::Complete(4)));
+    undelivered.pop();
+    assert_eq!(
+        next.await.map(buffered_length),
+        Ok(BufferedLength::Complete(4))
+    );
 }
--- a/crates/merlinreel/src/upstream/tests/wire.rs
+++ b/crates/merlinreel/src/upstream/tests/wire.rs
@@ -1,4 +1,4 @@
-//! The bytes that servers receive.
+//! Tests of the exact bytes that servers receive.
 
 use super::*;
 use merlinreel_policy::ServerIndex;
@@ -19,7 +19,7 @@
 }
 
 #[tokio::test]
-async fn forwarded_request_has_these_bytes() {
+async fn forwarded_request_has_the_expected_bytes() {
     let (listener, address) = listener().await;
     let (mut pool, _events) = pool(address, 4);
     let _connection = pool
@@ -47,9 +47,9 @@
 #[test_case("probe", "/metrics/load" ; "load reports in health checks")]
 #[test_case("none", "/alive" ; "no load reports")]
 #[tokio::test]
-async fn health_check_has_these_bytes(how: &str, path: &str) {
+async fn health_check_has_the_expected_bytes(report_mode: &str, path: &str) {
     let (listener, address) = listener().await;
-    let (mut pool, _events) = pool_with_reports(how, address, 4);
+    let (mut pool, _events) = pool_with_report_mode(report_mode, address, 4);
     pool.start_health_check(ServerIndex(0));
     let mut stream = accept(&listener).await;
     assert_eq!(
