--- a/crates/merlinreel/src/upstream/connection_task.rs
+++ b/crates/merlinreel/src/upstream/connection_task.rs
@@ -165,7 +165,7 @@
     }
 }
 
-/// Keeps reading from the connection until the client has received the whole response or has disconnected, which can
+/// Keeps reading from the connection until the client has received the complete response or has disconnected, which can
 /// take minutes; then closes the connection.
 async fn drive_until_stream_ends(mut open: OpenConnection, end: oneshot::Receiver<StreamEnd>) {
     let mut end = pin!(end);
--- a/crates/merlinreel/src/upstream/exchange.rs
+++ b/crates/merlinreel/src/upstream/exchange.rs
@@ -19,9 +19,9 @@
 
 /// The response to an attempt, and how its connection goes on.
 pub enum Exchange {
-    /// The whole response was received.
+    /// The response was received completely.
     Complete {
-        /// The response with its whole body.
+        /// The response with its complete body.
         response: DecodedResponse,
         /// Whether the connection may carry another attempt; if not, it must be closed.
         reusable: bool,
@@ -48,7 +48,7 @@
 fn interrupted_outcome(interruption: AttemptOutcome, fully_written: bool) -> AttemptOutcome {
     match interruption {
         _ if fully_written => interruption,
-        // The server accepted the connection and closed it before it had the whole request: it is neither down nor
+        // The server accepted the connection and closed it before it had the complete request: it is neither down nor
         // restarted.
         AttemptOutcome::ConnectionLost => AttemptOutcome::Rejected,
         _ => AttemptOutcome::NotSent,
@@ -145,12 +145,11 @@
                     *ended = true;
                 }
                 response = &mut response => return response.map_err(|error| {
-                    let stage = if observer.bytes_written() < range.end {
-                        "before its last byte was written, so the server did not run it"
-                    } else {
-                        "after its last byte was written, so the server may have run it"
-                    };
-                    log!("server at {}: attempt failed {stage}: {error}", self.address);
+                    let stage = if observer.bytes_written() < range.end { "before" } else { "after" };
+                    log!(
+                        "server at {}: attempt failed {stage} its last byte was written (servers run complete requests only): {error}",
+                        self.address
+                    );
                     AttemptOutcome::ConnectionLost
                 }),
                 () = &mut deadline => return Err(AttemptOutcome::DeadlineExceeded),
--- a/crates/merlinreel/src/upstream/response.rs
+++ b/crates/merlinreel/src/upstream/response.rs
@@ -1,4 +1,4 @@
-//! Receives a server's response: reads the whole body, or streams it if it is too long to be buffered.
+//! Receives a server's response: reads its body completely, or streams it if it is too long to be buffered.
 
 use super::response_memory::{BodyError, BufferedBody, ResponseMemory, read_to_end};
 use crate::messages::streaming_body::{StreamEnd, StreamingBody};
@@ -39,7 +39,7 @@
 
 /// The body of a response.
 pub enum ReceivedBody {
-    /// The whole body.
+    /// The complete body.
     Complete(Bytes),
     /// A body that is too long to be buffered and is still arriving.
     Streaming {
--- a/crates/merlinreel/src/upstream/response_memory.rs
+++ b/crates/merlinreel/src/upstream/response_memory.rs
@@ -24,7 +24,7 @@
     /// Reading failed after this many bytes of the body: the connection ended, or the framing is malformed.
     #[error("response body incomplete or malformed after {0} bytes")]
     Incomplete(usize),
-    /// Its length exceeds what the memory limit can count (`u32`).
+    /// The body's length exceeds what the memory limit can count (`u32`).
     #[error("response body exceeds the memory for responses; raise limits.memory_mb")]
     NoMemory,
 }
@@ -32,7 +32,7 @@
 /// The result of buffering a body.
 #[derive(Debug, PartialEq)]
 pub enum BufferedBody<B> {
-    /// The whole body.
+    /// The complete body.
     Complete(Bytes),
     /// More bytes have arrived than the buffer limit allows.
     TooLong {
--- a/crates/merlinreel/src/upstream/tests.rs
+++ b/crates/merlinreel/src/upstream/tests.rs
@@ -157,7 +157,7 @@
     next_completion(events).await
 }
 
-/// More than the socket buffers of both sides hold, so that the whole request can't be written.
+/// More than the socket buffers of both sides hold, so that the request can't be written completely.
 const HUGE_BODY_BYTES: usize = 1 << 26;
 const WITH_INFORMATIONAL: &str = "HTTP/1.1 102 On\r\n\r\nHTTP/1.1 103 Hint\r\nLink: x\r\n\r\nHTTP/1.1 200 OK\r\n\
     X-Units-Charged: 3\r\nX-Pressure: {\"queue\":2,\"util\":0.5,\"odd\":1}\r\nContent-Length: 4\r\n\r\ndone";
--- a/crates/merlinreel/src/upstream/unsolicited_bytes.rs
+++ b/crates/merlinreel/src/upstream/unsolicited_bytes.rs
@@ -26,7 +26,7 @@
 }
 
 /// Whether a connection failed because bytes arrived that belong to no response. The HTTP library then reports neither
-/// a parse error nor an error of the socket, but one that has no source and is none of the kinds below.
+/// a parse error nor a socket error, but an error without a source that is none of the kinds below.
 pub fn is_unsolicited(error: &hyper::Error) -> bool {
     let has_other_cause = error.is_parse()
         || error.is_incomplete_message()
