--- a/crates/merlinreel-simulator-adapter/src/actions.rs
+++ b/crates/merlinreel-simulator-adapter/src/actions.rs
@@ -9,20 +9,20 @@
 use std::fmt::Write as _;
 use std::time::Duration;
 
-/// Encodes each action as it is decided.
+/// Receives the limiter's actions and appends their lines to the reply, in the order in which they are decided.
 pub struct ActionEncoder<'a> {
-    /// The reply.
+    /// The reply to the batch.
     pub output: &'a mut String,
-    /// The endpoints' names.
+    /// Names of the instance's endpoints.
     pub servers: &'a NameTable<ServerIndex>,
-    /// The requests in flight.
+    /// The instance's requests; attempts that start and final responses are recorded here.
     pub requests: &'a mut RequestTable,
-    /// Endpoints whose indices are to be freed after the batch.
+    /// Endpoints that the limiter released; their indices are freed after the batch.
     pub released_servers: &'a mut Vec<ServerIndex>,
 }
 
 impl ActionEncoder<'_> {
-    fn line(&mut self, text: Arguments) {
+    fn write_line(&mut self, text: Arguments) {
         // Writing to a string cannot fail.
         let _ = self.output.write_fmt(text);
         self.output.push('\n');
@@ -30,7 +30,8 @@
 }
 
 impl Actions for ActionEncoder<'_> {
-    /// The simulator starts the attempt at once (the last value is a delay), so it is never later than `within`.
+    /// The last value of the line is a delay in seconds. It is always 0: the simulator starts the attempt at once, never later
+    /// than `within`.
     fn start_attempt(
         &mut self,
         request: RequestIndex,
@@ -79,12 +80,12 @@
 
     fn start_health_check(&mut self, server: ServerIndex) {
         let name = self.servers.name(server);
-        self.line(format_args!("{} {name}", action::START_HEALTH_CHECK));
+        self.write_line(format_args!("{} {name}", action::START_HEALTH_CHECK));
     }
 
     fn send_peer_message(&mut self, limiter: u32, peer_message: &[u8]) {
         let content = encode_hex(peer_message);
-        self.line(format_args!(
+        self.write_line(format_args!(
             "{} {limiter} {content}",
             action::SEND_PEER_MESSAGE
         ));
@@ -92,7 +93,7 @@
 
     fn increment_counter(&mut self, customer: u64, window: u64, amount: f64, keep: Duration) {
         let name = encode_counter_name(CounterKey { customer, window });
-        self.line(format_args!(
+        self.write_line(format_args!(
             "{} {:.6} {amount} {name}",
             action::INCREMENT_COUNTER,
             keep.as_secs_f64()
@@ -100,7 +101,7 @@
     }
 
     fn set_endpoint_subscription(&mut self, on: bool) {
-        self.line(format_args!(
+        self.write_line(format_args!(
             "{} {}",
             action::SET_ENDPOINT_SUBSCRIPTION,
             u8::from(on)
@@ -108,12 +109,12 @@
     }
 
     fn poll_endpoints(&mut self) {
-        self.line(format_args!("{}", action::POLL_ENDPOINTS));
+        self.write_line(format_args!("{}", action::POLL_ENDPOINTS));
     }
 
     fn close_idle_connections(&mut self, server: ServerIndex) {
         let name = self.servers.name(server);
-        self.line(format_args!("{} {name}", action::CLOSE_IDLE_CONNECTIONS));
+        self.write_line(format_args!("{} {name}", action::CLOSE_IDLE_CONNECTIONS));
     }
 
     fn release_endpoint(&mut self, server: ServerIndex) {
@@ -121,7 +122,7 @@
     }
 
     fn schedule_wakeup(&mut self, after: Duration) {
-        self.line(format_args!(
+        self.write_line(format_args!(
             "{} {WAKEUP_TIMER} {:.6}",
             action::SCHEDULE_WAKEUP,
             after.as_secs_f64()
@@ -130,7 +131,7 @@
 
     fn log(&mut self, text: &str) {
         let text = text.replace('\n', " ");
-        self.line(format_args!("{} {text}", action::LOG));
+        self.write_line(format_args!("{} {text}", action::LOG));
     }
 }
 
--- a/crates/merlinreel-simulator-adapter/src/encoding.rs
+++ b/crates/merlinreel-simulator-adapter/src/encoding.rs
@@ -1,4 +1,4 @@
-//! Bytes and counter names as text.
+//! Encodes bytes and counter names as text, and decodes them.
 
 use crate::protocol::ABSENT;
 use std::fmt::Write as _;
@@ -6,13 +6,13 @@
 /// A customer's counter for one quota window.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CounterKey {
-    /// The customer's number.
+    /// Number of the customer whose use is counted.
     pub customer: u64,
-    /// The window's number.
+    /// Number of the quota window.
     pub window: u64,
 }
 
-/// Bytes as lowercase hexadecimal digits.
+/// Encodes bytes as lowercase hexadecimal digits; no bytes are [`ABSENT`].
 pub fn encode_hex(bytes: &[u8]) -> String {
     if bytes.is_empty() {
         return ABSENT.to_owned();
@@ -25,7 +25,7 @@
     text
 }
 
-/// The bytes; `None` if the text is not pairs of hexadecimal digits.
+/// Decodes hexadecimal digits; `None` if the text is not two digits for each byte. [`ABSENT`] is no bytes.
 pub fn decode_hex(text: &str) -> Option<Vec<u8>> {
     if text == ABSENT {
         return Some(Vec::new());
@@ -39,12 +39,12 @@
         .collect()
 }
 
-/// The name under which the counter service keeps the counter.
+/// The counter's name at the counter service: customer and window in hexadecimal, separated by a dot.
 pub fn encode_counter_name(counter: CounterKey) -> String {
     format!("{:x}.{:x}", counter.customer, counter.window)
 }
 
-/// The counter of that name; `None` if it is not a name made by [`encode_counter_name`].
+/// Decodes a name made by [`encode_counter_name`]; `None` if it is not two hexadecimal numbers separated by a dot.
 pub fn decode_counter_name(name: &str) -> Option<CounterKey> {
     let (customer, window) = name.split_once('.')?;
     Some(CounterKey {
--- a/crates/merlinreel-simulator-adapter/src/encoding/tests.rs
+++ b/crates/merlinreel-simulator-adapter/src/encoding/tests.rs
@@ -1,8 +1,8 @@
 use super::*;
 use test_case::test_case;
 
-#[test_case(&[0x00, 0xff, 0x1a], "00ff1a" ; "bytes")]
-#[test_case(&[], "-" ; "none")]
+#[test_case(&[0x00, 0xff, 0x1a], "00ff1a" ; "several bytes")]
+#[test_case(&[], "-" ; "no bytes")]
 fn bytes_are_encoded_as_hex_and_decoded(bytes: &[u8], text: &str) {
     assert_eq!(
         (encode_hex(bytes), decode_hex(text)),
--- a/crates/merlinreel-simulator-adapter/src/endpoint_lists.rs
+++ b/crates/merlinreel-simulator-adapter/src/endpoint_lists.rs
@@ -10,49 +10,50 @@
 /// Weight of an endpoint whose entry gives none.
 const DEFAULT_WEIGHT: f64 = 1.0;
 
-/// An endpoint by its name on the wire; the index in `endpoint` is not set.
+/// An entry of an endpoint list. `endpoint.server` is not set: each instance assigns its own index to the name.
 pub struct ListEntry {
-    /// Name of the endpoint.
+    /// Name of the endpoint on the wire.
     pub name: String,
-    /// What the list says of it.
+    /// The endpoint as the list describes it.
     pub endpoint: Endpoint,
 }
 
-/// One list.
+/// An endpoint list, as far as it has been read.
 #[derive(Default)]
 struct EndpointList {
     entries: Vec<ListEntry>,
-    /// Number of entries that have not come yet.
+    /// Number of announced entries that have not arrived.
     missing: usize,
-    /// An entry was faulty, or did not come before the list ended.
-    broken: bool,
+    /// An entry was malformed, or had not arrived when the list was closed.
+    unusable: bool,
 }
 
-/// The lists by their number.
+/// Endpoint lists by their number.
 #[derive(Default)]
 pub struct EndpointLists {
     lists: HashMap<u64, EndpointList>,
+    /// Number of the list that entries are added to; `None` outside a list.
     open: Option<u64>,
 }
 
 impl EndpointLists {
-    /// Begins a list of so many entries. It replaces an earlier one of that number.
-    pub fn open(&mut self, list: u64, length: usize) {
+    /// Opens a list of `length` entries. It replaces an earlier list of the same number.
+    pub fn open(&mut self, number: u64, length: usize) {
         let empty = EndpointList {
             missing: length,
             ..EndpointList::default()
         };
-        self.lists.insert(list, empty);
-        self.open = Some(list);
+        self.lists.insert(number, empty);
+        self.open = Some(number);
     }
 
     /// Reads an entry of the open list.
     ///
     /// # Errors
     ///
-    /// If no list is open, the list is full or the entry is faulty. A faulty entry makes the list unusable.
+    /// If no list is open, the list is full or the entry is malformed. A malformed entry makes the list unusable.
     pub fn read_entry(&mut self, values: &mut Values) -> Result<(), ProtocolError> {
-        let open = self.open.and_then(|list| self.lists.get_mut(&list));
+        let open = self.open.and_then(|number| self.lists.get_mut(&number));
         let list = open.ok_or(ProtocolError::NoOpenList)?;
         if list.missing == 0 {
             return Err(ProtocolError::ListFull);
@@ -64,24 +65,24 @@
                 Ok(())
             }
             Err(error) => {
-                list.broken = true;
+                list.unusable = true;
                 Err(error)
             }
         }
     }
 
-    /// Ends the open list, if there is one.
+    /// Closes the open list, if there is one.
     ///
     /// # Errors
     ///
-    /// If entries are missing. This makes the list unusable.
+    /// If entries are missing, which makes the list unusable.
     pub fn close(&mut self) -> Result<(), ProtocolError> {
         let Some(number) = self.open.take() else {
             return Ok(());
         };
         match self.lists.get_mut(&number) {
             Some(list) if list.missing > 0 => {
-                list.broken = true;
+                list.unusable = true;
                 Err(ProtocolError::ListTooShort {
                     list: number,
                     missing: list.missing,
@@ -95,12 +96,12 @@
     ///
     /// # Errors
     ///
-    /// If there is no list of that number, or it is unusable.
+    /// If there is no list of this number, or it is unusable.
     pub fn entries(&self, number: u64) -> Result<&[ListEntry], ProtocolError> {
         let list = self.lists.get(&number);
         let list = list.ok_or(ProtocolError::UnknownList(number))?;
-        if list.broken || list.missing > 0 {
-            return Err(ProtocolError::BrokenList(number));
+        if list.unusable || list.missing > 0 {
+            return Err(ProtocolError::UnusableList(number));
         }
         Ok(&list.entries)
     }
--- a/crates/merlinreel-simulator-adapter/src/error.rs
+++ b/crates/merlinreel-simulator-adapter/src/error.rs
@@ -1,4 +1,4 @@
-//! Errors in the simulator's lines.
+//! Errors in the lines that the simulator writes.
 
 use merlinreel_settings::SettingsError;
 use thiserror::Error;
@@ -9,7 +9,7 @@
     /// No message has this name.
     #[error("unknown message '{0}'")]
     UnknownMessage(String),
-    /// The line ends before a value that must be given, or the value is empty.
+    /// A required value is empty, or the line ends before it.
     #[error("{name} is missing")]
     Missing {
         /// Name of the value.
@@ -31,7 +31,7 @@
         /// The text that was given.
         given: String,
     },
-    /// The integer must be smaller.
+    /// The integer must be less than the upper bound of this value.
     #[error("{name}: {given} is out of range")]
     OutOfRange {
         /// Name of the value.
@@ -39,7 +39,7 @@
         /// The integer that was given.
         given: u64,
     },
-    /// The value must be a number of seconds, zero or greater.
+    /// The value must be a number of seconds, zero or greater, that a [`Duration`](std::time::Duration) can hold.
     #[error("{name}: {seconds} is no time")]
     NotADuration {
         /// Name of the value.
@@ -79,7 +79,7 @@
         /// The text that was given.
         given: String,
     },
-    /// The value must be one of the words that the protocol knows.
+    /// The value must be one that the protocol defines for this name.
     #[error("{name}: unknown '{given}'")]
     UnknownValue {
         /// Name of the value.
@@ -87,45 +87,45 @@
         /// The text that was given.
         given: String,
     },
-    /// A batch must begin before it ends.
+    /// A batch must be started before it ends.
     #[error("no round has begun")]
     NoBatch,
-    /// An instance must be named in the batch before messages for it.
+    /// An instance must be selected in each batch before the messages for it.
     #[error("no instance is named")]
     NoInstance,
-    /// The instance must be started first.
+    /// The instance must be running: it was never started, or has been stopped.
     #[error("instance {0} is not known")]
     UnknownInstance(String),
-    /// A list must begin before its entries.
+    /// Entries must directly follow the start of their list.
     #[error("no list is open")]
     NoOpenList,
-    /// The list has all the entries that its beginning announced.
+    /// The list already has as many entries as its start announced.
     #[error("one entry more than the list states")]
     ListFull,
-    /// The list ended before all the announced entries came.
+    /// The list ended before all announced entries arrived.
     #[error("list {list} is {missing} entries short")]
     ListTooShort {
-        /// The list.
+        /// Number of the list.
         list: u64,
         /// Number of missing entries.
         missing: usize,
     },
-    /// The list must be given before it is referred to.
+    /// The list must be sent before a message refers to it.
     #[error("list {0} is not known")]
     UnknownList(u64),
-    /// The list has missing or faulty entries.
+    /// The list has missing or malformed entries.
     #[error("list {0} came in broken")]
-    BrokenList(u64),
-    /// A request must come only once.
+    UnusableList(u64),
+    /// A request must arrive only once while its name is in use.
     #[error("job {0} came in twice")]
     DuplicateRequest(String),
-    /// The request is not, or no longer, in flight.
+    /// The request must be in flight: it never arrived, or has ended.
     #[error("job {0} is not known")]
     UnknownRequest(String),
-    /// The request has no attempt that could have ended.
+    /// The request must have an attempt in flight for an attempt to end.
     #[error("job {0} has no attempt out")]
     NoAttempt(String),
-    /// The endpoint must be on a list first.
+    /// The endpoint must first be on an endpoint list that the instance received.
     #[error("server {0} is not known")]
     UnknownServer(String),
     /// The settings of an instance cannot be used.
--- a/crates/merlinreel-simulator-adapter/src/events.rs
+++ b/crates/merlinreel-simulator-adapter/src/events.rs
@@ -12,10 +12,10 @@
     LoadReport, PeerMessage, Request,
 };
 
-/// Limiters in a fleet, at most.
-const MAX_LIMITERS: u64 = 1 << 16;
+/// Upper bound, exclusive, of a limiter's index and of the size of a limiter set.
+const LIMITER_BOUND: u64 = 1 << 16;
 
-/// A message for an instance.
+/// Kind of a message that is an event for an instance.
 #[derive(Clone, Copy)]
 pub enum EventKind {
     /// Discovery published an endpoint list, or could not be reached.
@@ -24,7 +24,7 @@
     Request,
     /// The response to a request has started to stream.
     Streaming,
-    /// A client closed its connection.
+    /// The client of a request closed its connection.
     Disconnect,
     /// A health check ended.
     HealthCheck,
@@ -39,7 +39,7 @@
 }
 
 impl EventKind {
-    /// The kind of event that a message is; `None` if it is not one.
+    /// The kind of event that a message of this name is; `None` if it is no event.
     pub fn from_message(name: &str) -> Option<EventKind> {
         match name {
             message::ENDPOINT_UPDATE => Some(EventKind::EndpointUpdate),
@@ -60,7 +60,7 @@
 ///
 /// # Errors
 ///
-/// The first value that cannot be used. Nothing is added then.
+/// The first value that cannot be used. The batch is unchanged then.
 pub fn add_event(
     kind: EventKind,
     values: &mut Values,
@@ -75,7 +75,7 @@
         EventKind::HealthCheck => add_health_check(values, instance),
         EventKind::PeerMessage => add_peer_message(values, instance),
         EventKind::AttemptResult => add_attempt_result(values, instance),
-        // The batch itself wakes the limiter.
+        // A timer adds no event: the limiter runs at the end of the batch, which is all that a wakeup asks for.
         EventKind::Wakeup => values.text(value_name::TIMER).map(|_| ()),
         EventKind::CounterReply => add_counter_reply(values, instance),
     }
@@ -109,18 +109,18 @@
         }
         other => return Err(unknown_value(value_name::UPDATE_KIND, other)),
     }
-    let with_index = |entry: &ListEntry| Endpoint {
+    let indexed_endpoint = |entry: &ListEntry| Endpoint {
         server: instance.servers.insert(&entry.name),
         ..entry.endpoint
     };
-    update.endpoints = entries.iter().map(with_index).collect();
+    update.endpoints = entries.iter().map(indexed_endpoint).collect();
     instance.batch.endpoint_updates.push(update);
     Ok(())
 }
 
 fn add_request(values: &mut Values, instance: &mut Instance) -> Result<(), ProtocolError> {
     let name = values.text(value_name::REQUEST)?;
-    let set_size = values.index(value_name::SET_SIZE, MAX_LIMITERS)? as u32;
+    let set_size = values.index(value_name::SET_SIZE, LIMITER_BOUND)? as u32;
     let remaining_time = values.duration(value_name::REMAINING_TIME)?;
     let customer = values.integer(value_name::CUSTOMER)?;
     let plans = instance.limiter.plan_count();
@@ -158,7 +158,7 @@
     Ok(())
 }
 
-/// A request that has ended before the message came is not an error.
+/// Ignores a request that is not in flight: it may have ended before the message arrived.
 fn add_streaming(values: &mut Values, instance: &mut Instance) -> Result<(), ProtocolError> {
     if let Some(request) = instance.requests.get(values.text(value_name::REQUEST)?) {
         instance.batch.streaming.push(request);
@@ -166,7 +166,7 @@
     Ok(())
 }
 
-/// A request that has ended before the message came is not an error.
+/// Ignores a request that is not in flight: it may have ended before the message arrived.
 fn add_disconnect(values: &mut Values, instance: &mut Instance) -> Result<(), ProtocolError> {
     if let Some(request) = instance.requests.get(values.text(value_name::REQUEST)?) {
         instance.batch.disconnects.push(request);
@@ -190,7 +190,7 @@
 }
 
 fn add_peer_message(values: &mut Values, instance: &mut Instance) -> Result<(), ProtocolError> {
-    let from = values.index(value_name::SENDER, MAX_LIMITERS)? as u32;
+    let from = values.index(value_name::SENDER, LIMITER_BOUND)? as u32;
     let content = values.text(value_name::CONTENT)?;
     let bytes = decode_hex(content).ok_or_else(|| ProtocolError::NotHex {
         name: value_name::CONTENT,
@@ -285,7 +285,8 @@
     Ok(report)
 }
 
-/// The wire has a share of the quota in hundredths, plus one; smaller values mean that nothing was metered.
+/// Decodes the used share of the quota, which the wire gives in hundredths plus one. A value below 1 means that nothing was
+/// metered.
 fn decode_metered_usage(value: f64) -> Option<f64> {
     (value >= 1.0).then(|| (value - 1.0) / 100.0)
 }
--- a/crates/merlinreel-simulator-adapter/src/host.rs
+++ b/crates/merlinreel-simulator-adapter/src/host.rs
@@ -1,4 +1,4 @@
-//! Runs the instances of this process: gives each message to the instance it is for, and writes the reply to a batch.
+//! Runs the instances of this process: passes each message to the instance it is for, and writes the reply to each batch.
 
 use crate::endpoint_lists::EndpointLists;
 use crate::error::ProtocolError;
@@ -11,28 +11,30 @@
 use std::fmt::Write as _;
 use std::time::Duration;
 
-/// Longest endpoint list.
-const MAX_LIST_LENGTH: u64 = 1 << 20;
+/// Upper bound, exclusive, of an endpoint list's length.
+const LIST_LENGTH_BOUND: u64 = 1 << 20;
 
 /// All instances of this process by their name on the wire. They share nothing but the endpoint lists.
 #[derive(Default)]
 pub struct Host {
+    /// Simulated time of the latest batch.
     now: Duration,
     in_batch: bool,
     instances: HashMap<String, Instance>,
-    /// Names of all instances that were ever started, in the order of their first start; the reply keeps it.
+    /// Names of all instances that were ever started, in the order of their first start; a reply lists instances in this order.
     start_order: Vec<String>,
-    /// The instance that messages are for.
-    current: Option<String>,
+    /// Name of the instance that the next messages are for; `None` until the batch selects one.
+    selected: Option<String>,
     lists: EndpointLists,
 }
 
 impl Host {
-    /// Handles one line. Gives the reply if the line ends a batch.
+    /// Handles one line. Returns the reply if the line ends a batch, otherwise `None`.
     ///
     /// # Errors
     ///
-    /// Why the line cannot be used. If entries of an endpoint list are missing, the line after the list is skipped.
+    /// The line cannot be used and is skipped. If entries of an endpoint list are missing, the line that ends the list is
+    /// skipped.
     pub fn handle_line(&mut self, line: &str) -> Result<Option<String>, ProtocolError> {
         let mut values = Values::new(line);
         let name = values.text(value_name::MESSAGE)?;
@@ -54,7 +56,7 @@
     }
 
     fn start_batch(&mut self, values: &mut Values) -> Result<(), ProtocolError> {
-        self.current = None;
+        self.selected = None;
         self.in_batch = true;
         self.now = values.duration(value_name::CLOCK)?;
         Ok(())
@@ -65,7 +67,7 @@
             return Err(ProtocolError::NoBatch);
         }
         self.in_batch = false;
-        self.current = None;
+        self.selected = None;
         let mut reply = String::new();
         for name in &self.start_order {
             let Some(instance) = self.instances.get_mut(name) else {
@@ -84,20 +86,20 @@
     }
 
     fn select_instance(&mut self, values: &mut Values) -> Result<(), ProtocolError> {
-        self.current = None;
-        self.current = Some(values.text(value_name::INSTANCE)?.to_owned());
+        self.selected = None;
+        self.selected = Some(values.text(value_name::INSTANCE)?.to_owned());
         Ok(())
     }
 
     fn open_list(&mut self, values: &mut Values) -> Result<(), ProtocolError> {
         let list = values.integer(value_name::LIST)?;
-        let length = values.index(value_name::LIST_LENGTH, MAX_LIST_LENGTH)?;
+        let length = values.index(value_name::LIST_LENGTH, LIST_LENGTH_BOUND)?;
         self.lists.open(list, length as usize);
         Ok(())
     }
 
     fn start_instance(&mut self, mut values: Values) -> Result<(), ProtocolError> {
-        let name = self.current.clone().ok_or(ProtocolError::NoInstance)?;
+        let name = self.selected.clone().ok_or(ProtocolError::NoInstance)?;
         let seed = values.integer(value_name::SEED)?;
         let tree = SettingsTree::from_pairs(&values.into_remaining())?;
         let instance = Instance::new(Settings::read(&tree)?.limiter(seed));
@@ -109,20 +111,20 @@
     }
 
     fn stop_instance(&mut self) -> Result<(), ProtocolError> {
-        let name = self.current.as_ref().ok_or(ProtocolError::NoInstance)?;
+        let name = self.selected.as_ref().ok_or(ProtocolError::NoInstance)?;
         match self.instances.remove(name) {
             Some(_) => Ok(()),
             None => Err(ProtocolError::UnknownInstance(name.clone())),
         }
     }
 
-    fn add_event(&mut self, name: &str, values: &mut Values) -> Result<(), ProtocolError> {
-        let Some(kind) = EventKind::from_message(name) else {
-            return Err(ProtocolError::UnknownMessage(name.to_owned()));
+    fn add_event(&mut self, message_name: &str, values: &mut Values) -> Result<(), ProtocolError> {
+        let Some(kind) = EventKind::from_message(message_name) else {
+            return Err(ProtocolError::UnknownMessage(message_name.to_owned()));
         };
-        let current = self.current.as_ref().ok_or(ProtocolError::NoInstance)?;
-        let Some(instance) = self.instances.get_mut(current) else {
-            return Err(ProtocolError::UnknownInstance(current.clone()));
+        let selected = self.selected.as_ref().ok_or(ProtocolError::NoInstance)?;
+        let Some(instance) = self.instances.get_mut(selected) else {
+            return Err(ProtocolError::UnknownInstance(selected.clone()));
         };
         instance.is_addressed = true;
         add_event(kind, values, &self.lists, instance)
--- a/crates/merlinreel-simulator-adapter/src/host/tests.rs
+++ b/crates/merlinreel-simulator-adapter/src/host/tests.rs
@@ -11,8 +11,8 @@
 
 const LIST: &str = "POOL 0 1\nENTRY server.abc 0 0 0 U 1 -\nENDPOINTS restored 1 0\n";
 
-/// Gives the host each line; returns the replies and the errors.
-fn play(host: &mut Host, lines: &str) -> (String, Vec<String>) {
+/// Passes each line to the host; returns all replies as one text, and the error texts.
+fn handle_lines(host: &mut Host, lines: &str) -> (String, Vec<String>) {
     let (mut replies, mut errors) = (String::new(), Vec::new());
     for line in lines.lines() {
         match host.handle_line(line) {
@@ -23,10 +23,11 @@
     (replies, errors)
 }
 
-fn started() -> Host {
+/// A host with the instance `limiter/0`, which has the endpoint `server.abc`.
+fn host_with_instance() -> Host {
     let mut host = Host::default();
     let lines = format!("ROUND 8\nCONTEXT limiter/0\nINIT 7 {SETTINGS}\n{LIST}OVER_TO_YOU");
-    let (replies, errors) = play(&mut host, &lines);
+    let (replies, errors) = handle_lines(&mut host, &lines);
     assert!(
         replies.starts_with("FOR limiter/0\n") && replies.ends_with("READY\n"),
         "{replies}"
@@ -38,45 +39,48 @@
 #[test]
 fn empty_batch_gets_an_empty_reply() {
     assert_eq!(
-        play(&mut Host::default(), "ROUND 8.41225\nOVER_TO_YOU").0,
+        handle_lines(&mut Host::default(), "ROUND 8.41225\nOVER_TO_YOU").0,
         "READY\n"
     );
 }
 
 #[test]
 fn completed_request_is_no_longer_known() {
-    let mut host = started();
+    let mut host = host_with_instance();
     let request = "ROUND 9\nCONTEXT limiter/0\nJOB_IN j-1 2 1.4 77 0 0 0 0 1\nOVER_TO_YOU";
     assert!(
-        play(&mut host, request)
+        handle_lines(&mut host, request)
             .0
             .contains("SUBMIT_TO j-1 server.abc 0.000000\n")
     );
-    let end = "ROUND 9.1\nCONTEXT limiter/0\nREPLY j-1 1 0 server.abc delivered 0.1 0 0 busy_reqs:1,svc_ms:9\n\
+    let result = "ROUND 9.1\nCONTEXT limiter/0\nREPLY j-1 1 0 server.abc delivered 0.1 0 0 busy_reqs:1,svc_ms:9\n\
         OVER_TO_YOU";
-    let (reply, errors) = play(&mut host, end);
+    let (reply, errors) = handle_lines(&mut host, result);
     assert!(!reply.contains("j-1") && errors.is_empty());
-    let twice = "CONTEXT limiter/0\nREPLY j-1 1 0 server.abc delivered 0.1 0 0 -";
-    assert_eq!(play(&mut host, twice).1, ["job j-1 is not known"]);
+    let repeated_result = "CONTEXT limiter/0\nREPLY j-1 1 0 server.abc delivered 0.1 0 0 -";
+    assert_eq!(
+        handle_lines(&mut host, repeated_result).1,
+        ["job j-1 is not known"]
+    );
 }
 
 #[test]
 fn restart_within_a_batch_drops_pending_requests() {
-    let mut host = started();
+    let mut host = host_with_instance();
     let lines = format!(
         "ROUND 9\nCONTEXT limiter/0\nJOB_IN j-1 2 1.4 77 0 0 0 0 1\nTEARDOWN\nINIT 8 {SETTINGS}\n{LIST}OVER_TO_YOU"
     );
-    let (reply, errors) = play(&mut host, &lines);
+    let (reply, errors) = handle_lines(&mut host, &lines);
     assert!(reply.contains("FOR limiter/0") && !reply.contains("j-1") && errors.is_empty());
 }
 
 #[test]
 fn reused_list_number_is_read_in_event_order() {
-    let mut host = started();
+    let mut host = host_with_instance();
     let lines = "ROUND 9\nCONTEXT limiter/0\nPOOL 0 1\nENTRY server.abc 0 0 0 L 1 -\nENDPOINTS update 2 0\n\
         POOL 0 1\nENTRY server.new 0 0 0 U 1 -\nENDPOINTS update 3 0\nOVER_TO_YOU\n\
         ROUND 10\nCONTEXT limiter/0\nJOB_IN j-1 2 1.4 77 0 0 0 0 1\nOVER_TO_YOU";
-    let (reply, errors) = play(&mut host, lines);
+    let (reply, errors) = handle_lines(&mut host, lines);
     assert!(
         reply.contains("SUBMIT_TO j-1 server.new") && errors.is_empty(),
         "{reply}"
@@ -84,84 +88,85 @@
 }
 
 #[test_case("HELLO 1", "unknown message 'HELLO'" ; "unknown message")]
-#[test_case("OVER_TO_YOU", "no round has begun" ; "end without a beginning")]
-#[test_case("DUE sweep", "no instance is named" ; "event for nobody")]
-#[test_case("CONTEXT limiter/9\nDUE sweep", "instance limiter/9 is not known" ; "unknown instance")]
-#[test_case("CONTEXT limiter/0\nJOB_IN j-1 2 soon 77 0 0 0 0 1", "timeLeftS: 'soon' is not a number" ; "not a number")]
-#[test_case("CONTEXT limiter/0\nJOB_IN j-1 2", "timeLeftS is missing" ; "cut short")]
-#[test_case("CONTEXT limiter/0\nJOB_IN j-1 2 1 77 4 0 0 0 1", "package: 4 is out of range" ; "unknown plan")]
+#[test_case("OVER_TO_YOU", "no round has begun" ; "batch end without a start")]
+#[test_case("DUE sweep", "no instance is named" ; "event without a selected instance")]
+#[test_case("CONTEXT limiter/9\nDUE sweep", "instance limiter/9 is not known" ; "event for an unknown instance")]
+#[test_case("CONTEXT limiter/0\nJOB_IN j-1 2 soon 77 0 0 0 0 1", "timeLeftS: 'soon' is not a number" ; "time not a number")]
+#[test_case("CONTEXT limiter/0\nJOB_IN j-1 2", "timeLeftS is missing" ; "truncated line")]
+#[test_case("CONTEXT limiter/0\nJOB_IN j-1 2 1 77 4 0 0 0 1", "package: 4 is out of range" ; "plan out of range")]
 #[test_case("CONTEXT limiter/0\nJOB_IN j-1 2 -1 77 0 0 0 0 1", "timeLeftS: -1 is no time" ; "negative time")]
 #[test_case("CONTEXT limiter/0\nENDPOINTS update 2 5", "list 5 is not known" ; "unknown list")]
-#[test_case("CONTEXT limiter/0\nMAIL 1 0g", "content: '0g' is not hex" ; "not hex")]
-#[test_case("CONTEXT limiter/0\nREPLY j-9 1 0 server.abc delivered 0.1 0 0 -", "job j-9 is not known" ; "unknown request")]
-#[test_case("CONTEXT limiter/0\nSAMPLED server.zz delivered 0.1 -", "server server.zz is not known" ; "unknown server")]
-#[test_case("POOL 1 2\nENTRY server.q 0 0 0 U 1 -\nROUND 9", "list 1 is 1 entries short" ; "list cut short")]
+#[test_case("CONTEXT limiter/0\nMAIL 1 0g", "content: '0g' is not hex" ; "content not hexadecimal")]
+#[test_case("CONTEXT limiter/0\nREPLY j-9 1 0 server.abc delivered 0.1 0 0 -", "job j-9 is not known" ; "attempt result of an unknown request")]
+#[test_case("CONTEXT limiter/0\nSAMPLED server.zz delivered 0.1 -", "server server.zz is not known" ; "health check of an unknown server")]
+#[test_case("POOL 1 2\nENTRY server.q 0 0 0 U 1 -\nROUND 9", "list 1 is 1 entries short" ; "list too short")]
 #[test_case("ENTRY server.q 0 0 0 U 1 -", "no list is open" ; "entry outside a list")]
-#[test_case("CONTEXT limiter/0\nINIT 5 balancers", "settings: 'balancers' is no path=value" ; "broken settings")]
-#[test_case("CONTEXT limiter/0\nINIT 5 balancers=1e9", "setting balancers: 1000000000 is out of range" ; "absurd size")]
+#[test_case("CONTEXT limiter/0\nINIT 5 balancers", "settings: 'balancers' is no path=value" ; "setting without a value")]
+#[test_case("CONTEXT limiter/0\nINIT 5 balancers=1e9", "setting balancers: 1000000000 is out of range" ; "fleet too large")]
 #[test_case("CONTEXT limiter/0\nINIT 5 balancers=2 rank=5", "setting rank: 5 is not among 2" ; "rank out of range")]
 #[test_case(" ", "message is missing" ; "empty line")]
-#[test_case("ROUND", "clock is missing" ; "batch without a time")]
-#[test_case("CONTEXT", "limiterId is missing" ; "nameless instance")]
-#[test_case("CONTEXT limiter/9\nTEARDOWN", "instance limiter/9 is not known" ; "end of an unknown instance")]
-#[test_case("ROUND 9\nTEARDOWN", "no instance is named" ; "end of nobody")]
-#[test_case("ROUND 9\nINIT 5", "no instance is named" ; "start of nobody")]
-#[test_case("CONTEXT limiter/0\nINIT x", "entropy: 'x' is not a whole number" ; "seed")]
-#[test_case("POOL 1 -1", "records: '-1' is not a whole number" ; "negative length")]
+#[test_case("ROUND", "clock is missing" ; "batch start without a time")]
+#[test_case("CONTEXT", "limiterId is missing" ; "instance without a name")]
+#[test_case("CONTEXT limiter/9\nTEARDOWN", "instance limiter/9 is not known" ; "stop of an unknown instance")]
+#[test_case("ROUND 9\nTEARDOWN", "no instance is named" ; "stop without a selected instance")]
+#[test_case("ROUND 9\nINIT 5", "no instance is named" ; "start without a selected instance")]
+#[test_case("CONTEXT limiter/0\nINIT x", "entropy: 'x' is not a whole number" ; "seed not an integer")]
+#[test_case("POOL 1 -1", "records: '-1' is not a whole number" ; "negative list length")]
 #[test_case("POOL 1 1048576", "records: 1048576 is out of range" ; "list too long")]
-#[test_case("POOL 1 0\nENTRY server.q 0 0 0 U 1 -", "one entry more than the list states" ; "list too full")]
-#[test_case("POOL 1 1\nENTRY server.q 0 0 0 X 1 -", "readiness: unknown 'X'" ; "unknown readiness")]
-#[test_case("POOL 1 1\nENTRY server.q 0 0 0 U much -", "scale: 'much' is not a number" ; "weight")]
-#[test_case("CONTEXT limiter/0\nENDPOINTS delta 2 0", "form: unknown 'delta'" ; "unknown form")]
-#[test_case("CONTEXT limiter/0\nENDPOINTS update x 0", "serial: 'x' is not a whole number" ; "list version")]
-#[test_case("CONTEXT limiter/0\nJOB_IN j-1 2 1 77 0 4 0 0 1", "lane: 4 is out of range" ; "unknown class")]
-#[test_case("CONTEXT limiter/0\nJOB_IN j-1 65536 1 77 0 0 0 0 1", "spread: 65536 is out of range" ; "set too large")]
+#[test_case("POOL 1 0\nENTRY server.q 0 0 0 U 1 -", "one entry more than the list states" ; "more entries than announced")]
+#[test_case("POOL 1 1\nENTRY server.q 0 0 0 X 1 -", "readiness: unknown 'X'" ; "unknown endpoint state")]
+#[test_case("POOL 1 1\nENTRY server.q 0 0 0 U much -", "scale: 'much' is not a number" ; "weight not a number")]
+#[test_case("CONTEXT limiter/0\nENDPOINTS delta 2 0", "form: unknown 'delta'" ; "unknown update kind")]
+#[test_case("CONTEXT limiter/0\nENDPOINTS update x 0", "serial: 'x' is not a whole number" ; "list version not an integer")]
+#[test_case("CONTEXT limiter/0\nJOB_IN j-1 2 1 77 0 4 0 0 1", "lane: 4 is out of range" ; "class out of range")]
+#[test_case("CONTEXT limiter/0\nJOB_IN j-1 65536 1 77 0 0 0 0 1", "spread: 65536 is out of range" ; "limiter set too large")]
 #[test_case("CONTEXT limiter/0\nJOB_IN j-1 2 1 77 0 0 0 0 -1", "quotaUnits: -1 is below 0" ; "negative units")]
-#[test_case("CONTEXT limiter/0\nJOB_IN j-1 2 1 77 0 0 0 0 1\nJOB_IN j-1 2 1 77 0 0 0 0 1", "job j-1 came in twice" ; "twice")]
-#[test_case("CONTEXT limiter/0\nJOB_IN j-1 2 1 77 0 0 0 0 1\nREPLY j-1 1 0 server.abc delivered 0.1 0 0 -", "job j-1 has no attempt out" ; "answer to nothing")]
-#[test_case("CONTEXT limiter/0\nJOB_IN j-1 2 1 77 0 0 0 0 1\nREPLY j-1 2 0 server.abc delivered 0.1 0 0 -", "finished: '2' is neither 1 nor 0" ; "no flag")]
-#[test_case("CONTEXT limiter/0\nJOB_IN j-1 2 1 77 0 0 0 0 1\nREPLY j-1 1 0 server.zz delivered 0.1 0 0 -", "server server.zz is not known" ; "answer of an unknown server")]
+#[test_case("CONTEXT limiter/0\nJOB_IN j-1 2 1 77 0 0 0 0 1\nJOB_IN j-1 2 1 77 0 0 0 0 1", "job j-1 came in twice" ; "duplicate request")]
+#[test_case("CONTEXT limiter/0\nJOB_IN j-1 2 1 77 0 0 0 0 1\nREPLY j-1 1 0 server.abc delivered 0.1 0 0 -", "job j-1 has no attempt out" ; "attempt result without an attempt")]
+#[test_case("CONTEXT limiter/0\nJOB_IN j-1 2 1 77 0 0 0 0 1\nREPLY j-1 2 0 server.abc delivered 0.1 0 0 -", "finished: '2' is neither 1 nor 0" ; "flag neither 1 nor 0")]
+#[test_case("CONTEXT limiter/0\nJOB_IN j-1 2 1 77 0 0 0 0 1\nREPLY j-1 1 0 server.zz delivered 0.1 0 0 -", "server server.zz is not known" ; "attempt result of an unknown server")]
 #[test_case("CONTEXT limiter/0\nJOB_IN j-1 2 1 77 0 0 0 0 1\nREPLY j-1 1 0 server.abc late 0.1 0 0 -", "stateCode: unknown 'late'" ; "unknown outcome")]
-#[test_case("CONTEXT limiter/0\nSAMPLED server.abc delivered 0.1 pending", "feedback: 'pending' is no pair" ; "load without a value")]
-#[test_case("CONTEXT limiter/0\nSAMPLED server.abc delivered 0.1 pending:many", "feedback: 'many' is not a number" ; "load not a number")]
-#[test_case("CONTEXT limiter/0\nSAMPLED server.abc delivered inf -", "waitTimeS: 'inf' is not a number" ; "endless time")]
+#[test_case("CONTEXT limiter/0\nSAMPLED server.abc delivered 0.1 pending", "feedback: 'pending' is no pair" ; "load report without a value")]
+#[test_case("CONTEXT limiter/0\nSAMPLED server.abc delivered 0.1 pending:many", "feedback: 'many' is not a number" ; "load value not a number")]
+#[test_case("CONTEXT limiter/0\nSAMPLED server.abc delivered inf -", "waitTimeS: 'inf' is not a number" ; "infinite time")]
 #[test_case("CONTEXT limiter/0\nSAMPLED server.abc delivered - -", "waitTimeS is missing" ; "absent time")]
-#[test_case("CONTEXT limiter/0\nMAIL 65536 00", "src: 65536 is out of range" ; "unknown sender")]
-#[test_case("CONTEXT limiter/0\nMAIL 1 000", "content: '000' is not hex" ; "half a byte")]
-#[test_case("CONTEXT limiter/0\nDUE", "token is missing" ; "nameless timer")]
-#[test_case("CONTEXT limiter/0\nLEDGER_REPLY 1 delivered 0.1 4d", "cname: unknown '4d'" ; "unknown counter")]
-#[test_case("CONTEXT limiter/0\nINIT 5 policyLimits.sendCap=0", "setting policyLimits.sendCap: '0' is not a positive number" ; "no attempts")]
-fn malformed_line_is_described_in_one_error(lines: &str, error: &str) {
-    assert_eq!(play(&mut started(), lines).1, [error]);
+#[test_case("CONTEXT limiter/0\nMAIL 65536 00", "src: 65536 is out of range" ; "sender out of range")]
+#[test_case("CONTEXT limiter/0\nMAIL 1 000", "content: '000' is not hex" ; "odd number of digits")]
+#[test_case("CONTEXT limiter/0\nDUE", "token is missing" ; "timer without a name")]
+#[test_case("CONTEXT limiter/0\nLEDGER_REPLY 1 delivered 0.1 4d", "cname: unknown '4d'" ; "malformed counter name")]
+#[test_case("CONTEXT limiter/0\nINIT 5 policyLimits.sendCap=0", "setting policyLimits.sendCap: '0' is not a positive number" ; "attempt limit of 0")]
+fn malformed_line_is_described_in_one_error(lines: &str, expected: &str) {
+    assert_eq!(handle_lines(&mut host_with_instance(), lines).1, [expected]);
 }
 
 #[test]
 fn malformed_request_leads_to_no_action() {
-    let mut host = started();
+    let mut host = host_with_instance();
     let lines = "ROUND 9\nCONTEXT limiter/0\nJOB_IN j-1 2 soon 77 0 0 0 0 1\nOVER_TO_YOU";
-    assert!(!play(&mut host, lines).0.contains("j-1"));
+    assert!(!handle_lines(&mut host, lines).0.contains("j-1"));
 }
 
 #[test]
-fn broken_list_is_not_used() {
-    let entry = "POOL 1 1\nENTRY server.q 0 0 0 X 1 -\nCONTEXT limiter/0\nENDPOINTS update 2 1";
+fn list_with_malformed_or_missing_entries_is_not_used() {
+    let malformed_entry =
+        "POOL 1 1\nENTRY server.q 0 0 0 X 1 -\nCONTEXT limiter/0\nENDPOINTS update 2 1";
     assert_eq!(
-        play(&mut started(), entry).1,
+        handle_lines(&mut host_with_instance(), malformed_entry).1,
         ["readiness: unknown 'X'", "list 1 came in broken"]
     );
-    // The line that ends a short list is skipped with it.
-    let short = "CONTEXT limiter/0\nPOOL 1 1\nDUE sweep\nENDPOINTS update 2 1";
+    // The line that ends a list with missing entries is skipped.
+    let missing_entry = "CONTEXT limiter/0\nPOOL 1 1\nDUE sweep\nENDPOINTS update 2 1";
     assert_eq!(
-        play(&mut started(), short).1,
+        handle_lines(&mut host_with_instance(), missing_entry).1,
         ["list 1 is 1 entries short", "list 1 came in broken"]
     );
 }
 
-/// The batch of an instance that has read the lines, before its limiter runs.
-fn batch_of(lines: &str) -> EventBatch {
-    let mut host = started();
+/// The events that an instance has collected from the lines, before its limiter runs.
+fn collected_batch(lines: &str) -> EventBatch {
+    let mut host = host_with_instance();
     let lines = format!("ROUND 9\nCONTEXT limiter/0\n{lines}");
-    assert_eq!(play(&mut host, &lines).1, [""; 0]);
+    assert_eq!(handle_lines(&mut host, &lines).1, [""; 0]);
     std::mem::take(&mut host.instances.get_mut("limiter/0").expect("started").batch)
 }
 
@@ -170,8 +175,8 @@
     let lines = "POOL 3 4\nENTRY server.abc 2 9 5 U 1.5 7.25\nENTRY server.b 0 0 0 L - -\n\
         ENTRY server.c 0 0 0 D 0 0\nENTRY server.d 0 0 0 U 1\nENDPOINTS replace 8 3\n\
         ENDPOINTS unavailable 9\nENDPOINTS update 10 3\nENDPOINTS restored 11 3";
-    let batch = batch_of(lines);
-    let forms: Vec<_> = batch
+    let batch = collected_batch(lines);
+    let updates: Vec<_> = batch
         .endpoint_updates
         .iter()
         .map(|update| {
@@ -184,7 +189,7 @@
         })
         .collect();
     assert_eq!(
-        forms,
+        updates,
         [
             (true, false, false, 4),
             (false, false, true, 0),
@@ -192,7 +197,7 @@
             (true, true, false, 4)
         ]
     );
-    let read: Vec<_> = batch.endpoint_updates[0]
+    let endpoints: Vec<_> = batch.endpoint_updates[0]
         .endpoints
         .iter()
         .map(|endpoint| {
@@ -207,7 +212,7 @@
         })
         .collect();
     assert_eq!(
-        read,
+        endpoints,
         [
             (
                 0,
@@ -230,8 +235,8 @@
 fn request_is_decoded_with_all_values() {
     let lines = "JOB_IN j-1 2 1.25 77 0 0 2 1 4.5\nJOB_IN j-2 3 1 78 0 0 - - -\nJOB_IN j-3 1 0 79 0 0 5\n\
         ACCEPTED j-2\nACCEPTED j-9\nLEFT j-3\nLEFT j-9\nDUE sweep";
-    let batch = batch_of(lines);
-    let read: Vec<_> = batch
+    let batch = collected_batch(lines);
+    let requests: Vec<_> = batch
         .requests
         .iter()
         .map(|request| {
@@ -243,7 +248,7 @@
         })
         .collect();
     assert_eq!(
-        read,
+        requests,
         [
             (
                 (0, 77, 0, 0),
@@ -262,24 +267,24 @@
 
 #[test]
 fn attempt_result_is_decoded_with_all_values() {
-    let mut host = started();
-    let sent = "ROUND 9\nCONTEXT limiter/0\nJOB_IN j-1 2 1.4 77 0 0 0 0 1\nOVER_TO_YOU";
-    assert!(play(&mut host, sent).0.contains("SUBMIT_TO j-1"));
-    let answer = "ROUND 9.5\nCONTEXT limiter/0\nREPLY j-1 0 2.5 server.abc shed 0.125 3 126 \
+    let mut host = host_with_instance();
+    let request = "ROUND 9\nCONTEXT limiter/0\nJOB_IN j-1 2 1.4 77 0 0 0 0 1\nOVER_TO_YOU";
+    assert!(handle_lines(&mut host, request).0.contains("SUBMIT_TO j-1"));
+    let result = "ROUND 9.5\nCONTEXT limiter/0\nREPLY j-1 0 2.5 server.abc shed 0.125 3 126 \
         busy_reqs:1,pending:2,cpu_share:0.5,svc_ms:9,served_ps:10,failed_ps:11,more:12";
-    assert_eq!(play(&mut host, answer).1, [""; 0]);
+    assert_eq!(handle_lines(&mut host, result).1, [""; 0]);
     let batch = &host.instances["limiter/0"].batch;
-    let read = &batch.attempt_results[0];
+    let decoded = &batch.attempt_results[0];
     assert_eq!(
-        (read.request, read.attempt, read.server),
+        (decoded.request, decoded.attempt, decoded.server),
         (RequestIndex(0), 3, ServerIndex(0))
     );
     assert_eq!(
-        (read.outcome, read.latency, read.request_completed),
+        (decoded.outcome, decoded.latency, decoded.request_completed),
         (AttemptOutcome::Rejected, Duration::from_millis(125), false)
     );
     assert_eq!(
-        (read.units, read.metered_usage),
+        (decoded.units, decoded.metered_usage),
         (Some(2.5), Some((126.0 - 1.0) / 100.0))
     );
     let load = LoadReport {
@@ -290,14 +295,14 @@
         requests_per_second: Some(10.0),
         errors_per_second: Some(11.0),
     };
-    assert_eq!(read.load, load);
+    assert_eq!(decoded.load, load);
 }
 
 #[test]
 fn health_check_peer_message_and_counter_reply_are_decoded_with_all_values() {
     let lines = "SAMPLED server.abc delivered 0.25 cpu_share:0.75\nSAMPLED server.abc dropped 1\nMAIL 1 00ff\n\
         LEDGER_REPLY 12.5 delivered 0.1 4d.186b4\nLEDGER_REPLY 12.5 shed 0.1 4e.1\nLEDGER_REPLY - dropped 0.1 4f.2";
-    let batch = batch_of(lines);
+    let batch = collected_batch(lines);
     let checks: Vec<_> = batch
         .health_checks
         .iter()
@@ -322,13 +327,13 @@
         (message.from, message.bytes.as_slice()),
         (1, [0, 0xff].as_slice())
     );
-    let counts: Vec<_> = batch
+    let counter_replies: Vec<_> = batch
         .counter_replies
         .iter()
         .map(|reply| (reply.customer, reply.window, reply.total, reply.not_added))
         .collect();
     assert_eq!(
-        counts,
+        counter_replies,
         [
             (0x4d, 100_020, Some(12.5), false),
             (0x4e, 1, None, true),
--- a/crates/merlinreel-simulator-adapter/src/instance.rs
+++ b/crates/merlinreel-simulator-adapter/src/instance.rs
@@ -1,4 +1,4 @@
-//! One limiter with what belongs to it.
+//! An instance of the limiter, with its name tables and pending events.
 
 use crate::actions::ActionEncoder;
 use crate::name_table::NameTable;
@@ -8,20 +8,20 @@
 
 /// A limiter, the names of its endpoints and requests on the wire, and the events since its last batch.
 pub struct Instance {
-    /// The limiter.
+    /// Decides on the events of each batch; keeps its state between batches.
     pub limiter: Limiter,
-    /// The endpoints it knows.
+    /// Names of the endpoints that the limiter has not released.
     pub servers: NameTable<ServerIndex>,
-    /// Its requests in flight.
+    /// Names and states of the requests in flight.
     pub requests: RequestTable,
-    /// Events of the present batch.
+    /// Events of the current batch.
     pub batch: EventBatch,
-    /// Whether the present batch has a message for it. Only then the reply names it.
+    /// Whether the current batch has an event for the instance, or started it. Only then does the reply include the instance.
     pub is_addressed: bool,
 }
 
 impl Instance {
-    /// A limiter that has just started.
+    /// An instance that has just started.
     pub fn new(limiter: Limiter) -> Instance {
         Instance {
             limiter,
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Runs the limiter on the batch and writes its actions to `output`.
+    /// Runs the limiter on the batch, appends its actions to `output` and starts an empty batch.
     pub fn run_batch(&mut self, now: Duration, output: &mut String) {
         let batch = std::mem::take(&mut self.batch);
         let mut released_servers = Vec::new();
--- a/crates/merlinreel-simulator-adapter/src/main.rs
+++ b/crates/merlinreel-simulator-adapter/src/main.rs
@@ -1,8 +1,8 @@
 //! Runs limiters inside the simulator.
 //!
-//! The simulator writes lines to standard input: a batch of messages for any number of limiters, and at its end the request
-//! for the actions. The reply to each batch goes to standard output. A line that cannot be used is reported on standard
-//! error and skipped. The wire's names appear only in the module `protocol`.
+//! The simulator writes lines to standard input. A batch of lines holds messages for any number of limiters and ends with a
+//! request for their actions; the reply to the batch goes to standard output. A line that cannot be used is reported on
+//! standard error and skipped. The names on the wire appear only in the module `protocol`.
 
 #![warn(missing_docs)]
 
@@ -26,13 +26,13 @@
     let mut output = io::stdout().lock();
     let mut host = Host::default();
     let mut bytes = Vec::new();
-    let mut number = 0u64;
+    let mut line_number = 0u64;
     loop {
         bytes.clear();
         if input.read_until(b'\n', &mut bytes)? == 0 {
             return Ok(());
         }
-        number += 1;
+        line_number += 1;
         let text = String::from_utf8_lossy(&bytes);
         let line = text.trim_end_matches(['\n', '\r']);
         match host.handle_line(line) {
@@ -41,7 +41,7 @@
                 output.flush()?;
             }
             Ok(None) => {}
-            Err(error) => eprintln!("line {number}: {error}"),
+            Err(error) => eprintln!("line {line_number}: {error}"),
         }
     }
 }
--- a/crates/merlinreel-simulator-adapter/src/name_table.rs
+++ b/crates/merlinreel-simulator-adapter/src/name_table.rs
@@ -1,9 +1,9 @@
-//! Small indices for the names on the wire.
+//! Maps names on the wire to small indices.
 
 use merlinreel_policy::Index;
 use std::collections::HashMap;
 
-/// Names of one kind, each with an index. The index of a removed name is given to another one.
+/// Names of one kind, each with an index. The index of a removed name is reused for a later name.
 pub struct NameTable<I> {
     indices: HashMap<String, I>,
     names: Vec<String>,
@@ -21,7 +21,7 @@
 }
 
 impl<I: Index> NameTable<I> {
-    /// The name's index; a new name gets one.
+    /// The name's index. A new name is added, with a freed index if there is one.
     pub fn insert(&mut self, name: &str) -> I {
         if let Some(index) = self.get(name) {
             return index;
@@ -37,25 +37,25 @@
         index
     }
 
-    /// The name's index, if it has one.
+    /// The name's index; `None` if the name is not in the table.
     pub fn get(&self, name: &str) -> Option<I> {
         self.indices.get(name).copied()
     }
 
-    /// The name at an index.
+    /// The name at an index; for a freed index, the name that was removed.
     ///
     /// # Panics
     ///
-    /// If the index was never given.
+    /// If no name ever had the index.
     pub fn name(&self, index: I) -> &str {
         &self.names[index.position()]
     }
 
-    /// Frees the index.
+    /// Removes the name at an index and frees the index.
     ///
     /// # Panics
     ///
-    /// If the index was never given.
+    /// If no name ever had the index.
     pub fn remove(&mut self, index: I) {
         self.indices.remove(&self.names[index.position()]);
         self.free_indices.push(index);
--- a/crates/merlinreel-simulator-adapter/src/request_table.rs
+++ b/crates/merlinreel-simulator-adapter/src/request_table.rs
@@ -3,11 +3,12 @@
 use crate::name_table::NameTable;
 use merlinreel_policy::{Index, RequestIndex};
 
-/// What is known of a request on the wire.
+/// State of a request, which tells when its index can be freed.
 #[derive(Clone, Copy, Default)]
 struct RequestState {
     attempts_in_flight: u32,
     is_completed: bool,
+    /// The index is already in [`RequestTable::unused`].
     is_unused: bool,
 }
 
@@ -21,7 +22,7 @@
 }
 
 impl RequestTable {
-    /// The index of a request in flight.
+    /// The index of a request in flight; `None` if there is none of this name.
     pub fn get(&self, name: &str) -> Option<RequestIndex> {
         self.names.get(name)
     }
@@ -31,7 +32,7 @@
         self.names.name(request)
     }
 
-    /// Adds a request and gives its index.
+    /// Adds a request and returns its index.
     pub fn insert(&mut self, name: &str) -> RequestIndex {
         let request = self.names.insert(name);
         let index = request.position();
@@ -58,12 +59,12 @@
         self.states[request.position()].attempts_in_flight
     }
 
-    /// Counts an attempt that starts.
+    /// Records that an attempt starts.
     pub fn start_attempt(&mut self, request: RequestIndex) {
         self.states[request.position()].attempts_in_flight += 1;
     }
 
-    /// Counts an attempt that ended.
+    /// Records that an attempt ended.
     ///
     /// # Panics
     ///
@@ -73,7 +74,7 @@
         self.mark_if_unused(request);
     }
 
-    /// Frees the indices that are unused.
+    /// Frees all unused indices, for later requests.
     pub fn free_unused(&mut self) {
         for request in self.unused.drain(..) {
             self.names.remove(request);
