--- a/crates/merlinreel-settings/src/error.rs
+++ b/crates/merlinreel-settings/src/error.rs
@@ -1,17 +1,17 @@
-//! Errors of reading settings.
+//! Errors found when settings are decoded.
 
 use thiserror::Error;
 
 /// A setting that cannot be used. The text names the path of the setting and the value that was given.
 #[derive(Clone, Debug, Error, PartialEq)]
 pub enum SettingsError {
-    /// A `path=value` pair has no equals sign.
+    /// A setting given as text must be a `path=value` pair; this one has no equals sign.
     #[error("settings: '{pair}' is no path=value")]
     NotAPair {
         /// The text that was given.
         pair: String,
     },
-    /// The settings are JSON, but not a JSON object.
+    /// The settings must be a JSON object; another JSON value was given.
     #[error("settings: not an object")]
     NotAnObject,
     /// The value must be a finite number, zero or greater.
@@ -46,7 +46,7 @@
         /// The text that was given.
         given: String,
     },
-    /// The value must be one of the words that this setting knows: `read_like`, `idempotency_key` or `non_idempotent` for a
+    /// The value must be one that is defined for this setting: `read_like`, `idempotency_key` or `non_idempotent` for a
     /// class's `idempotency`; `all`, `zone` or `cell` for the `group` of a class with idempotency keys.
     #[error("setting {path}: unknown '{given}'")]
     UnknownValue {
@@ -55,10 +55,10 @@
         /// The text that was given.
         given: String,
     },
-    /// A list must not be longer than 4096.
+    /// A list of objects must not have more than 4096 items.
     #[error("setting {path}: {count} is too many")]
     ListTooLong {
-        /// The setting that holds the length.
+        /// Path of the setting that holds the length, `.count` under the list's path.
         path: String,
         /// The length that was given.
         count: f64,
--- a/crates/merlinreel-settings/src/lib.rs
+++ b/crates/merlinreel-settings/src/lib.rs
@@ -1,8 +1,8 @@
 //! Decodes the operators' settings into typed configuration.
 //!
 //! Settings are addressed by dotted paths such as `policyLimits.sendCap`. The simulator gives them as `path=value` pairs and
-//! the configuration file as nested JSON; both are read into a [`SettingsTree`], from which [`Settings::read`] decodes one
-//! section after the other. The names of the keys appear only in the module `sections`.
+//! the configuration file as nested JSON. Both are read into a [`SettingsTree`], from which [`Settings::read`] decodes each
+//! section. The names of the keys appear only in the module `sections`.
 
 #![warn(missing_docs)]
 
--- a/crates/merlinreel-settings/src/sections.rs
+++ b/crates/merlinreel-settings/src/sections.rs
@@ -1,4 +1,4 @@
-//! One decoder for each section of the settings. The wire names of the keys are mapped here and nowhere else.
+//! Decoders of the sections of the settings. Only this module maps the operators' key names to typed settings.
 
 use crate::error::SettingsError;
 use crate::socket_settings::SocketSettings;
@@ -14,11 +14,13 @@
 
 /// Key of a plan's or a class's name.
 const NAME: &str = "name";
+/// Path of the number of limiters in the fleet.
 const LIMITERS: &str = "balancers";
+/// Path of this limiter's index in the fleet.
 const RANK: &str = "rank";
 
-/// Most limiters that a fleet may have. A limiter keeps a few numbers for each other one, so a mistyped size must not exhaust
-/// its memory at start.
+/// Largest number of limiters in a fleet. A limiter keeps a few numbers for each other limiter; the bound keeps a mistyped
+/// size from exhausting its memory at start.
 const MAX_LIMITERS: f64 = 65_536.0;
 
 pub(crate) fn plans(tree: &SettingsTree, paths: &[String]) -> Result<Vec<Plan>, SettingsError> {
--- a/crates/merlinreel-settings/src/settings.rs
+++ b/crates/merlinreel-settings/src/settings.rs
@@ -1,4 +1,4 @@
-//! The settings as the limiter's parts take them.
+//! The decoded settings, grouped by the part of the limiter that uses them.
 
 use crate::error::SettingsError;
 use crate::sections;
@@ -8,25 +8,25 @@
     EndpointConfig, FleetConfig, Limiter, LimiterConfig, Plan, RequestClass, RequestLimits,
 };
 
-/// Everything that the operators' settings say to a limiter.
+/// All settings of a limiter.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// The customers' plans; requests refer to them by index.
+    /// Plans of customers; a request refers to its plan by index.
     pub plans: Vec<Plan>,
-    /// The classes of requests; requests refer to them by index.
+    /// Classes of requests; a request refers to its class by index.
     pub classes: Vec<RequestClass>,
-    /// The limiters that share the quotas.
+    /// The fleet of limiters that share the quotas, this limiter's index in it, and how usage is shared.
     pub fleet: FleetConfig,
-    /// How endpoints join and leave, and how their list is obtained.
+    /// Slow start, overload, drain and health checks of endpoints, and how the endpoint list is obtained.
     pub endpoints: EndpointConfig,
-    /// What may be done for one request.
+    /// Which actions are allowed for a request, and how many requests may be in flight.
     pub request_limits: RequestLimits,
-    /// What only the socket layer needs.
+    /// Settings that only the socket layer uses.
     pub sockets: SocketSettings,
 }
 
 impl Settings {
-    /// Decodes all sections.
+    /// Decodes all sections of the settings.
     ///
     /// # Errors
     ///
@@ -44,7 +44,7 @@
         })
     }
 
-    /// A limiter with these settings. `seed` starts its random draws.
+    /// Creates a limiter with these settings. `seed` initializes its random number generator.
     pub fn limiter(&self, seed: u64) -> Limiter {
         let config = LimiterConfig {
             plans: self.plans.clone(),
--- a/crates/merlinreel-settings/src/tests.rs
+++ b/crates/merlinreel-settings/src/tests.rs
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn nested_json_reads_like_the_pairs_of_the_simulator() {
+fn nested_json_and_simulator_pairs_give_the_same_settings() {
     let nested = json!({"balancers": 3, "rank": 1, "dcs": ["hall-a", "hall-b"], "packages": [],
         "classes": [{"name": "lookup", "idempotency": "idempotency_key", "group": "zone", "keyTtlS": 0.6,
             "promiseS": 0.25, "hardLimitS": 1, "worth": 5.0}],
@@ -23,12 +23,12 @@
         policyLimits.mayCancel=false policyLimits.mostHeld=20000 policyLimits.connIdleS=15.0 \
         report.how=answers report.fields=queue";
     let pairs: Vec<&str> = pairs.split_whitespace().collect();
-    let (nested, paired) = (
+    let (from_json, from_pairs) = (
         read_json(nested),
         SettingsTree::from_pairs(&pairs).and_then(|tree| Settings::read(&tree)),
     );
-    let Ok(settings) = &nested else {
-        panic!("{nested:?}")
+    let Ok(settings) = &from_json else {
+        panic!("{from_json:?}")
     };
     assert_eq!(
         (
@@ -38,30 +38,30 @@
         ),
         (1, 2, 20000)
     );
-    assert_eq!(format!("{nested:?}"), format!("{paired:?}"));
+    assert_eq!(format!("{from_json:?}"), format!("{from_pairs:?}"));
 }
 
-#[test_case(json!([]), "settings: not an object" ; "no object")]
-#[test_case(json!({"zone": "north"}), "setting zone: 'north' is not a number from 0" ; "no number")]
-#[test_case(json!({"policyLimits": {"peers": 2}}), "setting policyLimits.peers: '2' is neither true nor false" ; "no flag")]
-#[test_case(json!({"rules": {"coldS": -1}}), "setting rules.coldS: '-1' is not a number from 0" ; "negative")]
+#[test_case(json!([]), "settings: not an object" ; "not a JSON object")]
+#[test_case(json!({"zone": "north"}), "setting zone: 'north' is not a number from 0" ; "text for a number")]
+#[test_case(json!({"policyLimits": {"peers": 2}}), "setting policyLimits.peers: '2' is neither true nor false" ; "number other than 0 and 1 for a boolean")]
+#[test_case(json!({"rules": {"coldS": -1}}), "setting rules.coldS: '-1' is not a number from 0" ; "negative duration")]
 #[test_case(json!({"classes": [{"idempotency": "never"}]}), "setting classes.0.idempotency: unknown 'never'" ; "unknown idempotency")]
-#[test_case(json!({"packages": [{}, {"price": "much"}]}), "setting packages.1.price: 'much' is not a number from 0" ; "second plan")]
-#[test_case(json!({"balancers": 2, "rank": 2}), "setting rank: 2 is not among 2" ; "rank")]
+#[test_case(json!({"packages": [{}, {"price": "much"}]}), "setting packages.1.price: 'much' is not a number from 0" ; "text for a number of the second plan")]
+#[test_case(json!({"balancers": 2, "rank": 2}), "setting rank: 2 is not among 2" ; "rank equal to the number of limiters")]
 #[test_case(json!({"classes": [{"idempotency": "idempotency_key", "group": "hall"}]}), "setting classes.0.group: unknown 'hall'" ; "unknown scope")]
 #[test_case(json!({"classes": [{}]}), "setting classes.0.idempotency: unknown '-'" ; "absent idempotency")]
-#[test_case(json!({"rules": {"coldS": 2e19}}), "setting rules.coldS: 20000000000000000000 is no time" ; "no duration")]
-#[test_case(json!({"classes": {"count": 4097}}), "setting classes.count: 4097 is too many" ; "long list")]
-#[test_case(json!({"policyLimits": {"sendCap": 0}}), "setting policyLimits.sendCap: '0' is not a positive number" ; "no attempts")]
-#[test_case(json!({"policyLimits": {"sendCap": ""}}), "setting policyLimits.sendCap: '' is not a positive number" ; "empty attempts")]
-fn faulty_setting_is_named_in_the_error(value: Value, expected: &str) {
+#[test_case(json!({"rules": {"coldS": 2e19}}), "setting rules.coldS: 20000000000000000000 is no time" ; "duration too long")]
+#[test_case(json!({"classes": {"count": 4097}}), "setting classes.count: 4097 is too many" ; "list too long")]
+#[test_case(json!({"policyLimits": {"sendCap": 0}}), "setting policyLimits.sendCap: '0' is not a positive number" ; "attempt limit of 0")]
+#[test_case(json!({"policyLimits": {"sendCap": ""}}), "setting policyLimits.sendCap: '' is not a positive number" ; "empty attempt limit")]
+fn invalid_setting_is_named_in_the_error(value: Value, expected: &str) {
     let error = read_json(value).err().map(|error| error.to_string());
     assert_eq!(error.as_deref(), Some(expected));
 }
 
-#[test_case(1024, 1023 => Ok((1024, 1023)) ; "a common size")]
+#[test_case(1024, 1023 => Ok((1024, 1023)) ; "a small fleet")]
 #[test_case(2300, 2299 => Ok((2300, 2299)) ; "a large fleet")]
-#[test_case(65_536, 65_535 => Ok((65_536, 65_535)) ; "the most")]
+#[test_case(65_536, 65_535 => Ok((65_536, 65_535)) ; "the limit")]
 #[test_case(65_537, 0 => Err("setting balancers: 65537 is out of range".to_owned()) ; "more than the limit")]
 fn fleet_size_up_to_the_limit_is_accepted(limiters: u32, rank: u32) -> Result<(u32, u32), String> {
     let settings = read_json(json!({"balancers": limiters, "rank": rank}));
@@ -69,7 +69,8 @@
     Ok((fleet.limiters, fleet.own_index))
 }
 
-/// Every key with a value of its own, so that a key decoded into the wrong setting shows.
+/// Settings with every key. Each number differs from the others of its section, so that a key decoded into the wrong field
+/// is detected.
 fn settings_with_every_key() -> Settings {
     let settings = json!({
         "zone": 2, "dcs": ["a", "b"], "discovery": "subscribe", "balancers": 9, "rank": 4,
@@ -88,7 +89,7 @@
         "rules": {"drainGraceS": 17, "startCapacity": 0.18, "coldS": 19, "overloadFactor": 20, "fallS": 21,
             "askWithinS": 22},
         "report": {"how": "probe"}});
-    read_json(settings).expect("every key is sound")
+    read_json(settings).expect("every key is valid")
 }
 
 #[test]
@@ -193,7 +194,7 @@
 /// An absent value reads as zero, except that there is at least one limiter and one attempt.
 #[test]
 fn empty_settings_read_as_their_defaults() {
-    let read = read_json(json!({})).expect("nothing is needed");
+    let read = read_json(json!({})).expect("no setting is required");
     assert_eq!((read.plans, read.classes), (Vec::new(), Vec::new()));
     assert_eq!(
         read.fleet,
--- a/crates/merlinreel-settings/src/tree.rs
+++ b/crates/merlinreel-settings/src/tree.rs
@@ -1,23 +1,23 @@
-//! Settings by their dotted path, whichever form they were given in.
+//! Settings by dotted path, read from `path=value` pairs or from JSON.
 
 use crate::error::SettingsError;
 use serde_json::Value;
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// The text of a value that is absent, as the simulator writes it.
+/// Stands for an absent value, as the simulator writes it.
 const ABSENT: &str = "-";
-/// Longest list that settings may hold.
+/// Largest number of items in a list of objects.
 const MAX_LIST_LENGTH: f64 = 4096.0;
 
-/// Values by their dotted path. Unknown paths are ignored, and an absent value reads as zero, `false` or an empty list.
+/// Values as text, by dotted path. Unknown paths are ignored; an absent value reads as zero, `false` or an empty list.
 #[derive(Debug, Default)]
 pub struct SettingsTree {
     values: HashMap<String, String>,
 }
 
 impl SettingsTree {
-    /// Reads `path=value` pairs. Of two values for one path the last one holds.
+    /// Reads `path=value` pairs. If a path is given twice, the last value applies.
     ///
     /// # Errors
     ///
@@ -39,7 +39,7 @@
     ///
     /// # Errors
     ///
-    /// [`SettingsError::NotAnObject`] if the value is anything else.
+    /// [`SettingsError::NotAnObject`] if the value is not an object.
     pub fn from_json(value: &Value) -> Result<SettingsTree, SettingsError> {
         if !value.is_object() {
             return Err(SettingsError::NotAnObject);
@@ -49,12 +49,12 @@
         Ok(SettingsTree { values })
     }
 
-    /// The value's text; `-` if it is absent.
+    /// The text of a value; `-` if the value is absent.
     pub(crate) fn text(&self, path: &str) -> &str {
         self.values.get(path).map_or(ABSENT, String::as_str)
     }
 
-    /// A finite number, zero or greater.
+    /// A finite number, zero or greater; zero if it is absent or empty.
     pub(crate) fn number(&self, path: &str) -> Result<f64, SettingsError> {
         let text = self.text(path);
         if text == ABSENT || text.is_empty() {
@@ -69,7 +69,7 @@
         }
     }
 
-    /// A number greater than zero; zero only if it is absent.
+    /// A finite number greater than zero, or zero if it is absent.
     pub(crate) fn positive(&self, path: &str) -> Result<f64, SettingsError> {
         let value = self.number(path)?;
         let text = self.text(path);
@@ -82,7 +82,7 @@
         Ok(value)
     }
 
-    /// A duration, given in seconds.
+    /// A duration, given in seconds; zero if it is absent or empty.
     pub(crate) fn duration(&self, path: &str) -> Result<Duration, SettingsError> {
         let seconds = self.number(path)?;
         Duration::try_from_secs_f64(seconds).map_err(|_| SettingsError::NotADuration {
@@ -91,7 +91,7 @@
         })
     }
 
-    /// A boolean, given as `true` or `1` and `false` or `0`.
+    /// A boolean, given as `true` or `1` and `false` or `0`; `false` if it is absent or empty.
     pub(crate) fn boolean(&self, path: &str) -> Result<bool, SettingsError> {
         match self.text(path) {
             "true" | "1" => Ok(true),
@@ -103,7 +103,7 @@
         }
     }
 
-    /// The paths of a list's items, each an object.
+    /// Paths of the items of a list of objects; empty if the list is absent.
     pub(crate) fn item_paths(&self, list: &str) -> Result<Vec<String>, SettingsError> {
         let path = format!("{list}.count");
         let count = self.number(&path)?;
@@ -115,7 +115,7 @@
             .collect())
     }
 
-    /// A list of plain values.
+    /// Items of a list of plain values, without empty ones; empty if the list is absent.
     pub(crate) fn texts(&self, path: &str) -> Vec<String> {
         let text = self.values.get(path).map_or("", String::as_str);
         text.split(',')
@@ -125,8 +125,8 @@
     }
 }
 
-/// Writes JSON as the simulator's pairs have it: an object by its members' paths, a list of objects as `.count` and its
-/// items by their number, a list of plain values as one text with commas.
+/// Converts JSON to the form of the simulator's pairs: an object to the paths of its members, a list of objects to `.count`
+/// and the paths of its items by number, a list of plain values to `.count` and one text with the values separated by commas.
 fn flatten(path: &str, value: &Value, values: &mut HashMap<String, String>) {
     match value {
         Value::Object(members) => {
