--- a/crates/merlinreel-discovery/src/lib.rs
+++ b/crates/merlinreel-discovery/src/lib.rs
@@ -1,7 +1,7 @@
 //! The server list that the discovery agent publishes.
 //!
-//! [`decode`] checks a message of the agent and gives a [`DiscoveryUpdate`]; [`EndpointTable`] applies updates and gives
-//! each endpoint the index by which the policy knows it. Neither does I/O, reads a clock or makes decisions.
+//! [`decode`] checks a message of the agent and returns a [`DiscoveryUpdate`]; [`EndpointTable`] applies updates and assigns
+//! each endpoint the index that the policy uses for it. Neither performs I/O, reads a clock or makes decisions.
 
 #![warn(missing_docs)]
 
--- a/crates/merlinreel-discovery/src/message.rs
+++ b/crates/merlinreel-discovery/src/message.rs
@@ -1,4 +1,4 @@
-//! Decodes and checks the discovery agent's messages. The agent's JSON names are mapped here and nowhere else.
+//! Decodes and checks the discovery agent's messages. Only this module maps the names in the agent's JSON.
 
 use merlinreel_policy::EndpointState;
 use serde::Deserialize;
@@ -6,13 +6,13 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// Weight of an endpoint whose message gives none.
+/// Weight of an endpoint for which the agent reports none.
 const DEFAULT_WEIGHT: f64 = 1.0;
 
-/// Why a message cannot be used. The list received before it stays in use.
+/// Why a message cannot be used. The endpoint list from before the message stays in use.
 #[derive(Debug, Error)]
 pub enum MessageError {
-    /// The message is not JSON of the agent's form.
+    /// The message is not JSON, or lacks a required field, or a field has the wrong type.
     #[error("{0}; the agent's answer is no list")]
     Malformed(#[from] serde_json::Error),
     /// An instance's address must be an IP address and a port.
@@ -23,7 +23,7 @@
         /// The text that was given.
         given: String,
     },
-    /// An instance's lifecycle must be one of the known ones.
+    /// An instance's lifecycle must be `up`, `draining` or `removed`.
     #[error("instances[{index}].lifecycle: unknown '{given}'; up, draining and removed are known")]
     Lifecycle {
         /// Position of the instance in the message.
@@ -33,37 +33,37 @@
     },
 }
 
-/// A checked message.
+/// A change or snapshot of the endpoint list, from a message that passed all checks.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DiscoveryUpdate {
-    /// The agent's number for this state of the list.
+    /// The agent's version number of the list that this update leads to.
     pub version: u64,
-    /// The message is a snapshot: an endpoint that it leaves out is removed. Otherwise it holds only changes.
+    /// The update is a snapshot: an endpoint that it leaves out is removed. If not set, it holds only the endpoints that changed.
     pub complete: bool,
     /// The endpoints, in the order of the message.
     pub endpoints: Vec<DiscoveredEndpoint>,
 }
 
-/// An endpoint as the agent describes it.
+/// An endpoint as the agent reports it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DiscoveredEndpoint {
-    /// The name by which all limiters know it.
+    /// Name of the endpoint, the same at all limiters.
     pub name: String,
-    /// Where it accepts connections.
+    /// Address at which the endpoint accepts connections.
     pub address: SocketAddr,
-    /// Name of its zone; empty if the agent gives none.
+    /// Name of the endpoint's zone; empty if the agent reports none.
     pub zone: String,
-    /// Its cell.
+    /// Number of the endpoint's cell; 0 if the agent reports none.
     pub cell: u32,
-    /// Whether it takes requests.
+    /// Whether the endpoint takes new requests, is draining or was removed.
     pub state: EndpointState,
-    /// Its capacity relative to other endpoints.
+    /// Capacity relative to other endpoints; 1 if the agent reports none.
     pub weight: f64,
-    /// Unix time of its last start, if the agent reports one.
+    /// Unix time of the endpoint's last start; `None` if the agent reports none.
     pub started_at: Option<Duration>,
 }
 
-/// A message as the agent sends it, not yet checked; [`DiscoveryUpdate`] is made from it.
+/// A message as the agent sends it, with its values unchecked. Converting it to a [`DiscoveryUpdate`] checks them.
 #[derive(Deserialize)]
 pub struct Message {
     #[serde(rename = "generation")]
@@ -74,7 +74,7 @@
     instances: Vec<Instance>,
 }
 
-/// The name of this type is part of the texts of errors.
+/// A server in the agent's message. Error texts of serde contain the name of this type.
 #[derive(Deserialize)]
 struct Instance {
     #[serde(rename = "instanceId")]
@@ -93,7 +93,7 @@
 }
 
 impl Instance {
-    /// `index` is the instance's position in the message.
+    /// Checks the values and converts them. `index` is the instance's position in the message, for errors.
     fn check(self, index: usize) -> Result<DiscoveredEndpoint, MessageError> {
         let state = match self.state.as_str() {
             "up" => EndpointState::Ready,
@@ -112,7 +112,7 @@
                 given: self.address,
             });
         };
-        // The agent writes 0 for a start that it does not know.
+        // The agent writes 0 if it does not know when the endpoint started.
         let started_at = Some(Duration::from_millis(self.started_at_ms)).filter(|at| !at.is_zero());
         Ok(DiscoveredEndpoint {
             name: self.name,
@@ -146,7 +146,7 @@
 ///
 /// # Errors
 ///
-/// The first thing wrong with the message. One faulty instance fails all of the message.
+/// The first fault in the message. One invalid instance makes the whole message invalid.
 pub fn decode(bytes: &[u8]) -> Result<DiscoveryUpdate, MessageError> {
     let message: Message = serde_json::from_slice(bytes)?;
     message.try_into()
--- a/crates/merlinreel-discovery/src/message/tests.rs
+++ b/crates/merlinreel-discovery/src/message/tests.rs
@@ -34,7 +34,7 @@
         {"instanceId":"s-2","hostPort":"10.0.0.2:80","zone":"a","cell":1,"lifecycle":"draining","weight":0,"startedAtMs":0},
         {"instanceId":"s-3","hostPort":"[::1]:80","zone":"a","cell":1,"lifecycle":"removed","weight":null}]}"#,
     )
-    .expect("sound");
+    .expect("valid");
     assert_eq!((decoded.version, decoded.complete), (7, true));
     let endpoints: Vec<_> = decoded
         .endpoints
@@ -107,14 +107,14 @@
     );
 }
 
-#[test_case(r#"{"reset":true}"#, "missing field `generation` at line 1 column 14; the agent's answer is no list" ; "no version")]
-#[test_case("7", "invalid type: integer `7`, expected struct Message at line 1 column 1; the agent's answer is no list" ; "no object")]
+#[test_case(r#"{"reset":true}"#, "missing field `generation` at line 1 column 14; the agent's answer is no list" ; "version missing")]
+#[test_case("7", "invalid type: integer `7`, expected struct Message at line 1 column 1; the agent's answer is no list" ; "not an object")]
 #[test_case(r#"{"generation":1,"instances":[7]}"#,
-    "invalid type: integer `7`, expected struct Instance at line 1 column 30; the agent's answer is no list" ; "no instance")]
+    "invalid type: integer `7`, expected struct Instance at line 1 column 30; the agent's answer is no list" ; "instance not an object")]
 #[test_case(r#"{"generation":1,"instances":[{"hostPort":"10.0.0.1:80","lifecycle":"up"}]}"#,
-    "missing field `instanceId` at line 1 column 72; the agent's answer is no list" ; "no name")]
+    "missing field `instanceId` at line 1 column 72; the agent's answer is no list" ; "name missing")]
 #[test_case(r#"{"generation":1,"instances":[{"instanceId":"s","hostPort":"here","lifecycle":"up"}]}"#,
-    "instances[0].hostPort: 'here' is no address and port" ; "no address")]
+    "instances[0].hostPort: 'here' is no address and port" ; "invalid address")]
 #[test_case(r#"{"generation":1,"instances":[{"instanceId":"r","hostPort":"10.0.0.1:80","lifecycle":"up"},
     {"instanceId":"s","hostPort":"10.0.0.1:80","lifecycle":"odd"}]}"#,
     "instances[1].lifecycle: unknown 'odd'; up, draining and removed are known" ; "unknown lifecycle")]
--- a/crates/merlinreel-discovery/src/table.rs
+++ b/crates/merlinreel-discovery/src/table.rs
@@ -1,15 +1,16 @@
-//! The endpoints by the index under which the policy knows them.
+//! Assigns each endpoint the index that the policy uses for it.
 
 use crate::message::{DiscoveredEndpoint, DiscoveryUpdate};
 use merlinreel_policy::{Endpoint, EndpointState, EndpointUpdate, Index, ServerIndex, ring_hash};
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
-/// What is held for an index.
+/// The endpoint that has an index.
 #[derive(Debug)]
 struct TableEntry {
     name: String,
-    /// As the last message described it.
+    /// The endpoint as last reported. Its state also becomes removed if a snapshot omits it, a new endpoint takes over its address
+    /// or its index is released.
     endpoint: Endpoint,
     address: SocketAddr,
 }
@@ -20,12 +21,12 @@
     }
 }
 
-/// The endpoints by index. An endpoint keeps its index until it is released; the index is then given to another one.
+/// The endpoints by index. An endpoint keeps its index until it is released; the index is then reused for another endpoint.
 #[derive(Debug, Default)]
 pub struct EndpointTable {
     zones: Vec<String>,
     index_by_name: HashMap<String, ServerIndex>,
-    /// The endpoint that was last found at an address. It may have been removed since.
+    /// The endpoint that was last recorded at an address. It may have been removed since.
     index_by_address: HashMap<SocketAddr, ServerIndex>,
     entries: Vec<TableEntry>,
     /// Indices of released endpoints.
@@ -33,8 +34,8 @@
 }
 
 impl EndpointTable {
-    /// An empty table. `zones` are the zones' names by their index in the settings; names that messages add get the next
-    /// indices.
+    /// An empty table. `zones` are the zones' names by their index in the settings; a zone name that first appears in a message
+    /// gets the next index.
     pub fn new(zones: Vec<String>) -> EndpointTable {
         EndpointTable {
             zones,
@@ -42,17 +43,18 @@
         }
     }
 
-    /// Number of indices, used and free.
+    /// Number of indices, assigned and free.
     pub fn index_count(&self) -> usize {
         self.entries.len()
     }
 
-    /// Where an endpoint accepts connections; `None` if the index was never used.
+    /// Address at which an endpoint accepts connections; `None` if the index was never assigned. A released index keeps its
+    /// last address until it is reused.
     pub fn address(&self, server: ServerIndex) -> Option<SocketAddr> {
         self.entry(server).map(|entry| entry.address)
     }
 
-    /// Whether an endpoint is listed, ready or draining.
+    /// Whether an endpoint is listed, as ready or draining.
     pub fn is_listed(&self, server: ServerIndex) -> bool {
         self.entry(server).is_some_and(TableEntry::is_listed)
     }
@@ -63,8 +65,8 @@
             .is_some_and(|entry| entry.endpoint.state == EndpointState::Ready)
     }
 
-    /// Applies a message and gives it with indices in place of names. An endpoint whose address another one has taken over
-    /// comes before that one, as removed. `cached` marks a list that was stored before this limiter's start.
+    /// Applies an update and returns it with indices in place of names. If a new endpoint has the address of a listed one, the
+    /// listed one precedes it in the result, as removed. `cached` marks a list that was stored before this limiter's start.
     pub fn apply(&mut self, update: DiscoveryUpdate, cached: bool) -> EndpointUpdate {
         let mut endpoints = Vec::with_capacity(update.endpoints.len());
         if update.complete {
@@ -83,7 +85,7 @@
         }
     }
 
-    /// Frees an endpoint's index for another one, so that memory does not grow with every endpoint that is ever listed.
+    /// Frees an endpoint's index for reuse, so that memory does not grow with every endpoint that is ever listed.
     pub fn release(&mut self, server: ServerIndex) {
         let Some(entry) = self.entries.get_mut(server.position()) else {
             return;
@@ -115,7 +117,7 @@
         endpoint.server = if let Some(&server) = self.index_by_name.get(&discovered.name) {
             server
         } else {
-            endpoints.extend(self.remove_at(discovered.address));
+            endpoints.extend(self.remove_listed_at(discovered.address));
             self.insert(discovered.name, endpoint, discovered.address)
         };
         self.set_address(endpoint.server, discovered.address);
@@ -132,16 +134,16 @@
         index as u32
     }
 
-    /// The listed endpoint that is known to be at an address.
+    /// The listed endpoint that is recorded at an address.
     fn listed_at(&self, address: SocketAddr) -> Option<ServerIndex> {
         let server = *self.index_by_address.get(&address)?;
         let entry = &self.entries[server.position()];
         (entry.address == address && entry.is_listed()).then_some(server)
     }
 
-    /// Removes the endpoint at an address that a new one has taken over. The agent may report its removal only later, and
-    /// attempts at it would reach the new one.
-    fn remove_at(&mut self, address: SocketAddr) -> Option<Endpoint> {
+    /// Marks the listed endpoint at an address as removed because a new endpoint has that address. The agent may report the
+    /// removal only later, and until then attempts at the old endpoint would reach the new one.
+    fn remove_listed_at(&mut self, address: SocketAddr) -> Option<Endpoint> {
         let server = self.listed_at(address)?;
         let entry = &mut self.entries[server.position()];
         entry.endpoint.state = EndpointState::Removed;
@@ -164,7 +166,7 @@
         server
     }
 
-    /// Records an endpoint's address, unless another listed endpoint is known to be there.
+    /// Sets an endpoint's address. If a listed endpoint is already recorded at this address, that record stays.
     fn set_address(&mut self, server: ServerIndex, address: SocketAddr) {
         let entry = &mut self.entries[server.position()];
         let previous = std::mem::replace(&mut entry.address, address);
--- a/crates/merlinreel-discovery/src/table/tests.rs
+++ b/crates/merlinreel-discovery/src/table/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use merlinreel_policy::ServerIndex;
 
-/// A message that lists one endpoint, ready at that port.
+/// An update with one endpoint, ready at the given port.
 fn update(name: &str, port: u16, complete: bool) -> DiscoveryUpdate {
     let endpoint = DiscoveredEndpoint {
         name: name.to_owned(),
@@ -19,9 +19,10 @@
     }
 }
 
-/// An attempt at an endpoint whose address another one took would reach the other one.
+/// A new endpoint at the address of a listed one removes the listed one, as attempts at it would reach the new endpoint. A
+/// released index is reused.
 #[test]
-fn released_index_and_taken_address_belong_to_the_next_endpoint() {
+fn released_index_and_reused_address_belong_to_the_new_endpoint() {
     let mut table = EndpointTable::new(Vec::new());
     table.apply(update("s-1", 7, true), true);
     let mut apply = |name: &str, port: u16, complete: bool| {
@@ -39,12 +40,12 @@
         apply("s-3", 1, false),
         [(1, EndpointState::Removed), (2, EndpointState::Ready)]
     );
-    // A snapshot without the first endpoint removes it, and it is released.
+    // A snapshot without the first endpoint removes it, and its index is released.
     assert_eq!(apply("s-3", 1, true), [(2, EndpointState::Ready)]);
     assert_eq!(apply("s-4", 2, false), [(0, EndpointState::Ready)]);
 }
 
-/// Neither names nor addresses of released endpoints are kept.
+/// The table drops the names and addresses of released endpoints and reuses their indices.
 #[test]
 fn replaced_endpoints_leave_no_memory_in_use() {
     let mut table = EndpointTable::new(Vec::new());
@@ -65,7 +66,7 @@
     );
 }
 
-/// An endpoint that moves frees its address.
+/// An endpoint that moves to another address frees its previous one for a new endpoint.
 #[test]
 fn moved_endpoint_is_not_removed_at_its_previous_address() {
     let mut table = EndpointTable::new(Vec::new());
