--- a/crates/merlinreel-settings/src/error.rs
+++ b/crates/merlinreel-settings/src/error.rs
@@ -6,16 +6,16 @@
 #[derive(Clone, Debug, Error, PartialEq)]
 pub enum SettingsError {
     /// A setting given as text must be a `path=value` pair; this one has no equals sign.
-    #[error("settings: '{pair}' is no path=value")]
+    #[error("settings: '{pair}' is not a path=value pair")]
     NotAPair {
         /// The text that was given.
         pair: String,
     },
     /// The settings must be a JSON object; another JSON value was given.
-    #[error("settings: not an object")]
+    #[error("settings: expected a JSON object, found another type of value")]
     NotAnObject,
     /// The value must be a finite number, zero or greater.
-    #[error("setting {path}: '{given}' is not a number from 0")]
+    #[error("setting {path}: '{given}' is not a number of 0 or more")]
     NotANumber {
         /// The setting.
         path: String,
@@ -31,7 +31,7 @@
         given: String,
     },
     /// The value must be a number of seconds that a [`Duration`](std::time::Duration) can hold.
-    #[error("setting {path}: {seconds} is no time")]
+    #[error("setting {path}: {seconds} seconds is too long for a duration")]
     NotADuration {
         /// The setting.
         path: String,
@@ -48,7 +48,7 @@
     },
     /// The value must be one that is defined for this setting: `read_like`, `idempotency_key` or `non_idempotent` for a
     /// class's `idempotency`; `all`, `zone` or `cell` for the `group` of a class with idempotency keys.
-    #[error("setting {path}: unknown '{given}'")]
+    #[error("setting {path}: unknown value '{given}'")]
     UnknownValue {
         /// The setting.
         path: String,
@@ -64,7 +64,7 @@
         count: f64,
     },
     /// The fleet must not have more than 65536 limiters.
-    #[error("setting {path}: {count} is out of range")]
+    #[error("setting {path}: {count} limiters, but a fleet has at most 65536")]
     FleetTooLarge {
         /// The setting.
         path: &'static str,
@@ -72,7 +72,7 @@
         count: f64,
     },
     /// This limiter's rank must be smaller than the number of limiters.
-    #[error("setting {path}: {rank} is not among {limiters}")]
+    #[error("setting {path}: {rank} is not less than the number of limiters, {limiters}")]
     RankOutOfRange {
         /// The setting.
         path: &'static str,
--- a/crates/merlinreel-settings/src/tests.rs
+++ b/crates/merlinreel-settings/src/tests.rs
@@ -41,16 +41,16 @@
     assert_eq!(format!("{from_json:?}"), format!("{from_pairs:?}"));
 }
 
-#[test_case(json!([]), "settings: not an object" ; "not a JSON object")]
-#[test_case(json!({"zone": "north"}), "setting zone: 'north' is not a number from 0" ; "text for a number")]
+#[test_case(json!([]), "settings: expected a JSON object, found another type of value" ; "not a JSON object")]
+#[test_case(json!({"zone": "north"}), "setting zone: 'north' is not a number of 0 or more" ; "text for a number")]
 #[test_case(json!({"policyLimits": {"peers": 2}}), "setting policyLimits.peers: '2' is neither true nor false" ; "number other than 0 and 1 for a boolean")]
-#[test_case(json!({"rules": {"coldS": -1}}), "setting rules.coldS: '-1' is not a number from 0" ; "negative duration")]
-#[test_case(json!({"classes": [{"idempotency": "never"}]}), "setting classes.0.idempotency: unknown 'never'" ; "unknown idempotency")]
-#[test_case(json!({"packages": [{}, {"price": "much"}]}), "setting packages.1.price: 'much' is not a number from 0" ; "text for a number of the second plan")]
-#[test_case(json!({"balancers": 2, "rank": 2}), "setting rank: 2 is not among 2" ; "rank equal to the number of limiters")]
-#[test_case(json!({"classes": [{"idempotency": "idempotency_key", "group": "hall"}]}), "setting classes.0.group: unknown 'hall'" ; "unknown scope")]
-#[test_case(json!({"classes": [{}]}), "setting classes.0.idempotency: unknown '-'" ; "absent idempotency")]
-#[test_case(json!({"rules": {"coldS": 2e19}}), "setting rules.coldS: 20000000000000000000 is no time" ; "duration too long")]
+#[test_case(json!({"rules": {"coldS": -1}}), "setting rules.coldS: '-1' is not a number of 0 or more" ; "negative duration")]
+#[test_case(json!({"classes": [{"idempotency": "never"}]}), "setting classes.0.idempotency: unknown value 'never'" ; "unknown idempotency")]
+#[test_case(json!({"packages": [{}, {"price": "much"}]}), "setting packages.1.price: 'much' is not a number of 0 or more" ; "text for a number of the second plan")]
+#[test_case(json!({"balancers": 2, "rank": 2}), "setting rank: 2 is not less than the number of limiters, 2" ; "rank equal to the number of limiters")]
+#[test_case(json!({"classes": [{"idempotency": "idempotency_key", "group": "hall"}]}), "setting classes.0.group: unknown value 'hall'" ; "unknown scope")]
+#[test_case(json!({"classes": [{}]}), "setting classes.0.idempotency: unknown value '-'" ; "absent idempotency")]
+#[test_case(json!({"rules": {"coldS": 2e19}}), "setting rules.coldS: 20000000000000000000 seconds is too long for a duration" ; "duration too long")]
 #[test_case(json!({"classes": {"count": 4097}}), "setting classes.count: 4097 is too many" ; "list too long")]
 #[test_case(json!({"policyLimits": {"sendCap": 0}}), "setting policyLimits.sendCap: '0' is not a positive number" ; "attempt limit of 0")]
 #[test_case(json!({"policyLimits": {"sendCap": ""}}), "setting policyLimits.sendCap: '' is not a positive number" ; "empty attempt limit")]
@@ -62,7 +62,7 @@
 #[test_case(1024, 1023 => Ok((1024, 1023)) ; "a small fleet")]
 #[test_case(2300, 2299 => Ok((2300, 2299)) ; "a large fleet")]
 #[test_case(65_536, 65_535 => Ok((65_536, 65_535)) ; "the limit")]
-#[test_case(65_537, 0 => Err("setting balancers: 65537 is out of range".to_owned()) ; "more than the limit")]
+#[test_case(65_537, 0 => Err("setting balancers: 65537 limiters, but a fleet has at most 65536".to_owned()) ; "more than the limit")]
 fn fleet_size_up_to_the_limit_is_accepted(limiters: u32, rank: u32) -> Result<(u32, u32), String> {
     let settings = read_json(json!({"balancers": limiters, "rank": rank}));
     let fleet = settings.map_err(|error| error.to_string())?.fleet;
--- a/crates/merlinreel/src/config/tests.rs
+++ b/crates/merlinreel/src/config/tests.rs
@@ -69,7 +69,7 @@
 #[test_case("64", "1", "limits.memory_mb: 1 is too little" ; "too little memory")]
 #[test_case("8c1f", "xyz", "seed: 'xyz' is not 16 hex digits" ; "seed")]
 #[test_case("\"look\"", "null", "setting classes.0.name: is missing or stands there twice" ; "no name")]
-#[test_case("4.0", "-4.0", "setting packages.0.unitsPerS: '-4.0' is not a number from 0" ; "setting")]
+#[test_case("4.0", "-4.0", "setting packages.0.unitsPerS: '-4.0' is not a number of 0 or more" ; "setting")]
 #[test_case("\"balancers\":1", "\"balancers\":1,\"familyInfo\":{\"hasCounter\":true}",
     "setting familyInfo.hasCounter: this limiter speaks no counter's protocol" ; "counter")]
 #[test_case("\"seed\"", "\"peer_listen\":\"127.0.0.1:1\",\"peers\":[],\"x\"", "duplicate field" ; "key twice")]
