--- a/crates/merlinreel-discovery/src/message.rs
+++ b/crates/merlinreel-discovery/src/message.rs
@@ -13,10 +13,10 @@
 #[derive(Debug, Error)]
 pub enum MessageError {
     /// The message is not JSON, or lacks a required field, or a field has the wrong type.
-    #[error("{0}; the agent's answer is no list")]
+    #[error("{0}; the agent's response is not a valid list of instances")]
     Malformed(#[from] serde_json::Error),
     /// An instance's address must be an IP address and a port.
-    #[error("instances[{index}].hostPort: '{given}' is no address and port")]
+    #[error("instances[{index}].hostPort: '{given}' is not an IP address and port")]
     Address {
         /// Position of the instance in the message.
         index: usize,
@@ -24,7 +24,7 @@
         given: String,
     },
     /// An instance's lifecycle must be `up`, `draining` or `removed`.
-    #[error("instances[{index}].lifecycle: unknown '{given}'; up, draining and removed are known")]
+    #[error("instances[{index}].lifecycle: unknown '{given}'; expected up, draining or removed")]
     Lifecycle {
         /// Position of the instance in the message.
         index: usize,
--- a/crates/merlinreel-discovery/src/message/tests.rs
+++ b/crates/merlinreel-discovery/src/message/tests.rs
@@ -107,17 +107,17 @@
     );
 }
 
-#[test_case(r#"{"reset":true}"#, "missing field `generation` at line 1 column 14; the agent's answer is no list" ; "version missing")]
-#[test_case("7", "invalid type: integer `7`, expected struct Message at line 1 column 1; the agent's answer is no list" ; "not an object")]
+#[test_case(r#"{"reset":true}"#, "missing field `generation` at line 1 column 14; the agent's response is not a valid list of instances" ; "version missing")]
+#[test_case("7", "invalid type: integer `7`, expected struct Message at line 1 column 1; the agent's response is not a valid list of instances" ; "not an object")]
 #[test_case(r#"{"generation":1,"instances":[7]}"#,
-    "invalid type: integer `7`, expected struct Instance at line 1 column 30; the agent's answer is no list" ; "instance not an object")]
+    "invalid type: integer `7`, expected struct Instance at line 1 column 30; the agent's response is not a valid list of instances" ; "instance not an object")]
 #[test_case(r#"{"generation":1,"instances":[{"hostPort":"10.0.0.1:80","lifecycle":"up"}]}"#,
-    "missing field `instanceId` at line 1 column 72; the agent's answer is no list" ; "name missing")]
+    "missing field `instanceId` at line 1 column 72; the agent's response is not a valid list of instances" ; "name missing")]
 #[test_case(r#"{"generation":1,"instances":[{"instanceId":"s","hostPort":"here","lifecycle":"up"}]}"#,
-    "instances[0].hostPort: 'here' is no address and port" ; "invalid address")]
+    "instances[0].hostPort: 'here' is not an IP address and port" ; "invalid address")]
 #[test_case(r#"{"generation":1,"instances":[{"instanceId":"r","hostPort":"10.0.0.1:80","lifecycle":"up"},
     {"instanceId":"s","hostPort":"10.0.0.1:80","lifecycle":"odd"}]}"#,
-    "instances[1].lifecycle: unknown 'odd'; up, draining and removed are known" ; "unknown lifecycle")]
+    "instances[1].lifecycle: unknown 'odd'; expected up, draining or removed" ; "unknown lifecycle")]
 fn malformed_message_is_described_in_the_error(text: &str, expected: &str) {
     let error = decode(text.as_bytes()).err().map(|error| error.to_string());
     assert_eq!(error.as_deref(), Some(expected));
