--- a/crates/merlinreel-simulator-adapter/src/error.rs
+++ b/crates/merlinreel-simulator-adapter/src/error.rs
@@ -3,7 +3,7 @@
 use merlinreel_settings::SettingsError;
 use thiserror::Error;
 
-/// Why a line cannot be used. The simulator checks the texts.
+/// Why a line cannot be used. The text goes to standard error with the line's number; it is never part of a reply.
 #[derive(Debug, Error, PartialEq)]
 pub enum ProtocolError {
     /// No message has this name.
@@ -16,7 +16,7 @@
         name: &'static str,
     },
     /// The value must be a finite number.
-    #[error("{name}: '{given}' is not a number")]
+    #[error("{name}: '{given}' is not a finite number")]
     NotANumber {
         /// Name of the value.
         name: &'static str,
@@ -24,7 +24,7 @@
         given: String,
     },
     /// The value must be an integer, zero or greater.
-    #[error("{name}: '{given}' is not a whole number")]
+    #[error("{name}: '{given}' is not an integer of 0 or more")]
     NotAnInteger {
         /// Name of the value.
         name: &'static str,
@@ -32,7 +32,7 @@
         given: String,
     },
     /// The integer must be less than the upper bound of this value.
-    #[error("{name}: {given} is out of range")]
+    #[error("{name}: {given} is too large")]
     OutOfRange {
         /// Name of the value.
         name: &'static str,
@@ -40,7 +40,7 @@
         given: u64,
     },
     /// The value must be a number of seconds, zero or greater, that a [`Duration`](std::time::Duration) can hold.
-    #[error("{name}: {seconds} is no time")]
+    #[error("{name}: {seconds} seconds is negative or too long for a duration")]
     NotADuration {
         /// Name of the value.
         name: &'static str,
@@ -64,7 +64,7 @@
         given: f64,
     },
     /// An item of the value must be a name and a value with a colon between them.
-    #[error("{name}: '{given}' is no pair")]
+    #[error("{name}: '{given}' is not a name:value pair")]
     NotAPair {
         /// Name of the value.
         name: &'static str,
@@ -72,7 +72,7 @@
         given: String,
     },
     /// The value must be hexadecimal digits, two for each byte.
-    #[error("{name}: '{given}' is not hex")]
+    #[error("{name}: '{given}' is not hexadecimal with two digits for each byte")]
     NotHex {
         /// Name of the value.
         name: &'static str,
@@ -80,7 +80,7 @@
         given: String,
     },
     /// The value must be one that the protocol defines for this name.
-    #[error("{name}: unknown '{given}'")]
+    #[error("{name}: unknown value '{given}'")]
     UnknownValue {
         /// Name of the value.
         name: &'static str,
@@ -88,22 +88,24 @@
         given: String,
     },
     /// A batch must be started before it ends.
-    #[error("no round has begun")]
+    #[error("the batch ends but was not started; start a batch first")]
     NoBatch,
     /// An instance must be selected in each batch before the messages for it.
-    #[error("no instance is named")]
+    #[error("no instance is selected; select one in this batch first")]
     NoInstance,
     /// The instance must be running: it was never started, or has been stopped.
-    #[error("instance {0} is not known")]
+    #[error("instance {0} is not running; start it first")]
     UnknownInstance(String),
     /// Entries must directly follow the start of their list.
-    #[error("no list is open")]
+    #[error("list entry outside a list; entries must directly follow the start of their list")]
     NoOpenList,
     /// The list already has as many entries as its start announced.
-    #[error("one entry more than the list states")]
+    #[error("the list already has all announced entries; this entry is skipped")]
     ListFull,
     /// The list ended before all announced entries arrived.
-    #[error("list {list} is {missing} entries short")]
+    #[error(
+        "list {list} ended with {missing} announced entries missing; the line that ended it is skipped"
+    )]
     ListTooShort {
         /// Number of the list.
         list: u64,
@@ -111,22 +113,22 @@
         missing: usize,
     },
     /// The list must be sent before a message refers to it.
-    #[error("list {0} is not known")]
+    #[error("list {0} has not been sent; send it before referring to it")]
     UnknownList(u64),
     /// The list has missing or malformed entries.
-    #[error("list {0} came in broken")]
+    #[error("list {0} has missing or malformed entries; send it again before referring to it")]
     UnusableList(u64),
     /// A request must arrive only once while its name is in use.
-    #[error("job {0} came in twice")]
+    #[error("request {0} was already received; its name is still in use")]
     DuplicateRequest(String),
     /// The request must be in flight: it never arrived, or has ended.
-    #[error("job {0} is not known")]
+    #[error("request {0} is not in flight; it was never received or has ended")]
     UnknownRequest(String),
     /// The request must have an attempt in flight for an attempt to end.
-    #[error("job {0} has no attempt out")]
+    #[error("request {0} has no attempt in flight that could have ended")]
     NoAttempt(String),
     /// The endpoint must first be on an endpoint list that the instance received.
-    #[error("server {0} is not known")]
+    #[error("server {0} is unknown; send the instance an endpoint list that has it first")]
     UnknownServer(String),
     /// The settings of an instance cannot be used.
     #[error(transparent)]
--- a/crates/merlinreel-simulator-adapter/src/host/tests.rs
+++ b/crates/merlinreel-simulator-adapter/src/host/tests.rs
@@ -60,7 +60,7 @@
     let repeated_result = "CONTEXT limiter/0\nREPLY j-1 1 0 server.abc delivered 0.1 0 0 -";
     assert_eq!(
         handle_lines(&mut host, repeated_result).1,
-        ["job j-1 is not known"]
+        ["request j-1 is not in flight; it was never received or has ended"]
     );
 }
 
@@ -88,52 +88,52 @@
 }
 
 #[test_case("HELLO 1", "unknown message 'HELLO'" ; "unknown message")]
-#[test_case("OVER_TO_YOU", "no round has begun" ; "batch end without a start")]
-#[test_case("DUE sweep", "no instance is named" ; "event without a selected instance")]
-#[test_case("CONTEXT limiter/9\nDUE sweep", "instance limiter/9 is not known" ; "event for an unknown instance")]
-#[test_case("CONTEXT limiter/0\nJOB_IN j-1 2 soon 77 0 0 0 0 1", "timeLeftS: 'soon' is not a number" ; "time not a number")]
+#[test_case("OVER_TO_YOU", "the batch ends but was not started; start a batch first" ; "batch end without a start")]
+#[test_case("DUE sweep", "no instance is selected; select one in this batch first" ; "event without a selected instance")]
+#[test_case("CONTEXT limiter/9\nDUE sweep", "instance limiter/9 is not running; start it first" ; "event for an unknown instance")]
+#[test_case("CONTEXT limiter/0\nJOB_IN j-1 2 soon 77 0 0 0 0 1", "timeLeftS: 'soon' is not a finite number" ; "time not a number")]
 #[test_case("CONTEXT limiter/0\nJOB_IN j-1 2", "timeLeftS is missing" ; "truncated line")]
-#[test_case("CONTEXT limiter/0\nJOB_IN j-1 2 1 77 4 0 0 0 1", "package: 4 is out of range" ; "plan out of range")]
-#[test_case("CONTEXT limiter/0\nJOB_IN j-1 2 -1 77 0 0 0 0 1", "timeLeftS: -1 is no time" ; "negative time")]
-#[test_case("CONTEXT limiter/0\nENDPOINTS update 2 5", "list 5 is not known" ; "unknown list")]
-#[test_case("CONTEXT limiter/0\nMAIL 1 0g", "content: '0g' is not hex" ; "content not hexadecimal")]
-#[test_case("CONTEXT limiter/0\nREPLY j-9 1 0 server.abc delivered 0.1 0 0 -", "job j-9 is not known" ; "attempt result of an unknown request")]
-#[test_case("CONTEXT limiter/0\nSAMPLED server.zz delivered 0.1 -", "server server.zz is not known" ; "health check of an unknown server")]
-#[test_case("POOL 1 2\nENTRY server.q 0 0 0 U 1 -\nROUND 9", "list 1 is 1 entries short" ; "list too short")]
-#[test_case("ENTRY server.q 0 0 0 U 1 -", "no list is open" ; "entry outside a list")]
+#[test_case("CONTEXT limiter/0\nJOB_IN j-1 2 1 77 4 0 0 0 1", "package: 4 is too large" ; "plan out of range")]
+#[test_case("CONTEXT limiter/0\nJOB_IN j-1 2 -1 77 0 0 0 0 1", "timeLeftS: -1 seconds is negative or too long for a duration" ; "negative time")]
+#[test_case("CONTEXT limiter/0\nENDPOINTS update 2 5", "list 5 has not been sent; send it before referring to it" ; "unknown list")]
+#[test_case("CONTEXT limiter/0\nMAIL 1 0g", "content: '0g' is not hexadecimal with two digits for each byte" ; "content not hexadecimal")]
+#[test_case("CONTEXT limiter/0\nREPLY j-9 1 0 server.abc delivered 0.1 0 0 -", "request j-9 is not in flight; it was never received or has ended" ; "attempt result of an unknown request")]
+#[test_case("CONTEXT limiter/0\nSAMPLED server.zz delivered 0.1 -", "server server.zz is unknown; send the instance an endpoint list that has it first" ; "health check of an unknown server")]
+#[test_case("POOL 1 2\nENTRY server.q 0 0 0 U 1 -\nROUND 9", "list 1 ended with 1 announced entries missing; the line that ended it is skipped" ; "list too short")]
+#[test_case("ENTRY server.q 0 0 0 U 1 -", "list entry outside a list; entries must directly follow the start of their list" ; "entry outside a list")]
 #[test_case("CONTEXT limiter/0\nINIT 5 balancers", "settings: 'balancers' is not a path=value pair" ; "setting without a value")]
 #[test_case("CONTEXT limiter/0\nINIT 5 balancers=1e9", "setting balancers: 1000000000 limiters, but a fleet has at most 65536" ; "fleet too large")]
 #[test_case("CONTEXT limiter/0\nINIT 5 balancers=2 rank=5", "setting rank: 5 is not less than the number of limiters, 2" ; "rank out of range")]
 #[test_case(" ", "message is missing" ; "empty line")]
 #[test_case("ROUND", "clock is missing" ; "batch start without a time")]
 #[test_case("CONTEXT", "limiterId is missing" ; "instance without a name")]
-#[test_case("CONTEXT limiter/9\nTEARDOWN", "instance limiter/9 is not known" ; "stop of an unknown instance")]
-#[test_case("ROUND 9\nTEARDOWN", "no instance is named" ; "stop without a selected instance")]
-#[test_case("ROUND 9\nINIT 5", "no instance is named" ; "start without a selected instance")]
-#[test_case("CONTEXT limiter/0\nINIT x", "entropy: 'x' is not a whole number" ; "seed not an integer")]
-#[test_case("POOL 1 -1", "records: '-1' is not a whole number" ; "negative list length")]
-#[test_case("POOL 1 1048576", "records: 1048576 is out of range" ; "list too long")]
-#[test_case("POOL 1 0\nENTRY server.q 0 0 0 U 1 -", "one entry more than the list states" ; "more entries than announced")]
-#[test_case("POOL 1 1\nENTRY server.q 0 0 0 X 1 -", "readiness: unknown 'X'" ; "unknown endpoint state")]
-#[test_case("POOL 1 1\nENTRY server.q 0 0 0 U much -", "scale: 'much' is not a number" ; "weight not a number")]
-#[test_case("CONTEXT limiter/0\nENDPOINTS delta 2 0", "form: unknown 'delta'" ; "unknown update kind")]
-#[test_case("CONTEXT limiter/0\nENDPOINTS update x 0", "serial: 'x' is not a whole number" ; "list version not an integer")]
-#[test_case("CONTEXT limiter/0\nJOB_IN j-1 2 1 77 0 4 0 0 1", "lane: 4 is out of range" ; "class out of range")]
-#[test_case("CONTEXT limiter/0\nJOB_IN j-1 65536 1 77 0 0 0 0 1", "spread: 65536 is out of range" ; "limiter set too large")]
+#[test_case("CONTEXT limiter/9\nTEARDOWN", "instance limiter/9 is not running; start it first" ; "stop of an unknown instance")]
+#[test_case("ROUND 9\nTEARDOWN", "no instance is selected; select one in this batch first" ; "stop without a selected instance")]
+#[test_case("ROUND 9\nINIT 5", "no instance is selected; select one in this batch first" ; "start without a selected instance")]
+#[test_case("CONTEXT limiter/0\nINIT x", "entropy: 'x' is not an integer of 0 or more" ; "seed not an integer")]
+#[test_case("POOL 1 -1", "records: '-1' is not an integer of 0 or more" ; "negative list length")]
+#[test_case("POOL 1 1048576", "records: 1048576 is too large" ; "list too long")]
+#[test_case("POOL 1 0\nENTRY server.q 0 0 0 U 1 -", "the list already has all announced entries; this entry is skipped" ; "more entries than announced")]
+#[test_case("POOL 1 1\nENTRY server.q 0 0 0 X 1 -", "readiness: unknown value 'X'" ; "unknown endpoint state")]
+#[test_case("POOL 1 1\nENTRY server.q 0 0 0 U much -", "scale: 'much' is not a finite number" ; "weight not a number")]
+#[test_case("CONTEXT limiter/0\nENDPOINTS delta 2 0", "form: unknown value 'delta'" ; "unknown update kind")]
+#[test_case("CONTEXT limiter/0\nENDPOINTS update x 0", "serial: 'x' is not an integer of 0 or more" ; "list version not an integer")]
+#[test_case("CONTEXT limiter/0\nJOB_IN j-1 2 1 77 0 4 0 0 1", "lane: 4 is too large" ; "class out of range")]
+#[test_case("CONTEXT limiter/0\nJOB_IN j-1 65536 1 77 0 0 0 0 1", "spread: 65536 is too large" ; "limiter set too large")]
 #[test_case("CONTEXT limiter/0\nJOB_IN j-1 2 1 77 0 0 0 0 -1", "quotaUnits: -1 is below 0" ; "negative units")]
-#[test_case("CONTEXT limiter/0\nJOB_IN j-1 2 1 77 0 0 0 0 1\nJOB_IN j-1 2 1 77 0 0 0 0 1", "job j-1 came in twice" ; "duplicate request")]
-#[test_case("CONTEXT limiter/0\nJOB_IN j-1 2 1 77 0 0 0 0 1\nREPLY j-1 1 0 server.abc delivered 0.1 0 0 -", "job j-1 has no attempt out" ; "attempt result without an attempt")]
+#[test_case("CONTEXT limiter/0\nJOB_IN j-1 2 1 77 0 0 0 0 1\nJOB_IN j-1 2 1 77 0 0 0 0 1", "request j-1 was already received; its name is still in use" ; "duplicate request")]
+#[test_case("CONTEXT limiter/0\nJOB_IN j-1 2 1 77 0 0 0 0 1\nREPLY j-1 1 0 server.abc delivered 0.1 0 0 -", "request j-1 has no attempt in flight that could have ended" ; "attempt result without an attempt")]
 #[test_case("CONTEXT limiter/0\nJOB_IN j-1 2 1 77 0 0 0 0 1\nREPLY j-1 2 0 server.abc delivered 0.1 0 0 -", "finished: '2' is neither 1 nor 0" ; "flag neither 1 nor 0")]
-#[test_case("CONTEXT limiter/0\nJOB_IN j-1 2 1 77 0 0 0 0 1\nREPLY j-1 1 0 server.zz delivered 0.1 0 0 -", "server server.zz is not known" ; "attempt result of an unknown server")]
-#[test_case("CONTEXT limiter/0\nJOB_IN j-1 2 1 77 0 0 0 0 1\nREPLY j-1 1 0 server.abc late 0.1 0 0 -", "stateCode: unknown 'late'" ; "unknown outcome")]
-#[test_case("CONTEXT limiter/0\nSAMPLED server.abc delivered 0.1 pending", "feedback: 'pending' is no pair" ; "load report without a value")]
-#[test_case("CONTEXT limiter/0\nSAMPLED server.abc delivered 0.1 pending:many", "feedback: 'many' is not a number" ; "load value not a number")]
-#[test_case("CONTEXT limiter/0\nSAMPLED server.abc delivered inf -", "waitTimeS: 'inf' is not a number" ; "infinite time")]
+#[test_case("CONTEXT limiter/0\nJOB_IN j-1 2 1 77 0 0 0 0 1\nREPLY j-1 1 0 server.zz delivered 0.1 0 0 -", "server server.zz is unknown; send the instance an endpoint list that has it first" ; "attempt result of an unknown server")]
+#[test_case("CONTEXT limiter/0\nJOB_IN j-1 2 1 77 0 0 0 0 1\nREPLY j-1 1 0 server.abc late 0.1 0 0 -", "stateCode: unknown value 'late'" ; "unknown outcome")]
+#[test_case("CONTEXT limiter/0\nSAMPLED server.abc delivered 0.1 pending", "feedback: 'pending' is not a name:value pair" ; "load report without a value")]
+#[test_case("CONTEXT limiter/0\nSAMPLED server.abc delivered 0.1 pending:many", "feedback: 'many' is not a finite number" ; "load value not a number")]
+#[test_case("CONTEXT limiter/0\nSAMPLED server.abc delivered inf -", "waitTimeS: 'inf' is not a finite number" ; "infinite time")]
 #[test_case("CONTEXT limiter/0\nSAMPLED server.abc delivered - -", "waitTimeS is missing" ; "absent time")]
-#[test_case("CONTEXT limiter/0\nMAIL 65536 00", "src: 65536 is out of range" ; "sender out of range")]
-#[test_case("CONTEXT limiter/0\nMAIL 1 000", "content: '000' is not hex" ; "odd number of digits")]
+#[test_case("CONTEXT limiter/0\nMAIL 65536 00", "src: 65536 is too large" ; "sender out of range")]
+#[test_case("CONTEXT limiter/0\nMAIL 1 000", "content: '000' is not hexadecimal with two digits for each byte" ; "odd number of digits")]
 #[test_case("CONTEXT limiter/0\nDUE", "token is missing" ; "timer without a name")]
-#[test_case("CONTEXT limiter/0\nLEDGER_REPLY 1 delivered 0.1 4d", "cname: unknown '4d'" ; "malformed counter name")]
+#[test_case("CONTEXT limiter/0\nLEDGER_REPLY 1 delivered 0.1 4d", "cname: unknown value '4d'" ; "malformed counter name")]
 #[test_case("CONTEXT limiter/0\nINIT 5 policyLimits.sendCap=0", "setting policyLimits.sendCap: '0' is not a positive number" ; "attempt limit of 0")]
 fn malformed_line_is_described_in_one_error(lines: &str, expected: &str) {
     assert_eq!(handle_lines(&mut host_with_instance(), lines).1, [expected]);
@@ -152,13 +152,19 @@
         "POOL 1 1\nENTRY server.q 0 0 0 X 1 -\nCONTEXT limiter/0\nENDPOINTS update 2 1";
     assert_eq!(
         handle_lines(&mut host_with_instance(), malformed_entry).1,
-        ["readiness: unknown 'X'", "list 1 came in broken"]
+        [
+            "readiness: unknown value 'X'",
+            "list 1 has missing or malformed entries; send it again before referring to it"
+        ]
     );
     // The line that ends a list with missing entries is skipped.
     let missing_entry = "CONTEXT limiter/0\nPOOL 1 1\nDUE sweep\nENDPOINTS update 2 1";
     assert_eq!(
         handle_lines(&mut host_with_instance(), missing_entry).1,
-        ["list 1 is 1 entries short", "list 1 came in broken"]
+        [
+            "list 1 ended with 1 announced entries missing; the line that ended it is skipped",
+            "list 1 has missing or malformed entries; send it again before referring to it"
+        ]
     );
 }
 
