--- a/crates/merlinreel-simulator-adapter/src/events.rs
+++ b/crates/merlinreel-simulator-adapter/src/events.rs
@@ -13,7 +13,7 @@
 };
 
 /// Upper bound, exclusive, of a limiter's index and of the size of a limiter set.
-const LIMITER_BOUND: u64 = 1 << 16;
+const MAX_LIMITERS: u64 = 1 << 16;
 
 /// Kind of a message that is an event for an instance.
 #[derive(Clone, Copy)]
@@ -120,7 +120,7 @@
 
 fn add_request(values: &mut Values, instance: &mut Instance) -> Result<(), ProtocolError> {
     let name = values.text(value_name::REQUEST)?;
-    let set_size = values.index(value_name::SET_SIZE, LIMITER_BOUND)? as u32;
+    let set_size = values.index(value_name::SET_SIZE, MAX_LIMITERS)? as u32;
     let remaining_time = values.duration(value_name::REMAINING_TIME)?;
     let customer = values.integer(value_name::CUSTOMER)?;
     let plans = instance.limiter.plan_count();
@@ -190,7 +190,7 @@
 }
 
 fn add_peer_message(values: &mut Values, instance: &mut Instance) -> Result<(), ProtocolError> {
-    let from = values.index(value_name::SENDER, LIMITER_BOUND)? as u32;
+    let from = values.index(value_name::SENDER, MAX_LIMITERS)? as u32;
     let content = values.text(value_name::CONTENT)?;
     let bytes = decode_hex(content).ok_or_else(|| ProtocolError::NotHex {
         name: value_name::CONTENT,
--- a/crates/merlinreel-simulator-adapter/src/host.rs
+++ b/crates/merlinreel-simulator-adapter/src/host.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 /// Upper bound, exclusive, of an endpoint list's length.
-const LIST_LENGTH_BOUND: u64 = 1 << 20;
+const MAX_LIST_LENGTH: u64 = 1 << 20;
 
 /// All instances of this process by their name on the wire. They share nothing but the endpoint lists.
 #[derive(Default)]
@@ -93,7 +93,7 @@
 
     fn open_list(&mut self, values: &mut Values) -> Result<(), ProtocolError> {
         let list = values.integer(value_name::LIST)?;
-        let length = values.index(value_name::LIST_LENGTH, LIST_LENGTH_BOUND)?;
+        let length = values.index(value_name::LIST_LENGTH, MAX_LIST_LENGTH)?;
         self.lists.open(list, length as usize);
         Ok(())
     }
--- a/crates/merlinreel-simulator-adapter/src/instance.rs
+++ b/crates/merlinreel-simulator-adapter/src/instance.rs
@@ -16,7 +16,8 @@
     pub requests: RequestTable,
     /// Events of the current batch.
     pub batch: EventBatch,
-    /// Whether the current batch has an event for the instance, or started it. Only then does the reply include the instance.
+    /// Whether the current batch has an event for the instance, even a malformed one, or started it. Only then does the reply
+    /// include the instance.
     pub is_addressed: bool,
 }
 
