--- a/crates/merlinreel-mesh/src/error.rs
+++ b/crates/merlinreel-mesh/src/error.rs
@@ -1,4 +1,4 @@
-//! Errors of the mesh, each with what an operator can do about it, and the reasons for which datagrams are dropped.
+//! Errors of the mesh, which name a remedy, and the reasons for which datagrams are dropped.
 
 use std::io;
 use std::net::SocketAddr;
@@ -9,64 +9,66 @@
 #[derive(Debug, Error)]
 pub enum MeshError {
     /// The list of keys is empty.
-    #[error("mesh.keys: there is none; name at least one key file, the same on all limiters")]
+    #[error(
+        "mesh.keys: expected at least one key, found none; list a key file, the same on all limiters"
+    )]
     NoKey,
     /// Two keys have the same id.
-    #[error("mesh.keys: id {0} is used twice; give each key an id of its own, from 0 to 255")]
+    #[error("mesh.keys: two keys have the id {0}; give each key its own id, from 0 to 255")]
     DuplicateKeyId(u8),
-    /// The key that is to sign is not in the list.
-    #[error("mesh.sign_with: no key has the id {0}; name the id of a key in mesh.keys")]
+    /// No key in the list has the id of the configured signing key.
+    #[error("mesh.sign_with: no key in mesh.keys has the id {0}; use the id of a listed key")]
     UnknownSigningKey(u8),
     /// A key file can't be read.
     #[error(
-        "mesh.keys: {path}: {source}; the file must be there and readable by the limiter's user"
+        "mesh.keys: {path} can't be read: {source}; the file must exist and be readable by the limiter's user"
     )]
     UnreadableKey {
-        /// The key file.
+        /// Path of the key file.
         path: PathBuf,
-        /// The error of the system.
+        /// Error of the operating system.
         source: io::Error,
     },
     /// A key file holds too few bytes.
     #[error(
-        "mesh.keys: {path} holds {bytes} bytes; a key needs at least {min}, from a random source"
+        "mesh.keys: {path} holds {bytes} bytes, expected at least {min} from a random source; write a longer key"
     )]
     ShortKey {
-        /// The key file.
+        /// Path of the key file.
         path: PathBuf,
-        /// Bytes in the file, white space at its end not counted.
+        /// Length of the file in bytes, without white space at its end.
         bytes: usize,
-        /// Bytes that a key needs at least.
+        /// Minimum length of a key in bytes.
         min: usize,
     },
     /// The socket can't be bound.
     #[error(
-        "mesh.listen: {address}: {source}; the address must be this machine's and its port free"
+        "mesh.listen: UDP socket can't be bound to {address}: {source}; use an address of this machine and a free port"
     )]
     Listen {
-        /// The address to bind.
+        /// The configured local address.
         address: SocketAddr,
-        /// The error of the system.
+        /// Error of the operating system.
         source: io::Error,
     },
 }
 
-/// A record that was not published; nothing has changed.
+/// Why a record was not published. The records published before stay as they are.
 #[derive(Debug, Error, PartialEq, Eq)]
 pub enum PublishError {
     /// The record's body is too long.
-    #[error("a record of {bytes} bytes is longer than {max}; shorten it")]
+    #[error("record body has {bytes} bytes, expected at most {max}; shorten it")]
     TooLong {
-        /// Bytes of the record's body.
+        /// Length of the record's body.
         bytes: usize,
-        /// Bytes that a body may have at most.
+        /// Maximum length of a body.
         max: usize,
     },
-    /// This process already publishes as many kinds of records as one process may.
-    #[error("this process has {0} kinds of records already, which is the maximum")]
+    /// This process already has records of the maximum number of kinds, which is the value. Withdrawn records count.
+    #[error("this process already has records of {0} kinds, the maximum; use one of these kinds")]
     TooManyKinds(usize),
     /// The value can't be serialized.
-    #[error("the record can't be written as JSON: {0}")]
+    #[error("record can't be serialized as JSON: {0}")]
     Serialization(String),
 }
 
@@ -74,41 +76,40 @@
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq, PartialOrd, Ord)]
 pub enum DropReason {
     /// Longer than any datagram of the mesh.
-    #[error("longer than the maximum size")]
+    #[error("longer than the maximum size of a mesh datagram")]
     Oversized,
     /// Too short, or its header can't be decoded.
-    #[error("truncated, or not a datagram of the mesh")]
+    #[error("truncated, or not a mesh datagram")]
     Malformed,
     /// Written in another version of the datagram format.
-    #[error("of another version of the mesh's format")]
+    #[error("of another version of the datagram format")]
     UnsupportedVersion,
     /// The key id in the header is not configured here.
-    #[error("signed with a key that is not known here")]
+    #[error("signed with a key that is not configured here")]
     UnknownKey,
     /// The signature does not match the content and the receiver.
-    #[error("its signature is invalid, or it was meant for another process")]
+    #[error("its signature is invalid, or it was addressed to another process")]
     InvalidSignature,
-    /// Its sequence number was already received, or is too old to be checked.
-    #[error("received before, or too old to be checked")]
+    /// The sequence number was already received or lies below the window of remembered numbers, or a later incarnation
+    /// of the sender is known.
+    #[error("its sequence number was already received, or is too old to be checked")]
     Replayed,
-    /// The sender's clock and this machine's differ too much.
-    #[error("sent at a time far from this machine's clock")]
+    /// The sending time is too far from this machine's clock: the clocks differ, or the datagram is old.
+    #[error("its sending time is too far from this machine's clock")]
     ClockSkew,
-    /// The sender's address is this process's own.
-    #[error("from this process itself")]
+    /// The sender is this process itself, or uses its address.
+    #[error("sent by this process itself, or from its address")]
     FromSelf,
     /// Correctly signed, but its content can't be decoded or is inconsistent.
     #[error("its content can't be decoded or is inconsistent")]
     InvalidContent,
-    /// No further sender's sequence numbers can be remembered.
+    /// The replay filter holds the maximum number of senders, and the sender is not among them.
     #[error(
-        "the maximum number of senders is already remembered; see the settings' number of limiters"
+        "the replay filter already holds the maximum number of senders; check setting balancers"
     )]
     SendersAtCapacity,
-    /// No further member's records can be held.
-    #[error(
-        "records of the maximum number of processes are already held; see the settings' number of limiters"
-    )]
+    /// Records of the maximum number of owners are held, and the owner is not among them.
+    #[error("records of the maximum number of processes are already held; check setting balancers")]
     OwnersAtCapacity,
 }
 
