--- a/crates/merlinreel-mesh/src/authenticator.rs
+++ b/crates/merlinreel-mesh/src/authenticator.rs
@@ -1,7 +1,7 @@
 //! Signs outgoing datagrams and verifies incoming ones, without I/O.
 //!
-//! A datagram is a [`Header`] in postcard's encoding, the content, and the first 16 bytes of an HMAC-SHA256 over both and
-//! the receiver's address.
+//! A datagram consists of a [`Header`] encoded with postcard, the content, and the first 16 bytes of an HMAC-SHA256
+//! over header, content and the receiver's address.
 
 mod replay_filter;
 
@@ -14,27 +14,27 @@
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
-/// Bytes of a datagram at most: what any network carries unfragmented.
+/// Maximum size of a datagram, which any network carries without fragmentation.
 pub const MAX_DATAGRAM_BYTES: usize = 1200;
-/// Bytes that the header and the signature take at most.
+/// Maximum length of the header and the signature together.
 pub const MAX_OVERHEAD_BYTES: usize = 52;
 /// Version of the datagram format, the first byte of each datagram.
 const FORMAT_VERSION: u8 = 1;
-/// Bytes of the truncated signature.
+/// Length of the signature, a truncated authentication code.
 const SIGNATURE_BYTES: usize = 16;
-/// How far the sender's clock may be from the receiver's, in seconds. It bounds how old a datagram can be that is
-/// replayed to a process that starts with no memory.
-const MAX_CLOCK_SKEW_S: u64 = 60;
+/// Maximum difference between a datagram's sending time and the receiver's clock. It also bounds the age of a datagram
+/// that can be replayed to a process that has just started and remembers no sequence numbers.
+const MAX_CLOCK_SKEW_SECONDS: u64 = 60;
 
-/// Head of a datagram. The order and types of its fields are its encoding.
+/// Header of a datagram. The order and types of its fields define its encoding.
 #[derive(Serialize, Deserialize)]
 struct Header {
     format_version: u8,
     key_id: u8,
     sender: Member,
-    /// Only grows within one incarnation of the sender.
+    /// Increases with each datagram of one incarnation of the sender.
     sequence: u64,
-    /// Unix time in seconds by the sender's clock.
+    /// Unix time of sending in seconds, by the sender's clock.
     sent_at_s: u64,
 }
 
@@ -43,7 +43,7 @@
 pub struct VerifiedDatagram<'a> {
     /// The member that signed it.
     pub sender: Member,
-    /// What stands between header and signature.
+    /// The bytes between header and signature.
     pub content: &'a [u8],
 }
 
@@ -56,7 +56,7 @@
 }
 
 impl Authenticator {
-    /// Uses these keys, and detects replays of up to `max_senders` senders.
+    /// An authenticator with these keys, which detects replays of datagrams of up to `max_senders` senders.
     pub fn new(keys: Keys, max_senders: usize) -> Authenticator {
         Authenticator {
             keys,
@@ -65,17 +65,18 @@
         }
     }
 
-    /// Uses other keys from now on. The sequence numbers already received stay known.
+    /// Replaces the keys. The sequence numbers already received remain recorded.
     pub fn replace_keys(&mut self, keys: Keys) {
         self.keys = keys;
     }
 
-    /// The datagram that carries `content` from this process to the one at `to`; `unix` is the Unix time.
+    /// Returns the signed datagram that carries `content` from `sender`, this process, to the process at `to`.
+    /// `unix_time` is the time of sending.
     pub fn sign(
         &mut self,
         sender: Member,
         to: SocketAddrV4,
-        unix: Duration,
+        unix_time: Duration,
         content: &[u8],
     ) -> Vec<u8> {
         self.last_sequence += 1;
@@ -85,7 +86,7 @@
             key_id,
             sender,
             sequence: self.last_sequence,
-            sent_at_s: unix.as_secs(),
+            sent_at_s: unix_time.as_secs(),
         };
         // postcard can't fail here: the header holds only numbers and addresses and is written to memory.
         let mut bytes = postcard::to_stdvec(&header).unwrap_or_default();
@@ -96,17 +97,18 @@
         bytes
     }
 
-    /// The sender and the content of a datagram that was received by the process `own`. `now` is this process's
-    /// monotonic time, `unix` the Unix time. The sender's state changes only after its signature is verified.
+    /// Verifies a datagram that was received by this process, `own`, and returns its sender and content. `now` is this
+    /// process's monotonic time, `unix_time` the Unix time. The sequence number is recorded only after the signature is
+    /// verified.
     ///
     /// # Errors
     ///
-    /// The reason for which the datagram is to be dropped.
+    /// The reason for which the datagram must be dropped.
     pub fn verify<'a>(
         &mut self,
         own: Member,
         now: Duration,
-        unix: Duration,
+        unix_time: Duration,
         bytes: &'a [u8],
     ) -> Result<VerifiedDatagram<'a>, DropReason> {
         if bytes.len() > MAX_DATAGRAM_BYTES {
@@ -134,7 +136,7 @@
         if sender.address == own.address {
             return Err(DropReason::FromSelf);
         }
-        if header.sent_at_s.abs_diff(unix.as_secs()) > MAX_CLOCK_SKEW_S {
+        if header.sent_at_s.abs_diff(unix_time.as_secs()) > MAX_CLOCK_SKEW_SECONDS {
             return Err(DropReason::ClockSkew);
         }
         self.replay_filter.accept(sender, header.sequence, now)?;
--- a/crates/merlinreel-mesh/src/keys.rs
+++ b/crates/merlinreel-mesh/src/keys.rs
@@ -11,7 +11,7 @@
 /// The length of a SHA-256 hash: a shorter key would weaken the signature.
 const MIN_KEY_BYTES: usize = 32;
 
-/// One shared key.
+/// One shared key: an id and a secret.
 #[derive(Clone, PartialEq, Eq)]
 pub struct Key {
     id: u8,
@@ -29,12 +29,12 @@
 }
 
 impl Key {
-    /// A key in memory. All members must use the same id for the same secret.
+    /// A key with the given secret, whose length is not checked. All members must use the same id for the same secret.
     pub const fn new(id: u8, secret: Vec<u8>) -> Key {
         Key { id, secret }
     }
 
-    /// Reads a key from a file: its bytes as they are, except for white space at the end.
+    /// Reads a key from a file. The secret is the content of the file without white space at its end.
     ///
     /// # Errors
     ///
@@ -57,7 +57,8 @@
 }
 
 /// The keys that this process accepts, and the one with which it signs. Several keys are accepted so that a new key can
-/// be distributed to all members before any of them signs with it, and the old one kept until the last has changed.
+/// be distributed to all members before any of them signs with it, and the old one stays valid until all of them have
+/// changed.
 #[derive(Clone)]
 pub struct Keys {
     secrets: BTreeMap<u8, Vec<u8>>,
@@ -106,8 +107,9 @@
         self.signing_id
     }
 
-    /// The code of `signed` for the receiver at `to`, or none if no key has that id. The receiver's address is part of
-    /// the code but not of the datagram, so that a datagram for one member can't be replayed to another.
+    /// The authentication code of the bytes `signed` for the receiver at `to`; `None` if no key has the id `key_id`.
+    /// The receiver's address is covered by the code but is not part of the datagram, so that a datagram for one member
+    /// can't be replayed to another.
     pub(crate) fn authentication_code(
         &self,
         key_id: u8,
--- a/crates/merlinreel-mesh/src/lib.rs
+++ b/crates/merlinreel-mesh/src/lib.rs
@@ -1,10 +1,10 @@
 //! Membership and shared records of all limiter processes of a fleet.
 //!
-//! Every process learns which other processes are alive, and holds a copy of the records that each of them publishes
+//! Every process learns which other processes are alive, and keeps a copy of the records that each of them publishes
 //! about itself. [`Node`] is the protocol without I/O and without a clock; [`runtime`] drives a node with a UDP socket.
 //! Membership is SWIM as implemented by the `foca` crate. Records are exchanged by anti-entropy: digests are compared
-//! with one other member a second, and urgent records are pushed to a few members at once. `docs/mesh.md` holds the
-//! reasons.
+//! with one other member about every second, and urgent records are pushed to a few members at once. `docs/mesh.md`
+//! explains the design.
 
 #![warn(missing_docs)]
 
--- a/crates/merlinreel-mesh/src/member.rs
+++ b/crates/merlinreel-mesh/src/member.rs
@@ -4,18 +4,19 @@
 use std::fmt;
 use std::net::SocketAddrV4;
 
-/// A process: the address at which others reach it, and its incarnation. A process that starts again at the same
-/// address has a greater incarnation.
+/// Identity of a process: the address at which others reach it, and its incarnation. A process that restarts at the
+/// same address has a greater incarnation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Member {
     /// Address at which the other members reach it.
     pub address: SocketAddrV4,
-    /// Unix time of its start in milliseconds, or more if another member has already seen a greater one.
+    /// Unix time of its start in milliseconds; greater if it had to exceed an incarnation that other members already
+    /// knew or had declared dead; 0 if it is not known.
     pub incarnation: u64,
 }
 
 impl Member {
-    /// A member of which only the address is known, such as a seed.
+    /// A member of which only the address is known, such as a seed; its incarnation is 0.
     pub const fn unknown(address: SocketAddrV4) -> Member {
         Member {
             address,
@@ -33,7 +34,7 @@
 impl foca::Identity for Member {
     type Addr = SocketAddrV4;
 
-    /// A member that was declared dead rejoins under its next incarnation.
+    /// The identity under which a member that was declared dead rejoins: its next incarnation.
     fn renew(&self) -> Option<Member> {
         Some(Member {
             address: self.address,
--- a/crates/merlinreel-mesh/src/node.rs
+++ b/crates/merlinreel-mesh/src/node.rs
@@ -1,5 +1,5 @@
-//! One process's part in the mesh, without I/O and without a clock: received datagrams and the time go in; datagrams,
-//! events and the next time at which the node wants to be called come out.
+//! The mesh protocol of one process, without I/O and without a clock. The inputs are received datagrams and the time;
+//! the outputs are datagrams, events, and the time at which the node must be called next.
 
 mod config;
 mod contacts;
@@ -33,9 +33,10 @@
 
 /// The mesh protocol of one process.
 ///
-/// `now` is always this process's monotonic time, from any origin, and `unix` the Unix time. After each call the caller
-/// sends all of [`next_datagram`](Node::next_datagram), takes all of [`next_event`](Node::next_event), and calls
-/// [`tick`](Node::tick) at [`next_tick`](Node::next_tick) at the latest.
+/// `now` is always this process's monotonic time, from any origin, and `unix_time` the Unix time. After each call the
+/// caller takes and sends datagrams until [`next_datagram`](Node::next_datagram) returns `None`, takes events until
+/// [`next_event`](Node::next_event) returns `None`, and calls [`tick`](Node::tick) at the time that
+/// [`next_tick`](Node::next_tick) returns, or earlier.
 pub struct Node {
     membership: Membership,
     contacts: Contacts,
@@ -44,7 +45,7 @@
     schedule: Schedule,
     events: EventQueue,
     random: ChaCha8Rng,
-    left: bool,
+    has_left: bool,
 }
 
 impl fmt::Debug for Node {
@@ -58,8 +59,8 @@
 }
 
 impl Node {
-    /// A node that knows no other member yet.
-    pub fn new(config: NodeConfig, now: Duration, unix: Duration) -> Node {
+    /// A node that knows no other member yet, only its seeds. The first [`tick`](Node::tick) is due at `now`.
+    pub fn new(config: NodeConfig, now: Duration, unix_time: Duration) -> Node {
         let own = config.own;
         let capacity = config.capacity;
         let mut random = ChaCha8Rng::seed_from_u64(config.random_seed);
@@ -73,20 +74,20 @@
             membership: Membership::new(own, membership_random),
             contacts: Contacts::new(seeds, capacity.departed),
             records: RecordStore::new(own, capacity.owners),
-            transport: Transport::new(authenticator, budget, unix),
+            transport: Transport::new(authenticator, budget, unix_time),
             schedule: Schedule::new(now, comparison_delay),
             events: EventQueue::default(),
             random,
-            left: false,
+            has_left: false,
         }
     }
 
-    /// This process, in its present incarnation.
+    /// This process in its current incarnation.
     pub fn own(&self) -> Member {
         self.records.own()
     }
 
-    /// Counts since the start.
+    /// Counters since the start of the process.
     pub fn counters(&self) -> &Counters {
         self.transport.counters()
     }
@@ -101,13 +102,15 @@
         self.records.view(now)
     }
 
-    /// Signs and verifies with other keys from now on.
+    /// Replaces the keys that sign and verify datagrams.
     pub fn replace_keys(&mut self, keys: Keys) {
         self.transport.replace_keys(keys);
     }
 
-    /// Publishes a record of this process. It stays valid for `ttl` without a sign of this process; an empty body
-    /// withdraws it. Publishing the present record again has no effect.
+    /// Publishes a record of this process; an empty body withdraws it. At another member it is valid while that member
+    /// considers this process alive, and until `ttl` after the last heartbeat that confirmed it there; `ttl` is rounded
+    /// down to whole seconds, and is at least 1 and at most 65535 of them. Publishing the same body with the same TTL
+    /// again has no effect.
     ///
     /// # Errors
     ///
@@ -130,9 +133,10 @@
         Ok(())
     }
 
-    /// Announces to the other members that this process leaves. The node does nothing after it.
+    /// Announces to the other members that this process leaves. [`tick`](Node::tick) and [`receive`](Node::receive) do
+    /// nothing afterwards.
     pub fn leave(&mut self, now: Duration) {
-        self.left = true;
+        self.has_left = true;
         self.membership.leave();
         self.apply_membership_output(now);
     }
@@ -147,7 +151,7 @@
         self.events.pop()
     }
 
-    /// The latest time at which [`tick`](Node::tick) is to be called next.
+    /// The time at which [`tick`](Node::tick) must be called next, at the latest.
     pub fn next_tick(&self) -> Duration {
         let own = self.schedule.next();
         self.membership
@@ -155,10 +159,10 @@
             .map_or(own, |timer| timer.min(own))
     }
 
-    /// Does all that is due. What became due several times while the process was stalled is done once.
-    pub fn tick(&mut self, now: Duration, unix: Duration) {
-        self.transport.set_unix_time(unix);
-        if self.left {
+    /// Does all work that is due. Periodic work that became due several times during a stall is done once.
+    pub fn tick(&mut self, now: Duration, unix_time: Duration) {
+        self.transport.set_unix_time(unix_time);
+        if self.has_left {
             return;
         }
         while self.membership.run_due_timer(now) {
@@ -178,14 +182,14 @@
             self.apply_membership_output(now);
         }
         if self.schedule.take_comparison(now, &mut self.random) {
-            self.exchange(now).compare_with_one();
+            self.exchange(now).send_digests_to_one_member();
         }
     }
 
     /// Handles a received datagram.
-    pub fn receive(&mut self, bytes: &[u8], now: Duration, unix: Duration) {
-        self.transport.set_unix_time(unix);
-        if self.left {
+    pub fn receive(&mut self, bytes: &[u8], now: Duration, unix_time: Duration) {
+        self.transport.set_unix_time(unix_time);
+        if self.has_left {
             return;
         }
         let received = self.transport.receive(self.records.own(), bytes, now);
@@ -245,8 +249,8 @@
         }
     }
 
-    /// Announces this process to one departed member or seed, so that two sides of a network partition, each of which
-    /// declared the other dead, find each other again once it heals.
+    /// Announces this process to one departed member or seed, so that the two sides of a network partition, each of
+    /// which declared the other dead, merge again once the partition heals.
     fn probe_departed(&mut self) {
         let alive: Vec<_> = self.membership.addresses().collect();
         if let Some(address) = self.contacts.choose(&alive, &mut self.random) {
@@ -254,7 +258,7 @@
         }
     }
 
-    /// Carries out what the membership protocol wants done.
+    /// Sends the packets, schedules the timers and applies the changes that the membership protocol has produced.
     fn apply_membership_output(&mut self, now: Duration) {
         while let Some(packet) = self.membership.next_packet() {
             let sender = self.membership.identity();
@@ -266,9 +270,10 @@
         while let Some(change) = self.membership.next_change() {
             self.apply_membership_change(change, now);
         }
-        // The digests of other members may show a later incarnation of this process than the one it started with.
+        // A digest may have shown a later incarnation of this process than its own. The record store has then continued
+        // under a greater one, which the membership protocol has to use too.
         let own = self.own();
-        if !self.left && own.incarnation > self.membership.identity().incarnation {
+        if !self.has_left && own.incarnation > self.membership.identity().incarnation {
             self.membership.change_identity(own);
         }
     }
--- a/crates/merlinreel-mesh/src/node/config.rs
+++ b/crates/merlinreel-mesh/src/node/config.rs
@@ -5,21 +5,21 @@
 use crate::member::Member;
 use std::net::SocketAddrV4;
 
-/// What a [`Node`](super::Node) is started with.
+/// The parameters of a [`Node`](super::Node).
 #[derive(Clone, Debug)]
 pub struct NodeConfig {
-    /// This process.
+    /// This process: the address at which the other members reach it, and its incarnation.
     pub own: Member,
-    /// Members that are asked for the others. This process's own address among them has no effect.
+    /// Addresses of members that this process asks for the other members. Its own address is ignored.
     pub seeds: Vec<SocketAddrV4>,
     /// The keys that sign and verify datagrams.
     pub keys: Keys,
-    /// Seed of all random choices of the node.
+    /// Seed of the random number generator for all random choices of the node.
     pub random_seed: u64,
-    /// Bytes that may be sent a second.
+    /// Bytes that may be sent per second, apart from bursts.
     pub bytes_per_second: u32,
     /// Bytes that may be sent in one burst.
     pub burst_bytes: u32,
-    /// Bounds of the lists of other members.
+    /// Maximum lengths of the lists of members.
     pub capacity: Capacity,
 }
--- a/crates/merlinreel-mesh/src/node/contacts.rs
+++ b/crates/merlinreel-mesh/src/node/contacts.rs
@@ -1,4 +1,4 @@
-//! Addresses at which members may be found that are not known to be alive.
+//! Addresses at which a member may be reachable although none is known to be alive there.
 
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
@@ -9,13 +9,13 @@
 #[derive(Debug)]
 pub struct Contacts {
     seeds: Vec<SocketAddrV4>,
-    /// The one that departed first is in front.
+    /// Ordered by departure, the earliest first.
     departed: VecDeque<SocketAddrV4>,
     max_departed: usize,
 }
 
 impl Contacts {
-    /// Knows these seeds, and remembers up to `max_departed` departed members.
+    /// Contacts with these seeds, which remember up to `max_departed` departed members.
     pub fn new(seeds: Vec<SocketAddrV4>, max_departed: usize) -> Contacts {
         Contacts {
             seeds,
@@ -29,7 +29,7 @@
         &self.seeds
     }
 
-    /// Remembers a departed member; above the maximum the one that departed first is forgotten.
+    /// Adds a departed member; if the maximum is reached, the one that departed first is removed.
     pub fn add_departed(&mut self, address: SocketAddrV4) {
         if self.departed.contains(&address) {
             return;
@@ -40,12 +40,12 @@
         self.departed.push_back(address);
     }
 
-    /// Forgets a departed member that came back.
+    /// Removes a departed member that is alive again.
     pub fn remove_departed(&mut self, address: SocketAddrV4) {
         self.departed.retain(|departed| *departed != address);
     }
 
-    /// A departed member or seed that is not alive, chosen at random.
+    /// Chooses a random departed member or seed that is not in `alive`; `None` if there is none.
     pub fn choose(&self, alive: &[SocketAddrV4], random: &mut ChaCha8Rng) -> Option<SocketAddrV4> {
         let mut candidates: Vec<SocketAddrV4> =
             self.departed.iter().chain(&self.seeds).copied().collect();
--- a/crates/merlinreel-mesh/src/node/exchange.rs
+++ b/crates/merlinreel-mesh/src/node/exchange.rs
@@ -1,4 +1,5 @@
-//! How records reach the other members: digests are compared with one member at a time, urgent records are pushed.
+//! Exchange of records with the other members: digests are compared with one member at a time, urgent records are
+//! pushed.
 
 use super::events::{Event, EventQueue};
 use super::membership::Membership;
@@ -13,29 +14,30 @@
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
-/// Members to which an urgent record is pushed by its owner and by each receiver to which it is new. Three hops reach
-/// fifty members; even with a fifth of the datagrams lost, hardly any member is left for the next comparisons.
-const FANOUT: usize = 4;
+/// Number of members to which an urgent record is pushed by its owner, and by each receiver to which it is new. Three
+/// hops reach fifty members; even if a fifth of the datagrams is lost, hardly any member has to wait for the next
+/// comparison of digests.
+const PUSH_FANOUT: usize = 4;
 
-/// One step of the exchange, with the parts of the node that it reads or changes.
+/// The parts of the node that an exchange of records reads or changes, borrowed for one step.
 pub struct Exchange<'a> {
-    /// The members with which records are exchanged.
+    /// Provides the members with which records are exchanged.
     pub membership: &'a Membership,
-    /// The records.
+    /// The records held by this process.
     pub records: &'a mut RecordStore,
     /// Sends messages.
     pub transport: &'a mut Transport,
-    /// Takes events.
+    /// Receives the events for the process.
     pub events: &'a mut EventQueue,
-    /// Chooses members.
+    /// Random number generator that chooses the members.
     pub random: &'a mut ChaCha8Rng,
     /// The node's monotonic time.
     pub now: Duration,
 }
 
 impl Exchange<'_> {
-    /// Sends digests to one member, which answers with updates and requests.
-    pub fn compare_with_one(&mut self) {
+    /// Sends digests to one random member, which answers with updates and requests.
+    pub fn send_digests_to_one_member(&mut self) {
         let others: Vec<SocketAddrV4> = self.membership.addresses().collect();
         if others.is_empty() {
             return;
@@ -79,7 +81,7 @@
         self.handle_requests(sender, &answers);
     }
 
-    /// Sends the records that another member wants.
+    /// Sends the records that another member requests.
     pub fn handle_requests(&mut self, sender: Member, requests: &[RecordsRequest]) {
         for request in requests {
             let update = self.updates_since(request.owner, request.since_version);
@@ -91,11 +93,11 @@
         }
     }
 
-    /// Applies another member's update, and pushes it on if it is urgent and new.
+    /// Applies an update from another member, and pushes it on if it is urgent and contained anything new.
     ///
     /// # Errors
     ///
-    /// If the capacity for another owner is exhausted.
+    /// [`DropReason::OwnersAtCapacity`] if the owner is new and the maximum number of owners is held.
     pub fn handle_update(
         &mut self,
         sender: Member,
@@ -107,14 +109,15 @@
         if self.records.apply_update(update, self.now)? {
             self.events.push(Event::RecordsUpdated(owner));
             if let Some(copy) = copy {
-                self.push_to_some(&copy, Some(sender.address));
+                self.push_to_random_members(&copy, Some(sender.address));
             }
         }
         Ok(())
     }
 
-    /// Pushes an urgent record of this process. If one datagram holds all of its records it carries them all, so that
-    /// it can also be applied by a member that lacks an earlier one; else it carries the newest alone.
+    /// Pushes the urgent record of this process that has the version `version`, the newest one. If all of this
+    /// process's records fit into one datagram, all are sent, so that a member that lacks an earlier record can also
+    /// apply the update; otherwise only the newest is sent.
     pub fn push_own(&mut self, version: u64) {
         let own = self.records.own().address;
         let update = self
@@ -122,17 +125,17 @@
             .filter(|update| update.digest.max_version == version)
             .or_else(|| self.updates_since(own, version - 1));
         if let Some(update) = update {
-            self.push_to_some(&update, None);
+            self.push_to_random_members(&update, None);
         }
     }
 
-    /// Counts and reports that the capacity for another process is exhausted.
+    /// Counts that there was no capacity for another process, and reports it unless that was done within a minute.
     pub fn report_at_capacity(&mut self) {
         let occurrences = self.transport.count_at_capacity();
         self.events.push_at_capacity(occurrences, self.now);
     }
 
-    fn push_to_some(&mut self, update: &RecordsUpdate, except: Option<SocketAddrV4>) {
+    fn push_to_random_members(&mut self, update: &RecordsUpdate, except: Option<SocketAddrV4>) {
         let mut others: Vec<SocketAddrV4> = self
             .membership
             .addresses()
@@ -142,7 +145,7 @@
             urgent: true,
             update: update.clone(),
         };
-        for _ in 0..FANOUT.min(others.len()) {
+        for _ in 0..PUSH_FANOUT.min(others.len()) {
             let to = others.swap_remove(self.random.random_range(0..others.len()));
             self.send(to, &message, Priority::Urgent);
         }
--- a/crates/merlinreel-mesh/src/node/membership.rs
+++ b/crates/merlinreel-mesh/src/node/membership.rs
@@ -1,4 +1,4 @@
-//! The SWIM membership protocol of the `foca` crate, with the timers that it asks for.
+//! The SWIM membership protocol of the `foca` crate, and the timers that it schedules.
 
 use super::transport::MAX_MESSAGE_BYTES;
 use crate::error::DropReason;
@@ -10,17 +10,17 @@
 use std::num::{NonZeroU8, NonZeroUsize};
 use std::time::Duration;
 
-/// Probes, suspicions and removals of the protocol.
+/// Configures the probes, suspicions and removals of the protocol.
 fn protocol_config() -> foca::Config {
     foca::Config {
         probe_period: Duration::from_millis(1000),
         probe_rtt: Duration::from_millis(300),
         num_indirect_probes: NonZeroUsize::new(3).unwrap_or(NonZeroUsize::MIN),
         max_transmissions: NonZeroU8::new(8).unwrap_or(NonZeroU8::MIN),
-        // A stalled process has that long to refute the suspicion.
+        // The time in which a stalled process can refute the suspicion.
         suspect_to_down_after: Duration::from_secs(4),
-        // A greater incarnation joins at once whatever this is, and a member that was wrongly declared dead rejoins
-        // under its next incarnation.
+        // This delays no rejoin: a greater incarnation of a dead member is accepted at once, and a member that was
+        // wrongly declared dead rejoins under its next incarnation.
         remove_down_after: Some(Duration::from_secs(600)),
         max_packet_size: NonZeroUsize::new(MAX_MESSAGE_BYTES).unwrap_or(NonZeroUsize::MIN),
         notify_down_members: true,
@@ -30,48 +30,48 @@
     }
 }
 
-/// A packet of the protocol that is to be sent.
+/// A protocol packet to be sent.
 pub struct Packet {
     /// The receiver.
     pub to: SocketAddrV4,
-    /// Its content.
+    /// The packet as encoded by `foca`.
     pub bytes: Vec<u8>,
 }
 
-/// A change that the protocol found out.
+/// A change of the membership that the protocol has detected.
 pub enum MembershipChange {
-    /// A member joined, came back, or has a new incarnation.
+    /// A member joined, rejoined or has a new incarnation.
     Up(Member),
     /// A member left or was declared dead.
     Down(Member),
-    /// This process was declared dead and rejoined under that incarnation.
+    /// This process was declared dead by another member and rejoined under this incarnation.
     Rejoined(u64),
 }
 
-/// When a timer is due; the number keeps timers that are due at one moment in order.
+/// When a timer is due, and its number, which keeps timers that are due at the same time in the order of scheduling.
 type TimerKey = (Duration, u64);
 
-/// Which members are alive, as this process sees it.
+/// The members that are alive in this process's view.
 pub struct Membership {
     protocol: Foca<Member, PostcardCodec, ChaCha8Rng, NoCustomBroadcast>,
-    /// Collects what the protocol wants done.
+    /// Collects the packets, timers and notifications that the protocol produces.
     runtime: AccumulatingRuntime<Member>,
     timers: BTreeMap<TimerKey, Timer<Member>>,
-    last_timer: u64,
+    last_timer_number: u64,
 }
 
 impl Membership {
-    /// Knows this process only.
+    /// A membership that consists of this process only.
     pub fn new(own: Member, random: ChaCha8Rng) -> Membership {
         Membership {
             protocol: Foca::new(own, protocol_config(), random, PostcardCodec),
             runtime: AccumulatingRuntime::new(),
             timers: BTreeMap::new(),
-            last_timer: 0,
+            last_timer_number: 0,
         }
     }
 
-    /// This process as the protocol presents it to others.
+    /// This process in the incarnation that the protocol presents to other members.
     pub fn identity(&self) -> Member {
         *self.protocol.identity()
     }
@@ -81,7 +81,7 @@
         self.protocol.iter_members().map(|member| *member.id())
     }
 
-    /// Their addresses.
+    /// The addresses of the other members that are alive or suspected.
     pub fn addresses(&self) -> impl Iterator<Item = SocketAddrV4> + '_ {
         self.members().map(|member| member.address)
     }
@@ -91,22 +91,22 @@
         self.protocol.num_members() == 0
     }
 
-    /// Announces this process to the one at an address, which answers with the members that it knows.
+    /// Announces this process to the one at the address `to`, which answers with the members that it knows.
     pub fn announce(&mut self, to: SocketAddrV4) {
         let member = Member::unknown(to);
-        // The only fault is a packet that can't be written; the announcement is repeated anyway.
+        // Fails only if the packet can't be encoded; announcements are repeated anyway.
         let _ = self.protocol.announce(member, &mut self.runtime);
     }
 
-    /// Continues under another identity of this process.
+    /// Continues as another incarnation of this process.
     pub fn change_identity(&mut self, own: Member) {
-        // The only fault is an unchanged identity.
+        // Fails if the identity is unchanged, or a packet can't be encoded.
         let _ = self.protocol.change_identity(own, &mut self.runtime);
     }
 
     /// Announces to the other members that this process leaves.
     pub fn leave(&mut self) {
-        // A member that does not learn of it finds out by its probes.
+        // A member that the announcement does not reach detects the departure by its probes.
         let _ = self.protocol.leave_cluster(&mut self.runtime);
     }
 
@@ -114,7 +114,8 @@
     ///
     /// # Errors
     ///
-    /// If the packet is this process's own or can't be decoded.
+    /// [`DropReason::FromSelf`] if this process sent the packet, [`DropReason::InvalidContent`] if the protocol reports
+    /// another error, such as a packet that can't be decoded.
     pub fn handle_packet(&mut self, packet: &[u8]) -> Result<(), DropReason> {
         self.protocol
             .handle_data(packet, &mut self.runtime)
@@ -124,7 +125,7 @@
             })
     }
 
-    /// When the next timer is due.
+    /// When the next timer is due; `None` if no timer is scheduled.
     pub fn next_timer(&self) -> Option<Duration> {
         self.timers.keys().next().map(|&(due_at, _)| due_at)
     }
@@ -136,20 +137,21 @@
             return false;
         };
         let timer = entry.remove();
-        // A timer of a member that was removed meanwhile is no fault.
+        // The protocol recovers from a timer that fails, such as one of a probe that a stall left incomplete.
         let _ = self.protocol.handle_timer(timer, &mut self.runtime);
         true
     }
 
-    /// Schedules the timers that the protocol has asked for.
+    /// Schedules the timers that the protocol has requested since the last call.
     pub fn schedule_timers(&mut self, now: Duration) {
         while let Some((after, timer)) = self.runtime.to_schedule() {
-            self.last_timer += 1;
-            self.timers.insert((now + after, self.last_timer), timer);
+            self.last_timer_number += 1;
+            self.timers
+                .insert((now + after, self.last_timer_number), timer);
         }
     }
 
-    /// Takes the next packet that is to be sent.
+    /// Takes the next packet to be sent; `None` if there is none.
     pub fn next_packet(&mut self) -> Option<Packet> {
         let (to, bytes) = self.runtime.to_send()?;
         Some(Packet {
@@ -158,7 +160,7 @@
         })
     }
 
-    /// Takes the next change.
+    /// Takes the next change of the membership; `None` if there is none.
     pub fn next_change(&mut self) -> Option<MembershipChange> {
         while let Some(notification) = self.runtime.to_notify() {
             match notification {
--- a/crates/merlinreel-mesh/src/node/schedule.rs
+++ b/crates/merlinreel-mesh/src/node/schedule.rs
@@ -1,4 +1,4 @@
-//! When a node's periodic work is due.
+//! Schedule of a node's periodic tasks.
 
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
@@ -6,14 +6,14 @@
 
 /// How often digests are compared with one other member; a digest list of fifty owners takes 0.9 KB.
 const COMPARISON_INTERVAL: Duration = Duration::from_secs(1);
-/// How often this process makes a heartbeat: records' ages are accurate to this.
+/// How often this process increments its heartbeat. Its records' ages are accurate to this.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
 /// How often the seeds are contacted while no other member is known.
 const REJOIN_INTERVAL: Duration = Duration::from_secs(1);
-/// How often one departed member or seed is probed.
+/// How often this process announces itself to one departed member or seed.
 const DEPARTED_PROBE_INTERVAL: Duration = Duration::from_secs(3);
 
-/// The next time of each periodic task, by the node's monotonic clock.
+/// When each periodic task is due next, by the node's monotonic clock.
 #[derive(Debug)]
 pub struct Schedule {
     next_comparison: Duration,
@@ -23,7 +23,8 @@
 }
 
 impl Schedule {
-    /// Begins at `now`; the first comparison is due after `comparison_delay`.
+    /// A schedule that begins at `now`, with the first heartbeat due at once and the first comparison due after
+    /// `comparison_delay`.
     pub fn new(now: Duration, comparison_delay: Duration) -> Schedule {
         Schedule {
             next_comparison: now + comparison_delay,
@@ -41,23 +42,24 @@
             .min(self.next_departed_probe)
     }
 
-    /// Whether a heartbeat is due; if so the next one is scheduled.
+    /// Returns whether a heartbeat is due, and schedules the next one if so.
     pub fn take_heartbeat(&mut self, now: Duration) -> bool {
         take_due(&mut self.next_heartbeat, HEARTBEAT_INTERVAL, now)
     }
 
-    /// Whether the seeds are to be contacted if no other member is known; if so the next time is scheduled.
+    /// Returns whether the seeds are due to be contacted if no other member is known, and schedules the next time if
+    /// so.
     pub fn take_rejoin(&mut self, now: Duration) -> bool {
         take_due(&mut self.next_rejoin, REJOIN_INTERVAL, now)
     }
 
-    /// Whether a departed member is to be probed; if so the next time is scheduled.
+    /// Returns whether a departed member or seed is due to be probed, and schedules the next probe if so.
     pub fn take_departed_probe(&mut self, now: Duration) -> bool {
         take_due(&mut self.next_departed_probe, DEPARTED_PROBE_INTERVAL, now)
     }
 
-    /// Whether digests are to be compared; if so the next time is scheduled, with jitter so that the members do not
-    /// fall into step.
+    /// Returns whether a comparison of digests is due, and schedules the next one if so, with jitter so that the
+    /// members don't synchronize.
     pub fn take_comparison(&mut self, now: Duration, random: &mut ChaCha8Rng) -> bool {
         let is_due = self.next_comparison <= now;
         if is_due {
--- a/crates/merlinreel-mesh/src/node/transport.rs
+++ b/crates/merlinreel-mesh/src/node/transport.rs
@@ -10,35 +10,36 @@
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
-/// Bytes that a message's variant and lengths take at most besides its content.
-const MESSAGE_OVERHEAD_BYTES: usize = 8;
-/// Bytes of a message's content at most: what one datagram holds.
+/// Maximum length of a message's encoded variant and lengths, which precede its content.
+const MAX_MESSAGE_OVERHEAD_BYTES: usize = 8;
+/// Maximum length of a message's content, which always fits into one datagram.
 pub const MAX_MESSAGE_BYTES: usize =
-    MAX_DATAGRAM_BYTES - MAX_OVERHEAD_BYTES - MESSAGE_OVERHEAD_BYTES;
+    MAX_DATAGRAM_BYTES - MAX_OVERHEAD_BYTES - MAX_MESSAGE_OVERHEAD_BYTES;
 
-/// A datagram that is to be sent.
+/// A signed datagram to be sent.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Datagram {
     /// The receiver.
     pub to: SocketAddrV4,
-    /// Its content.
+    /// The whole datagram, with header and signature.
     pub bytes: Vec<u8>,
 }
 
-/// Counts since the start.
+/// Counters since the start of the process.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
     /// Datagrams that were received and dropped, by reason.
     pub dropped: BTreeMap<&'static str, u64>,
-    /// Datagrams sent.
+    /// Datagrams queued for sending.
     pub sent: u64,
-    /// Bytes of the datagrams sent.
+    /// Bytes of the datagrams queued for sending.
     pub sent_bytes: u64,
-    /// Datagrams received and not dropped before their content was handled.
+    /// Datagrams that were verified and decoded. A datagram that is dropped when its message is handled is counted in
+    /// `dropped` too.
     pub received: u64,
-    /// Datagrams not sent because the send budget was exhausted.
+    /// Datagrams not sent because they exceeded the send budget or the maximum size of a datagram.
     pub held_back: u64,
-    /// Datagrams, and digests in them, of processes for which the capacity is exhausted.
+    /// Datagrams, and digests in datagrams, that were not handled because there was no capacity for another process.
     pub at_capacity: u64,
 }
 
@@ -46,44 +47,44 @@
 pub struct ReceivedMessage {
     /// The member that sent it.
     pub sender: Member,
-    /// The message.
+    /// The decoded message.
     pub message: Message,
 }
 
-/// What stands between messages and the network.
+/// Converts messages to datagrams and back, within the send budget, and counts them.
 #[derive(Debug)]
 pub struct Transport {
     authenticator: Authenticator,
     budget: SendBudget,
     datagrams: VecDeque<Datagram>,
     counters: Counters,
-    /// Unix time of the present call of the node.
-    unix: Duration,
+    /// Unix time at the current call of the node.
+    unix_time: Duration,
 }
 
 impl Transport {
-    /// Signs and verifies with `authenticator`, and sends within `budget`.
-    pub fn new(authenticator: Authenticator, budget: SendBudget, unix: Duration) -> Transport {
+    /// A transport that signs and verifies with `authenticator` and sends within `budget`.
+    pub fn new(authenticator: Authenticator, budget: SendBudget, unix_time: Duration) -> Transport {
         Transport {
             authenticator,
             budget,
             datagrams: VecDeque::new(),
             counters: Counters::default(),
-            unix,
+            unix_time,
         }
     }
 
-    /// Sets the Unix time of what is sent and received next.
-    pub fn set_unix_time(&mut self, unix: Duration) {
-        self.unix = unix;
+    /// Sets the Unix time at which the next datagrams are sent and received.
+    pub fn set_unix_time(&mut self, unix_time: Duration) {
+        self.unix_time = unix_time;
     }
 
-    /// Signs and verifies with other keys from now on.
+    /// Replaces the keys that sign and verify datagrams.
     pub fn replace_keys(&mut self, keys: Keys) {
         self.authenticator.replace_keys(keys);
     }
 
-    /// The counts.
+    /// Counters since the start of the process.
     pub fn counters(&self) -> &Counters {
         &self.counters
     }
@@ -94,13 +95,13 @@
         *count.or_default() += 1;
     }
 
-    /// Counts that the capacity for another process was exhausted; returns how often it was.
+    /// Counts that there was no capacity for another process; returns the number of occurrences so far.
     pub fn count_at_capacity(&mut self) -> u64 {
         self.counters.at_capacity += 1;
         self.counters.at_capacity
     }
 
-    /// Queues a message, or counts it as held back if it exceeds the budget.
+    /// Queues a message for sending as a datagram, or counts it as held back if it exceeds the send budget.
     pub fn send(
         &mut self,
         sender: Member,
@@ -110,7 +111,9 @@
         now: Duration,
     ) {
         let content = wire::encode(message);
-        let bytes = self.authenticator.sign(sender, to, self.unix, &content);
+        let bytes = self
+            .authenticator
+            .sign(sender, to, self.unix_time, &content);
         if bytes.len() > MAX_DATAGRAM_BYTES || !self.budget.try_take(bytes.len(), priority, now) {
             self.counters.held_back += 1;
             return;
@@ -120,7 +123,7 @@
         self.datagrams.push_back(Datagram { to, bytes });
     }
 
-    /// Takes the oldest datagram that is to be sent.
+    /// Takes the oldest queued datagram; `None` if the queue is empty.
     pub fn next_datagram(&mut self) -> Option<Datagram> {
         self.datagrams.pop_front()
     }
@@ -129,14 +132,14 @@
     ///
     /// # Errors
     ///
-    /// The reason for which it is to be dropped.
+    /// The reason for which the datagram must be dropped.
     pub fn receive(
         &mut self,
         own: Member,
         bytes: &[u8],
         now: Duration,
     ) -> Result<ReceivedMessage, DropReason> {
-        let datagram = self.authenticator.verify(own, now, self.unix, bytes)?;
+        let datagram = self.authenticator.verify(own, now, self.unix_time, bytes)?;
         let message = wire::decode(datagram.content)?;
         self.counters.received += 1;
         Ok(ReceivedMessage {
--- a/crates/merlinreel-mesh/src/records.rs
+++ b/crates/merlinreel-mesh/src/records.rs
@@ -1,10 +1,12 @@
-//! The records of all owners, without I/O and without a clock: times are this process's monotonic ones, passed in.
+//! The records of all owners, without I/O and without a clock: callers pass this process's monotonic time.
 //!
-//! A process writes only its own records, one of each kind, with ascending versions. Other processes take them over
-//! from any holder in that order, so that one version for each owner says all that is held of it. A record's age is
-//! measured at the holder: since the last heartbeat that its owner made while the record was its latest, heard of
-//! from any member, together with how old the heartbeat was then. So no two clocks are compared, a copy grows no younger
-//! by being passed on, and a record that nobody confirms any more expires after its TTL.
+//! A process writes only its own records, one of each kind, with ascending versions. Other processes copy them from any
+//! holder in the order of versions, so that a single version for each owner tells which of its records are held.
+//!
+//! A holder measures the age of a record from the last heartbeat at which the record was still its owner's latest. Any
+//! member can report the heartbeat, and reports with it how old the heartbeat is. Therefore clocks of different
+//! processes are never compared, a copy does not become younger when it is passed on, and a record that no member
+//! confirms any more expires after its TTL.
 
 mod owner;
 mod record;
@@ -27,12 +29,12 @@
 use std::ops::Bound;
 use std::time::Duration;
 
-/// How fast a record is to reach the other members.
+/// How fast a record must reach the other members.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Urgency {
-    /// Members fetch it when they compare digests.
+    /// Members request the record when they compare digests.
     Routine,
-    /// It is pushed to a few members at once, which pass it on.
+    /// The record is pushed to a few members at once, which push it on.
     Urgent,
 }
 
@@ -42,35 +44,36 @@
     own: Member,
     owners: BTreeMap<SocketAddrV4, OwnerRecords>,
     max_owners: usize,
-    /// The owner at which the next list of digests begins, as one datagram may not hold all.
+    /// The owner at which the next list of digests continues because not all fitted into the last one. `None` if the
+    /// next list begins with the first owner.
     next_digest: Option<SocketAddrV4>,
 }
 
-/// What a digest of another member shows, compared with what is held here.
+/// The result of comparing a digest from another member with the records held here.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Comparison {
-    /// Both hold the same.
+    /// No records need to be requested or sent.
     InSync,
-    /// The other member holds more: records of this incarnation since this version are to be requested.
+    /// The other member holds newer records, which must be requested.
     Behind {
         /// The owner's incarnation.
         incarnation: u64,
-        /// The version held here.
+        /// The version held here; 0 if no record of that incarnation is held.
         since_version: u64,
     },
-    /// This process holds more: records of this incarnation since this version are to be sent.
+    /// This process holds newer records, which must be sent to the other member.
     Ahead {
         /// The owner's incarnation.
         incarnation: u64,
-        /// The version that the other member holds.
+        /// The version that the other member holds; 0 if it holds no record of that incarnation.
         since_version: u64,
     },
-    /// Nothing is held of that owner, and the maximum number of owners is held.
+    /// The owner is new, and the maximum number of owners is held.
     AtCapacity,
 }
 
 impl RecordStore {
-    /// Holds this process's own records, and those of others up to `max_owners` owners in all.
+    /// A store of the records of this process and others, `max_owners` owners in all. No record is held at first.
     pub fn new(own: Member, max_owners: usize) -> RecordStore {
         let own_records = OwnerRecords::new(own.incarnation, Duration::ZERO);
         RecordStore {
@@ -81,12 +84,12 @@
         }
     }
 
-    /// This process.
+    /// This process in its current incarnation.
     pub fn own(&self) -> Member {
         self.own
     }
 
-    /// Continues as another incarnation, greater than what others hold of this process, with the same records.
+    /// Continues with the same records under another incarnation of this process, greater than any that others hold.
     pub fn renew_incarnation(&mut self, incarnation: u64, now: Duration) {
         self.own.incarnation = incarnation;
         let mut records = OwnerRecords::new(incarnation, now);
@@ -96,8 +99,8 @@
         self.owners.insert(self.own.address, records);
     }
 
-    /// Writes one of this process's own records; an empty body withdraws it. Returns its version, or none if it equals
-    /// the present record.
+    /// Writes one of this process's own records; an empty body withdraws it. Returns its version, or `None` if nothing
+    /// changes.
     ///
     /// # Errors
     ///
@@ -123,14 +126,14 @@
         records.write(kind, body, ttl)
     }
 
-    /// Makes a heartbeat of this process, which others hear of in digests.
+    /// Increments this process's heartbeat, which digests report to other members.
     pub fn increment_heartbeat(&mut self, now: Duration) {
         if let Some(records) = self.owners.get_mut(&self.own.address) {
             records.increment_heartbeat(now);
         }
     }
 
-    /// Sets which members the membership protocol considers alive. Their records do not expire.
+    /// Sets which members the membership protocol considers alive. Their records don't expire.
     pub fn set_alive(&mut self, members: impl Iterator<Item = Member>) {
         for held in self.owners.values_mut() {
             held.alive = false;
@@ -144,15 +147,15 @@
         }
     }
 
-    /// Removes expired records, and owners that need not be remembered any longer.
+    /// Removes other owners' expired records, and owners that need not be remembered any longer.
     pub fn remove_expired(&mut self, now: Duration) {
         let own = self.own.address;
         self.owners
             .retain(|address, held| *address == own || held.remove_expired(now));
     }
 
-    /// Digests of as many owners as fit into `max_bytes`: this process first, then the others, beginning where the last
-    /// list ended.
+    /// Returns the digests of as many owners as fit into `max_bytes`: this process first, then the others, beginning
+    /// where the last list ended.
     pub fn digests(&mut self, now: Duration, max_bytes: usize) -> Vec<Digest> {
         let own = self.own.address;
         let start = self.next_digest.take();
@@ -166,20 +169,21 @@
         let others = later.chain(earlier).filter(|(owner, _)| **owner != own);
         let first = self.owners.get_key_value(&own);
         let mut digests = Vec::new();
-        let mut left = max_bytes;
+        let mut available_bytes = max_bytes;
         for (&owner, held) in first.into_iter().chain(others) {
             let digest = held.digest(owner, now);
-            let Some(rest) = left.checked_sub(digest.max_encoded_bytes()) else {
+            let Some(remaining_bytes) = available_bytes.checked_sub(digest.max_encoded_bytes())
+            else {
                 self.next_digest = Some(owner);
                 break;
             };
-            left = rest;
+            available_bytes = remaining_bytes;
             digests.push(digest);
         }
         digests
     }
 
-    /// Applies the heartbeat in a digest, and compares what its sender holds with what is held here.
+    /// Applies the heartbeat in a digest, and compares the version that its sender holds with the one held here.
     pub fn apply_digest(&mut self, digest: &Digest, now: Duration) -> Comparison {
         if digest.owner == self.own.address {
             return self.compare_own(digest, now);
@@ -222,8 +226,8 @@
         }
     }
 
-    /// Compares a digest of this process. Nobody holds more of it than itself, except of a later incarnation that it
-    /// does not remember: then it continues as the one after that.
+    /// Compares a digest of this process's own records. No other member holds newer ones, except those of a later
+    /// incarnation that this process does not remember: it then continues under the incarnation after that one.
     fn compare_own(&mut self, digest: &Digest, now: Duration) -> Comparison {
         let held = self.owners.get(&self.own.address);
         let own_version = held.map_or(0, |held| held.max_version);
@@ -242,7 +246,8 @@
         }
     }
 
-    /// What is held of an owner since a version, by ascending version, as much as fits into `max_bytes`.
+    /// Returns the records of an owner with a greater version than `since_version`, by ascending version, as many as
+    /// fit into `max_bytes`. `None` if the owner is unknown or not even the first record fits.
     pub fn updates_since(
         &self,
         owner: SocketAddrV4,
@@ -255,7 +260,7 @@
             .updates_since(owner, since_version, now, max_bytes)
     }
 
-    /// Whether records of that owner are held, or may be.
+    /// Whether records of this owner are held, or there is capacity for another owner.
     fn has_capacity_for(&self, owner: SocketAddrV4) -> bool {
         self.owners.len() < self.max_owners || self.owners.contains_key(&owner)
     }
@@ -283,14 +288,14 @@
         if !self.has_capacity_for(digest.owner) {
             return Err(DropReason::OwnersAtCapacity);
         }
-        // As old as the sender's heartbeat: a copy must not grow younger by being passed on.
+        // The time of the heartbeat that the sender holds: a copy must not become younger when it is passed on.
         let alive_at = now.saturating_sub(digest.heartbeat_age());
         let held = self
             .owners
             .entry(digest.owner)
             .or_insert_with(|| OwnerRecords::new(digest.incarnation, alive_at));
         if digest.incarnation > held.incarnation {
-            // Records of the owner's previous incarnation are void.
+            // Records of the owner's previous incarnation are no longer valid.
             *held = OwnerRecords::new(digest.incarnation, alive_at);
         }
         Ok(held.apply_update(update, now))
--- a/crates/merlinreel-mesh/src/records/owner.rs
+++ b/crates/merlinreel-mesh/src/records/owner.rs
@@ -1,4 +1,4 @@
-//! What is held of one owner.
+//! The records and the heartbeat held of one owner.
 
 use super::record::{Digest, Kind, MAX_KINDS, Record, RecordsUpdate};
 use crate::error::PublishError;
@@ -6,35 +6,38 @@
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
-/// How long an owner's incarnation and version are remembered after its last record expired, so that an old copy from
-/// a process that was away for that long is not taken for a new one.
+/// How long an owner's incarnation and version are remembered after its last known heartbeat, even if all of its
+/// records have expired. It prevents an old copy from a process that was unreachable or stalled in the meantime from
+/// being accepted as new.
 pub const VERSION_RETENTION: Duration = Duration::from_secs(3600);
-/// Bytes that an update takes at most besides its digest and its records.
-const UPDATE_OVERHEAD_BYTES: usize = 16;
-/// Bytes that a record takes at most besides its body: 3 for its kind, 10 for its version, 2 for its TTL, 2 for its
-/// body's length.
-const RECORD_OVERHEAD_BYTES: usize = 17;
+/// Maximum length of an update's encoding without its digest and its records.
+const MAX_UPDATE_OVERHEAD_BYTES: usize = 16;
+/// Maximum length of a record's encoding without its body: 3 bytes for the kind, 10 for the version, 2 for the TTL and
+/// 2 for the body's length.
+const MAX_RECORD_OVERHEAD_BYTES: usize = 17;
 
-/// The records of one owner's incarnation.
+/// The records of one incarnation of an owner.
 #[derive(Debug)]
 pub struct OwnerRecords {
     /// The owner's incarnation.
     pub incarnation: u64,
     /// The greatest version up to which all records are held.
     pub max_version: u64,
+    /// The owner's heartbeat counter at its last known heartbeat; 0 if no heartbeat is known.
     heartbeat: u64,
     /// When that heartbeat was made, by the holder's monotonic clock.
     heartbeat_at: Duration,
-    /// When all that is held up to `max_version` was last known to be the owner's latest.
+    /// When the records held, all up to `max_version`, were last known to be the owner's latest, by the holder's
+    /// monotonic clock.
     pub confirmed_at: Duration,
     /// Whether the membership protocol considers this incarnation alive.
     pub alive: bool,
-    /// The latest record of each kind.
+    /// The latest record of each kind, withdrawn ones included.
     pub records: BTreeMap<Kind, Record>,
 }
 
 impl OwnerRecords {
-    /// No records yet, of an owner last known to be alive at `alive_at`.
+    /// Holds no records yet, of an owner last known to be alive at `alive_at`.
     pub fn new(incarnation: u64, alive_at: Duration) -> OwnerRecords {
         OwnerRecords {
             incarnation,
@@ -47,7 +50,7 @@
         }
     }
 
-    /// Takes over the records of this owner's previous incarnation, under new versions.
+    /// Copies the records of this owner's previous incarnation, under new versions. Withdrawn ones are left out.
     pub fn carry_over(&mut self, previous: OwnerRecords) {
         let published = previous
             .records
@@ -60,7 +63,7 @@
         }
     }
 
-    /// Writes a record, or withdraws it if `body` is empty. Returns its version, or none if nothing changes.
+    /// Writes a record, or withdraws it if `body` is empty. Returns its version, or `None` if nothing changes.
     ///
     /// # Errors
     ///
@@ -91,9 +94,9 @@
         Ok(Some(self.max_version))
     }
 
-    /// Whether a record is still valid: its owner is alive, or its owner's last known heartbeat is no older than the
-    /// record's TTL. In a large fleet a heartbeat takes minutes to reach every member, while the membership protocol
-    /// takes seconds; without it the records of living owners would expire between heartbeats.
+    /// Whether a record is still valid: its owner is alive, or the last heartbeat that confirmed the record is no older
+    /// than the record's TTL. In a large fleet a heartbeat takes minutes to reach every member, while the membership
+    /// protocol takes seconds: if only heartbeats counted, records of live owners would expire between them.
     pub fn is_valid(&self, record: &Record, now: Duration) -> bool {
         self.alive || self.age(now) <= Duration::from_secs(record.ttl_s.into())
     }
@@ -103,14 +106,14 @@
         now.saturating_sub(self.confirmed_at)
     }
 
-    /// Makes a heartbeat of this process's own.
+    /// Increments the heartbeat. Only the owner does this.
     pub fn increment_heartbeat(&mut self, now: Duration) {
         self.heartbeat += 1;
         self.heartbeat_at = now;
         self.confirmed_at = now;
     }
 
-    /// The digest of what is held of the owner at that address.
+    /// Returns the digest of these records, whose owner has the address `owner`.
     pub fn digest(&self, owner: SocketAddrV4, now: Duration) -> Digest {
         let age = now.saturating_sub(self.heartbeat_at);
         let tenths = age.as_millis().div_ceil(100);
@@ -123,9 +126,9 @@
         }
     }
 
-    /// Applies the heartbeat in a digest of this incarnation. A heartbeat that was made when the owner had written more
-    /// than is held here does not confirm what is held: it is left until that is held, so that heartbeat and version in
-    /// one digest always belong together.
+    /// Applies the heartbeat in a digest of this incarnation. A heartbeat that was made when the owner had already
+    /// written records that are not held here does not confirm the records held. It is ignored until those records are
+    /// held, so that the heartbeat and the version in one digest always belong together.
     pub fn apply_heartbeat(&mut self, digest: &Digest, now: Duration) {
         if digest.max_version > self.max_version {
             return;
@@ -133,7 +136,7 @@
         if digest.heartbeat > self.heartbeat {
             self.heartbeat = digest.heartbeat;
             let made_at = now.saturating_sub(digest.heartbeat_age());
-            // Never earlier than an earlier heartbeat.
+            // A heartbeat can't have been made before the one that preceded it.
             self.heartbeat_at = made_at.max(self.heartbeat_at.min(now));
         }
         if digest.heartbeat >= self.heartbeat {
@@ -141,8 +144,8 @@
         }
     }
 
-    /// The records with a greater version than `since_version`, as many as fit into `max_bytes`. None if not even the
-    /// first one fits.
+    /// Returns the records with a greater version than `since_version`, by ascending version, as many as fit into
+    /// `max_bytes`. `None` if not even the first one fits.
     pub fn updates_since(
         &self,
         owner: SocketAddrV4,
@@ -157,16 +160,20 @@
             .collect();
         newer.sort_unstable_by_key(|record| record.version);
         let mut digest = self.digest(owner, now);
-        let mut left = max_bytes.checked_sub(digest.max_encoded_bytes() + UPDATE_OVERHEAD_BYTES)?;
+        let mut available_bytes =
+            max_bytes.checked_sub(digest.max_encoded_bytes() + MAX_UPDATE_OVERHEAD_BYTES)?;
         let mut records: Vec<Record> = Vec::new();
         for record in newer {
-            let Some(rest) = left.checked_sub(RECORD_OVERHEAD_BYTES + record.body.len()) else {
-                // The receiver holds no more than this after the update, and no heartbeat is known for that version.
+            let Some(remaining_bytes) =
+                available_bytes.checked_sub(MAX_RECORD_OVERHEAD_BYTES + record.body.len())
+            else {
+                // The receiver holds only the records up to this version after the update, and which heartbeat belongs
+                // to it is not known.
                 digest.max_version = records.last()?.version;
                 digest.heartbeat = 0;
                 break;
             };
-            left = rest;
+            available_bytes = remaining_bytes;
             records.push(record.clone());
         }
         Some(RecordsUpdate {
@@ -188,7 +195,7 @@
                 }
             }
             self.max_version = max_version;
-            // A faulty owner might send ever new kinds: that must not fill the memory.
+            // A faulty owner that keeps sending new kinds must not exhaust the memory.
             while self.records.len() > MAX_KINDS {
                 self.records.pop_last();
             }
@@ -197,7 +204,7 @@
         is_new
     }
 
-    /// Removes the records that are no longer valid; returns whether the owner must still be remembered.
+    /// Removes the records that are no longer valid. Returns whether the owner must still be remembered.
     pub fn remove_expired(&mut self, now: Duration) -> bool {
         let mut records = std::mem::take(&mut self.records);
         records.retain(|_, record| self.is_valid(record, now));
--- a/crates/merlinreel-mesh/src/records/record.rs
+++ b/crates/merlinreel-mesh/src/records/record.rs
@@ -1,34 +1,35 @@
-//! Records, digests and updates in the form in which they are sent. The order and types of their fields are their
-//! encoding.
+//! Records, digests and updates as they are sent. The order and types of their fields define their encoding.
 
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
-/// What a record is about. Records of a kind that a process does not know are held and passed on like others.
+/// Type of a record, which defines how the body is decoded. Records of a kind that a process does not know are held and
+/// passed on like others.
 pub type Kind = u16;
 
-/// Kinds of records that one process may publish.
+/// Maximum number of kinds of records that one process may publish.
 pub const MAX_KINDS: usize = 16;
-/// Bytes of one record's body at most.
+/// Maximum length of one record's body.
 pub const MAX_BODY_BYTES: usize = 900;
-/// The greatest age that is accepted for a heartbeat, about the greatest that a digest can express.
+/// Maximum age of a heartbeat; a greater one is reduced to this. About the maximum that a digest can express.
 const MAX_HEARTBEAT_AGE: Duration = Duration::from_secs(6553);
 
 /// A record as its owner published it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
-    /// What it is about.
+    /// Defines how the body is decoded.
     pub kind: Kind,
-    /// Its place in the order in which its owner wrote its records.
+    /// Position in the order in which the owner wrote all of its records, from 1.
     pub version: u64,
-    /// How long it is valid without a sign of its owner, in seconds.
+    /// How long the record is valid after the last heartbeat that confirmed it, in seconds, unless its owner is known
+    /// to be alive.
     pub ttl_s: u16,
-    /// Its content, which only processes that know its kind can decode; empty if its owner withdrew it.
+    /// Content, which only processes that know the kind can decode; empty if the owner withdrew the record.
     pub body: Vec<u8>,
 }
 
-/// Which versions of an owner's records are held, and which of its heartbeats was last heard of.
+/// The version up to which an owner's records are held, and the owner's last known heartbeat.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Digest {
     /// The owner's address.
@@ -37,45 +38,46 @@
     pub incarnation: u64,
     /// The greatest version up to which all records are held.
     pub max_version: u64,
-    /// The owner's heartbeat counter.
+    /// The owner's heartbeat counter at its last known heartbeat; 0 if no heartbeat is known.
     pub heartbeat: u64,
-    /// How long ago that heartbeat was made, in tenths of a second.
+    /// Age of that heartbeat in tenths of a second; 65535 if it is older.
     pub heartbeat_age_ds: u16,
 }
 
 impl Digest {
-    /// Bytes of its encoding at most.
+    /// Maximum length of the digest's encoding.
     pub fn max_encoded_bytes(&self) -> usize {
-        const ADDRESS: usize = 4;
-        const U16: usize = 3;
+        const IP_BYTES: usize = 4;
+        const MAX_U16_BYTES: usize = 3;
         let varint = |number: u64| {
             let bits = (u64::BITS - number.leading_zeros()) as usize;
             bits.div_ceil(7).max(1)
         };
         let counters = varint(self.incarnation) + varint(self.max_version) + varint(self.heartbeat);
-        ADDRESS + U16 + counters + U16
+        IP_BYTES + MAX_U16_BYTES + counters + MAX_U16_BYTES
     }
 
-    /// How long ago the heartbeat was made, as far as the sender knows.
+    /// Age of the heartbeat when the digest was made, as far as its sender knew.
     pub fn heartbeat_age(&self) -> Duration {
         Duration::from_millis(u64::from(self.heartbeat_age_ds) * 100).min(MAX_HEARTBEAT_AGE)
     }
 }
 
-/// Some of an owner's records, by ascending version. No record between `since_version` and `digest.max_version` is left
-/// out.
+/// Records of one owner, by ascending version: the latest of each kind, if its version is greater than `since_version`
+/// and at most `digest.max_version`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RecordsUpdate {
-    /// The owner, and the version that a receiver holds after the update.
+    /// Names the owner, and the version up to which a receiver holds all records after the update.
     pub digest: Digest,
-    /// The version that a receiver must hold already.
+    /// The version up to which a receiver must already hold all records; 0 if it need not hold any.
     pub since_version: u64,
-    /// The records.
+    /// The records, which may be none.
     pub records: Vec<Record>,
 }
 
 impl RecordsUpdate {
-    /// Whether its versions ascend between both ends, and its records are within the limits.
+    /// Whether the versions ascend within the update's range, and the number and length of the records are within the
+    /// limits.
     pub fn is_valid(&self) -> bool {
         let max_version = self.digest.max_version;
         let is_ascending = self
--- a/crates/merlinreel-mesh/src/records/tests.rs
+++ b/crates/merlinreel-mesh/src/records/tests.rs
@@ -20,25 +20,25 @@
     )
 }
 
-fn s(seconds: u64) -> Duration {
-    Duration::from_secs(seconds)
+fn seconds(count: u64) -> Duration {
+    Duration::from_secs(count)
 }
 
 const TTL: Duration = Duration::from_secs(30);
 
-/// Sends all that `from` holds of `of` to `to`, in as many updates as necessary.
-fn transfer(from: &RecordStore, to: &mut RecordStore, of: u16, now: Duration) {
+/// Transfers all records of the owner at port `owner` that `from` holds to `to`, in as many updates as necessary.
+fn transfer(from: &RecordStore, to: &mut RecordStore, owner: u16, now: Duration) {
     for _ in 0..20 {
-        let since_version = match to.owners.get(&address(of)) {
-            Some(held) if held.incarnation == from.owners[&address(of)].incarnation => {
+        let since_version = match to.owners.get(&address(owner)) {
+            Some(held) if held.incarnation == from.owners[&address(owner)].incarnation => {
                 held.max_version
             }
             _ => 0,
         };
-        let Some(update) = from.updates_since(address(of), since_version, now, 1000) else {
+        let Some(update) = from.updates_since(address(owner), since_version, now, 1000) else {
             return;
         };
-        let is_complete = update.digest.max_version >= from.owners[&address(of)].max_version;
+        let is_complete = update.digest.max_version >= from.owners[&address(owner)].max_version;
         to.apply_update(update, now).expect("capacity");
         if is_complete {
             return;
@@ -46,8 +46,10 @@
     }
 }
 
-fn bodies(of: &RecordStore, kind: Kind, now: Duration) -> Vec<(u16, Vec<u8>, u64)> {
-    of.view(now)
+/// The owner's port, the body, and the age in seconds of each record of a kind.
+fn bodies(records: &RecordStore, kind: Kind, now: Duration) -> Vec<(u16, Vec<u8>, u64)> {
+    records
+        .view(now)
         .raw(kind)
         .map(|held| {
             (
@@ -61,75 +63,94 @@
 
 #[test]
 fn copied_record_keeps_its_age() {
-    let (mut one, mut two, mut three) = (store(1, 5), store(2, 5), store(3, 5));
-    one.publish(7, b"a".to_vec(), TTL, s(0)).expect("short");
-    one.increment_heartbeat(s(0));
-    transfer(&one, &mut two, 1, s(1));
-    // Ten seconds later, to a process whose clock differs, from one that heard of no heartbeat since.
-    let update = two
-        .updates_since(address(1), 0, s(11), 1000)
+    let (mut owner, mut first_holder, mut second_holder) = (store(1, 5), store(2, 5), store(3, 5));
+    owner
+        .publish(7, b"a".to_vec(), TTL, seconds(0))
+        .expect("short");
+    owner.increment_heartbeat(seconds(0));
+    transfer(&owner, &mut first_holder, 1, seconds(1));
+    // Ten seconds later a process that has received no newer heartbeat sends the record to one with another clock.
+    let update = first_holder
+        .updates_since(address(1), 0, seconds(11), 1000)
+        .expect("capacity");
+    second_holder
+        .apply_update(update, seconds(500))
         .expect("capacity");
-    three.apply_update(update, s(500)).expect("capacity");
-    assert_eq!(bodies(&three, 7, s(500)), [(1, b"a".to_vec(), 11)]);
-    // The owner's next heartbeat confirms it; without another one it expires after its TTL.
-    one.increment_heartbeat(s(12));
-    let digest = one.owners[&address(1)].digest(address(1), s(12));
-    assert_eq!(three.apply_digest(&digest, s(503)), Comparison::InSync);
-    assert_eq!(bodies(&three, 7, s(503)), [(1, b"a".to_vec(), 0)]);
-    assert!(bodies(&three, 7, s(534)).is_empty());
-    three.remove_expired(s(534));
-    assert!(three.owners[&address(1)].records.is_empty());
+    assert_eq!(
+        bodies(&second_holder, 7, seconds(500)),
+        [(1, b"a".to_vec(), 11)]
+    );
+    // The owner's next heartbeat confirms the record; without another heartbeat it expires after its TTL.
+    owner.increment_heartbeat(seconds(12));
+    let digest = owner.owners[&address(1)].digest(address(1), seconds(12));
+    assert_eq!(
+        second_holder.apply_digest(&digest, seconds(503)),
+        Comparison::InSync
+    );
+    assert_eq!(
+        bodies(&second_holder, 7, seconds(503)),
+        [(1, b"a".to_vec(), 0)]
+    );
+    assert!(bodies(&second_holder, 7, seconds(534)).is_empty());
+    second_holder.remove_expired(seconds(534));
+    assert!(second_holder.owners[&address(1)].records.is_empty());
 }
 
-/// A process that was stalled still holds an older version.
+/// A stalled process sends an older version late. Others that hold or held a newer one must not accept it.
 #[test]
 fn late_copy_does_not_replace_a_newer_version() {
-    let (mut one, mut two, mut stalled) = (store(1, 5), store(2, 5), store(3, 5));
-    one.publish(7, b"old".to_vec(), TTL, s(0)).expect("short");
-    transfer(&one, &mut two, 1, s(0));
-    transfer(&one, &mut stalled, 1, s(0));
-    one.publish(7, b"new".to_vec(), TTL, s(1)).expect("short");
-    transfer(&one, &mut two, 1, s(1));
+    let (mut owner, mut holder, mut stalled) = (store(1, 5), store(2, 5), store(3, 5));
+    owner
+        .publish(7, b"old".to_vec(), TTL, seconds(0))
+        .expect("short");
+    transfer(&owner, &mut holder, 1, seconds(0));
+    transfer(&owner, &mut stalled, 1, seconds(0));
+    owner
+        .publish(7, b"new".to_vec(), TTL, seconds(1))
+        .expect("short");
+    transfer(&owner, &mut holder, 1, seconds(1));
     let late = stalled
-        .updates_since(address(1), 0, s(2), 1000)
+        .updates_since(address(1), 0, seconds(2), 1000)
         .expect("capacity");
-    assert_eq!(two.apply_update(late.clone(), s(2)), Ok(false));
-    assert_eq!(bodies(&two, 7, s(2))[0].1, b"new");
-    // Nor after the newer one has expired, nor against a later incarnation of its owner.
-    two.remove_expired(s(100));
-    assert_eq!(two.apply_update(late.clone(), s(100)), Ok(false));
-    assert!(bodies(&two, 7, s(100)).is_empty());
+    assert_eq!(holder.apply_update(late.clone(), seconds(2)), Ok(false));
+    assert_eq!(bodies(&holder, 7, seconds(2))[0].1, b"new");
+    // The old version is not accepted after the newer one has expired either, nor after the owner has restarted.
+    holder.remove_expired(seconds(100));
+    assert_eq!(holder.apply_update(late.clone(), seconds(100)), Ok(false));
+    assert!(bodies(&holder, 7, seconds(100)).is_empty());
     let mut restarted = store(1, 6);
-    restarted.increment_heartbeat(s(100));
+    restarted.increment_heartbeat(seconds(100));
     restarted
-        .publish(7, b"again".to_vec(), TTL, s(0))
+        .publish(7, b"again".to_vec(), TTL, seconds(0))
         .expect("short");
-    transfer(&restarted, &mut two, 1, s(101));
-    assert_eq!(two.apply_update(late, s(102)), Ok(false));
-    assert_eq!(bodies(&two, 7, s(102))[0].1, b"again");
+    transfer(&restarted, &mut holder, 1, seconds(101));
+    assert_eq!(holder.apply_update(late, seconds(102)), Ok(false));
+    assert_eq!(bodies(&holder, 7, seconds(102))[0].1, b"again");
 }
 
-/// A process that starts with no memory, and with a clock behind that of its previous incarnation, learns that others
-/// hold something of it and continues with a greater incarnation.
+/// A process restarts without memory, and its clock is behind that of its previous incarnation. It learns from a digest
+/// that others hold records of that incarnation, and continues under a greater one.
 #[test]
 fn restarted_process_continues_above_its_previous_incarnation() {
-    let (mut before, mut other) = (store(1, 9), store(2, 5));
-    before
-        .publish(7, b"before".to_vec(), TTL, s(0))
+    let (mut previous, mut holder) = (store(1, 9), store(2, 5));
+    previous
+        .publish(7, b"before".to_vec(), TTL, seconds(0))
+        .expect("short");
+    transfer(&previous, &mut holder, 1, seconds(0));
+    let mut restarted = store(1, 4);
+    restarted
+        .publish(7, b"now".to_vec(), TTL, seconds(0))
         .expect("short");
-    transfer(&before, &mut other, 1, s(0));
-    let mut now = store(1, 4);
-    now.publish(7, b"now".to_vec(), TTL, s(0)).expect("short");
-    let digest = other.owners[&address(1)].digest(address(1), s(1));
+    let digest = holder.owners[&address(1)].digest(address(1), seconds(1));
     assert_eq!(
-        now.apply_digest(&digest, s(1)),
+        restarted.apply_digest(&digest, seconds(1)),
         Comparison::Ahead {
             incarnation: 10,
             since_version: 0
         }
     );
-    transfer(&now, &mut other, 1, s(1));
-    assert_eq!(bodies(&other, 7, s(1))[0].1, b"now");
+    transfer(&restarted, &mut holder, 1, seconds(1));
+    assert_eq!(bodies(&holder, 7, seconds(1))[0].1, b"now");
 }
 
 #[derive(Debug, Deserialize, PartialEq)]
@@ -137,30 +158,31 @@
     load: u32,
 }
 
-/// Records of newer processes: unknown kinds are held and passed on, unknown object members are ignored, what can't be
-/// decoded is counted.
+/// Records of newer processes: unknown kinds are held and passed on, unknown object members are ignored, and records
+/// that can't be decoded are counted.
 #[test]
 fn records_of_a_newer_version_are_tolerated() {
     let (mut new, mut old, mut third) = (store(1, 5), store(2, 5), store(3, 5));
-    new.publish(7, br#"{"load":3,"mood":"fine"}"#.to_vec(), TTL, s(0))
+    new.publish(7, br#"{"load":3,"mood":"fine"}"#.to_vec(), TTL, seconds(0))
         .expect("short");
-    new.publish(900, b"odd".to_vec(), TTL, s(0)).expect("short");
-    transfer(&new, &mut old, 1, s(0));
-    old.publish(7, br#"{"load":4}"#.to_vec(), TTL, s(0))
+    new.publish(900, b"odd".to_vec(), TTL, seconds(0))
         .expect("short");
-    transfer(&old, &mut third, 1, s(0));
-    transfer(&old, &mut third, 2, s(0));
+    transfer(&new, &mut old, 1, seconds(0));
+    old.publish(7, br#"{"load":4}"#.to_vec(), TTL, seconds(0))
+        .expect("short");
+    transfer(&old, &mut third, 1, seconds(0));
+    transfer(&old, &mut third, 2, seconds(0));
     third
-        .publish(7, br#"{"load":"none"}"#.to_vec(), TTL, s(0))
+        .publish(7, br#"{"load":"none"}"#.to_vec(), TTL, seconds(0))
         .expect("short");
-    let decoded = third.view(s(0)).decode::<Load>(7);
+    let decoded = third.view(seconds(0)).decode::<Load>(7);
     let loads: Vec<u32> = decoded
         .records
         .iter()
         .map(|record| record.body.load)
         .collect();
     assert_eq!((loads, decoded.unreadable), (vec![3, 4], 1));
-    assert_eq!(bodies(&third, 900, s(0)), [(1, b"odd".to_vec(), 0)]);
+    assert_eq!(bodies(&third, 900, seconds(0)), [(1, b"odd".to_vec(), 0)]);
 }
 
 #[test_case(MAX_BODY_BYTES + 1, 0 => Err(PublishError::TooLong { bytes: MAX_BODY_BYTES + 1, max: MAX_BODY_BYTES }) ; "too long")]
@@ -168,56 +190,62 @@
 #[test_case(0, 2 => Ok(None) ; "nothing to withdraw")]
 #[test_case(MAX_BODY_BYTES, 2 => Ok(Some(3)) ; "maximum length")]
 fn published_records_are_bounded(bytes: usize, kinds: usize) -> Result<Option<u64>, PublishError> {
-    let mut one = store(1, 5);
+    let mut owner = store(1, 5);
     for kind in 0..kinds {
-        one.publish(kind as Kind, vec![1], TTL, s(0))
+        owner
+            .publish(kind as Kind, vec![1], TTL, seconds(0))
             .expect("capacity");
     }
-    one.publish(500, vec![0; bytes], TTL, s(0))
+    owner.publish(500, vec![0; bytes], TTL, seconds(0))
 }
 
-/// Many owners and long records: digest lists continue where the last one ended, records go in several updates.
+/// With many owners and long records, a list of digests continues where the last one ended, and records are sent in
+/// several updates.
 #[test]
 fn lists_larger_than_one_datagram_are_sent_in_parts() {
-    let (mut one, mut two) = (store(1, 5), store(2, 5));
+    let (mut owner, mut holder) = (store(1, 5), store(2, 5));
     for kind in 0..10 {
-        one.publish(kind, vec![kind as u8; 800], TTL, s(0))
+        owner
+            .publish(kind, vec![kind as u8; 800], TTL, seconds(0))
             .expect("short");
     }
-    transfer(&one, &mut two, 1, s(0));
-    assert_eq!(two.owners[&address(1)].records.len(), 10);
+    transfer(&owner, &mut holder, 1, seconds(0));
+    assert_eq!(holder.owners[&address(1)].records.len(), 10);
     for port in 10..300 {
         let other = store(port, 5);
-        two.apply_update(
-            other
-                .updates_since(address(port), 0, s(0), 1000)
-                .expect("capacity"),
-            s(0),
-        )
-        .expect("capacity");
+        holder
+            .apply_update(
+                other
+                    .updates_since(address(port), 0, seconds(0), 1000)
+                    .expect("capacity"),
+                seconds(0),
+            )
+            .expect("capacity");
     }
     let mut seen = std::collections::BTreeSet::new();
     for _ in 0..8 {
-        let digests = two.digests(s(0), 1000);
+        let digests = holder.digests(seconds(0), 1000);
         assert!(
             digests.iter().map(Digest::max_encoded_bytes).sum::<usize>() <= 1000
                 && digests[0].owner == address(2)
         );
         seen.extend(digests.iter().map(|digest| digest.owner));
     }
-    assert_eq!(seen.len(), two.owners.len());
+    assert_eq!(seen.len(), holder.owners.len());
 }
 
-/// An update with the record of the process at `port`.
+/// An update with one record of the process at `port`.
 fn update_of(port: u16) -> RecordsUpdate {
-    let mut one = store(port, 5);
-    one.publish(7, port.to_be_bytes().to_vec(), TTL, s(0))
+    let mut owner = store(port, 5);
+    owner
+        .publish(7, port.to_be_bytes().to_vec(), TTL, seconds(0))
         .expect("short");
-    one.updates_since(address(port), 0, s(0), 1000)
+    owner
+        .updates_since(address(port), 0, seconds(0), 1000)
         .expect("capacity")
 }
 
-/// A process of a large fleet holds a record of each other one.
+/// A process of a large fleet holds a record of each other process.
 #[test]
 fn all_records_of_a_large_fleet_are_held() {
     const LIMITERS: u16 = 2300;
@@ -228,16 +256,19 @@
     let mut records = RecordStore::new(own, Capacity::for_limiters(LIMITERS.into()).owners);
     for port in 2..=LIMITERS {
         assert_eq!(
-            records.apply_update(update_of(port), s(0)),
+            records.apply_update(update_of(port), seconds(0)),
             Ok(true),
             "{port}"
         );
     }
-    assert_eq!(bodies(&records, 7, s(0)).len(), usize::from(LIMITERS) - 1);
+    assert_eq!(
+        bodies(&records, 7, seconds(0)).len(),
+        usize::from(LIMITERS) - 1
+    );
 }
 
-/// One owner too many is refused with its own reason and nothing is requested of it; what is held stays, and once an
-/// owner is forgotten the new one is accepted.
+/// An owner above the capacity is refused with a reason of its own and its records are not requested. The records held
+/// stay. Once an owner is removed the new one is accepted.
 #[test]
 fn owner_above_capacity_is_refused_and_held_records_stay() {
     let mut records = RecordStore::new(
@@ -248,20 +279,20 @@
         3,
     );
     for port in [2, 3] {
-        assert_eq!(records.apply_update(update_of(port), s(0)), Ok(true));
+        assert_eq!(records.apply_update(update_of(port), seconds(0)), Ok(true));
     }
-    let held = bodies(&records, 7, s(0));
+    let held = bodies(&records, 7, seconds(0));
     assert_eq!(
-        records.apply_update(update_of(4), s(0)),
+        records.apply_update(update_of(4), seconds(0)),
         Err(DropReason::OwnersAtCapacity)
     );
     assert_eq!(
-        records.apply_digest(&update_of(4).digest, s(0)),
+        records.apply_digest(&update_of(4).digest, seconds(0)),
         Comparison::AtCapacity
     );
-    assert_eq!(bodies(&records, 7, s(0)), held);
+    assert_eq!(bodies(&records, 7, seconds(0)), held);
     assert_eq!(
-        records.apply_digest(&update_of(3).digest, s(0)),
+        records.apply_digest(&update_of(3).digest, seconds(0)),
         Comparison::InSync
     );
     let later = VERSION_RETENTION + TTL;
@@ -269,100 +300,114 @@
     assert_eq!(records.apply_update(update_of(4), later), Ok(true));
 }
 
-/// What happens to three processes: 0 and 1 write and make heartbeats, each passes on what it holds or restarts, and an
-/// old update arrives late.
+/// An operation on three processes. Processes 0 and 1 write records and increment their heartbeats, each process may
+/// send the records it holds or restart, and an old update may arrive late.
 #[derive(Clone, Copy, Debug)]
 enum Operation {
     Write(usize, u8),
-    Transfer { from: usize, to: usize, of: usize },
+    Transfer {
+        from: usize,
+        to: usize,
+        owner: usize,
+    },
     Restart(usize),
-    Late { of: usize, to: usize },
+    DeliverOldUpdate {
+        owner: usize,
+        to: usize,
+    },
 }
 
 fn operations() -> impl Strategy<Value = Vec<Operation>> {
     let operation = prop_oneof![
-        (0..2usize, 1u8..).prop_map(|(who, what)| Operation::Write(who, what)),
-        (0..3usize, 0..3usize, 0..2usize).prop_map(|(from, to, of)| Operation::Transfer {
+        (0..2usize, 1u8..).prop_map(|(process, value)| Operation::Write(process, value)),
+        (0..3usize, 0..3usize, 0..2usize).prop_map(|(from, to, owner)| Operation::Transfer {
             from,
             to,
-            of
+            owner
         }),
         (0..3usize).prop_map(Operation::Restart),
-        (0..2usize, 0..3usize).prop_map(|(of, to)| Operation::Late { of, to }),
+        (0..2usize, 0..3usize).prop_map(|(owner, to)| Operation::DeliverOldUpdate { owner, to }),
     ];
     proptest::collection::vec(operation, 1..60)
 }
 
 proptest! {
-    /// Whatever is lost, late, repeated or sent by a restarted process: no copy returns to an earlier version, no copy is
-    /// younger than its owner's last heartbeat, and once all updates have arrived all processes hold the same.
+    /// Updates may be lost, late, repeated or sent by a restarted process. Still no copy returns to an earlier version,
+    /// a copy of an earlier version is at least as old as the owner's next write (less the delay of updates), and after
+    /// all updates have arrived all processes hold the same records.
     #[test]
     fn copies_never_return_to_an_earlier_version(operations in operations()) {
         let mut incarnations = [5u64; 3];
-        let mut all: Vec<RecordStore> = (0..3).map(|i| store(i as u16, 5)).collect();
-        let mut kept: Vec<(Duration, RecordsUpdate)> = Vec::new();
-        // A delayed update makes its receiver underestimate the age by the delay; signatures bound it.
+        let mut stores: Vec<RecordStore> = (0..3).map(|i| store(i as u16, 5)).collect();
+        let mut sent_updates: Vec<(Duration, RecordsUpdate)> = Vec::new();
+        // A delayed update makes its receiver underestimate the age by the delay, which the check of a datagram's
+        // sending time bounds.
         let mut delays = [Duration::ZERO; 3];
-        // What each owner wrote, in order, and how far each holder was in it.
+        // For each owner the numbers of the operations that wrote its record, and for each holder and owner the index
+        // of the newest of them that the holder has held since its start.
         let mut written: [Vec<u8>; 2] = Default::default();
-        let mut reached = [[0usize; 2]; 3];
-        // A write is a heartbeat: a copy of the version before it is at least that old.
-        let written_at = |written: &[Vec<u8>; 2], of: usize, index: usize| written[of].get(index).map(|&n| s(n.into()));
+        let mut newest_held = [[0usize; 2]; 3];
+        // Each write increments the heartbeat, so a copy of the version before it is at least as old as the write.
+        let written_at = |written: &[Vec<u8>; 2], owner: usize, index: usize| written[owner].get(index).map(|&n| seconds(n.into()));
         for (i, operation) in operations.into_iter().enumerate() {
-            let now = s(i as u64);
+            let now = seconds(i as u64);
             match operation {
-                Operation::Write(who, what) => {
-                    let what = vec![what, i as u8];
-                    written[who].push(i as u8);
-                    all[who].publish(1, what, TTL * 100, now).expect("short");
-                    all[who].increment_heartbeat(now);
+                Operation::Write(process, value) => {
+                    let body = vec![value, i as u8];
+                    written[process].push(i as u8);
+                    stores[process].publish(1, body, TTL * 100, now).expect("short");
+                    stores[process].increment_heartbeat(now);
                 }
-                Operation::Transfer { from, to, of } if from != to => {
-                    if let Some(update) = all[from].updates_since(address(of as u16), 0, now, 1000) {
+                Operation::Transfer { from, to, owner } if from != to => {
+                    if let Some(update) = stores[from].updates_since(address(owner as u16), 0, now, 1000) {
                         delays[to] = delays[to].max(delays[from]);
-                        kept.push((now, update.clone()));
-                        all[to].apply_update(update, now).expect("capacity");
+                        sent_updates.push((now, update.clone()));
+                        stores[to].apply_update(update, now).expect("capacity");
                     }
                 }
-                Operation::Late { of, to } => {
-                    if let Some((sent, update)) = kept.iter().find(|(_, update)| update.digest.owner == address(of as u16)) {
-                        delays[to] = delays[to].max(now.checked_sub(*sent).unwrap());
-                        all[to].apply_update(update.clone(), now).expect("capacity");
+                Operation::DeliverOldUpdate { owner, to } => {
+                    if let Some((sent_at, update)) = sent_updates.iter().find(|(_, update)| update.digest.owner == address(owner as u16)) {
+                        delays[to] = delays[to].max(now.checked_sub(*sent_at).unwrap());
+                        stores[to].apply_update(update.clone(), now).expect("capacity");
                     }
                 }
-                Operation::Restart(who) => {
-                    incarnations[who] += 1;
-                    all[who] = store(who as u16, incarnations[who].max(all[who].own().incarnation + 1));
-                    // With no memory a holder may receive an older copy again, but an owner never one of its own records.
-                    reached[who] = [0; 2];
-                    if who < 2 {
-                        written[who].push(i as u8);
-                        all[who].publish(1, vec![0, i as u8], TTL * 100, now).expect("short");
-                        all[who].increment_heartbeat(now);
+                Operation::Restart(process) => {
+                    incarnations[process] += 1;
+                    stores[process] = store(process as u16, incarnations[process].max(stores[process].own().incarnation + 1));
+                    // Without memory a holder may accept an older copy again, but an owner never accepts one of its own
+                    // records.
+                    newest_held[process] = [0; 2];
+                    if process < 2 {
+                        written[process].push(i as u8);
+                        stores[process].publish(1, vec![0, i as u8], TTL * 100, now).expect("short");
+                        stores[process].increment_heartbeat(now);
                     }
                 }
                 Operation::Transfer { .. } => {}
             }
-            for (holder, records) in all.iter().enumerate() {
+            for (holder, records) in stores.iter().enumerate() {
                 for held in records.view(now).raw(1) {
-                    let of = usize::from(held.owner.address.port());
-                    let index = written[of].iter().rposition(|&n| n == held.body[1]).expect("written");
-                    prop_assert!(index >= reached[holder][of], "{holder} returned to an earlier version of {of}");
-                    reached[holder][of] = index;
-                    if let Some(next) = written_at(&written, of, index + 1) {
-                        prop_assert!(held.age + delays[holder] >= now.checked_sub(next).unwrap(), "{holder} underestimates the age of {of}");
+                    let owner = usize::from(held.owner.address.port());
+                    let index = written[owner].iter().rposition(|&n| n == held.body[1]).expect("written");
+                    prop_assert!(index >= newest_held[holder][owner], "{holder} returned to an earlier version of {owner}");
+                    newest_held[holder][owner] = index;
+                    if let Some(next) = written_at(&written, owner, index + 1) {
+                        prop_assert!(
+                            held.age + delays[holder] >= now.checked_sub(next).unwrap(),
+                            "{holder} underestimates the age of {owner}"
+                        );
                     }
                 }
             }
         }
-        let end = s(100);
-        for of in 0..2u16 {
-            all[usize::from(of)].publish(1, vec![9, 255], TTL * 100, end).expect("short");
+        let end = seconds(100);
+        for owner in 0..2u16 {
+            stores[usize::from(owner)].publish(1, vec![9, 255], TTL * 100, end).expect("short");
             for to in 0..3usize {
-                if to != usize::from(of) {
-                    let update = all[usize::from(of)].updates_since(address(of), 0, end, 1000).expect("capacity");
-                    all[to].apply_update(update, end).expect("capacity");
-                    let held = all[to].view(end).raw(1).find(|held| held.owner.address == address(of));
+                if to != usize::from(owner) {
+                    let update = stores[usize::from(owner)].updates_since(address(owner), 0, end, 1000).expect("capacity");
+                    stores[to].apply_update(update, end).expect("capacity");
+                    let held = stores[to].view(end).raw(1).find(|held| held.owner.address == address(owner));
                     prop_assert_eq!(held.map(|held| held.body.to_vec()), Some(vec![9, 255]));
                 }
             }
--- a/crates/merlinreel-mesh/src/records/view.rs
+++ b/crates/merlinreel-mesh/src/records/view.rs
@@ -8,7 +8,7 @@
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
-/// The records that are valid at one moment.
+/// The records that are valid at one time, by this process's monotonic clock.
 #[derive(Clone, Copy, Debug)]
 pub struct View<'a> {
     owners: &'a BTreeMap<SocketAddrV4, OwnerRecords>,
@@ -22,18 +22,18 @@
     pub owner: Member,
     /// Time since the record was last known to be its owner's latest, by this process's clock.
     pub age: Duration,
-    /// Its place in the order in which its owner wrote its records.
+    /// Position in the order in which the owner wrote all of its records, from 1.
     pub version: u64,
-    /// Its content.
+    /// Content of the record: the bytes as published, or the decoded value.
     pub body: T,
 }
 
-/// The records of one kind.
+/// The decoded records of one kind.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct KindRecords<T> {
-    /// Those that could be decoded, by their owners' addresses.
+    /// The records that could be decoded, sorted by their owners' addresses.
     pub records: Vec<StoredRecord<T>>,
-    /// How many could not be decoded.
+    /// Number of records that could not be decoded.
     pub unreadable: usize,
 }
 
@@ -42,7 +42,7 @@
         View { owners, now }
     }
 
-    /// The records of a kind as bytes, by their owners' addresses. Withdrawn records are left out.
+    /// The valid records of a kind as bytes, sorted by their owners' addresses. Withdrawn records are left out.
     pub fn raw(&self, kind: Kind) -> impl Iterator<Item = StoredRecord<&'a [u8]>> + use<'a> {
         let now = self.now;
         self.owners.iter().filter_map(move |(&address, held)| {
@@ -62,8 +62,8 @@
         })
     }
 
-    /// The records of a kind decoded as JSON. Records of a much newer, much older or faulty process that can't be decoded
-    /// are only counted; fields that `T` does not have are ignored.
+    /// The valid records of a kind, decoded as JSON. Records that can't be decoded, of a much newer, much older or
+    /// faulty process, are only counted; fields that `T` does not have are ignored.
     pub fn decode<T: DeserializeOwned>(&self, kind: Kind) -> KindRecords<T> {
         let mut decoded = KindRecords {
             records: Vec::new(),
--- a/crates/merlinreel-mesh/src/runtime.rs
+++ b/crates/merlinreel-mesh/src/runtime.rs
@@ -1,5 +1,5 @@
-//! Drives a [`Node`] with a UDP socket and a clock, and gives the rest of the process a handle to it. All decisions are
-//! the node's.
+//! Drives a [`Node`] with a UDP socket and a clock, and gives the rest of the process a handle to it. The protocol
+//! itself is implemented by the node.
 
 use crate::authenticator::MAX_DATAGRAM_BYTES;
 use crate::error::{MeshError, PublishError};
@@ -17,21 +17,23 @@
 use tokio::sync::Notify;
 use tokio::time::sleep_until;
 
-/// Datagrams received in a row before the node's own work is done.
+/// Maximum number of datagrams received before the node's due work is done and its datagrams are sent.
 const MAX_RECEIVES_PER_TICK: usize = 64;
 
-/// The time since the Unix epoch, on which all members must agree within a minute.
+/// The machine's Unix time; zero if its clock is before 1970. The clocks of all members must agree within a minute.
 pub fn unix_now() -> Duration {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .unwrap_or_default()
 }
 
-/// What the handles and the event loop share.
+/// State shared by the handles and the event loop.
 #[derive(Debug)]
 struct Shared {
     node: Mutex<Node>,
+    /// Origin of the node's monotonic time.
     started_at: Instant,
+    /// Wakes the event loop after a call through a handle.
     wakeup: Notify,
 }
 
@@ -54,25 +56,26 @@
 }
 
 impl Mesh {
-    /// This process, in its present incarnation.
+    /// This process in its current incarnation.
     pub fn own(&self) -> Member {
         self.shared.node().own()
     }
 
-    /// The other members that are alive or suspected, by address.
+    /// The other members that are alive or suspected, sorted by address.
     pub fn members(&self) -> Vec<Member> {
         let mut members: Vec<Member> = self.shared.node().members().collect();
         members.sort_unstable();
         members
     }
 
-    /// Counts since the start.
+    /// Counters since the start of the process.
     pub fn counters(&self) -> Counters {
         self.shared.node().counters().clone()
     }
 
-    /// Publishes this process's record of that kind as JSON. It stays valid for `ttl` without a sign of this process.
-    /// Publishing the present record again has no effect.
+    /// Publishes this process's record of that kind as JSON. At another member it is valid while that member considers
+    /// this process alive, and until `ttl` after the last heartbeat that confirmed it there. Publishing the same value
+    /// with the same TTL again has no effect.
     ///
     /// # Errors
     ///
@@ -93,17 +96,17 @@
         Ok(())
     }
 
-    /// All valid records of a kind, this process's own among them.
+    /// All valid records of a kind, this process's own included.
     pub fn records<T: DeserializeOwned>(&self, kind: Kind) -> KindRecords<T> {
         self.shared.node().view(self.shared.now()).decode(kind)
     }
 
-    /// Signs and verifies with other keys from now on.
+    /// Replaces the keys that sign and verify datagrams.
     pub fn replace_keys(&self, keys: Keys) {
         self.shared.node().replace_keys(keys);
     }
 
-    /// Announces to the other members that this process leaves; nothing is sent or handled after it.
+    /// Announces to the other members that this process leaves. Datagrams received and work due afterwards are ignored.
     pub fn leave(&self) {
         let now = self.shared.now();
         self.shared.node().leave(now);
@@ -111,7 +114,7 @@
     }
 }
 
-/// The loop that sends and receives datagrams, to be run by a task of its own.
+/// The event loop that sends and receives datagrams. The caller runs it in its own task.
 #[derive(Debug)]
 pub struct EventLoop {
     shared: Arc<Shared>,
@@ -122,15 +125,15 @@
 /// A node whose socket is bound.
 #[derive(Debug)]
 pub struct BoundMesh {
-    /// The handle.
+    /// The handle to the node.
     pub mesh: Mesh,
-    /// The loop to be run.
+    /// The event loop, which the caller must run.
     pub event_loop: EventLoop,
 }
 
-/// Binds a socket at `listen` and starts a node. `config.own.address` is the address at which other members reach this
-/// process, the same as `listen` unless addresses are translated on the way. Datagrams for a member in `routes` are sent
-/// to the address there, all others to the member's own.
+/// Binds a UDP socket to `listen` and creates a node. `config.own.address` is the address at which other members reach
+/// this process, the same as `listen` unless addresses are translated on the way. Datagrams for a member listed in
+/// `routes` are sent to the address given there, all others to the member's own address.
 ///
 /// # Errors
 ///
@@ -163,10 +166,10 @@
 }
 
 impl EventLoop {
-    /// Runs until the task is aborted. `on_event` is called with each event, in order.
+    /// Runs until the task is aborted, and calls `on_event` with each event in order.
     pub async fn run(self, on_event: impl Fn(Event) + Send) {
         let shared = &self.shared;
-        // One byte more than a datagram may have, so that a longer one is recognized.
+        // One byte longer than the longest valid datagram, so that a longer one is detected.
         let mut buffer = [0; MAX_DATAGRAM_BYTES + 1];
         loop {
             let (datagrams, events, next_tick) = {
@@ -196,13 +199,14 @@
     fn send(&self, datagram: &Datagram) {
         let route = self.routes.get(&datagram.to).copied();
         let to = route.unwrap_or(SocketAddr::V4(datagram.to));
-        // A datagram that can't be sent at once is lost, as any datagram may be.
+        // A datagram that can't be sent without waiting is dropped: the protocol tolerates lost datagrams.
         let _ = self.socket.try_send_to(&datagram.bytes, to);
     }
 
     fn receive(&self, buffer: &mut [u8]) {
         for _ in 0..MAX_RECEIVES_PER_TICK {
-            // An error here may be the network's answer for an unreachable member; it is no fault of this socket.
+            // An error means that no datagram is left, or that the network reported an unreachable member. The socket
+            // stays usable.
             let Ok((length, _)) = self.socket.try_recv_from(buffer) else {
                 return;
             };
--- a/crates/merlinreel-mesh/src/send_budget.rs
+++ b/crates/merlinreel-mesh/src/send_budget.rs
@@ -1,14 +1,14 @@
-//! A token bucket of the bytes that a process may send. What exceeds it is not sent; every message of the mesh is
-//! repeated by later rounds of the protocol.
+//! A token bucket that limits the bytes a process sends. A message that exceeds it is not sent; later rounds of the
+//! protocol repeat every message of the mesh.
 
 use std::time::Duration;
 
-/// Share of the bucket that only membership messages may use.
-const RESERVED_FOR_MEMBERSHIP: f64 = 0.1;
-/// Share of the bucket that routine messages must leave.
-const RESERVED_FROM_ROUTINE: f64 = 0.3;
+/// Fraction of the bucket that only membership messages may use.
+const RESERVED_FOR_MEMBERSHIP_FRACTION: f64 = 0.1;
+/// Fraction of the bucket that routine messages may not use, the reserve of membership messages included.
+const RESERVED_FROM_ROUTINE_FRACTION: f64 = 0.3;
 
-/// Which part of the bucket a message may use: each priority leaves a reserve to those above it.
+/// Priority of a message. A lower priority must leave a reserve in the bucket to the higher ones.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Priority {
     /// Membership messages, without which every member would be declared dead.
@@ -19,7 +19,7 @@
     Routine,
 }
 
-/// A token bucket of bytes.
+/// A token bucket of bytes. Times are the node's monotonic time.
 #[derive(Debug)]
 pub struct SendBudget {
     bytes_per_second: f64,
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Whether that many bytes may be sent now; if so they are taken from the bucket.
+    /// Returns whether `bytes` may be sent now, and takes them from the bucket if so.
     pub fn try_take(&mut self, bytes: usize, priority: Priority, now: Duration) -> bool {
         let elapsed = now.saturating_sub(self.refilled_at).as_secs_f64();
         self.available_bytes =
@@ -47,8 +47,8 @@
         self.refilled_at = self.refilled_at.max(now);
         let reserved = match priority {
             Priority::Membership => 0.0,
-            Priority::Urgent => self.capacity_bytes * RESERVED_FOR_MEMBERSHIP,
-            Priority::Routine => self.capacity_bytes * RESERVED_FROM_ROUTINE,
+            Priority::Urgent => self.capacity_bytes * RESERVED_FOR_MEMBERSHIP_FRACTION,
+            Priority::Routine => self.capacity_bytes * RESERVED_FROM_ROUTINE_FRACTION,
         };
         let fits = self.available_bytes - bytes as f64 >= reserved;
         if fits {
--- a/crates/merlinreel-mesh/src/send_budget/tests.rs
+++ b/crates/merlinreel-mesh/src/send_budget/tests.rs
@@ -2,7 +2,7 @@
 use proptest::prelude::*;
 
 proptest! {
-    /// Over any span, no more is sent than the bucket held and what it was refilled with.
+    /// From the start to any time, no more bytes are sent than the bucket's capacity and its refill since then.
     #[test]
     fn sent_bytes_stay_within_burst_and_rate(sends in proptest::collection::vec((0..1200usize, 0..200u64, 0..3u8), 1..300)) {
         let (mut budget, mut now, mut sent) = (SendBudget::new(4000, 12000, Duration::ZERO), 0, 0);
@@ -17,7 +17,7 @@
     }
 }
 
-/// Lower priorities can't use the reserve of the membership messages.
+/// Lower priorities can't use the reserves of the higher ones.
 #[test]
 fn membership_messages_always_find_their_reserve() {
     let mut budget = SendBudget::new(0, 10_000, Duration::ZERO);
--- a/crates/merlinreel-mesh/src/wire/tests.rs
+++ b/crates/merlinreel-mesh/src/wire/tests.rs
@@ -35,7 +35,7 @@
         prop_assert!(digests.iter().all(|digest| encode(&Message::Digests(vec![*digest])).len() <= 2 + digest.max_encoded_bytes()));
     }
 
-    /// The decoder gets bytes only from members that hold a key, and still must not panic on any.
+    /// The decoder receives bytes only from members that hold a key, but must not panic on any bytes.
     #[test]
     fn arbitrary_bytes_decode_to_a_message_or_an_error(bytes: Vec<u8>) {
         if let Ok(message) = decode(&bytes) {
@@ -66,9 +66,9 @@
     10, 0, 0, 200, // address
     0x8a, 0x3e, // port
     0x80, 0xd8, 0xc1, 0xa2, 0x8c, 0x34, // incarnation
-    0xac, 0x02, // greatest version
+    0xac, 0x02, // maximum version
     5,    // heartbeat
-    0x81, 0x01, // its age
+    0x81, 0x01, // age of the heartbeat
 ];
 
 fn update(urgent: bool) -> Message {
@@ -96,12 +96,12 @@
 
 const RECORDS: &[u8] = &[
     0x82, 0x01, // since version
-    2,    // records
-    0x80, 0x02, 0xab, 0x02, 0xd8, 0x04, 2, b'{', b'}', // kind, version, seconds, body
+    2,    // number of records
+    0x80, 0x02, 0xab, 0x02, 0xd8, 0x04, 2, b'{', b'}', // kind, version, TTL in seconds, body
     7, 0xac, 0x02, 60, 0,
 ];
 
-/// The bytes of each message, as all members of a fleet encode and decode them.
+/// Pins the encoding of each message, on which all members of a fleet must agree.
 #[test_case(Message::Swim(vec![9, 0, 255]), &[&[0, 3, 9, 0, 255]] ; "swim")]
 #[test_case(Message::Digests(vec![digest(), digest()]), &[&[1, 2], DIGEST, DIGEST] ; "digests")]
 #[test_case(Message::Requests(vec![request()]), &[&[2, 1], &DIGEST[..12], &[0x81, 0x01]] ; "requests")]
