--- a/crates/merlinreel-mesh/src/node/exchange.rs
+++ b/crates/merlinreel-mesh/src/node/exchange.rs
@@ -17,7 +17,7 @@
 /// Number of members to which an urgent record is pushed by its owner, and by each receiver to which it is new. Three
 /// hops reach fifty members; even if a fifth of the datagrams is lost, hardly any member has to wait for the next
 /// comparison of digests.
-const PUSH_FANOUT: usize = 4;
+const FANOUT: usize = 4;
 
 /// The parts of the node that an exchange of records reads or changes, borrowed for one step.
 pub struct Exchange<'a> {
@@ -145,7 +145,7 @@
             urgent: true,
             update: update.clone(),
         };
-        for _ in 0..PUSH_FANOUT.min(others.len()) {
+        for _ in 0..FANOUT.min(others.len()) {
             let to = others.swap_remove(self.random.random_range(0..others.len()));
             self.send(to, &message, Priority::Urgent);
         }
