--- a/crates/merlinreel/src/admission.rs
+++ b/crates/merlinreel/src/admission.rs
@@ -1,4 +1,4 @@
-//! What a request occupies from its admission until nothing of it is left: its id, and the memory of its body.
+//! Resources that a request holds from its admission until it is dropped: its id and the memory for its body.
 
 use crate::config::limits::Limits;
 use crate::sync::lock;
@@ -7,14 +7,14 @@
 use std::sync::{Arc, Mutex};
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 
-/// The ids and the body memory that the requests of one limiter share.
+/// The ids in use and the memory for bodies, shared by all requests of one limiter.
 #[derive(Clone, Debug)]
 pub struct AdmissionPermits {
     ids: Arc<Mutex<HashSet<HeaderValue>>>,
     body_bytes: Arc<Semaphore>,
 }
 
-/// A request's id and body memory, released on drop.
+/// The id and the body memory of one admitted request, released on drop.
 #[derive(Debug)]
 pub struct AdmissionPermit {
     permits: AdmissionPermits,
@@ -23,7 +23,7 @@
 }
 
 impl AdmissionPermits {
-    /// No id in use, and all of the body memory free.
+    /// Creates permits with no id in use and all body memory free.
     pub fn new(limits: &Limits) -> AdmissionPermits {
         AdmissionPermits {
             ids: Arc::default(),
@@ -31,7 +31,7 @@
         }
     }
 
-    /// Reserves body memory of that many bytes; `None` where too little is free.
+    /// Reserves `bytes` of the body memory; `None` if fewer are free.
     pub fn reserve_body(&self, bytes: usize) -> Option<OwnedSemaphorePermit> {
         self.body_bytes
             .clone()
@@ -39,15 +39,15 @@
             .ok()
     }
 
-    /// Extends a reservation by that many bytes, and returns whether so many were free.
+    /// Extends a reservation by `bytes`. Returns false, and changes nothing, if fewer are free.
     pub fn extend_body(&self, reserved: &mut OwnedSemaphorePermit, bytes: usize) -> bool {
         self.reserve_body(bytes)
             .map(|more| reserved.merge(more))
             .is_some()
     }
 
-    /// Admits a request under its id; `None` where a request of that id is in flight, as servers would take the second one
-    /// for a copy of the first.
+    /// Admits a request under its id; `None` if a request with the same id is in flight, as servers would take the second
+    /// one for a copy of the first.
     pub fn admit(
         &self,
         id: &HeaderValue,
--- a/crates/merlinreel/src/hold_up.rs
+++ b/crates/merlinreel/src/hold_up.rs
@@ -1,7 +1,8 @@
-//! Notices that the process was held up: suspended, starved of processor time, or busy with one thing for too long. What
-//! arrived meanwhile lay unread in the sockets, and the limiter must not count its time from when it was read.
+//! Detects event loop stalls: the process was suspended, starved of processor time, or busy with one task for too long.
+//! Data that arrived during a stall stayed unread in the socket receive buffers, so the time of its requests must not be
+//! counted from when it was read.
 //!
-//! The event loop is woken at times that it sets itself. Where it runs much later than that, everything else ran late too.
+//! The event loop sets the time of its next run. If it runs much later than that, all other tasks ran late as well.
 
 use crate::log;
 use crate::sync::lock;
@@ -9,53 +10,54 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// The event loop may run this late on a machine that is not busy.
+/// Delay of the event loop that is normal on a machine that is not busy; a longer one is a stall.
 const MAX_DELAY: Duration = Duration::from_millis(20);
-/// After a hold-up, what lay in the sockets is read within this.
+/// After a stall, the unread data in the socket receive buffers is read within this time.
 const CATCH_UP_TIME: Duration = Duration::from_millis(20);
-/// A hold-up this long is told in the log.
-const LOGGED_DELAY: Duration = Duration::from_millis(100);
+/// Stalls at least this long are logged.
+const MIN_LOGGED_DELAY: Duration = Duration::from_millis(100);
 
-/// A hold-up that is over.
+/// An event loop stall that is over.
 #[derive(Clone, Copy, Debug)]
-struct HoldUp {
-    /// It began then or later.
+struct Stall {
+    /// Earliest time at which data that was unread at the end of the stall can have arrived.
     since: Instant,
-    /// It was noticed then.
+    /// When the event loop ran again.
     noticed_at: Instant,
 }
 
-/// When the event loop ran and is to run.
+/// The event loop's last and next run, and its last stall.
 #[derive(Clone, Copy, Debug)]
 struct Schedule {
     last_run: Instant,
+    /// `None` while the event loop waits for events only.
     next_due: Option<Instant>,
-    last_hold_up: Option<HoldUp>,
+    last_stall: Option<Stall>,
 }
 
-/// Knows since when bytes that are read now may have been there. One a process, shared by the event loop and its clients'
-/// connections.
+/// Determines since when data that is read now may have been in the socket receive buffer. One per process, shared by the
+/// event loop and the client connections.
 pub struct HoldUpMonitor {
     schedule: Mutex<Schedule>,
     metrics: Arc<Metrics>,
 }
 
 impl Schedule {
-    /// How late the event loop is, where that is more than a machine that is not busy makes it.
+    /// How late the event loop is; `None` if that is at most [`MAX_DELAY`] or no run is due.
     fn delay(&self, now: Instant) -> Option<Duration> {
         let delay = now.saturating_duration_since(self.next_due?);
         (delay > MAX_DELAY).then_some(delay)
     }
 
-    /// The last hold-up, while what lay in the sockets then is still being read.
-    fn recent_hold_up(&self, now: Instant) -> Option<HoldUp> {
-        self.last_hold_up
-            .filter(|hold_up| now.saturating_duration_since(hold_up.noticed_at) <= CATCH_UP_TIME)
+    /// The last stall, as long as data that arrived during it may still be unread.
+    fn recent_stall(&self, now: Instant) -> Option<Stall> {
+        self.last_stall
+            .filter(|stall| now.saturating_duration_since(stall.noticed_at) <= CATCH_UP_TIME)
     }
 
     fn arrived_since(&self, now: Instant) -> Instant {
-        match self.recent_hold_up(now) {
-            Some(hold_up) => hold_up.since,
+        match self.recent_stall(now) {
+            Some(stall) => stall.since,
             None if self.delay(now).is_some() => self.last_run,
             None => now,
         }
@@ -63,47 +65,47 @@
 }
 
 impl HoldUpMonitor {
-    /// A monitor that has seen no run; hold-ups are counted in `metrics`.
+    /// Creates a monitor with no run due yet, which counts stalls in `metrics`.
     pub fn new(metrics: Arc<Metrics>) -> Arc<HoldUpMonitor> {
         Arc::new(HoldUpMonitor {
             schedule: Mutex::new(Schedule {
                 last_run: Instant::now(),
                 next_due: None,
-                last_hold_up: None,
+                last_stall: None,
             }),
             metrics,
         })
     }
 
-    /// Records that the event loop runs now.
+    /// Records that the event loop runs at `now`. If it runs late, counts a stall and logs a long one.
     pub fn record_run(&self, now: Instant) {
         let mut schedule = lock(&self.schedule);
         let Some(delay) = schedule.delay(now) else {
             schedule.last_run = now;
             return;
         };
-        schedule.last_hold_up = Some(HoldUp {
+        schedule.last_stall = Some(Stall {
             since: schedule.arrived_since(now),
             noticed_at: now,
         });
         schedule.last_run = now;
         drop(schedule);
-        self.metrics.count_hold_up(delay);
-        if delay >= LOGGED_DELAY {
+        self.metrics.count_stall(delay);
+        if delay >= MIN_LOGGED_DELAY {
             log!(
-                "held up for {} ms: see whether the process was suspended or the machine is too busy",
+                "event loop: stalled for {} ms; check whether the process was suspended or the machine is overloaded",
                 delay.as_millis()
             );
         }
     }
 
-    /// Records when the event loop is to run next at the latest.
+    /// Sets the latest time of the event loop's next run; `None` if it waits for events only.
     pub fn set_next_due(&self, next_due: Option<Instant>) {
         lock(&self.schedule).next_due = next_due;
     }
 
-    /// The earliest time at which bytes that are read now can have arrived: now, unless the process is held up or
-    /// was a moment ago.
+    /// The earliest time at which data that is read at `now` can have arrived: `now`, unless the event loop is late or
+    /// ended a stall a moment ago.
     pub fn arrived_since(&self, now: Instant) -> Instant {
         lock(&self.schedule).arrived_since(now)
     }
--- a/crates/merlinreel/src/hold_up/tests.rs
+++ b/crates/merlinreel/src/hold_up/tests.rs
@@ -3,7 +3,7 @@
 
 const TICK: Duration = Duration::from_millis(100);
 
-/// A monitor whose event loop ran at `start` and is due a tick later.
+/// A monitor, and the time at which its event loop ran; the next run is due a tick later.
 fn monitor() -> (Arc<HoldUpMonitor>, Instant) {
     let monitor = HoldUpMonitor::new(Metrics::new(&[]));
     let start = Instant::now();
@@ -12,22 +12,22 @@
     (monitor, start)
 }
 
-/// Guards against requests whose time is counted from when a late limiter read them.
+/// Guards against requests whose time is counted only from when a stalled limiter read them.
 #[test_case(50 => 50 ; "before the next run")]
-#[test_case(115 => 115 ; "a little late, as timers are")]
-#[test_case(121 => 0 ; "late: since the last run")]
+#[test_case(115 => 115 ; "late within the normal delay of timers")]
+#[test_case(121 => 0 ; "late, so since the last run")]
 #[test_case(2000 => 0 ; "late by seconds")]
-fn bytes_may_have_arrived_since_the_last_run_of_a_late_event_loop(read_at: u64) -> u128 {
+fn data_may_have_arrived_since_the_last_run_of_a_late_event_loop(read_at: u64) -> u128 {
     let (monitor, start) = monitor();
     let read_at = start + Duration::from_millis(read_at);
     (monitor.arrived_since(read_at) - start).as_millis()
 }
 
-/// Guards against a hold-up that is forgotten once the event loop has run, before the sockets are read.
-#[test_case(0 => 0 ; "in the same moment")]
-#[test_case(20 => 0 ; "while the sockets are read")]
-#[test_case(21 => 621 ; "after that")]
-fn hold_up_counts_while_the_sockets_are_read(read_after: u64) -> u128 {
+/// Guards against a stall that is forgotten once the event loop has run, before the sockets are read.
+#[test_case(0 => 0 ; "at the time of the run")]
+#[test_case(20 => 0 ; "at the end of the catch up time")]
+#[test_case(21 => 621 ; "after the catch up time")]
+fn stall_counts_while_the_sockets_are_read(read_after: u64) -> u128 {
     let (monitor, start) = monitor();
     let noticed_at = start + Duration::from_millis(600);
     monitor.record_run(noticed_at);
@@ -36,9 +36,9 @@
     (monitor.arrived_since(read_at) - start).as_millis()
 }
 
-/// Guards against a second hold-up right behind the first one that hides it.
+/// Guards against a stall that is missed, or counted from too early, because another one ended shortly before it.
 #[test]
-fn hold_ups_that_follow_one_another_count_as_one() {
+fn stall_after_another_counts_from_the_last_run_before_it() {
     let (monitor, start) = monitor();
     let after = |ms| start + Duration::from_millis(ms);
     monitor.record_run(after(600));
@@ -49,9 +49,9 @@
     assert_eq!(monitor.arrived_since(after(900)), after(620));
 }
 
-/// Guards against hold-ups that an operator can't see.
+/// Guards against stalls that are missing from the metrics.
 #[test]
-fn hold_ups_are_counted() {
+fn stalls_are_counted() {
     let metrics = Metrics::new(&[]);
     let monitor = HoldUpMonitor::new(metrics.clone());
     let start = Instant::now();
--- a/crates/merlinreel/src/net.rs
+++ b/crates/merlinreel/src/net.rs
@@ -1,4 +1,4 @@
-//! What both sides of the limiter, clients and servers, need of the network.
+//! Network utilities shared by the connections to clients, servers and the discovery agent.
 
 pub mod backoff;
 pub mod late_deadline;
--- a/crates/merlinreel/src/net/late_deadline.rs
+++ b/crates/merlinreel/src/net/late_deadline.rs
@@ -1,22 +1,23 @@
-//! Deadlines of what peers send. Where the limiter was held up past one, by the machine or by its own work, what the peer
-//! had sent in time may still lie in the socket: it is read before the peer is called late.
+//! Deadlines for data from the remote end of a connection. If the limiter itself stalled past a deadline (a busy machine,
+//! or its own work), data that was sent in time may still be unread in the socket receive buffer: it is read before the
+//! remote end counts as late.
 //!
-//! A wait for the poller that a signal interrupts (SIGCONT, SIGHUP) returns no events, and the runtime's timers fire
-//! all the same. So a timer that has fired does not prove that nothing arrived before.
+//! When a signal (SIGCONT, SIGHUP) interrupts the poller, it returns no events, but the runtime's timers fire nevertheless.
+//! So an expired timer does not prove that no data had arrived.
 
 use std::future::Future;
 use std::time::{Duration, Instant};
 use tokio::time::error::Elapsed;
 use tokio::time::{sleep, sleep_until, timeout_at};
 
-/// A turn of the runtime, in which the poller is asked once more.
+/// Time for one more iteration of the runtime, which queries the poller again.
 pub const POLLER_TURN: Duration = Duration::from_millis(1);
-/// A deadline that is noticed later than this was missed by the limiter.
+/// A timer that fires later than this after its deadline shows that the limiter stalled.
 const MAX_TIMER_DELAY: Duration = Duration::from_millis(5);
-/// Time to read what lies in the socket, for a limiter that was held up.
+/// Time to read the unread data in the socket receive buffer after a stall.
 const CATCH_UP_TIME: Duration = Duration::from_millis(20);
 
-/// How much longer a peer has whose deadline is noticed now.
+/// Time that remains to read data which arrived before `deadline`, if the expiry is noticed now.
 fn catch_up_time(deadline: Instant) -> Duration {
     if deadline.elapsed() > MAX_TIMER_DELAY {
         CATCH_UP_TIME
@@ -25,17 +26,18 @@
     }
 }
 
-/// Waits until a peer's deadline has passed and the limiter has had time to read what had arrived by then.
+/// Waits until the deadline has passed and the limiter has had time to read the data that had arrived by then.
 pub async fn sleep_until_caught_up(deadline: Instant) {
     sleep_until(deadline.into()).await;
     sleep(catch_up_time(deadline)).await;
 }
 
-/// The result of `future`, which waits for a peer, unless it is not there in time.
+/// Runs `future`, which waits for the remote end, for at most the time `within` plus the time to read the data that had
+/// arrived by then.
 ///
 /// # Errors
 ///
-/// The time is over, and what had arrived by then was read.
+/// The time has elapsed, and the data that had arrived by then was read.
 pub async fn timeout_caught_up<F: Future>(
     within: Duration,
     future: F,
--- a/crates/merlinreel/src/net/observed_stream.rs
+++ b/crates/merlinreel/src/net/observed_stream.rs
@@ -1,8 +1,8 @@
 //! A TCP stream that reports its reads and writes, and checks an idle connection before it writes to it.
 //!
-//! Calls that a signal interrupts are repeated. A read or write that moved less than requested usually means that the
-//! kernel has no more data, or no more space (epoll(7)), and the runtime then waits for the poller. Where more is expected
-//! all the same the kernel is asked once more, so that a call cut short delays nothing.
+//! Calls that a signal interrupts are repeated. After a read or write of fewer bytes than requested the runtime assumes that
+//! the kernel has no more data or no more space (epoll(7)) and waits for the poller. If more is expected, the kernel is
+//! asked once more without the poller, so that a call that was cut short causes no delay.
 
 use socket2::SockRef;
 use std::io::{self, IoSlice, Read, Write};
@@ -13,37 +13,38 @@
 use tokio::io::{AsyncRead, AsyncWrite, Interest, ReadBuf};
 use tokio::net::TcpStream;
 
-/// Observes the reads and writes of an [`ObservedStream`].
+/// Receives the reads and writes of an [`ObservedStream`].
 pub trait IoObserver {
-    /// So many bytes were read.
+    /// Called after a read of at least one byte, with the number of bytes.
     fn on_read(&self, _bytes: usize) {}
-    /// So many bytes were written.
+    /// Called after a successful write, with the number of bytes.
     fn on_write(&self, _bytes: usize) {}
-    /// The kernel takes no more for now: something is still to be written.
+    /// Called when a write would block: the socket send buffer is full and data remains to be written.
     fn on_write_blocked(&self) {}
-    /// Whether the next write starts a message on an idle connection, where nothing may lie unread; asked once a write.
+    /// Whether the next write starts a message on an idle connection, whose socket receive buffer must then be empty. Called
+    /// once per write.
     fn starts_message(&self) -> bool {
         false
     }
-    /// Whether a message is incomplete, as far as is known.
+    /// Whether more data of an incomplete message is expected; true if unknown.
     fn expects_more(&self) -> bool {
         true
     }
 }
 
-/// The observer of streams of which nothing needs to be known.
+/// An observer that ignores all reads and writes.
 #[derive(Debug)]
 pub struct Unobserved;
 
 impl IoObserver for Unobserved {}
 
-/// A TCP stream with an observer.
+/// A TCP stream that reports its reads and writes to an observer.
 pub struct ObservedStream<T> {
     stream: TcpStream,
     observer: Arc<T>,
-    /// The last read moved less than requested.
+    /// The last read returned fewer bytes than requested, or was made without the poller and did not block.
     short_read: bool,
-    /// The last write moved less than requested.
+    /// The last write took fewer bytes than requested, or was made without the poller and did not block.
     short_write: bool,
 }
 
@@ -51,7 +52,7 @@
     matches!(result, Poll::Ready(Err(error)) if error.kind() == io::ErrorKind::Interrupted)
 }
 
-/// The result of a call made without the poller; `None` where it would block.
+/// Makes a system call without the poller and repeats it if a signal interrupts it; `None` if it would block.
 fn unless_blocked<T>(mut call: impl FnMut() -> io::Result<T>) -> Option<io::Result<T>> {
     loop {
         return match call() {
@@ -63,7 +64,7 @@
 }
 
 impl<T: IoObserver> ObservedStream<T> {
-    /// Reports to `observer` what is read from `stream` and written to it.
+    /// Wraps `stream`; reports its reads and writes to `observer`.
     pub fn new(stream: TcpStream, observer: Arc<T>) -> ObservedStream<T> {
         ObservedStream {
             stream,
@@ -73,30 +74,32 @@
         }
     }
 
-    /// How many unread bytes the kernel holds, counted to 1: 0 at the end of the stream. `None` where it would block.
+    /// Looks for unread data in the socket receive buffer without consuming it: 1 if there is any, 0 at the end of the
+    /// stream, `None` if a read would block.
     fn peek(&self) -> Option<io::Result<usize>> {
         unless_blocked(|| SockRef::from(&self.stream).peek(&mut [MaybeUninit::uninit()]))
     }
 
-    /// Whether the kernel holds unread bytes.
+    /// Whether the socket receive buffer holds unread data.
     pub fn has_unread(&self) -> bool {
         matches!(self.peek(), Some(Ok(1..)))
     }
 
-    /// Waits until the peer has closed its side, and reads nothing of what it sent before.
+    /// Waits until the remote end has closed its side or the connection has failed. Consumes no received data.
     pub fn poll_peer_closed(&self, cx: &mut Context) -> Poll<()> {
         loop {
             if ready!(self.stream.poll_read_ready(cx)).is_err() || self.peer_has_closed() {
                 return Poll::Ready(());
             }
-            // Bytes lie there unread: the poller reports the next event.
+            // There is unread data: clears the readiness, so that the poller reports the next event.
             let _ = self.stream.try_io(Interest::READABLE, || {
                 Err::<(), _>(io::ErrorKind::WouldBlock.into())
             });
         }
     }
 
-    /// The poller knows it where bytes lie unread before the end, the kernel where none do.
+    /// Whether the remote end has closed its side. If unread data precedes the end of the stream, only the poller shows it;
+    /// otherwise a peek at the socket receive buffer does too.
     fn peer_has_closed(&self) -> bool {
         let ready = pin!(self.stream.ready(Interest::READABLE))
             .poll(&mut Context::from_waker(Waker::noop()));
@@ -109,8 +112,8 @@
         }
     }
 
-    /// Checks that nothing lies unread before a message: it would be taken for the response to it. The kernel is asked, as
-    /// the poller may not have reported it yet.
+    /// Checks that the socket receive buffer is empty before a message is written to an idle connection: unread data would
+    /// be taken for the response to that message. Asks the kernel, as the poller may not have reported the data yet.
     fn check_idle(&self) -> io::Result<()> {
         if !self.observer.starts_message() {
             return Ok(());
@@ -125,7 +128,7 @@
         }
     }
 
-    /// Reads without the poller.
+    /// Reads without waiting for the poller.
     fn read_directly(&mut self, into: &mut ReadBuf) -> Poll<io::Result<()>> {
         let read =
             unless_blocked(|| (&*SockRef::from(&self.stream)).read(into.initialize_unfilled()));
@@ -140,14 +143,14 @@
         }
     }
 
-    /// Writes without the poller.
+    /// Writes without waiting for the poller.
     fn write_directly(&mut self, bytes: &[u8]) -> Poll<io::Result<usize>> {
         let written = unless_blocked(|| (&*SockRef::from(&self.stream)).write(bytes));
         self.short_write = written.is_some();
         written.map_or(Poll::Pending, Poll::Ready)
     }
 
-    /// Reports the result of a write.
+    /// Reports the result of a write to the observer, except an error.
     fn report_write(&self, result: Poll<io::Result<usize>>) -> Poll<io::Result<usize>> {
         match result {
             Poll::Ready(Ok(bytes)) => self.observer.on_write(bytes),
--- a/crates/merlinreel/src/net/system_errors.rs
+++ b/crates/merlinreel/src/net/system_errors.rs
@@ -1,9 +1,10 @@
-//! What an error of a system call says, and about whom (Linux manual pages accept(2), connect(2), socket(2), bind(2)).
+//! Classifies errors of system calls: do they concern one connection, the remote end or this machine? See the Linux manual
+//! pages accept(2), connect(2), socket(2) and bind(2).
 
 use std::io;
 
-/// Whether an error of `accept` concerns only the one connection that it would have been, so that the next one can be
-/// accepted at once: the client gave it up, the network had an error for it, or a signal came.
+/// Whether an error of `accept` concerns only the connection that was to be accepted, so that the next one can be accepted
+/// at once: the client aborted it, the network reported an error for it, or a signal interrupted the call.
 pub fn concerns_one_connection(error: &io::Error) -> bool {
     matches!(
         error.raw_os_error(),
@@ -24,9 +25,10 @@
     )
 }
 
-/// Whether an error of `socket`, `connect` or `bind` is a fault of this machine, which says nothing about the peer: no
-/// descriptor, memory or port is available, the route is down or closed here, or a signal came. Connections refused, reset
-/// or timed out and an unreachable host do say something about it, and are none of these.
+/// Whether an error of `socket`, `connect` or `bind` is caused by this machine and says nothing about the remote end: no
+/// descriptor, memory, address or port is available, the network is down or has no route, a local rule forbids the
+/// connection, or a signal interrupted the call. Not among these are a connection refused, reset or timed out and an
+/// unreachable host, which do concern the remote end.
 pub fn is_of_this_machine(error: &io::Error) -> bool {
     matches!(
         error.raw_os_error(),
--- a/crates/merlinreel/src/net/text_response.rs
+++ b/crates/merlinreel/src/net/text_response.rs
@@ -1,10 +1,10 @@
-//! HTTP responses that the limiter words itself.
+//! HTTP responses that the limiter generates itself.
 
 use http_body_util::Full;
 use hyper::body::Bytes;
 use hyper::{Response, StatusCode};
 
-/// A response of that status with a text as its body, which may be empty.
+/// Creates a response with this status and a plain text body, which may be empty.
 pub fn text_response(status: StatusCode, body: String) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::new(Bytes::from(body)));
     *response.status_mut() = status;
--- a/crates/merlinreel/src/telemetry/metrics.rs
+++ b/crates/merlinreel/src/telemetry/metrics.rs
@@ -1,7 +1,7 @@
-//! The metrics of `/stats`: plain atomic counters, counted where each event happens and read without the event loop, so
-//! that a busy batch never delays an answer. Each process counts from 0.
+//! The metrics of `/stats`: atomic counters that are incremented where each event happens and read without the event loop,
+//! so that a busy event loop never delays a response of `/stats`. Each process counts from 0.
 //!
-//! Shape of `/stats`, one metric a line, in statsd's form (`|c` a count since start, `|g` a present value):
+//! Format of `/stats`, one metric per line, as in statsd (`|c` is a count since start, `|g` a current value):
 //!
 //! ```text
 //! limiter.requests.C.served:812|c      (also refused, failed, attempts; C a class of the settings in force)
@@ -12,8 +12,8 @@
 //! limiter.servers_excluded:1|g         (of those, draining or ejected now)
 //! limiter.reloads_ok:2|c
 //! limiter.reloads_failed:1|c
-//! limiter.hold_ups:3|c                 (the event loop ran over 20 ms late)
-//! limiter.longest_hold_up_ms:180|g     (since start)
+//! limiter.hold_ups:3|c                 (event loop stalls: it ran over 20 ms late)
+//! limiter.longest_hold_up_ms:180|g     (the longest stall since start)
 //! ```
 
 use crate::sync::lock;
@@ -25,7 +25,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// How a request ended, as its client reads the status of the response.
+/// Outcome of a request, by the status of the response to its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ResponseOutcome {
     /// 200.
@@ -37,7 +37,7 @@
 }
 
 impl ResponseOutcome {
-    /// The outcome of a response of that status.
+    /// Classifies a response by its status.
     pub fn from_status(status: StatusCode) -> ResponseOutcome {
         match status {
             StatusCode::OK => ResponseOutcome::Success,
@@ -49,16 +49,16 @@
     }
 }
 
-/// How a reload of the configuration ended.
+/// Outcome of a reload of the configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReloadOutcome {
     /// The new configuration is in force.
     Applied,
-    /// It was invalid, and the one before stays in force.
+    /// The new configuration was unreadable or invalid, and the previous one stays in force.
     Failed,
 }
 
-/// The counts of one class.
+/// Counts of responses, by outcome, and of attempts for one class.
 #[derive(Default)]
 struct ClassCounts {
     success: AtomicU64,
@@ -67,32 +67,32 @@
     attempts: AtomicU64,
 }
 
-/// The classes that have counts: those in force, and those of before, which keep theirs.
+/// The classes that have counts: those in force, and earlier ones, which keep their counts.
 #[derive(Default)]
 struct Classes {
     counts: BTreeMap<String, Arc<ClassCounts>>,
-    /// Names in force; another name counts nothing.
+    /// Names of the classes in force; requests of other classes are not counted.
     current: Vec<String>,
 }
 
 /// All metrics of the process.
 #[derive(Default)]
 pub struct Metrics {
-    /// One lock for both of its parts, taken once a response.
+    /// One lock for the counts and the names in force, taken once per response or attempt.
     classes: Mutex<Classes>,
     attempts: AtomicU64,
     /// Servers listed and not removed.
     pub servers_known: AtomicU64,
-    /// Of those, draining or ejected now.
+    /// Servers among `servers_known` that are draining or ejected.
     pub servers_excluded: AtomicU64,
     reloads_ok: AtomicU64,
     reloads_failed: AtomicU64,
     rejections: RejectionCounts,
-    hold_ups: AtomicU64,
-    longest_hold_up_ms: AtomicU64,
+    stalls: AtomicU64,
+    longest_stall_ms: AtomicU64,
 }
 
-/// Why requests were rejected: by the policy, or before it was asked.
+/// Counts of rejected requests by reason. The last two are rejections made before the policy is asked.
 #[derive(Default)]
 struct RejectionCounts {
     quota: AtomicU64,
@@ -104,7 +104,7 @@
 }
 
 impl RejectionCounts {
-    fn of(&self, reason: RejectReason) -> &AtomicU64 {
+    fn for_reason(&self, reason: RejectReason) -> &AtomicU64 {
         match reason {
             RejectReason::Quota => &self.quota,
             RejectReason::LateArrival => &self.late_arrival,
@@ -113,7 +113,7 @@
         }
     }
 
-    fn named(&self) -> [(&'static str, &AtomicU64); 6] {
+    fn by_name(&self) -> [(&'static str, &AtomicU64); 6] {
         [
             ("quota", &self.quota),
             ("late_arrival", &self.late_arrival),
@@ -125,20 +125,20 @@
     }
 }
 
-/// The class of a request is the first segment of its path.
+/// The class of a request: the first segment of its path, empty if there is none.
 pub fn class_of(path: &str) -> &str {
     path.trim_start_matches('/').split('/').next().unwrap_or("")
 }
 
 impl Metrics {
-    /// All counts at 0, with these classes in force.
+    /// Creates metrics with all counts at 0 and these classes in force.
     pub fn new(classes: &[String]) -> Arc<Metrics> {
         let metrics = Arc::new(Metrics::default());
         metrics.set_classes(classes);
         metrics
     }
 
-    /// Has these classes in force from now on.
+    /// Sets the names of the classes in force. Counts of other classes are kept.
     pub fn set_classes(&self, names: &[String]) {
         let mut classes = lock(&self.classes);
         for name in names {
@@ -147,7 +147,7 @@
         classes.current = names.to_vec();
     }
 
-    /// The counts of a class in force.
+    /// The counts of a class; `None` if it is not in force.
     fn class_counts(&self, class: &str) -> Option<Arc<ClassCounts>> {
         let classes = lock(&self.classes);
         classes
@@ -158,7 +158,7 @@
             .flatten()
     }
 
-    /// Counts a response to a request of that class.
+    /// Counts a response to a request of `class`, if the class is in force.
     pub fn count_response(&self, class: &str, outcome: ResponseOutcome) {
         let Some(counts) = self.class_counts(class) else {
             return;
@@ -171,7 +171,7 @@
         count.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Counts an attempt whose last byte was written to its server.
+    /// Counts an attempt whose last byte was written to its server, in total and for `class` if it is in force.
     pub fn count_attempt(&self, class: &str) {
         self.attempts.fetch_add(1, Ordering::Relaxed);
         if let Some(counts) = self.class_counts(class) {
@@ -190,31 +190,33 @@
 
     /// Counts a request that the policy rejected.
     pub fn count_rejection(&self, reason: RejectReason) {
-        self.rejections.of(reason).fetch_add(1, Ordering::Relaxed);
+        self.rejections
+            .for_reason(reason)
+            .fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Counts a request that was rejected as the maximum was in flight.
+    /// Counts a request that was rejected because the maximum number of requests was in flight.
     pub fn count_excess_request(&self) {
         self.rejections
             .too_many_in_flight
             .fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Counts a request that was rejected as the maximum of connections was served.
+    /// Counts a request that was rejected because the maximum number of connections was served.
     pub fn count_excess_connection(&self) {
         self.rejections
             .too_many_connections
             .fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Counts a hold-up: the event loop ran this late.
-    pub fn count_hold_up(&self, delay: Duration) {
-        self.hold_ups.fetch_add(1, Ordering::Relaxed);
-        self.longest_hold_up_ms
+    /// Counts an event loop stall, and records its delay if it is the longest one.
+    pub fn count_stall(&self, delay: Duration) {
+        self.stalls.fetch_add(1, Ordering::Relaxed);
+        self.longest_stall_ms
             .fetch_max(delay.as_millis() as u64, Ordering::Relaxed);
     }
 
-    /// The text of `/stats`, with the number of requests in flight that the caller knows.
+    /// The text of `/stats`; `in_flight` is the current number of requests in flight.
     pub fn render(&self, in_flight: usize) -> String {
         let mut text = String::new();
         let class_counts = lock(&self.classes).counts.clone();
@@ -233,7 +235,7 @@
                 );
             }
         }
-        for (reason, count) in self.rejections.named() {
+        for (reason, count) in self.rejections.by_name() {
             let count = count.load(Ordering::Relaxed);
             let _ = writeln!(text, "limiter.rejected.{reason}:{count}|c");
         }
@@ -244,8 +246,8 @@
             ("servers_excluded", &self.servers_excluded, "g"),
             ("reloads_ok", &self.reloads_ok, "c"),
             ("reloads_failed", &self.reloads_failed, "c"),
-            ("hold_ups", &self.hold_ups, "c"),
-            ("longest_hold_up_ms", &self.longest_hold_up_ms, "g"),
+            ("hold_ups", &self.stalls, "c"),
+            ("longest_hold_up_ms", &self.longest_stall_ms, "g"),
         ];
         for (name, metric, kind) in metrics {
             let _ = writeln!(
