--- a/crates/merlinreel/src/config.rs
+++ b/crates/merlinreel/src/config.rs
@@ -1,5 +1,5 @@
-//! The configuration: one place reads, checks and completes it, and an error names the key at fault. Values of the
-//! environment stand in for keys that the file leaves out.
+//! Reads, checks and completes the configuration. Errors name the invalid key. Environment variables are the fallback for
+//! some keys that the file leaves out.
 
 mod check;
 mod environment;
@@ -22,47 +22,47 @@
 use merlinreel_settings::{Settings, SettingsTree};
 use std::net::SocketAddr;
 
-/// A limiter's name where neither the file nor the environment gives one.
+/// The limiter's name if neither the file nor the environment sets one.
 const DEFAULT_NAME: &str = "merlinreel";
-/// MiB of memory where the file gives none; enough for a small machine.
+/// Memory limit in MiB if the file sets none; fits a small machine.
 const DEFAULT_MEMORY_MB: u32 = 192;
-/// Descriptors where the file gives none; enough for a small machine.
+/// Limit of open descriptors if the file sets none; fits a small machine.
 const DEFAULT_SOCKETS: u32 = 1024;
 
-/// What a limiter is run with.
+/// The complete, checked configuration of a limiter.
 #[derive(Clone, Debug)]
 pub struct GatewayConfig {
-    /// This limiter's name.
+    /// This limiter's name in the log and in the mesh.
     pub name: String,
-    /// Where clients connect.
+    /// Address at which clients connect, unless a listening socket is inherited.
     pub listen: SocketAddr,
-    /// The discovery agent.
+    /// Address of the discovery agent.
     pub discovery: SocketAddr,
-    /// The admin endpoint, where there is one.
+    /// Address of the admin endpoint; `None` if it is disabled.
     pub admin: Option<SocketAddr>,
-    /// Where peer messages arrive.
+    /// Address at which this limiter receives peer messages; `None` if it exchanges none.
     pub peer_listen: Option<SocketAddr>,
-    /// Where every limiter receives peer messages, by its index, this one's included.
+    /// Addresses at which the limiters receive peer messages, this one included, by the limiter's index.
     pub peers: Vec<SocketAddr>,
-    /// Seeds all random draws.
+    /// Seed of all random choices; the process id if the file sets none.
     pub seed: u64,
-    /// Sizes, counts and times that bound the sockets.
+    /// Limits of the sizes, counts and times of sockets.
     pub limits: Limits,
-    /// The settings of the gateway.
+    /// The gateway's settings, from section `settings`.
     pub settings: Settings,
-    /// The endpoints that a process before had from discovery.
+    /// The endpoint list that a previous process received from discovery; `None` if the file has none.
     pub cached_endpoints: Option<DiscoveryUpdate>,
-    /// The mesh of limiters, where this one is a member.
+    /// Configuration of the mesh of limiters; `None` if this limiter is not a member.
     pub mesh: Option<MeshConfig>,
-    /// Keys of the file that have no meaning here: misspelt, or meant for another version.
+    /// Paths of unknown keys in the file, which have no effect: misspelt, or meant for another version.
     pub unknown_keys: Vec<String>,
 }
 
-/// Loads the file that `PROXY_CONFIG` names. `variable` looks up the environment.
+/// Loads the configuration file whose path is in `PROXY_CONFIG`. `variable` looks up an environment variable.
 ///
 /// # Errors
 ///
-/// The file is not named, not readable or not valid.
+/// `PROXY_CONFIG` is not set, or the file is not readable or not valid.
 pub fn load(variable: impl Fn(&str) -> Option<String>) -> Result<GatewayConfig, ConfigError> {
     let path = variable(CONFIG).ok_or(ConfigError::FileNotNamed)?;
     let text = match std::fs::read_to_string(&path) {
@@ -75,11 +75,11 @@
     })
 }
 
-/// Reads and checks the text of a configuration file. `variable` looks up the environment.
+/// Parses and checks the text of a configuration file. `variable` looks up an environment variable.
 ///
 /// # Errors
 ///
-/// The text is no valid configuration; the error's text begins with the key at fault.
+/// The text is not a valid configuration. The error names the invalid key.
 pub fn parse(
     text: &str,
     variable: impl Fn(&str) -> Option<String>,
--- a/crates/merlinreel/src/config/check.rs
+++ b/crates/merlinreel/src/config/check.rs
@@ -1,18 +1,19 @@
-//! Checks that no single key's type expresses: what a simulation may leave out but sockets need.
+//! Checks beyond the types of single keys: settings that a simulation may leave out but a real process needs.
 
 use super::error::ConfigError;
 use merlinreel_settings::Settings;
 use std::collections::HashSet;
 use std::net::SocketAddr;
 
-/// The name that the settings give to a class or plan without one.
+/// Placeholder in the settings for the name of a class or plan that has none.
 const UNNAMED: &str = "-";
 
 /// Checks that the settings are complete.
 ///
 /// # Errors
 ///
-/// A class or plan has no name of its own, a class has no deadline, or a counter service is wanted.
+/// A class or plan has no name or one that is used twice, a class has no deadline, there is no class or no plan, or a
+/// counter service is enabled.
 pub fn check_settings(settings: &Settings) -> Result<(), ConfigError> {
     if settings.fleet.counter {
         return Err(ConfigError::CounterUnsupported);
@@ -44,16 +45,16 @@
     Ok(())
 }
 
-/// Checks that every one of `limiters` has an address of its own.
+/// Checks that there is one distinct address for each of the `limiters`.
 ///
 /// # Errors
 ///
-/// There are more or fewer addresses, or one of them twice.
+/// The number of addresses differs from `limiters`, or two addresses are equal.
 pub fn check_peers(peers: &[SocketAddr], limiters: usize) -> Result<(), ConfigError> {
     if peers.len() != limiters {
         return Err(ConfigError::PeerCount {
             given: peers.len(),
-            wanted: limiters,
+            expected: limiters,
         });
     }
     let mut seen = HashSet::new();
--- a/crates/merlinreel/src/config/environment.rs
+++ b/crates/merlinreel/src/config/environment.rs
@@ -1,24 +1,25 @@
-//! The environment's variables that stand in for keys of the file.
+//! Environment variables: the path of the configuration file, and fallbacks for keys that the file leaves out.
 
 use super::error::ConfigError;
 use std::net::SocketAddr;
 
 /// Path of the configuration file.
 pub const CONFIG: &str = "PROXY_CONFIG";
-/// Stands in for `name`.
+/// Fallback for the key `name`.
 pub const NAME: &str = "PROXY_NAME";
-/// Stands in for `listen`.
+/// Fallback for the key `listen`.
 pub const LISTEN: &str = "PROXY_LISTEN";
-/// Stands in for `discovery`.
+/// Fallback for the key `discovery`.
 pub const DISCOVERY: &str = "PROXY_DISCOVERY";
-/// Stands in for `ops`.
+/// Fallback for the key `ops`.
 pub const ADMIN: &str = "PROXY_OPS";
 
-/// The address that the file gives under `key`, else that of the variable `name`.
+/// Returns the address `given` in the file under `key`, or else the one in the environment variable `name`, which `variable`
+/// looks up.
 ///
 /// # Errors
 ///
-/// There is neither, or the variable holds no address.
+/// Neither is set, or the environment variable does not hold an address.
 pub fn address_or_variable(
     key: &'static str,
     given: Option<SocketAddr>,
--- a/crates/merlinreel/src/config/error.rs
+++ b/crates/merlinreel/src/config/error.rs
@@ -1,4 +1,4 @@
-//! What can be wrong with a configuration.
+//! Errors of the configuration.
 
 use super::limits::CapacityError;
 use merlinreel_discovery::MessageError;
@@ -6,94 +6,102 @@
 use std::net::SocketAddr;
 use thiserror::Error;
 
-/// What is wrong with a configuration: the key at fault first, then what it should be.
+/// An error in the configuration. Its text names the invalid key first.
 #[derive(Debug, Error)]
 pub enum ConfigError {
-    /// The environment names no file.
-    #[error("PROXY_CONFIG is not set: it names the configuration file")]
+    /// `PROXY_CONFIG` is not set.
+    #[error("PROXY_CONFIG is not set; set it to the path of the configuration file")]
     FileNotNamed,
     /// The file can't be read.
-    #[error("{path}: {error}; the file must be there and readable by the limiter's user")]
+    #[error(
+        "{path}: cannot read the configuration file: {error}; it must exist and be readable by the limiter's user"
+    )]
     Unreadable {
-        /// The file.
+        /// Path of the file.
         path: String,
-        /// The system's error.
+        /// The error of the system call.
         error: std::io::Error,
     },
     /// The file is not valid.
     #[error("{path}: {error}")]
     InFile {
-        /// The file.
+        /// Path of the file.
         path: String,
-        /// What is wrong with it.
+        /// The error in its content.
         error: Box<ConfigError>,
     },
-    /// The text is no JSON object.
+    /// The text is not a JSON object.
     #[error("{0}")]
     Json(#[from] serde_json::Error),
-    /// A key's value has the wrong type.
+    /// The value of a key has the wrong type.
     #[error("{key}: {error}")]
     Key {
-        /// The key's path.
+        /// Path of the key.
         key: String,
-        /// What is wrong with its value.
+        /// The error in its value.
         error: serde_json::Error,
     },
-    /// A required key is missing in the file and in the environment.
-    #[error("{key}: is missing, and {variable} is not set")]
+    /// A required key is missing in the file, and its environment variable is not set.
+    #[error("{key}: missing, and {variable} is not set; set one of them to an IP address and port")]
     Missing {
-        /// The key.
+        /// Path of the key.
         key: &'static str,
-        /// The variable that stands in for it.
+        /// Environment variable that is the fallback for the key.
         variable: &'static str,
     },
-    /// A variable of the environment holds no address.
-    #[error("{variable}: '{given}' is no address and port")]
+    /// An environment variable does not hold an address.
+    #[error("{variable}: expected an IP address and port, found '{given}'")]
     InvalidAddress {
-        /// The variable.
+        /// Name of the environment variable.
         variable: &'static str,
-        /// Its value.
+        /// Value of the environment variable.
         given: String,
     },
     /// The section `settings` is missing.
-    #[error("settings: is missing")]
+    #[error("settings: section is missing; add it to the configuration file")]
     SettingsMissing,
-    /// A setting has no valid value.
+    /// A setting has an invalid value.
     #[error("{0}")]
     Settings(#[from] SettingsError),
-    /// A setting without a default is missing.
-    #[error("setting {key}: is missing")]
+    /// A required setting is missing or 0.
+    #[error("setting {key}: missing or 0; set a number of seconds above 0")]
     SettingMissing {
-        /// The setting's path.
+        /// Path of the setting.
         key: String,
     },
-    /// A class or a plan has no name of its own.
-    #[error("setting {key}.name: is missing or stands there twice")]
+    /// A class or plan has no name, or the name of an earlier one.
+    #[error(
+        "setting {key}.name: missing or used twice; each class and each plan needs its own name"
+    )]
     InvalidName {
-        /// The path of the class or plan.
+        /// Path of the class or plan.
         key: String,
     },
-    /// A list of the settings has no entry.
-    #[error("setting {0}: is empty")]
+    /// A list in the settings is empty.
+    #[error("setting {0}: list is empty; add at least one entry")]
     Empty(&'static str),
-    /// The settings want a counter service.
-    #[error("setting familyInfo.hasCounter: this limiter speaks no counter's protocol")]
+    /// The settings enable a counter service, whose protocol is not implemented.
+    #[error(
+        "setting familyInfo.hasCounter: the protocol of a counter service is not supported; leave the setting out"
+    )]
     CounterUnsupported,
-    /// The number of addresses is not that of the limiters.
-    #[error("peers: {given} addresses, but setting balancers says {wanted}")]
+    /// The number of peer addresses differs from the number of limiters.
+    #[error(
+        "peers: found {given} addresses, expected {expected} as in setting balancers; list each limiter's address"
+    )]
     PeerCount {
-        /// Addresses.
+        /// Number of addresses in the file.
         given: usize,
-        /// Limiters.
-        wanted: usize,
+        /// Number of limiters in the settings.
+        expected: usize,
     },
-    /// Two limiters have one address.
-    #[error("peers: {0} stands there twice")]
+    /// Two limiters have the same address.
+    #[error("peers: {0} is listed twice; each limiter needs its own address")]
     DuplicatePeer(SocketAddr),
-    /// The seed is no number.
-    #[error("seed: '{0}' is not 16 hex digits")]
+    /// The seed is not a hexadecimal number of 64 bits.
+    #[error("seed: expected up to 16 hexadecimal digits, found '{0}'")]
     InvalidSeed(String),
-    /// The configured descriptors or memory are too little.
+    /// The configured number of descriptors or memory is too small.
     #[error(transparent)]
     Capacity(#[from] CapacityError),
     /// The cached endpoint list is malformed.
--- a/crates/merlinreel/src/config/file.rs
+++ b/crates/merlinreel/src/config/file.rs
@@ -1,4 +1,4 @@
-//! The format of the configuration file.
+//! Format of the configuration file.
 
 use super::error::ConfigError;
 use crate::mesh::MeshConfig;
@@ -6,68 +6,68 @@
 use serde::Deserialize;
 use std::net::SocketAddr;
 
-/// The configuration file as it is written.
+/// The content of the configuration file, without defaults.
 #[derive(Deserialize, Default)]
 pub struct ConfigFile {
-    /// This limiter's name.
+    /// This limiter's name in the log and in the mesh.
     pub name: Option<String>,
-    /// Where clients connect.
+    /// Address at which clients connect.
     pub listen: Option<SocketAddr>,
-    /// The discovery agent.
+    /// Address of the discovery agent.
     pub discovery: Option<SocketAddr>,
-    /// The admin endpoint.
+    /// Address of the admin endpoint.
     #[serde(rename = "ops")]
     pub admin: Option<SocketAddr>,
-    /// Seeds all random draws.
+    /// Seed of all random choices.
     pub seed: Option<Seed>,
-    /// What the limiter may use of the machine.
+    /// Machine resources that the limiter may use.
     #[serde(default)]
     pub limits: MachineLimits,
-    /// Where peer messages arrive.
+    /// Address at which this limiter receives peer messages.
     pub peer_listen: Option<SocketAddr>,
-    /// Where every limiter receives peer messages.
+    /// Addresses at which the limiters receive peer messages, by the limiter's index.
     #[serde(default)]
     pub peers: Vec<SocketAddr>,
-    /// The endpoints that a process before had from discovery.
+    /// The endpoint list that a previous process received from discovery.
     #[serde(rename = "known")]
     pub cached_endpoints: Option<Message>,
-    /// The settings of the gateway.
+    /// The gateway's settings; required.
     pub settings: Option<serde_json::Value>,
-    /// The mesh of limiters.
+    /// Configuration of the mesh of limiters.
     pub mesh: Option<MeshConfig>,
-    /// Known and unused: peer messages go to one limiter at a time.
+    /// Accepted and ignored: each peer message is sent to a single limiter.
     #[serde(rename = "peers_all")]
     _peers_all: Option<serde_json::Value>,
 }
 
-/// What the limiter may use of the machine.
+/// Machine resources that the limiter may use.
 #[derive(Deserialize, Default)]
 pub struct MachineLimits {
-    /// MiB of memory.
+    /// Memory in MiB.
     pub memory_mb: Option<u32>,
-    /// Descriptors.
+    /// Number of open descriptors.
     pub sockets: Option<u32>,
-    /// Known and unused: one thread takes one core at most.
+    /// Accepted and ignored: the limiter's one thread uses at most one core.
     #[serde(rename = "cores")]
     _cores: Option<serde_json::Value>,
 }
 
-/// A seed as it is written.
+/// A seed in one of the two forms that the file may have.
 #[derive(Deserialize)]
 #[serde(untagged)]
 pub enum Seed {
-    /// A number.
+    /// The seed as a JSON number.
     Number(u64),
-    /// 16 hexadecimal digits.
+    /// The seed as a text of up to 16 hexadecimal digits.
     Hex(String),
 }
 
 impl Seed {
-    /// The seed's number.
+    /// Converts the seed to a number.
     ///
     /// # Errors
     ///
-    /// The text is no hexadecimal number of 64 bits.
+    /// The text is not a hexadecimal number of 64 bits.
     pub fn value(self) -> Result<u64, ConfigError> {
         match self {
             Seed::Number(seed) => Ok(seed),
@@ -79,11 +79,11 @@
 }
 
 impl ConfigFile {
-    /// Reads the file's text, and names the keys that have no meaning.
+    /// Parses the text of the file. Also returns the paths of unknown keys.
     ///
     /// # Errors
     ///
-    /// The text is no JSON, or a key's value has the wrong type.
+    /// The text is not JSON, or the value of a key has the wrong type.
     pub fn parse(text: &str) -> Result<(ConfigFile, Vec<String>), ConfigError> {
         let mut json = serde_json::Deserializer::from_str(text);
         let mut track = serde_path_to_error::Track::new();
@@ -100,7 +100,7 @@
                     ConfigError::Key { key, error }
                 }
             })?;
-        // Discovery's lists may hold more than is read here.
+        // Endpoint lists from discovery may have keys that the limiter does not use.
         unknown_keys.retain(|key| !key.starts_with("known."));
         Ok((file, unknown_keys))
     }
--- a/crates/merlinreel/src/config/limits.rs
+++ b/crates/merlinreel/src/config/limits.rs
@@ -1,204 +1,207 @@
-//! Sizes, counts and times that bound the limiter's sockets: computed once at start from the configured descriptors and
-//! memory, grouped by the part of the program that reads them.
+//! Limits of the sizes, counts and times of the limiter's sockets: computed at start from the configured descriptors, memory
+//! and settings, and grouped by the part of the program that uses them.
 
 use merlinreel_policy::RequestClass;
 use merlinreel_settings::Settings;
 use std::time::Duration;
 use thiserror::Error;
 
-/// The configured descriptors or memory are too little to run on.
+/// The configured number of descriptors or memory is too small.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum CapacityError {
-    /// `limits.memory_mb` leaves no memory for the least number of connections.
-    #[error(
-        "limits.memory_mb: {given} is too little, {needed} are needed; give the limiter more memory"
-    )]
+    /// `limits.memory_mb` is too small for the minimum number of connections.
+    #[error("limits.memory_mb: {given} MiB is too little; give the limiter at least {needed} MiB")]
     Memory {
         /// Configured MiB.
         given: u32,
         /// MiB needed.
         needed: usize,
     },
-    /// `limits.sockets` leaves no descriptors for the least number of connections.
+    /// `limits.sockets` is too small for the minimum number of connections.
     #[error(
-        "limits.sockets: {given} is too few, {needed} are needed; raise the limit on descriptors"
+        "limits.sockets: {given} descriptors are too few; raise the limit to at least {needed}"
     )]
     Sockets {
-        /// Configured descriptors.
+        /// Configured number of descriptors.
         given: u32,
-        /// Descriptors needed.
+        /// Number of descriptors needed.
         needed: usize,
     },
 }
 
-/// All bounds, by the part that reads them.
+/// All limits, by the part that uses them.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Limits {
-    /// A connection to a server or to the discovery agent must be up within this.
+    /// Time within which a connection to a server or to the discovery agent must be established.
     pub connect_timeout: Duration,
-    /// Bytes of a body that is buffered completely, of a request or of a response.
+    /// Size of a request or response body that is buffered completely.
     pub max_body_bytes: usize,
-    /// Bytes of the head of a message.
+    /// Size of the head of an HTTP message.
     pub max_head_bytes: usize,
-    /// Listening sockets.
+    /// Limits of the listening sockets.
     pub listener: ListenerLimits,
-    /// Clients' connections.
+    /// Limits of client connections.
     pub client: ClientLimits,
-    /// Connections to servers.
+    /// Limits of connections to servers.
     pub upstream: UpstreamLimits,
-    /// The watch of the endpoint list.
+    /// Limits of the watch of the endpoint list.
     pub endpoints: EndpointWatchLimits,
-    /// The event loop and its queue.
+    /// Limits of the event loop and its queue.
     pub event_loop: EventLoopLimits,
-    /// Graceful shutdown.
+    /// Times of a graceful shutdown.
     pub shutdown: ShutdownLimits,
-    /// The admin endpoint.
+    /// Limits of the admin endpoint.
     pub admin: AdminLimits,
 }
 
-/// Bounds of the listening sockets.
+/// Limits of the listening sockets.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ListenerLimits {
-    /// A socket that can't be bound at the start is tried again for this long.
+    /// Binding a socket at the start is retried for this long.
     pub bind_timeout: Duration,
-    /// Connections that wait to be accepted; the kernel drops further ones, whose clients try again after a second.
+    /// Length of the accept queue; the kernel drops further connection attempts, which clients repeat after a second.
     pub backlog: u32,
 }
 
-/// Bounds of clients' connections.
+/// Limits of client connections. The `evict_…` times apply when too many connections are open.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClientLimits {
-    /// Connections served at once; further ones are answered 503, up to `max_connections`.
+    /// Connections with a request in flight at once; requests on further ones, up to `max_connections`, get status 503.
     pub max_served_connections: usize,
-    /// Connections held at once.
+    /// Open connections.
     pub max_connections: usize,
-    /// Above this many connections, idle ones that carried one request at most are evicted.
+    /// Above this number of connections, idle ones that carried at most one request are evicted.
     pub max_idle_connections: usize,
-    /// Bytes of all request bodies that are held at once.
+    /// Total size of the request bodies in memory.
     pub max_buffered_body_bytes: usize,
-    /// A connection closes after this long without a request.
+    /// A connection is closed after this long without a request.
     pub idle_timeout: Duration,
-    /// A request must be complete within this, the first one counted from the connection's beginning; a connection that
-    /// carried one request closes after this without a second one.
+    /// Time in which a request must be complete, counted from the start of the connection for the first one. A connection
+    /// that carried one request is closed after this time without a second one.
     pub request_timeout: Duration,
-    /// A body that arrives at this rate, in bytes a second, has as long as it takes.
+    /// A body that arrives at least at this rate, in bytes per second, may exceed `request_timeout` until its client's
+    /// deadline.
     pub min_body_bytes_per_second: u32,
-    /// The longest pause in a body that arrives.
+    /// Longest pause within a body.
     pub max_body_pause: Duration,
-    /// Under pressure a connection idle between requests is evicted after this.
+    /// A connection that has been idle between requests for this long may be evicted.
     pub evict_idle_after: Duration,
-    /// Under pressure a connection that never carried a request is evicted after this.
+    /// A connection that has been open for this long without any request may be evicted.
     pub evict_unused_after: Duration,
-    /// Under pressure a connection with an incomplete request is evicted after this.
+    /// A connection whose request has been incomplete for this long may be evicted.
     pub evict_partial_after: Duration,
-    /// After the limiter has ended its side of a connection it waits this long for the client's end.
+    /// After closing its side of a connection, the limiter waits this long for the client to close.
     pub linger_timeout: Duration,
-    /// Bytes read ahead behind a request in flight; those that exceed a head count against `max_buffered_body_bytes`.
+    /// Bytes read ahead while a request is in flight; those beyond the size of a head count against
+    /// `max_buffered_body_bytes`.
     pub max_read_ahead_bytes: usize,
 }
 
-/// Bounds of connections to servers.
+/// Limits of connections to servers.
 #[derive(Clone, Debug, PartialEq)]
 pub struct UpstreamLimits {
-    /// Connections open or opening.
+    /// Connections that are open or being opened.
     pub max_connections: usize,
-    /// Bytes of all complete responses that clients have not taken yet.
+    /// Total size of complete responses that clients have not taken yet.
     pub max_buffered_response_bytes: usize,
-    /// Bytes of a streaming response.
+    /// Size of a streaming response.
     pub max_streaming_bytes: u64,
-    /// A connection idle for this long is closed.
+    /// A connection that has been idle for this long is closed.
     pub idle_timeout: Duration,
-    /// A server that closes a connection behind a response does so within this.
+    /// A server that closes a connection right after a response does so within this time; connections idle for longer are
+    /// reused first.
     pub settle_time: Duration,
-    /// A health check unanswered for this long has failed.
+    /// A health check without a response for this long has failed.
     pub health_check_timeout: Duration,
 }
 
-/// Bounds of the watch of the endpoint list.
+/// Limits of the watch of the endpoint list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointWatchLimits {
-    /// Bytes of an endpoint list.
+    /// Size of an endpoint list.
     pub max_list_bytes: usize,
-    /// How long a watch may wait for a change.
+    /// How long the discovery agent may wait for a change before it responds to a watch.
     pub watch_timeout: Duration,
-    /// How long a call may wait where an answer is wanted at once.
+    /// The same wait, for a watch whose response is needed at once: for the first list, or after a failed call.
     pub immediate_timeout: Duration,
-    /// A call that is late by this counts as silent: another one is made beside it.
+    /// A call without a response for this long after its wait counts as unresponsive; another one is started in parallel.
     pub response_grace: Duration,
     /// Calls open at once.
     pub max_open_calls: usize,
-    /// A failed call is repeated after this.
+    /// Delay before a failed call is repeated.
     pub retry_delay: Duration,
-    /// A new process waits this long for the first list before it admits requests.
+    /// A new process waits this long for its first list before it accepts clients.
     pub first_list_timeout: Duration,
 }
 
-/// Bounds of the event loop.
+/// Limits of the event loop.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EventLoopLimits {
     /// Requests in flight at once.
     pub max_requests: usize,
-    /// Events that wait in the queue.
+    /// Events waiting in the queue.
     pub queue_length: usize,
-    /// Events taken into one batch.
+    /// Events processed in one batch.
     pub batch_size: usize,
-    /// Attempts end this long before the client gives up, so that the response arrives in time.
+    /// Attempts end this long before the client gives up, so that the response reaches the client in time.
     pub response_margin: Duration,
 }
 
-/// Bounds of a graceful shutdown; times count from the signal unless stated otherwise.
+/// Times of a graceful shutdown, counted from the signal unless stated otherwise.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ShutdownLimits {
-    /// Requests are served as before until then; from then on responses announce that their connection closes.
+    /// Until this time, requests are served as usual; later, responses announce that their connection closes.
     pub announce_after: Duration,
-    /// A connection idle for this long is closed between requests.
+    /// A connection that has been idle between requests for this long is closed.
     pub idle_before_close: Duration,
-    /// From then on every idle connection is closed.
+    /// From this time on, [`ClientLimits::evict_idle_after`] replaces `idle_before_close`.
     pub close_idle_after: Duration,
-    /// A connection whose first request is still to come closes after this long of its own.
+    /// A connection without its first request is closed after this time, counted from the start of the connection.
     pub first_request_timeout: Duration,
-    /// Connections are accepted until then.
+    /// Longest time for which connections are still accepted, counted from the first announcement.
     pub accept_for: Duration,
-    /// The listener closes earlier once nobody has connected for this long.
+    /// The listener closes earlier if no connection has been open for this long.
     pub quiet_period: Duration,
-    /// For this long after its end requests that were read ahead are still answered.
+    /// Pipelined requests are still answered for this long after the deadline of the shutdown.
     pub response_grace: Duration,
 }
 
-/// Bounds of the admin endpoint.
+/// Limits of the admin endpoint.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AdminLimits {
-    /// Connections at once.
+    /// Open connections.
     pub max_connections: usize,
-    /// A call must be complete within this.
+    /// Time in which the head of a call must be complete; the connection may last twice as long.
     pub call_timeout: Duration,
 }
 
-/// Descriptors that are neither clients' nor servers': standard streams, poller, listeners, peer socket, discovery.
+/// Descriptors for other uses than client and server connections: standard streams, poller, listeners, peer socket and
+/// discovery.
 const RESERVED_DESCRIPTORS: usize = 24;
-/// MiB that the program and the policy module take.
+/// Memory of the program and the policy module, in MiB.
 const PROGRAM_MB: usize = 8;
-/// KiB that a connection may hold with its buffers.
+/// Memory that a connection and its buffers may use, in KiB.
 const CONNECTION_KB: usize = 64;
-/// The least number of connections to run with.
+/// Minimum number of client and server connections for the limiter to start.
 const MIN_CONNECTIONS: usize = 32;
-/// An endpoint list may take this part of the memory while it is received.
+/// An endpoint list that is being received may take up to the memory divided by this.
 const LIST_MEMORY_DIVISOR: usize = 5;
-/// Bytes of an endpoint list that are allowed whatever the memory.
+/// Size of an endpoint list that is allowed even if the memory is small.
 const MIN_LIST_BYTES: usize = 4 << 20;
-/// A server's idle limit where the settings give none.
+/// Time after which servers close idle connections, if the settings set none.
 const DEFAULT_SERVER_IDLE_TIMEOUT: Duration = Duration::from_secs(15);
-/// The connect timeout where the settings give none.
+/// Connect timeout if the settings set none.
 const DEFAULT_CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
-/// A pooled connection is dropped at this part of the server's idle limit: a request written to a connection that the
-/// server just closed would be lost.
+/// A pooled connection is closed after this fraction of the server's idle timeout: a request written to a connection that
+/// the server has just closed would be lost.
 const POOLED_IDLE_FRACTION: f64 = 0.6;
-/// The last request of a shutdown is answered this long after the longest deadline.
+/// Time after the longest deadline within which the last request of a shutdown is answered.
 const SHUTDOWN_MARGIN: Duration = Duration::from_millis(300);
-/// A process is killed no sooner than this and 0.7 s after the signal, however long deadlines are.
+/// Upper bound of the longest deadline in a shutdown: the process is killed no sooner than 0.7 s after that deadline, of
+/// which at most this counts.
 const MAX_SHUTDOWN_DEADLINE: Duration = Duration::from_secs(3);
 
-/// How many connections and bytes each side gets.
+/// Numbers of connections and sizes of buffers (in KiB), derived from the configured descriptors and memory.
 struct Budget {
     connections: usize,
     client_connections: usize,
@@ -215,7 +218,7 @@
         let by_memory = connections_by_memory(memory_mb, body_kb + response_kb)?;
         let by_sockets = connections_by_sockets(sockets)?;
         let connections = by_sockets.min(by_memory);
-        // A request holds its client's connection and at most one to a server; clients keep idle ones too.
+        // A request uses one client connection and at most one server connection; clients also keep idle connections.
         let upstream_connections = connections * 2 / 5;
         Ok(Budget {
             connections,
@@ -250,11 +253,11 @@
 }
 
 impl Limits {
-    /// Shares descriptors and memory (in MiB) out.
+    /// Computes the limits from the number of descriptors, the memory in MiB and the settings.
     ///
     /// # Errors
     ///
-    /// Too few descriptors or too little memory for the least number of connections.
+    /// The descriptors or the memory do not suffice for the minimum number of connections.
     pub fn new(sockets: u32, memory_mb: u32, settings: &Settings) -> Result<Limits, CapacityError> {
         let budget = Budget::new(sockets, memory_mb)?;
         Ok(Limits {
@@ -272,7 +275,7 @@
     }
 }
 
-/// Settings give zero for a time that they leave out.
+/// Returns `default` for a time that the settings leave out, which they represent as zero.
 fn given_or(given: Duration, default: Duration) -> Duration {
     if given.is_zero() { default } else { given }
 }
@@ -288,7 +291,7 @@
 
 impl ClientLimits {
     fn new(budget: &Budget, sockets: u32) -> ClientLimits {
-        // The rest answers newcomers that the limiter is busy.
+        // The remaining connections answer new requests with status 503.
         let max_served_connections = budget.client_connections - budget.client_connections / 4;
         ClientLimits {
             max_served_connections,
@@ -296,7 +299,7 @@
             max_idle_connections: (sockets as usize / 4).min(max_served_connections),
             max_buffered_body_bytes: budget.body_kb * 1024,
             idle_timeout: Duration::from_secs(10),
-            // A client that sends nothing usable is owed an end within 3 s.
+            // A connection without a valid request must be closed within 3 s.
             request_timeout: Duration::from_millis(2200),
             min_body_bytes_per_second: 64_000,
             max_body_pause: Duration::from_millis(700),
@@ -329,7 +332,8 @@
 impl EndpointWatchLimits {
     fn new(memory_mb: u32, settings: &Settings) -> EndpointWatchLimits {
         let memory_bytes = (memory_mb as usize) << 20;
-        // A drain's grace runs from the end of an outage of discovery, so a silent call must not outlast half of it.
+        // The grace period of a drain starts at the end of a discovery outage, so an unresponsive call must be replaced
+        // within half of it.
         let half_grace = settings.endpoints.drain_grace / 2;
         EndpointWatchLimits {
             max_list_bytes: (memory_bytes / LIST_MEMORY_DIVISOR).max(MIN_LIST_BYTES),
@@ -353,7 +357,7 @@
             } else {
                 max_in_flight
             },
-            // Each connection may have a request and its disconnect there, each attempt its end.
+            // Holds a request and a disconnect for each client connection, and a completion for each attempt.
             queue_length: 4 * budget.connections + 256,
             batch_size: 512,
             response_margin: Duration::from_millis(5),
@@ -366,7 +370,7 @@
         ShutdownLimits {
             announce_after: Duration::from_millis(400),
             idle_before_close: Duration::from_millis(100),
-            // From 0.7 s on a request that crosses its connection's end may count as lost.
+            // From 0.7 s on, a request that crosses the close of its connection may count as lost.
             close_idle_after: Duration::from_millis(620),
             first_request_timeout: Duration::from_millis(400),
             accept_for: Duration::from_secs(1),
@@ -385,8 +389,8 @@
     }
 }
 
-/// How long after the signal of a shutdown the last request is answered, by the classes in force: before the process is
-/// killed, which is no sooner than the longest deadline (at most 3 s) and 0.7 s.
+/// Time from the shutdown signal until the last request is answered, for the classes in force. This is before the process is
+/// killed, which happens no sooner than the longest deadline (of which at most 3 s count) plus 0.7 s.
 pub fn shutdown_deadline(classes: &[RequestClass]) -> Duration {
     let longest = classes.iter().map(|class| class.deadline).max();
     longest.unwrap_or_default().min(MAX_SHUTDOWN_DEADLINE) + SHUTDOWN_MARGIN
--- a/crates/merlinreel/src/config/tests.rs
+++ b/crates/merlinreel/src/config/tests.rs
@@ -34,10 +34,10 @@
     assert_eq!(config.unknown_keys, ["peer", "limits.memory"]);
 }
 
-/// The number of peers' addresses, and the mesh's capacity, follow the settings' number of limiters.
-#[test_case(1 ; "alone")]
-#[test_case(2300 ; "a large fleet")]
-fn lists_of_limiters_have_the_settings_length(limiters: u16) {
+/// The number of peer addresses must equal the settings' number of limiters, which also sets the mesh's capacity.
+#[test_case(1 ; "one limiter")]
+#[test_case(2300 ; "large fleet")]
+fn number_of_limiters_is_taken_from_the_settings(limiters: u16) {
     let mut file: serde_json::Value = serde_json::from_str(VALID).expect("valid");
     let address = |i: u16| format!("127.0.{}.{}:9000", i >> 8, i & 0xff);
     file["settings"]["balancers"] = limiters.into();
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn environment_stands_in_for_missing_keys() {
+fn environment_is_the_fallback_for_missing_keys() {
     let text = VALID.replace(r#""listen":"127.0.0.1:0","#, "");
     let variable = |name: &str| (name == "PROXY_LISTEN").then(|| "127.0.0.2:80".to_owned());
     assert_eq!(
@@ -62,20 +62,20 @@
     );
 }
 
-#[test_case(r#""listen":"127.0.0.1:0","#, "", "listen: is missing, and PROXY_LISTEN is not set" ; "missing address")]
-#[test_case(r#""127.0.0.1:0""#, r#""here""#, "listen: invalid socket address syntax" ; "no address")]
-#[test_case("256", r#""many""#, "limits.sockets: invalid type: string" ; "no number")]
-#[test_case("256", "20", "limits.sockets: 20 is too few" ; "too few descriptors")]
-#[test_case("64", "1", "limits.memory_mb: 1 is too little" ; "too little memory")]
-#[test_case("8c1f", "xyz", "seed: 'xyz' is not 16 hex digits" ; "seed")]
-#[test_case("\"look\"", "null", "setting classes.0.name: is missing or stands there twice" ; "no name")]
-#[test_case("4.0", "-4.0", "setting packages.0.unitsPerS: '-4.0' is not a number from 0" ; "setting")]
+#[test_case(r#""listen":"127.0.0.1:0","#, "", "listen: missing, and PROXY_LISTEN is not set" ; "missing address")]
+#[test_case(r#""127.0.0.1:0""#, r#""here""#, "listen: invalid socket address syntax" ; "invalid address")]
+#[test_case("256", r#""many""#, "limits.sockets: invalid type: string" ; "not a number")]
+#[test_case("256", "20", "limits.sockets: 20 descriptors are too few" ; "too few descriptors")]
+#[test_case("64", "1", "limits.memory_mb: 1 MiB is too little" ; "too little memory")]
+#[test_case("8c1f", "xyz", "seed: expected up to 16 hexadecimal digits, found 'xyz'" ; "invalid seed")]
+#[test_case("\"look\"", "null", "setting classes.0.name: missing or used twice" ; "missing name")]
+#[test_case("4.0", "-4.0", "setting packages.0.unitsPerS: '-4.0' is not a number from 0" ; "invalid setting")]
 #[test_case("\"balancers\":1", "\"balancers\":1,\"familyInfo\":{\"hasCounter\":true}",
-    "setting familyInfo.hasCounter: this limiter speaks no counter's protocol" ; "counter")]
-#[test_case("\"seed\"", "\"peer_listen\":\"127.0.0.1:1\",\"peers\":[],\"x\"", "duplicate field" ; "key twice")]
+    "setting familyInfo.hasCounter: the protocol of a counter service is not supported" ; "counter service")]
+#[test_case("\"seed\"", "\"peer_listen\":\"127.0.0.1:1\",\"peers\":[],\"x\"", "duplicate field" ; "duplicate key")]
 #[test_case(r#""peers":["127.0.0.1:1"]"#, r#""peers":[],"peer_listen":"127.0.0.1:1""#,
-    "peers: 0 addresses, but setting balancers says 1" ; "wrong number of peers")]
-#[test_case("\"settings\"", "\"setting\"", "settings: is missing" ; "key misspelt")]
+    "peers: found 0 addresses, expected 1 as in setting balancers" ; "wrong number of peers")]
+#[test_case("\"settings\"", "\"setting\"", "settings: section is missing" ; "misspelt key")]
 #[test_case("{\"peers\":true}", "{\"peers\":true,\"sendCap\":0}",
     "setting policyLimits.sendCap: '0' is not a positive number" ; "no attempts allowed")]
 fn invalid_key_is_named(from: &str, to: &str, expected: &str) {
--- a/crates/merlinreel/src/telemetry/metrics.rs
+++ b/crates/merlinreel/src/telemetry/metrics.rs
@@ -202,7 +202,7 @@
             .fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Counts a request that was rejected because the maximum number of connections was served.
+    /// Counts a request that was rejected because the maximum number of connections had a request in flight.
     pub fn count_excess_connection(&self) {
         self.rejections
             .too_many_connections
