--- a/crates/merlinreel/src/admin.rs
+++ b/crates/merlinreel/src/admin.rs
@@ -1,9 +1,10 @@
-//! The admin endpoint: HTTP/1.1, one call to a connection. `GET /healthcheck` says whether this process can
-//! serve (200, or 503 once it shuts down), `GET /stats` has the metrics, `GET /mesh` the members of the mesh. Another path is
-//! 404, another method 405.
+//! The admin endpoint: HTTP/1.1, one call per connection. `GET /healthcheck` returns 200 while this process serves requests,
+//! else 503 (while it starts or shuts down), `GET /stats` the metrics, `GET /mesh` the members of the mesh. Other paths
+//! return 404, other methods 405.
 //!
-//! Each connection is a task of its own and must bring a complete call within [`AdminLimits::call_timeout`], so that a
-//! stalled caller delays nobody; at most [`AdminLimits::max_connections`] are open, and a new one over that ends the oldest.
+//! Each connection has its own task. The head of its call must be complete within [`AdminLimits::call_timeout`], and the
+//! connection ends after twice that time, so that a stalled caller delays no other. At most
+//! [`AdminLimits::max_connections`] are open; a further one closes the oldest.
 //!
 //! [`AdminLimits::call_timeout`]: crate::config::limits::AdminLimits::call_timeout
 //! [`AdminLimits::max_connections`]: crate::config::limits::AdminLimits::max_connections
@@ -27,19 +28,19 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::JoinHandle;
 
-/// What the admin endpoint reports.
+/// Provides the status that the admin endpoint reports.
 pub trait AdminStatus: Send + Sync + 'static {
-    /// Whether the process serves requests.
+    /// Whether the process accepts requests: it is neither starting nor shutting down.
     fn is_serving(&self) -> bool;
     /// The text of `/stats`.
     fn stats(&self) -> String;
-    /// The members of the mesh as JSON; `None` where this limiter takes no part in one.
+    /// The members of the mesh as JSON; `None` if this limiter is not a member.
     fn mesh(&self) -> Option<String> {
         None
     }
 }
 
-/// The response to one call.
+/// Returns the response to one call.
 pub fn respond(method: &Method, path: &str, status: &dyn AdminStatus) -> Response<Full<Bytes>> {
     match (path, method == Method::GET) {
         ("/healthcheck" | "/stats" | "/mesh", false) => {
@@ -72,8 +73,8 @@
         let stream = match listener.accept().await {
             Ok((stream, _)) => stream,
             Err(error) => {
-                log!("ops: {error}");
-                // Without descriptors this would spin.
+                log!("admin endpoint: cannot accept a connection: {error}; trying again");
+                // Otherwise this would be a busy loop while no descriptor is free.
                 backoff.pause().await;
                 continue;
             }
@@ -108,7 +109,7 @@
             TokioIo::new(ObservedStream::new(stream, Arc::new(Unobserved))),
             service,
         );
-    // Ends a call whose body never does, too.
+    // Also ends a call whose body never ends.
     let _ = timeout_caught_up(call_timeout * 2, connection).await;
 }
 
--- a/crates/merlinreel/src/lib.rs
+++ b/crates/merlinreel/src/lib.rs
@@ -1,5 +1,5 @@
-//! The limiter on sockets: clients' HTTP/1.1 in front of the policy, servers behind it. Each module has one concern;
-//! [`event_loop`] is the only one that knows the policy's state.
+//! The limiter as a process: it reads HTTP/1.1 requests of clients, asks the policy, and forwards admitted requests to servers.
+//! Each module has one concern; only [`event_loop`] accesses the policy's state.
 
 #![warn(missing_docs)]
 
@@ -40,9 +40,9 @@
 use tokio::time::error::Elapsed;
 use upstream::UpstreamPool;
 
-/// Runs one limiter until `stop` ends and the requests in flight have their responses; `reloads` bring what the operators
-/// change meanwhile. Clients connect to `inherited` where the platform passes a listener on, else to the configured
-/// address. Needs a tokio runtime with time and I/O; one thread is enough.
+/// Runs one limiter until `stop` completes and the requests in flight have their responses. `reloads` provides configuration
+/// changes in the meantime. Clients connect to `inherited` if the platform passes a listening socket on, else to the
+/// configured address. Needs a tokio runtime with time and I/O; one thread is enough.
 ///
 /// # Errors
 ///
@@ -61,8 +61,8 @@
     let (settings_sender, active_settings) = ActiveSettings::channel(&config.settings);
     let cached_endpoints = config.cached_endpoints.take();
     let cached_version = cached_endpoints.as_ref().map(|update| update.version);
-    let hold_ups = HoldUpMonitor::new(metrics.clone());
-    let event_loop = new_event_loop(&config, &sockets, clock, &queue, &metrics, &hold_ups)
+    let stall_monitor = HoldUpMonitor::new(metrics.clone());
+    let event_loop = new_event_loop(&config, &sockets, clock, &queue, &metrics, &stall_monitor)
         .with_settings_sender(settings_sender);
     let mut event_loop = tokio::spawn(event_loop.run(cached_endpoints, events));
 
@@ -73,8 +73,13 @@
     sockets.log_address(&config);
     let limits = config.limits.clone();
     let first_list = timeout_caught_up(limits.endpoints.first_list_timeout, first_list);
-    let client_listener =
-        ClientListener::new(limits, active_settings, queue, metrics.clone(), hold_ups);
+    let client_listener = ClientListener::new(
+        limits,
+        active_settings,
+        queue,
+        metrics.clone(),
+        stall_monitor,
+    );
     let mesh_tasks = join_mesh(&config, &client_listener).await?;
     let status = GatewayStatus {
         client_listener: client_listener.clone(),
@@ -100,7 +105,7 @@
     clock: Clock,
     queue: &Queue,
     metrics: &Arc<Metrics>,
-    hold_ups: &Arc<HoldUpMonitor>,
+    stall_monitor: &Arc<HoldUpMonitor>,
 ) -> EventLoop {
     let upstreams = UpstreamPool::new(
         config.limits.clone(),
@@ -116,12 +121,13 @@
         peer_sender,
         clock,
         metrics.clone(),
-        hold_ups.clone(),
+        stall_monitor.clone(),
     )
 }
 
-/// Serves clients from the first endpoint list on. The agent's present list applies to the first request already, as servers
-/// may have left since the cached one. Clients wait on the socket meanwhile, and `/healthcheck` says no.
+/// Waits for the first endpoint list, up to a timeout, and then serves clients. The first request is thereby decided by
+/// the agent's current list, as servers may have left since the cached one. Until then connections wait in the accept queue,
+/// and `/healthcheck` returns 503.
 async fn serve_clients<T>(
     client_listener: Arc<ClientListener>,
     sockets: Sockets,
@@ -129,7 +135,7 @@
     stop: impl Future<Output = ()>,
 ) {
     if first_list.await.is_err() {
-        log!("discovery: no response yet; starting with the cached endpoint list");
+        log!("discovery: no response yet; starting with the cached endpoint list, if there is one");
     }
     client_listener
         .serve(sockets.listener, sockets.origin, stop)
@@ -138,11 +144,11 @@
 
 fn log_unknown_keys(config: &GatewayConfig) {
     for key in &config.unknown_keys {
-        log!("configuration: key {key} is not known and has no effect");
+        log!("configuration: unknown key {key} has no effect; check its spelling");
     }
 }
 
-/// Joins the mesh of limiters, where the configuration has the section.
+/// Joins the mesh of limiters, if the configuration has the section `mesh`.
 async fn join_mesh(
     config: &GatewayConfig,
     client_listener: &Arc<ClientListener>,
@@ -158,8 +164,8 @@
         .map_err(io::Error::other)
 }
 
-/// Serves clients until they are done. Without an event loop requests would be accepted and never decided: where it ends
-/// first, the process does, and is started again.
+/// Runs `serving` to its end. Without an event loop, requests would be accepted but never decided: if it ends first, this
+/// returns an error, so that the process exits and is restarted.
 async fn serve_while_event_loop_runs(
     serving: impl Future<Output = ()>,
     event_loop: &mut JoinHandle<()>,
--- a/crates/merlinreel/src/main.rs
+++ b/crates/merlinreel/src/main.rs
@@ -1,4 +1,4 @@
-//! One limiter, as its configuration says.
+//! The program: starts one limiter, reloads its configuration at SIGHUP and shuts it down at SIGTERM.
 
 use merlinreel::config::{self, ConfigError, GatewayConfig};
 use merlinreel::startup::inherited_listener::{InheritError, inherited_listener};
@@ -11,12 +11,12 @@
 use thiserror::Error;
 use tokio::signal::unix::{Signal, SignalKind, signal};
 
-/// Why the limiter did not start, or ended by itself.
+/// Why the limiter did not start, or ended without a shutdown.
 #[derive(Debug, Error)]
 enum StartError {
     #[error(transparent)]
     Inherit(#[from] InheritError),
-    #[error("signals can't be heard: {0}")]
+    #[error("cannot install a signal handler: {0}")]
     Signals(std::io::Error),
     #[error(transparent)]
     Config(#[from] ConfigError),
@@ -32,7 +32,7 @@
     signal(kind).map_err(StartError::Signals)
 }
 
-/// Loads the configuration again at each SIGHUP.
+/// Reloads the configuration at each SIGHUP.
 async fn reload_on_signal(
     mut hangup: Signal,
     mut config: GatewayConfig,
@@ -47,7 +47,7 @@
 }
 
 async fn run(inherited: Option<TcpListener>) -> Result<(), StartError> {
-    // Before all else: a signal that nobody listens for ends the program.
+    // First of all, as a signal without a handler ends the program.
     let mut terminate = listen_for(SignalKind::terminate())?;
     let hangup = listen_for(SignalKind::hangup())?;
     let config = config::load(variable)?;
--- a/crates/merlinreel/src/mesh.rs
+++ b/crates/merlinreel/src/mesh.rs
@@ -1,4 +1,4 @@
-//! This limiter's membership in the mesh of all limiters. It is off unless the configuration has the section `mesh`.
+//! This limiter's membership in the mesh of all limiters. It is disabled unless the configuration has the section `mesh`.
 
 mod config;
 mod key_reload;
--- a/crates/merlinreel/src/mesh/config.rs
+++ b/crates/merlinreel/src/mesh/config.rs
@@ -1,4 +1,4 @@
-//! The section `mesh` of the configuration.
+//! The section `mesh` of the configuration file.
 
 use merlinreel_mesh::{Key, Keys, MeshError};
 use serde::Deserialize;
@@ -6,29 +6,29 @@
 use std::net::{SocketAddr, SocketAddrV4};
 use std::path::PathBuf;
 
-/// The section `mesh` of the configuration.
+/// Configuration of this limiter's membership in the mesh.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 pub struct MeshConfig {
-    /// Where datagrams of other limiters are received.
+    /// Address at which datagrams of other limiters are received.
     pub listen: SocketAddrV4,
-    /// The address at which other limiters reach this one, if addresses are translated on the way.
+    /// Address at which other limiters reach this one, if addresses are translated on the way; `None` if it is `listen`.
     #[serde(rename = "as")]
     pub advertised: Option<SocketAddrV4>,
-    /// Limiters that are asked for the others. All limiters may have the same list.
+    /// Limiters that are asked for the other members. All limiters may have the same list.
     #[serde(default)]
     pub seeds: Vec<SocketAddrV4>,
-    /// The keys that are accepted.
+    /// Keys whose signatures are accepted.
     pub keys: Vec<KeyFile>,
-    /// The id of the key that signs; the first key signs if it is left out.
+    /// Id of the key that signs this limiter's datagrams; `None` for the first key.
     #[serde(rename = "sign_with")]
     pub signing_key_id: Option<u8>,
-    /// Where datagrams for a limiter are sent, if not to its own address.
+    /// Addresses to which datagrams are sent instead of the limiter's own address, by the limiter's own address.
     #[serde(default)]
     pub routes: HashMap<SocketAddrV4, SocketAddr>,
-    /// Bytes that may be sent a second.
+    /// Bytes that may be sent per second, on average.
     #[serde(rename = "bytes_a_second", default = "default_bytes_per_second")]
     pub bytes_per_second: u32,
-    /// Number of limiters in the settings, which bounds what is held of others.
+    /// Number of limiters in the settings, which limits how much is stored about others. Not part of the section.
     #[serde(skip)]
     pub limiters: usize,
 }
@@ -37,12 +37,12 @@
     8000
 }
 
-/// A key in a file.
+/// A key for the signatures of datagrams, which is stored in a file.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 pub struct KeyFile {
-    /// The key's id, the same on all limiters.
+    /// Id of the key, the same on all limiters.
     pub id: u8,
-    /// The file that holds the key.
+    /// Path of the file that holds the key.
     #[serde(rename = "file")]
     pub path: PathBuf,
 }
@@ -52,7 +52,7 @@
     ///
     /// # Errors
     ///
-    /// If a file can't be read or is too short, or the list of keys is not valid.
+    /// A file can't be read or is too short, or the list of keys is not valid.
     pub fn read_keys(&self) -> Result<Keys, MeshError> {
         let keys: Result<Vec<Key>, MeshError> = self
             .keys
@@ -62,13 +62,13 @@
         Keys::new(keys?, self.signing_key_id)
     }
 
-    /// Takes over what a running limiter can change: its keys.
+    /// Replaces what can change in a running limiter: the keys.
     pub fn reload_from(&mut self, new: MeshConfig) {
         self.keys = new.keys;
         self.signing_key_id = new.signing_key_id;
     }
 
-    /// Whether anything differs that a running limiter can't change.
+    /// Whether `new` differs in anything that can't change in a running limiter.
     pub fn needs_restart(&self, new: &MeshConfig) -> bool {
         let mut reloaded = self.clone();
         reloaded.reload_from(new.clone());
--- a/crates/merlinreel/src/mesh/key_reload.rs
+++ b/crates/merlinreel/src/mesh/key_reload.rs
@@ -1,12 +1,12 @@
-//! Applies changed keys while the limiter runs.
+//! Applies changed mesh keys while the limiter runs.
 
 use super::config::MeshConfig;
 use crate::log;
 use merlinreel_mesh::runtime::Mesh;
 use tokio::sync::watch;
 
-/// Reads the key files again each time `configs` changes, until its sender is dropped. Keys that can't be read leave the
-/// present ones in use.
+/// Reads the key files again each time `configs` changes, until its sender is dropped. If the keys can't be read, the current
+/// ones stay in use.
 pub async fn reload_keys(mesh: Mesh, mut configs: watch::Receiver<Option<MeshConfig>>) {
     while configs.changed().await.is_ok() {
         let Some(config) = configs.borrow_and_update().clone() else {
@@ -14,7 +14,7 @@
         };
         match config.read_keys() {
             Ok(keys) => mesh.replace_keys(keys),
-            Err(error) => log!("{error}; the present keys stay in use"),
+            Err(error) => log!("mesh: keys not reloaded: {error}; the current keys stay in use"),
         }
     }
 }
--- a/crates/merlinreel/src/mesh/status.rs
+++ b/crates/merlinreel/src/mesh/status.rs
@@ -1,11 +1,11 @@
-//! What each limiter publishes about itself, and what the admin endpoint answers under `/mesh`.
+//! The record that each limiter publishes in the mesh, and the response of the admin endpoint under `/mesh`.
 
 use merlinreel_mesh::runtime::Mesh;
 use merlinreel_mesh::{Kind, Member, StoredRecord};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// The kind of [`LimiterRecord`].
+/// The kind under which a [`LimiterRecord`] is published.
 pub(super) const LIMITER_KIND: Kind = 1;
 
 /// The record that each limiter publishes about itself.
@@ -16,20 +16,20 @@
     /// The program's version.
     #[serde(rename = "program")]
     pub version: String,
-    /// Whether it accepts requests: neither starting nor stopping.
+    /// Whether the limiter accepts requests: it is neither starting nor shutting down.
     #[serde(rename = "serves")]
     pub is_serving: bool,
 }
 
-/// The answer under `/mesh`.
+/// The response under `/mesh`. Its counters count since the start.
 #[derive(Serialize)]
 struct MeshStatus {
-    /// This limiter's address.
+    /// This limiter's address in the mesh.
     own: String,
     #[serde(rename = "others_alive")]
     alive_members: usize,
     limiters: Vec<LimiterStatus>,
-    /// Records of limiters that can't be decoded.
+    /// Number of limiter records that can't be decoded.
     #[serde(rename = "unread")]
     unreadable: usize,
     sent: u64,
@@ -41,14 +41,14 @@
     dropped: BTreeMap<&'static str, u64>,
 }
 
-/// What is known of one limiter.
+/// The stored record of one limiter, and whether the limiter is alive.
 #[derive(Serialize)]
 struct LimiterStatus {
     #[serde(rename = "at")]
     address: String,
     incarnation: u64,
     alive: bool,
-    /// Age of its record in seconds, to a tenth.
+    /// Age of the record in seconds, rounded to a tenth.
     age_s: f64,
     #[serde(flatten)]
     record: LimiterRecord,
@@ -67,7 +67,7 @@
     }
 }
 
-/// What is known of the mesh, as a JSON object with sorted keys.
+/// The text under `/mesh`: members, stored records and counters, as a JSON object with sorted keys.
 pub fn status_json(mesh: &Mesh) -> String {
     let own = mesh.own();
     let members = mesh.members();
@@ -89,6 +89,6 @@
         at_capacity: counters.at_capacity,
         dropped: counters.dropped,
     };
-    // Numbers and texts always serialize. A `Value` sorts the keys.
+    // Numbers and texts always serialize. The conversion to a `Value` sorts the keys.
     serde_json::to_value(status).unwrap_or_default().to_string()
 }
--- a/crates/merlinreel/src/mesh/tasks.rs
+++ b/crates/merlinreel/src/mesh/tasks.rs
@@ -1,4 +1,4 @@
-//! The tasks that run this limiter's part in the mesh.
+//! The tasks of this limiter's membership in the mesh.
 
 use super::config::MeshConfig;
 use super::status::{LIMITER_KIND, LimiterRecord};
@@ -9,13 +9,13 @@
 use tokio::task::JoinHandle;
 use tokio::time::sleep;
 
-/// How long this limiter's record stays valid without a sign of it.
+/// How long this limiter's record stays valid without being renewed.
 pub(super) const LIMITER_TTL: Duration = Duration::from_secs(60);
-/// How often this limiter's record is published again; it has no cost if nothing in it has changed.
+/// Interval at which this limiter's record is published again, which costs nothing if the record has not changed.
 const PUBLISH_INTERVAL: Duration = Duration::from_secs(2);
-/// Time for the last datagrams to be sent before the process ends.
+/// Time to send the last datagrams before the process ends.
 const LEAVE_GRACE: Duration = Duration::from_millis(30);
-/// The size of a burst, as the time in which the send budget refills by as much, in seconds.
+/// Size of a burst, as the time in which the send budget refills by the same amount.
 const BURST_SECONDS: u32 = 4;
 
 /// The tasks of a limiter that is a member of the mesh.
@@ -27,8 +27,8 @@
 }
 
 impl MeshTasks {
-    /// Joins the mesh as `name`. `random_seed` seeds the node's random choices; `is_serving` is called for each
-    /// publication of this limiter's record.
+    /// Joins the mesh as `name`. `random_seed` is the seed of the node's random choices. `is_serving` is called before each
+    /// publication of this limiter's record and returns whether requests are accepted.
     ///
     /// # Errors
     ///
@@ -82,7 +82,7 @@
         Event::MemberDown(member) => log!("mesh: {member} left or is unresponsive"),
         Event::RecordsUpdated(_) => {}
         Event::AtCapacity(times) => log!(
-            "mesh: no capacity for another process, {times} times so far; is setting balancers too low?"
+            "mesh: no capacity for another process ({times} times so far); check whether setting balancers is too low"
         ),
     }
 }
@@ -96,7 +96,7 @@
         };
         let published = mesh.publish(LIMITER_KIND, &record, LIMITER_TTL, Urgency::Routine);
         if let Err(error) = published {
-            log!("mesh: this limiter's record was not published: {error}");
+            log!("mesh: this limiter's record was not published and will be tried again: {error}");
         }
         sleep(PUBLISH_INTERVAL).await;
     }
--- a/crates/merlinreel/src/mesh/tests.rs
+++ b/crates/merlinreel/src/mesh/tests.rs
@@ -6,7 +6,7 @@
 use std::net::{SocketAddr, SocketAddrV4};
 use std::path::PathBuf;
 
-/// The text under `/mesh`, byte by byte: scripts and on-call pages read its names.
+/// Checks the text under `/mesh` byte by byte, as scripts and on-call pages depend on its names.
 #[tokio::test]
 async fn mesh_status_has_the_literal_text() {
     let own = SocketAddrV4::new([127, 0, 0, 1].into(), 7946);
@@ -45,7 +45,7 @@
     );
 }
 
-/// The record that other limiters decode.
+/// Checks the text of the record, as other limiters decode it.
 #[test]
 fn limiter_record_has_the_literal_text() {
     let record = LimiterRecord {
@@ -61,7 +61,7 @@
     );
 }
 
-/// The section `mesh` of a configuration, with all its keys.
+/// Checks the names of all keys of the section `mesh`, and the defaults.
 #[test]
 fn mesh_section_is_read_by_its_literal_keys() {
     let text = r#"{"listen": "127.0.0.1:1", "as": "10.0.0.1:1", "seeds": ["10.0.0.2:1"],
@@ -90,12 +90,12 @@
 #[test]
 fn mesh_config_with_other_keys_is_reloaded_and_with_another_address_needs_a_restart() {
     let parse = |text: &str| serde_json::from_str::<MeshConfig>(text).expect("a section");
-    let mut present = parse(r#"{"listen": "127.0.0.1:1", "keys": [{"id": 1, "file": "/k"}]}"#);
+    let mut current = parse(r#"{"listen": "127.0.0.1:1", "keys": [{"id": 1, "file": "/k"}]}"#);
     let other_keys =
         parse(r#"{"listen": "127.0.0.1:1", "keys": [{"id": 2, "file": "/l"}], "sign_with": 2}"#);
     let other_address = parse(r#"{"listen": "127.0.0.1:2", "keys": [{"id": 1, "file": "/k"}]}"#);
-    assert!(!present.needs_restart(&other_keys));
-    assert!(present.needs_restart(&other_address));
-    present.reload_from(other_keys.clone());
-    assert_eq!(present, other_keys);
+    assert!(!current.needs_restart(&other_keys));
+    assert!(current.needs_restart(&other_address));
+    current.reload_from(other_keys.clone());
+    assert_eq!(current, other_keys);
 }
--- a/crates/merlinreel/src/messages.rs
+++ b/crates/merlinreel/src/messages.rs
@@ -1,5 +1,5 @@
-//! The messages between the event loop and the tasks around it. They name neither sender nor receiver, so that no task
-//! depends on the event loop's module or on another task's.
+//! Messages between the event loop and other tasks. They are defined here, apart from their senders and receivers, so that no
+//! task's module depends on the event loop's or on another task's.
 
 pub mod streaming_body;
 
@@ -14,7 +14,7 @@
 use streaming_body::StreamingBody;
 use tokio::sync::{mpsc, oneshot, watch};
 
-/// Identifies one attempt within this process; never used again.
+/// Identifies one attempt within this process; never reused.
 #[derive(Clone, Copy, Debug, Default, Eq, Hash, PartialEq)]
 pub struct AttemptId(pub u64);
 
@@ -25,18 +25,18 @@
     }
 }
 
-/// What a client sent and a server is to receive, whatever the protocol that carried it.
+/// A client's request as it is to be sent to a server, independent of the protocol.
 #[derive(Debug)]
 pub struct UpstreamRequest {
-    /// The client's method.
+    /// The request method.
     pub method: Method,
-    /// The path and query.
+    /// Path and query.
     pub uri: Uri,
     /// End-to-end headers only.
     pub headers: HeaderMap,
     /// The complete body.
     pub body: Bytes,
-    /// The request's id and its share of the memory for bodies, given back when this is dropped.
+    /// The request's id and body memory, released when this is dropped.
     pub permit: Option<AdmissionPermit>,
 }
 
@@ -47,7 +47,7 @@
     pub headers: HeaderMap,
     /// The complete body; empty where `streaming_body` is set.
     pub body: Bytes,
-    /// A body that is passed on while it arrives.
+    /// A body that is passed on while it is received; `None` if `body` is the complete one.
     pub streaming_body: Option<Box<StreamingBody>>,
 }
 
@@ -56,7 +56,7 @@
 pub enum ClientResponse {
     /// A server's response.
     Success(UpstreamResponse),
-    /// Not admitted, and when to try again where that is known.
+    /// The request was not admitted. The value is the time after which to retry; `None` if it is unknown.
     Rejected(Option<Duration>),
     /// Every attempt failed, or the deadline could not be met.
     Failed,
@@ -65,50 +65,50 @@
 /// A request that a client's connection has read completely.
 #[derive(Debug)]
 pub struct IncomingRequest {
-    /// Identifies the request until it has its response.
+    /// Identifies the request within this process until its response is sent.
     pub request_id: u64,
-    /// The event loop fills in its index and its remaining time.
+    /// The request as the policy sees it; the event loop fills in its index and its remaining time.
     pub request: Request,
-    /// When the client gives up. Attempts and what is decided go by the same time: an attempt that is decided and then found
-    /// to be too late would be decided again at once.
+    /// When the client gives up. Decisions and attempts use the same deadline: otherwise an attempt could be decided, found
+    /// to be too late and decided again at once.
     pub deadline: Instant,
-    /// What a server receives.
+    /// The request to be sent to a server.
     pub upstream_request: UpstreamRequest,
-    /// Takes the response.
+    /// Sends the final response to the client's connection.
     pub response_sender: oneshot::Sender<ClientResponse>,
 }
 
 /// The result of one attempt.
 #[derive(Debug)]
 pub struct AttemptCompletion {
-    /// The attempt.
+    /// Identifies the attempt.
     pub attempt_id: AttemptId,
-    /// What became of it.
+    /// How the attempt ended.
     pub outcome: AttemptOutcome,
-    /// From the decision to start it to its result.
+    /// Time from the decision to start the attempt until its result.
     pub latency: Duration,
-    /// The quota units that the server charged, where its response names them.
+    /// Quota units that the server charged; `None` if its response does not report them.
     pub units: Option<f64>,
-    /// The server's load as the response reported it.
+    /// The server's load as reported in the response.
     pub load: LoadReport,
-    /// The response for the client; only of a successful attempt.
+    /// The response for the client; `None` unless the attempt succeeded.
     pub upstream_response: Option<UpstreamResponse>,
-    /// The connection can carry another attempt.
+    /// Whether the connection can carry another attempt.
     pub reusable: bool,
 }
 
 /// An input of the event loop.
 #[derive(Debug)]
 pub enum Event {
-    /// A client sent a request.
+    /// A client's request was read completely.
     Request(Box<IncomingRequest>),
     /// The client of the request with this `request_id` has disconnected.
     ClientDisconnected(u64),
-    /// An attempt has its result.
+    /// An attempt has ended.
     AttemptCompleted(AttemptCompletion),
-    /// A health check has its result.
+    /// A health check has ended.
     HealthCheck(HealthCheckResult),
-    /// Discovery sent endpoints.
+    /// Discovery sent an endpoint list or changes to it.
     EndpointUpdate(DiscoveryUpdate),
     /// Another limiter sent a message.
     PeerMessage(PeerMessage),
@@ -119,17 +119,17 @@
 /// The sending side of the event loop's queue.
 pub type Queue = mpsc::Sender<Event>;
 
-/// The settings in effect for clients, with the policy's index of each of their classes.
+/// The settings in force for client requests, with the policy's index of each of their classes.
 #[derive(Debug)]
 pub struct ActiveSettings {
-    /// The settings.
+    /// The settings in force.
     pub settings: Settings,
-    /// By position in `settings.classes`.
+    /// The policy's index of each class, by the position of the class in `settings.classes`.
     pub indices: Vec<usize>,
 }
 
 impl ActiveSettings {
-    /// The settings of the start, whose classes have the indices of their positions.
+    /// The settings at the start: the index of each class is its position.
     pub fn first(settings: Settings) -> ActiveSettings {
         ActiveSettings {
             indices: (0..settings.classes.len()).collect(),
@@ -137,7 +137,7 @@
         }
     }
 
-    /// A channel that holds the settings of the start.
+    /// Creates a channel that initially holds the settings at the start.
     pub fn channel(
         settings: &Settings,
     ) -> (
--- a/crates/merlinreel/src/messages/streaming_body.rs
+++ b/crates/merlinreel/src/messages/streaming_body.rs
@@ -1,6 +1,6 @@
-//! A server's long response on its way to the client: the part that was already read, then the rest of the server's body,
-//! polled by the client's connection. Whatever its length, only the first part and the two connections' buffers are in
-//! memory. The server's connection learns from a channel how the body ended.
+//! A long response body that is passed from a server to the client: the part that was already read, then the rest, which the
+//! client's connection polls from the server's. Whatever its length, only the first part and the buffers of the two
+//! connections are in memory. A channel reports to the server's connection how the body ended.
 
 use http_body_util::{Either, Full};
 use hyper::body::{Body, Bytes, Frame, Incoming, SizeHint};
@@ -9,25 +9,25 @@
 use std::task::{Context, Poll, ready};
 use tokio::sync::oneshot;
 
-/// The body of a client's response: complete, or streaming.
+/// The body of a response to a client: complete, or streaming.
 pub type ResponseBody = Either<Full<Bytes>, StreamingBody>;
 
 /// How a streaming body ended.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum StreamEnd {
-    /// The client's connection took all of it.
+    /// The client's connection took the whole body.
     Complete,
-    /// It broke off, or was dropped before its end.
+    /// The server's connection failed, or the body was dropped before its end.
     Incomplete,
 }
 
-/// Is kept by a streaming body until its end and dropped then.
+/// Is notified of the end of a streaming body, which owns it until then.
 pub trait StreamObserver: Send + Sync {
-    /// The body has ended.
+    /// Called once when the body has ended or was dropped.
     fn stream_ended(self: Box<Self>, end: StreamEnd);
 }
 
-/// A body that is passed on while it arrives.
+/// A body that is passed on to the client while it is received from the server.
 pub struct StreamingBody {
     /// The part that was already read; polled first.
     first_part: Option<Bytes>,
@@ -46,7 +46,7 @@
 }
 
 impl StreamingBody {
-    /// A body of its `first_part` and its `rest`, and the channel that receives how it ended.
+    /// Creates a body from the part that was already read and the rest, with a channel that reports how the body ended.
     pub fn new(first_part: Bytes, rest: Incoming) -> (StreamingBody, oneshot::Receiver<StreamEnd>) {
         let (end_sender, end_receiver) = oneshot::channel();
         let body = StreamingBody {
@@ -58,7 +58,7 @@
         (body, end_receiver)
     }
 
-    /// Keeps `observer` until the body has ended or is dropped.
+    /// Sets the observer, which is notified when the body has ended or is dropped.
     pub fn set_observer(&mut self, observer: Box<dyn StreamObserver>) {
         self.observer = Some(observer);
     }
@@ -88,8 +88,8 @@
         let frame = ready!(Pin::new(&mut self.rest).poll_frame(context));
         match &frame {
             None => self.report_end(StreamEnd::Complete),
-            // The error reaches the client's connection, which closes short of the announced end: a client never takes
-            // a part for the complete body.
+            // The error makes the client's connection close before the announced end of the body, so that the client
+            // does not take an incomplete body for a complete one.
             Some(Err(_)) => self.report_end(StreamEnd::Incomplete),
             // The client's connection does not poll again after the last byte of a body of known length.
             Some(Ok(_)) if self.is_end_stream() => self.report_end(StreamEnd::Complete),
--- a/crates/merlinreel/src/startup.rs
+++ b/crates/merlinreel/src/startup.rs
@@ -1,5 +1,5 @@
-//! The parts of a start: the listening sockets, the background tasks, the channels of a reload and the admin endpoint's
-//! status.
+//! Parts of the startup: the listening sockets, the background tasks, the channels for reloads and the status that the admin
+//! endpoint reports.
 
 pub mod admin_status;
 pub mod background_tasks;
--- a/crates/merlinreel/src/startup/admin_status.rs
+++ b/crates/merlinreel/src/startup/admin_status.rs
@@ -1,4 +1,4 @@
-//! What the admin endpoint reports.
+//! The status that the admin endpoint reports.
 
 use crate::admin::AdminStatus;
 use crate::client::ClientListener;
@@ -7,13 +7,13 @@
 use merlinreel_mesh::runtime::Mesh;
 use std::sync::Arc;
 
-/// The state of a limiter that runs.
+/// Provides the status of a running limiter.
 pub struct GatewayStatus {
-    /// Knows whether requests are accepted.
+    /// Provides whether requests are accepted and how many are in flight.
     pub client_listener: Arc<ClientListener>,
-    /// The mesh, where this limiter is a member.
+    /// The mesh; `None` if this limiter is not a member.
     pub mesh: Option<Mesh>,
-    /// Counts what happens.
+    /// The metrics of `/stats`.
     pub metrics: Arc<Metrics>,
 }
 
--- a/crates/merlinreel/src/startup/background_tasks.rs
+++ b/crates/merlinreel/src/startup/background_tasks.rs
@@ -1,4 +1,4 @@
-//! The tasks that run beside the event loop and the client listener.
+//! Tasks that run in addition to the event loop and the client listener.
 
 use super::admin_status::GatewayStatus;
 use super::sockets::bind_admin;
@@ -20,8 +20,8 @@
 pub struct BackgroundTasks(Vec<JoinHandle<()>>);
 
 impl BackgroundTasks {
-    /// Watches discovery for the list of servers, from the list of `version` on. The receiver is notified once the queue
-    /// has the first update.
+    /// Watches the endpoint list at discovery. `version` is that of the cached list, `None` if there is none. The receiver is
+    /// notified once the first update is in the queue.
     pub fn watch_endpoints(
         &mut self,
         config: &GatewayConfig,
@@ -41,7 +41,7 @@
         first_list
     }
 
-    /// Passes peer messages on to the event loop.
+    /// Passes received peer messages on to the event loop.
     pub fn receive_peer_messages(&mut self, peer_sender: &Option<PeerSender>, queue: &Queue) {
         if let Some(peer_sender) = peer_sender.clone() {
             self.0
@@ -63,7 +63,7 @@
         }));
     }
 
-    /// Passes reloaded keys on to the mesh, where this limiter is a member.
+    /// Passes reloaded keys on to the mesh, if this limiter is a member.
     pub fn reload_mesh_keys(
         &mut self,
         section: watch::Receiver<Option<MeshConfig>>,
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Serves the admin endpoint, where the configuration has its address.
+    /// Serves the admin endpoint, if its address is configured.
     ///
     /// # Errors
     ///
@@ -93,7 +93,7 @@
         Ok(())
     }
 
-    /// Ends all tasks, in the order in which they were started.
+    /// Aborts all tasks, in the order in which they were started.
     pub fn abort(&self) {
         for task in &self.0 {
             task.abort();
--- a/crates/merlinreel/src/startup/reload_channels.rs
+++ b/crates/merlinreel/src/startup/reload_channels.rs
@@ -1,4 +1,4 @@
-//! The channels by which a reload reaches a limiter that runs.
+//! Channels that pass a reloaded configuration to a running limiter.
 
 use crate::config::GatewayConfig;
 use crate::mesh::MeshConfig;
@@ -7,14 +7,14 @@
 use std::net::SocketAddr;
 use tokio::sync::watch;
 
-/// What a reload may change while a limiter runs, with the values of the start.
+/// The parts of the configuration that a reload may change, initially with their values at the start.
 #[derive(Debug)]
 pub struct ReloadChannels {
-    /// The settings of the gateway.
+    /// The gateway's settings.
     pub settings: watch::Receiver<Settings>,
-    /// The discovery agent.
+    /// Address of the discovery agent.
     pub discovery: watch::Receiver<SocketAddr>,
-    /// The section `mesh`; its key files are read again at each notification.
+    /// The section `mesh`; `None` if this limiter is not a member. Its key files are read again at each notification.
     pub mesh: watch::Receiver<Option<MeshConfig>>,
 }
 
@@ -27,7 +27,7 @@
 }
 
 impl ReloadSenders {
-    /// Channels that hold what `config` says.
+    /// Creates the channels with the values of `config`.
     pub fn new(config: &GatewayConfig) -> (ReloadSenders, ReloadChannels) {
         let (discovery_sender, discovery) = watch::channel(config.discovery);
         let (settings_sender, settings) = watch::channel(config.settings.clone());
@@ -45,24 +45,24 @@
         (senders, channels)
     }
 
-    /// Passes a reloaded configuration on. Receivers hear only of values that have changed, except for the mesh's keys:
-    /// the key files may hold other keys under the same names.
+    /// Passes a reloaded configuration on. Receivers are notified only of values that have changed, except for the section
+    /// `mesh` after a successful reload: its key files may hold other keys under the same paths.
     pub fn publish(&self, config: &GatewayConfig, outcome: ReloadOutcome) {
         self.discovery
-            .send_if_modified(|present| replace_if_changed(present, &config.discovery));
+            .send_if_modified(|current| replace_if_changed(current, &config.discovery));
         self.settings
-            .send_if_modified(|present| replace_if_changed(present, &config.settings));
+            .send_if_modified(|current| replace_if_changed(current, &config.settings));
         if outcome == ReloadOutcome::Applied {
             self.mesh.send_replace(config.mesh.clone());
         }
     }
 }
 
-/// Whether the value was another.
-fn replace_if_changed<T: Clone + PartialEq>(present: &mut T, new: &T) -> bool {
-    let has_changed = present != new;
+/// Replaces `current` by `new` and returns whether they differed.
+fn replace_if_changed<T: Clone + PartialEq>(current: &mut T, new: &T) -> bool {
+    let has_changed = current != new;
     if has_changed {
-        present.clone_from(new);
+        current.clone_from(new);
     }
     has_changed
 }
--- a/crates/merlinreel/src/startup/sockets.rs
+++ b/crates/merlinreel/src/startup/sockets.rs
@@ -1,4 +1,4 @@
-//! The sockets that a limiter listens at.
+//! Binds the sockets for clients, peers and the admin endpoint.
 
 use crate::client::ListenerOrigin;
 use crate::config::GatewayConfig;
@@ -13,20 +13,21 @@
 
 /// The sockets for clients and peers.
 pub struct Sockets {
-    /// Where clients connect.
+    /// The listening socket for clients.
     pub listener: TcpListener,
-    /// Where the listener comes from.
+    /// Whether the listening socket was bound or inherited.
     pub origin: ListenerOrigin,
-    /// Where peer messages arrive; none where limiters exchange none.
+    /// The socket for peer messages; `None` if this limiter exchanges none.
     pub peer_sender: Option<PeerSender>,
 }
 
 impl Sockets {
-    /// Binds the configured addresses. Clients connect to `inherited` where the platform passes a listener on.
+    /// Binds the configured addresses. If the platform passes a listening socket on, `inherited` replaces the one for
+    /// clients.
     ///
     /// # Errors
     ///
-    /// A socket can't be bound; the error's text begins with the key of its address.
+    /// A socket can't be bound. The error's text begins with the key of its address.
     pub async fn bind(
         config: &GatewayConfig,
         inherited: Option<std::net::TcpListener>,
@@ -49,17 +50,20 @@
         })
     }
 
-    /// Logs where clients connect.
+    /// Logs the address at which clients connect.
     pub fn log_address(&self, config: &GatewayConfig) {
         let address = self
             .listener
             .local_addr()
             .map_or_else(|_| config.listen.to_string(), |address| address.to_string());
         let origin = match self.origin {
-            ListenerOrigin::Inherited => ", on the inherited socket",
+            ListenerOrigin::Inherited => " (inherited socket)",
             ListenerOrigin::Bound => "",
         };
-        log!("{} accepts requests at {address}{origin}", config.name);
+        log!(
+            "clients: limiter {} accepts connections at {address}{origin}",
+            config.name
+        );
     }
 }
 
@@ -105,8 +109,8 @@
         .map_err(|error| with_address("ops", address, error))
 }
 
-/// Binds a socket, and tries again for a while where the fault is this machine's and may be over in a moment, as with an
-/// address that the process before still holds.
+/// Binds a socket. For the time `within`, retries errors of this machine that may be temporary, such as an address that the
+/// previous process still uses.
 async fn bind_with_retry<T>(
     within: Duration,
     bind: impl AsyncFn() -> io::Result<T>,
@@ -123,7 +127,7 @@
     }
 }
 
-/// Listens at an address that a process before may have released just now, with at most `backlog` connections waiting.
+/// Listens at an address that a previous process may just have released, with an accept queue of `backlog` connections.
 fn listen(address: SocketAddr, backlog: u32) -> io::Result<TcpListener> {
     let socket = TcpSocket::new_v4()?;
     socket.set_reuseaddr(true)?;
@@ -132,5 +136,8 @@
 }
 
 fn with_address(key: &str, address: SocketAddr, error: io::Error) -> io::Error {
-    io::Error::new(error.kind(), format!("{key}: {address}: {error}"))
+    io::Error::new(
+        error.kind(),
+        format!("{key}: cannot listen at {address}: {error}"),
+    )
 }
--- a/crates/merlinreel/src/telemetry/log.rs
+++ b/crates/merlinreel/src/telemetry/log.rs
@@ -1,4 +1,4 @@
-//! The log: lines on standard error through one macro, at a limited rate. A line that can't be written is lost.
+//! The log: one macro writes lines to standard error at a limited rate. A line that can't be written is lost.
 
 use crate::sync::lock;
 use std::fmt::Arguments;
@@ -6,11 +6,11 @@
 use std::sync::Mutex;
 use std::time::{Duration, Instant};
 
-/// Lines that may be written in each period.
-const LINES_PER_PERIOD: u32 = 50;
+/// Number of lines that may be written in each period.
+const MAX_LINES_PER_PERIOD: u32 = 50;
 const PERIOD: Duration = Duration::from_secs(1);
 
-/// Limits the rate of lines, so that a fault that repeats with every request fills neither the disk nor the CPU.
+/// Limits the rate of log lines, so that a fault that occurs at every request neither fills the disk nor uses up the CPU.
 #[derive(Debug)]
 pub struct LogRateLimiter {
     period_start: Option<Instant>,
@@ -19,7 +19,7 @@
 }
 
 impl LogRateLimiter {
-    /// A limiter that has seen no line.
+    /// Creates a rate limiter to which no line was submitted yet.
     pub const fn new() -> LogRateLimiter {
         LogRateLimiter {
             period_start: None,
@@ -28,7 +28,7 @@
         }
     }
 
-    /// Admits a line, and returns how many were suppressed before it; `None` where this one is suppressed.
+    /// Admits a line and returns how many were suppressed since the last admitted one; `None` if this one is suppressed.
     pub fn admit(&mut self, now: Instant) -> Option<u64> {
         if self
             .period_start
@@ -37,7 +37,7 @@
             self.period_start = Some(now);
             self.lines = 0;
         }
-        if self.lines == LINES_PER_PERIOD {
+        if self.lines == MAX_LINES_PER_PERIOD {
             self.suppressed += 1;
             return None;
         }
@@ -54,17 +54,18 @@
 
 static RATE_LIMITER: Mutex<LogRateLimiter> = Mutex::new(LogRateLimiter::new());
 
-/// Admits a line of the process, as [`LogRateLimiter::admit`]; used by the macro.
+/// Calls [`LogRateLimiter::admit`] on the rate limiter of the process; used by [`log!`](crate::log!).
 pub fn admit() -> Option<u64> {
     lock(&RATE_LIMITER).admit(Instant::now())
 }
 
-/// Writes a line; used by the macro. A closed standard error or a full disk is ignored, where `eprintln!` would panic.
+/// Writes a line; used by [`log!`](crate::log!). Ignores errors such as a closed standard error or a full disk, at which
+/// `eprintln!` would panic.
 pub fn write(line: Arguments) {
     let _ = writeln!(stderr(), "merlinreel: {line}");
 }
 
-/// Writes a line to the log, as `format!` words it, unless the rate of lines is too high.
+/// Writes a line to the log, with the arguments of `format!`, unless the rate of lines is too high.
 #[macro_export]
 macro_rules! log {
     ($($format:tt)*) => {
