--- a/crates/merlinreel/src/config/error.rs
+++ b/crates/merlinreel/src/config/error.rs
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 use thiserror::Error;
 
-/// An error in the configuration. Its text names the invalid key first.
+/// An error in the configuration. The text names the file, then the invalid key or environment variable.
 #[derive(Debug, Error)]
 pub enum ConfigError {
     /// `PROXY_CONFIG` is not set.
--- a/crates/merlinreel/src/config/limits.rs
+++ b/crates/merlinreel/src/config/limits.rs
@@ -12,9 +12,9 @@
     /// `limits.memory_mb` is too small for the minimum number of connections.
     #[error("limits.memory_mb: {given} MiB is too little; give the limiter at least {needed} MiB")]
     Memory {
-        /// Configured MiB.
+        /// Configured memory in MiB.
         given: u32,
-        /// MiB needed.
+        /// Memory needed, in MiB.
         needed: usize,
     },
     /// `limits.sockets` is too small for the minimum number of connections.
@@ -34,9 +34,9 @@
 pub struct Limits {
     /// Time within which a connection to a server or to the discovery agent must be established.
     pub connect_timeout: Duration,
-    /// Size of a request or response body that is buffered completely.
+    /// Maximum size of a request or response body that is buffered completely.
     pub max_body_bytes: usize,
-    /// Size of the head of an HTTP message.
+    /// Maximum size of the head of an HTTP message.
     pub max_head_bytes: usize,
     /// Limits of the listening sockets.
     pub listener: ListenerLimits,
@@ -66,13 +66,14 @@
 /// Limits of client connections. The `evict_…` times apply when too many connections are open.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClientLimits {
-    /// Connections with a request in flight at once; requests on further ones, up to `max_connections`, get status 503.
+    /// Maximum number of connections with a request in flight; requests on further ones, up to `max_connections`, get status
+    /// 503.
     pub max_served_connections: usize,
-    /// Open connections.
+    /// Maximum number of open connections.
     pub max_connections: usize,
     /// Above this number of connections, idle ones that carried at most one request are evicted.
     pub max_idle_connections: usize,
-    /// Total size of the request bodies in memory.
+    /// Maximum total size of the request bodies in memory.
     pub max_buffered_body_bytes: usize,
     /// A connection is closed after this long without a request.
     pub idle_timeout: Duration,
@@ -92,7 +93,7 @@
     pub evict_partial_after: Duration,
     /// After closing its side of a connection, the limiter waits this long for the client to close.
     pub linger_timeout: Duration,
-    /// Bytes read ahead while a request is in flight; those beyond the size of a head count against
+    /// Maximum number of bytes read ahead while a request is in flight; those beyond the size of a head count against
     /// `max_buffered_body_bytes`.
     pub max_read_ahead_bytes: usize,
 }
@@ -100,11 +101,11 @@
 /// Limits of connections to servers.
 #[derive(Clone, Debug, PartialEq)]
 pub struct UpstreamLimits {
-    /// Connections that are open or being opened.
+    /// Maximum number of connections that are open or being opened.
     pub max_connections: usize,
-    /// Total size of complete responses that clients have not taken yet.
+    /// Maximum total size of complete responses that clients have not taken yet.
     pub max_buffered_response_bytes: usize,
-    /// Size of a streaming response.
+    /// Maximum size of a streaming response.
     pub max_streaming_bytes: u64,
     /// A connection that has been idle for this long is closed.
     pub idle_timeout: Duration,
@@ -118,7 +119,7 @@
 /// Limits of the watch of the endpoint list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointWatchLimits {
-    /// Size of an endpoint list.
+    /// Maximum size of an endpoint list.
     pub max_list_bytes: usize,
     /// How long the discovery agent may wait for a change before it responds to a watch.
     pub watch_timeout: Duration,
@@ -126,7 +127,7 @@
     pub immediate_timeout: Duration,
     /// A call without a response for this long after its wait counts as unresponsive; another one is started in parallel.
     pub response_grace: Duration,
-    /// Calls open at once.
+    /// Maximum number of calls that are open at once.
     pub max_open_calls: usize,
     /// Delay before a failed call is repeated.
     pub retry_delay: Duration,
@@ -137,11 +138,11 @@
 /// Limits of the event loop.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EventLoopLimits {
-    /// Requests in flight at once.
+    /// Maximum number of requests in flight.
     pub max_requests: usize,
-    /// Events waiting in the queue.
+    /// Maximum number of events waiting in the queue.
     pub queue_length: usize,
-    /// Events processed in one batch.
+    /// Maximum number of events processed in one batch.
     pub batch_size: usize,
     /// Attempts end this long before the client gives up, so that the response reaches the client in time.
     pub response_margin: Duration,
@@ -169,7 +170,7 @@
 /// Limits of the admin endpoint.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AdminLimits {
-    /// Open connections.
+    /// Maximum number of open connections.
     pub max_connections: usize,
     /// Time in which the head of a call must be complete; the connection may last twice as long.
     pub call_timeout: Duration,
--- a/crates/merlinreel/src/net/late_deadline.rs
+++ b/crates/merlinreel/src/net/late_deadline.rs
@@ -17,7 +17,7 @@
 /// Time to read the unread data in the socket receive buffer after a stall.
 const CATCH_UP_TIME: Duration = Duration::from_millis(20);
 
-/// Time that remains to read data which arrived before `deadline`, if the expiry is noticed now.
+/// Additional time to read data that arrived before `deadline`, if its expiry is noticed now.
 fn catch_up_time(deadline: Instant) -> Duration {
     if deadline.elapsed() > MAX_TIMER_DELAY {
         CATCH_UP_TIME
--- a/crates/merlinreel/src/startup/admin_status.rs
+++ b/crates/merlinreel/src/startup/admin_status.rs
@@ -9,7 +9,7 @@
 
 /// Provides the status of a running limiter.
 pub struct GatewayStatus {
-    /// Provides whether requests are accepted and how many are in flight.
+    /// Reports whether requests are accepted and how many are in flight.
     pub client_listener: Arc<ClientListener>,
     /// The mesh; `None` if this limiter is not a member.
     pub mesh: Option<Mesh>,
