--- a/crates/merlinreel/src/config/limits.rs
+++ b/crates/merlinreel/src/config/limits.rs
@@ -123,7 +123,7 @@
     pub max_list_bytes: usize,
     /// How long the discovery agent may wait for a change before it responds to a watch.
     pub watch_timeout: Duration,
-    /// The same wait, for a watch whose response is needed at once: for the first list, or after a failed call.
+    /// `watch_timeout` of a watch whose response is needed at once: for the first list, or after a failed call.
     pub immediate_timeout: Duration,
     /// A call without a response for this long after its wait counts as unresponsive; another one is started in parallel.
     pub response_grace: Duration,
--- a/crates/merlinreel/src/config/limits/tests.rs
+++ b/crates/merlinreel/src/config/limits/tests.rs
@@ -2,7 +2,7 @@
 use merlinreel_settings::SettingsTree;
 use test_case::test_case;
 
-/// Guards against a size limit that is too small for large endpoint lists. A server takes 220 bytes in an indented list.
+/// The size limit must allow large endpoint lists. A server takes 220 bytes in an indented list.
 #[test_case(32 => true ; "small machine and 1024 servers")]
 #[test_case(192 => true ; "default memory and 160000 servers")]
 fn size_limit_of_the_endpoint_list_allows_many_servers(memory_mb: u32) -> bool {
--- a/crates/merlinreel/src/hold_up/tests.rs
+++ b/crates/merlinreel/src/hold_up/tests.rs
@@ -12,7 +12,7 @@
     (monitor, start)
 }
 
-/// Guards against requests whose time is counted only from when a stalled limiter read them.
+/// Requests must not have their time counted only from when a stalled limiter read them.
 #[test_case(50 => 50 ; "before the next run")]
 #[test_case(115 => 115 ; "late within the normal delay of timers")]
 #[test_case(121 => 0 ; "late, so since the last run")]
@@ -23,7 +23,7 @@
     (monitor.arrived_since(read_at) - start).as_millis()
 }
 
-/// Guards against a stall that is forgotten once the event loop has run, before the sockets are read.
+/// A stall must not be forgotten once the event loop has run, as the sockets are read after that.
 #[test_case(0 => 0 ; "at the time of the run")]
 #[test_case(20 => 0 ; "at the end of the catch up time")]
 #[test_case(21 => 621 ; "after the catch up time")]
@@ -36,7 +36,7 @@
     (monitor.arrived_since(read_at) - start).as_millis()
 }
 
-/// Guards against a stall that is missed, or counted from too early, because another one ended shortly before it.
+/// A stall must not be missed, or counted from too early, because another one ended shortly before it.
 #[test]
 fn stall_after_another_counts_from_the_last_run_before_it() {
     let (monitor, start) = monitor();
@@ -49,7 +49,7 @@
     assert_eq!(monitor.arrived_since(after(900)), after(620));
 }
 
-/// Guards against stalls that are missing from the metrics.
+/// Operators must see stalls in the metrics.
 #[test]
 fn stalls_are_counted() {
     let metrics = Metrics::new(&[]);
--- a/crates/merlinreel/src/lib.rs
+++ b/crates/merlinreel/src/lib.rs
@@ -125,8 +125,8 @@
     )
 }
 
-/// Waits for the first endpoint list, up to a timeout, and then serves clients. The first request is thereby decided by
-/// the agent's current list, as servers may have left since the cached one. Until then connections wait in the accept queue,
+/// Waits for the first endpoint list, up to a timeout, and then serves clients. Even the first request is then decided
+/// by the agent's current list, as servers may have left since the cached one. Until then connections wait in the accept queue,
 /// and `/healthcheck` returns 503.
 async fn serve_clients<T>(
     client_listener: Arc<ClientListener>,
--- a/crates/merlinreel/src/net/late_deadline/tests.rs
+++ b/crates/merlinreel/src/net/late_deadline/tests.rs
@@ -17,14 +17,14 @@
     future.await;
 }
 
-/// Guards against a remote end that counts as late because the limiter stalled.
+/// A remote end must not count as late because the limiter stalled.
 #[tokio::test]
 async fn pending_data_is_read_after_a_stall_past_the_deadline() {
     let result = timeout_caught_up(TIMEOUT, stall_then(read_in_iterations(20))).await;
     assert!(result.is_ok());
 }
 
-/// Guards against a second full timeout for a remote end that sends nothing.
+/// A remote end that sends nothing must not get a second full timeout.
 #[tokio::test]
 async fn silent_remote_end_times_out_soon_after_a_stall() {
     let started = Instant::now();
@@ -33,7 +33,7 @@
     assert!(started.elapsed() < 20 * TIMEOUT, "{:?}", started.elapsed());
 }
 
-/// Guards against a deadline that expires early or never.
+/// A deadline must expire, and not early.
 #[tokio::test]
 async fn deadline_does_not_expire_early() {
     let deadline = Instant::now() + TIMEOUT;
