--- a/crates/merlinreel-settings/src/error.rs
+++ b/crates/merlinreel-settings/src/error.rs
@@ -1,21 +1,21 @@
-//! Errors of reading settings.
+//! Errors found when settings are decoded.
 
 use thiserror::Error;
 
 /// A setting that cannot be used. The text names the path of the setting and the value that was given.
 #[derive(Clone, Debug, Error, PartialEq)]
 pub enum SettingsError {
-    /// A `path=value` pair has no equals sign.
-    #[error("settings: '{pair}' is no path=value")]
+    /// A setting given as text must be a `path=value` pair; this one has no equals sign.
+    #[error("settings: '{pair}' is not a path=value pair")]
     NotAPair {
         /// The text that was given.
         pair: String,
     },
-    /// The settings are JSON, but not a JSON object.
-    #[error("settings: not an object")]
+    /// The settings must be a JSON object; another JSON value was given.
+    #[error("settings: expected a JSON object, found another type of value")]
     NotAnObject,
     /// The value must be a finite number, zero or greater.
-    #[error("setting {path}: '{given}' is not a number from 0")]
+    #[error("setting {path}: '{given}' is not a number of 0 or more")]
     NotANumber {
         /// The setting.
         path: String,
@@ -31,7 +31,7 @@
         given: String,
     },
     /// The value must be a number of seconds that a [`Duration`](std::time::Duration) can hold.
-    #[error("setting {path}: {seconds} is no time")]
+    #[error("setting {path}: {seconds} seconds is too long for a duration")]
     NotADuration {
         /// The setting.
         path: String,
@@ -46,25 +46,25 @@
         /// The text that was given.
         given: String,
     },
-    /// The value must be one of the words that this setting knows: `read_like`, `idempotency_key` or `non_idempotent` for a
+    /// The value must be one that is defined for this setting: `read_like`, `idempotency_key` or `non_idempotent` for a
     /// class's `idempotency`; `all`, `zone` or `cell` for the `group` of a class with idempotency keys.
-    #[error("setting {path}: unknown '{given}'")]
+    #[error("setting {path}: unknown value '{given}'")]
     UnknownValue {
         /// The setting.
         path: String,
         /// The text that was given.
         given: String,
     },
-    /// A list must not be longer than 4096.
+    /// A list of objects must not have more than 4096 items.
     #[error("setting {path}: {count} is too many")]
     ListTooLong {
-        /// The setting that holds the length.
+        /// Path of the setting that holds the length, `.count` under the list's path.
         path: String,
         /// The length that was given.
         count: f64,
     },
     /// The fleet must not have more than 65536 limiters.
-    #[error("setting {path}: {count} is out of range")]
+    #[error("setting {path}: {count} limiters, but a fleet has at most 65536")]
     FleetTooLarge {
         /// The setting.
         path: &'static str,
@@ -72,7 +72,7 @@
         count: f64,
     },
     /// This limiter's rank must be smaller than the number of limiters.
-    #[error("setting {path}: {rank} is not among {limiters}")]
+    #[error("setting {path}: {rank} is not less than the number of limiters, {limiters}")]
     RankOutOfRange {
         /// The setting.
         path: &'static str,
--- a/crates/merlinreel/src/config/tests.rs
+++ b/crates/merlinreel/src/config/tests.rs
@@ -69,7 +69,7 @@
 #[test_case("64", "1", "limits.memory_mb: 1 MiB is too little" ; "too little memory")]
 #[test_case("8c1f", "xyz", "seed: expected up to 16 hexadecimal digits, found 'xyz'" ; "invalid seed")]
 #[test_case("\"look\"", "null", "setting classes.0.name: missing or used twice" ; "missing name")]
-#[test_case("4.0", "-4.0", "setting packages.0.unitsPerS: '-4.0' is not a number from 0" ; "invalid setting")]
+#[test_case("4.0", "-4.0", "setting packages.0.unitsPerS: '-4.0' is not a number of 0 or more" ; "invalid setting")]
 #[test_case("\"balancers\":1", "\"balancers\":1,\"familyInfo\":{\"hasCounter\":true}",
     "setting familyInfo.hasCounter: the protocol of a counter service is not supported" ; "counter service")]
 #[test_case("\"seed\"", "\"peer_listen\":\"127.0.0.1:1\",\"peers\":[],\"x\"", "duplicate field" ; "duplicate key")]
