--- a/crates/merlinreel/src/client.rs
+++ b/crates/merlinreel/src/client.rs
@@ -1,4 +1,4 @@
-//! Client connections: read requests, pass them to the event loop, and send one response to each.
+//! Client connections: reads requests, passes them to the event loop, and sends one response to each.
 
 mod accept;
 mod arrival_times;
--- a/crates/merlinreel/src/client/accept.rs
+++ b/crates/merlinreel/src/client/accept.rs
@@ -1,4 +1,4 @@
-//! Accepting connections, each served in a task of its own.
+//! Accepts client connections and spawns a task for each.
 
 use super::connection::ClientConnection;
 use super::listener::ClientListener;
@@ -15,22 +15,22 @@
 use tokio::sync::{OwnedSemaphorePermit, Semaphore, mpsc};
 use tokio::time::timeout;
 
-/// What a connection needs before it is accepted, so that none is dropped after it.
+/// Resources acquired before a connection is accepted, so that an accepted connection is never dropped for lack of them.
 struct ConnectionSlot {
-    /// One of the connections that may be open at once.
+    /// Counts the connection against the limit of open connections.
     connection_permit: OwnedSemaphorePermit,
-    /// Capacity of the queue for the event that the client has disconnected, whatever else waits there.
+    /// Reserved capacity in the event queue, so that the client's disconnect can be reported even if the queue is full.
     disconnect_event: mpsc::OwnedPermit<Event>,
 }
 
-/// Registers a connection that the kernel gave with the poller.
+/// Registers an accepted connection with the runtime's poller.
 fn register(stream: std::net::TcpStream) -> io::Result<TcpStream> {
     stream.set_nonblocking(true)?;
     TcpStream::from_std(stream)
 }
 
 impl ClientListener {
-    /// Accepts connections until the event loop has ended.
+    /// Accepts connections until the event loop ends.
     pub(super) async fn accept(
         self: &Arc<ClientListener>,
         listener: &TcpListener,
@@ -47,7 +47,7 @@
                     self.spawn_connection(stream, slot);
                 }
                 Err(error) => {
-                    log!("clients: {error}");
+                    log!("clients: a connection could not be accepted: {error}; trying again");
                     if !concerns_one_connection(&error) {
                         backoff.pause().await;
                     }
@@ -56,18 +56,18 @@
         }
     }
 
-    /// Accepts all connections that wait on the socket, then closes it: the kernel resets those that still wait then, the
-    /// requests on them unread.
+    /// Accepts all connections pending on the socket, then closes it. The kernel resets any connection that is still
+    /// pending at that moment, with the requests on it unread.
     ///
     /// # Errors
     ///
-    /// None could be accepted until the end of the shutdown, for want of descriptors or memory.
+    /// `accept` still fails at the shutdown deadline, for lack of descriptors or memory.
     pub(super) async fn accept_pending(
         self: &Arc<ClientListener>,
         listener: TcpListener,
         connection_permits: &Arc<Semaphore>,
     ) -> io::Result<()> {
-        // The kernel itself is asked: the poller may not have reported the last ones yet.
+        // Calls accept(2) directly, as the poller may not have reported the last connections yet.
         let listener = listener.into_std()?;
         let mut backoff = Backoff::default();
         while let Some(slot) = self.acquire_slot(connection_permits).await {
@@ -91,10 +91,10 @@
         Ok(())
     }
 
-    /// Waits for a slot for the next connection; `None` where the event loop has ended.
+    /// Waits for a slot for the next connection. `None` if the event loop has ended.
     async fn acquire_slot(&self, connection_permits: &Arc<Semaphore>) -> Option<ConnectionSlot> {
         let connection_permit = loop {
-            // Before the wait and during it, as idle connections must not keep all places.
+            // Evicts before and during the wait, so that idle connections can't occupy all connection slots.
             self.evict_idle();
             match timeout(
                 self.limits.client.evict_idle_after,
@@ -105,7 +105,7 @@
                 Ok(permit) => break permit.ok()?,
                 Err(_) => {
                     log!(
-                        "clients: all {} places are taken; new connections wait",
+                        "clients: connection limit of {} reached; new connections wait until one closes",
                         self.limits.client.max_connections
                     );
                 }
@@ -117,7 +117,7 @@
         })
     }
 
-    /// Serves a connection in a task of its own.
+    /// Spawns a task that serves the connection, and tracks the connection until it ends.
     fn spawn_connection(self: &Arc<ClientListener>, stream: TcpStream, slot: ConnectionSlot) {
         let client_connection = Arc::new(ClientConnection::new(slot.disconnect_event));
         let connection_permit = slot.connection_permit;
--- a/crates/merlinreel/src/client/arrival_times.rs
+++ b/crates/merlinreel/src/client/arrival_times.rs
@@ -1,19 +1,20 @@
-//! When each byte of a client's connection arrived, for requests that wait behind others on it.
+//! Arrival times of the bytes on a client connection. The time of a pipelined request counts from its arrival, not from
+//! when the request before it is done.
 
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
 
-/// Bytes that arrive within this of one another count as arrived with the first of them, which bounds the memory.
+/// Bytes that arrive within this time of a mark's first bytes share its time, which bounds the number of marks.
 const RESOLUTION: Duration = Duration::from_millis(5);
 
-/// The time by which all bytes up to a position in the stream had arrived.
+/// The time at which the bytes from the previous mark's position up to this one's arrived, to [`RESOLUTION`].
 #[derive(Debug)]
 struct Mark {
     position: u64,
     time: Instant,
 }
 
-/// The arrival times of the bytes that were received and not taken yet.
+/// The arrival times of the bytes that were received and not yet taken. Positions count from the connection's first byte.
 #[derive(Debug, Default)]
 pub struct ArrivalTimes {
     marks: VecDeque<Mark>,
@@ -22,7 +23,7 @@
 }
 
 impl ArrivalTimes {
-    /// Records that so many more bytes arrived.
+    /// Records that `bytes` more bytes had arrived by `now`.
     pub fn record(&mut self, bytes: usize, now: Instant) {
         self.received += bytes as u64;
         match self.marks.back_mut() {
@@ -36,7 +37,7 @@
         }
     }
 
-    /// Takes the next bytes, and returns when the last of them had arrived.
+    /// Takes the next `bytes` bytes, and returns when the last of them arrived. `None` if no arrival is recorded for it.
     pub fn take(&mut self, bytes: usize) -> Option<Instant> {
         self.taken += bytes as u64;
         while self
@@ -53,7 +54,7 @@
         last
     }
 
-    /// Puts back so many of the bytes that were taken last: they will be taken again.
+    /// Undoes the taking of the last `bytes` bytes, which will be taken again.
     pub fn put_back(&mut self, bytes: usize) {
         self.taken = self.taken.saturating_sub(bytes as u64);
     }
--- a/crates/merlinreel/src/client/body.rs
+++ b/crates/merlinreel/src/client/body.rs
@@ -1,4 +1,4 @@
-//! Request bodies: read to their end, within their deadline and the memory that all bodies share.
+//! Reads request bodies completely, within their deadline and the memory that all bodies share.
 
 use super::connection::ClientConnection;
 use super::listener::ClientListener;
@@ -19,46 +19,47 @@
 use tokio::sync::OwnedSemaphorePermit;
 use tokio::time::{Sleep, sleep_until};
 
-/// Memory for a body of unknown length is reserved in steps of this many bytes, however small its chunks are.
+/// Memory for a body of unknown length is reserved in steps of this size, so that small chunks need no reservation each.
 const RESERVATION_STEP_BYTES: usize = 4096;
 
-/// Why a request body is not accepted. Clients get the text of some of these in the body of their response.
+/// Why a request body is not accepted. Where [`BodyError::response`] has a body, it is the error's text.
 #[derive(Debug, Error)]
 pub enum BodyError {
-    /// Longer than any body that is accepted.
-    #[error("a body of {at_least} bytes or more is longer than {limit}")]
+    /// The body exceeds `max_body_bytes`. The text is only logged: the 413 response has no body.
+    #[error("request body has at least {at_least} bytes, at most {limit} are accepted")]
     TooLong {
-        /// Bytes that it has at least.
+        /// The announced length, or the bytes received so far.
         at_least: u64,
-        /// Bytes that it may have.
+        /// The longest accepted body, in bytes.
         limit: usize,
     },
-    /// The memory of all bodies is in use.
+    /// Too little of the memory that all bodies share is free.
     #[error("too much in hand")]
     MemoryExhausted,
-    /// The request's class comes without a body.
+    /// Requests of this class must not have a body.
     #[error("a repeatable class comes without a body")]
     NotAllowed,
-    /// It did not arrive in time.
-    #[error("a request body was incomplete at its deadline")]
+    /// The body did not arrive in time. The text is only logged: the 408 response has no body.
+    #[error("request body incomplete at its deadline")]
     Incomplete,
-    /// It is malformed, or its connection broke.
+    /// The body is malformed, or its connection broke.
     #[error(transparent)]
     Http(#[from] hyper::Error),
 }
 
-/// How long a request body may take.
+/// The times that bound how long reading a request body may take.
 pub struct BodyDeadline {
-    /// When the complete request is due.
+    /// When the complete request is due, unless its body arrives at the minimum rate.
     pub request_due: Instant,
-    /// When its client stops waiting for the response.
+    /// When the client stops waiting for the response. Bounds a body at any rate.
     pub client_deadline: Instant,
-    /// When the limiter began to read it.
+    /// When the limiter began to read the body.
     pub started: Instant,
 }
 
 impl BodyDeadline {
-    /// When the next frame is due after so many bytes. A body that comes at the minimum rate may take longer than others.
+    /// When the next frame is due after `bytes` bytes were received. A body that arrives at the minimum rate may exceed
+    /// `request_due`.
     fn next_frame_due(&self, bytes: usize, limits: &Limits) -> Instant {
         let at_minimum_rate = Duration::from_secs_f64(
             bytes as f64 / f64::from(limits.client.min_body_bytes_per_second),
@@ -70,15 +71,15 @@
 }
 
 impl BodyError {
-    /// The response to the request.
+    /// The response to a request whose body is not accepted.
     pub fn response(&self) -> Response<Full<Bytes>> {
         let status = match self {
             BodyError::TooLong { .. } => {
-                log!("clients: {self}: 413");
+                log!("clients: request rejected with 413: {self}");
                 return text_response(StatusCode::PAYLOAD_TOO_LARGE, String::new());
             }
             BodyError::Incomplete => {
-                log!("clients: {self}: 408");
+                log!("clients: request rejected with 408: {self}");
                 return text_response(StatusCode::REQUEST_TIMEOUT, String::new());
             }
             BodyError::MemoryExhausted => StatusCode::SERVICE_UNAVAILABLE,
@@ -88,33 +89,33 @@
     }
 }
 
-/// A complete request body, and the memory that is reserved for it.
+/// A complete request body and the memory reserved for it.
 pub struct BufferedBody {
-    /// Its bytes.
+    /// The body's data without its framing, copied out of the connection's buffers.
     pub bytes: Bytes,
-    /// Released once nothing of the request is left.
+    /// The reservation in the memory that all bodies share. Released once nothing of the request is left.
     pub reserved: OwnedSemaphorePermit,
 }
 
-/// A body that is being read, and what is known of it so far.
+/// Reads a request body and keeps what was received so far.
 struct BodyReader<'a> {
     body: Incoming,
     limits: &'a Limits,
     permits: &'a AdmissionPermits,
     deadline: BodyDeadline,
     client_connection: &'a ClientConnection,
-    // Copied: each frame as it is would keep a buffer of the connection's alive.
+    // Data is copied out of each frame, as keeping the frames would keep the connection's read buffers alive.
     bytes: Vec<u8>,
     reserved: OwnedSemaphorePermit,
     /// When the next frame is due.
     due: Instant,
-    /// It was due, and the poller has been asked once more.
+    /// The due time has passed and the poller gets one more turn to report data.
     is_overdue: bool,
 }
 
 impl BodyReader<'_> {
-    /// The next frame, `None` behind the last one. `timer` is reset only where the body is waited for, so that bytes at hand
-    /// cost no timer however they are cut.
+    /// Polls for the next frame, `None` after the last one. `timer` is reset only if the client has to send more, so that
+    /// frames that were already received cost no timer.
     fn poll_frame(
         &mut self,
         cx: &mut Context,
@@ -124,7 +125,8 @@
             self.client_connection.record_body_progress();
             return Poll::Ready(frame.transpose().map_err(BodyError::Http));
         }
-        // What has arrived is read first, however late the limiter is; the HTTP library polls again when it has done so.
+        // Data that has arrived is read before the deadline counts, however late the limiter is. The HTTP library polls
+        // again once it has read it.
         if !self.client_connection.awaits_input() {
             return Poll::Pending;
         }
@@ -138,7 +140,7 @@
         Poll::Ready(Err(BodyError::Incomplete))
     }
 
-    /// A body that comes fast enough has longer the more of it is there.
+    /// Recomputes the due time, which moves on as a body arrives fast enough, and resets the timer if it changed.
     fn update_due(&mut self, timer: Pin<&mut Sleep>) {
         let due = self.deadline.next_frame_due(self.bytes.len(), self.limits);
         if due != self.due {
@@ -149,7 +151,7 @@
         }
     }
 
-    /// Keeps the data of a frame.
+    /// Appends a frame's data, reserving memory as needed.
     fn push(&mut self, data: &[u8]) -> Result<(), BodyError> {
         let limit = self.limits.max_body_bytes;
         let length = self.bytes.len() + data.len();
@@ -166,7 +168,8 @@
         Ok(())
     }
 
-    /// Reserves memory for so many bytes in all, and up to a step more where there is enough.
+    /// Extends the reservation to at least `length` bytes in all. It grows by a whole step, up to `limit`, if that much
+    /// memory is free. Returns whether it was extended.
     fn reserve(&mut self, length: usize, limit: usize) -> bool {
         let reserved = self.reserved.num_permits();
         let with_step = length.max(reserved + RESERVATION_STEP_BYTES).min(limit);
@@ -178,13 +181,13 @@
 }
 
 impl ClientListener {
-    /// Reads a body to its end. Memory for a chunked one, whose length is not announced, is reserved as it comes;
-    /// trailers are dropped. The deadline ends a body that its client has not sent in time, never one whose bytes
-    /// have arrived and were not read yet.
+    /// Reads a body completely. Memory for a chunked body, whose length is not announced, is reserved as it arrives;
+    /// trailers are dropped. The deadline applies only while the client has to send more, never to bytes that have
+    /// arrived and are not yet read.
     ///
     /// # Errors
     ///
-    /// The body is too long, late, malformed or not allowed, or the memory of all bodies is in use.
+    /// The body is too long, late, malformed or not allowed, or too little of the memory for bodies is free.
     pub(super) async fn read_body(
         &self,
         body: Incoming,
--- a/crates/merlinreel/src/client/connection.rs
+++ b/crates/merlinreel/src/client/connection.rs
@@ -10,72 +10,73 @@
 use std::time::Instant;
 use tokio::sync::{Notify, mpsc};
 
-/// One client connection.
+/// A client connection, from its acceptance until its task has closed it.
 pub struct ClientConnection {
-    /// A request is in flight, or its response is still streaming.
+    /// Set while a request is in flight or its response is still streaming.
     pub busy: AtomicBool,
-    /// Complete requests that it carried.
+    /// Number of valid requests received completely on this connection; `/up` calls don't count.
     pub requests: AtomicUsize,
-    /// It was idle, and was asked to close.
+    /// Set once the connection was asked to close while idle.
     pub evicted: AtomicBool,
-    /// The limiter's side has ended: no request is read any more.
+    /// Set once the limiter has shut down its side: no further request is read.
     pub closing: AtomicBool,
-    /// More arrived behind a request than is kept: some of it was dropped.
+    /// Set when data after a request in flight exceeded the read-ahead limit and some of it was dropped.
     pub overflowed: AtomicBool,
-    /// Bytes that the HTTP library was given.
+    /// Total number of bytes passed to the HTTP library.
     pub delivered_bytes: AtomicU64,
-    /// Those of them that make up the requests before the next one.
+    /// The part of `delivered_bytes` that makes up the heads handed over so far and the bodies read completely.
     consumed_bytes: AtomicU64,
-    /// The last read found nothing more: what is missing of a request is the client's to send.
+    /// Whether the last read found no data: if a request is incomplete, the client has to send the rest.
     awaits_input: AtomicBool,
-    /// A frame of a body was read since this was asked last.
+    /// Whether a frame of a body was read since the last call of `take_body_progress`.
     body_progressed: AtomicBool,
-    /// Bytes that were read and that the library was not given yet.
+    /// Number of bytes read from the socket and not yet passed to the HTTP library.
     pub buffered_bytes: AtomicUsize,
-    /// The head that the HTTP library read last has a Content-Length line.
+    /// Whether the head that the HTTP library read last has a Content-Length line.
     has_content_length: AtomicBool,
-    /// When it last did what.
+    /// Times of the last events on the connection.
     pub times: Mutex<ConnectionTimes>,
-    /// Asks its task to close it.
+    /// Asks the connection's task to close it.
     pub close_requested: Notify,
-    /// Reserved capacity of the queue for the event that the client has disconnected, which happens once at most.
+    /// Reserved capacity in the event queue for the client's disconnect. `None` once that is reported, as it happens at
+    /// most once.
     pub disconnect_event: Mutex<Option<mpsc::OwnedPermit<Event>>>,
 }
 
-/// When a client connection last did what.
+/// Times of the last events on a client connection.
 pub struct ConnectionTimes {
-    /// The head that the HTTP library read last had arrived by then.
+    /// When the head that the HTTP library read last had arrived completely.
     pub head_arrived_at: Instant,
-    /// When the next piece of a body that is being read is due.
+    /// When the next frame of the body being read is due. `None` if no body is being read.
     pub body_due: Option<Instant>,
-    /// It waits for a request since then.
+    /// Since when the connection has been waiting for a request.
     pub idle_since: Instant,
-    /// Part of a request is there since then.
+    /// Since when the connection has had a partial request. `None` if it has none.
     pub partial_since: Option<Instant>,
-    /// The rest of a response waits since then for the client to read on.
+    /// Since when a response has been waiting for the client to read more of it. `None` if no write is blocked.
     pub write_blocked_since: Option<Instant>,
 }
 
 impl ConnectionTimes {
-    /// Whether the end of a response waits for a client that reads slowly. A client that takes none of it for as long as a
-    /// connection may be idle counts as disconnected.
+    /// Whether the rest of a response waits for a client that reads slowly. A client that reads none of it for the idle
+    /// timeout counts as disconnected.
     pub fn is_write_blocked(&self, limits: &Limits) -> bool {
         self.write_blocked_since
             .is_some_and(|since| since.elapsed() < limits.client.idle_timeout)
     }
 }
 
-/// Decides which connections are evicted first: the least one is.
+/// Order of eviction: the connection with the lowest rank is evicted first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct EvictionRank {
-    /// Requests that it carried, up to 2. A client that came back is kept longer, so that many that came once can't
-    /// displace those that come again.
+    /// Requests received on the connection, capped at 2. Connections with repeated requests are kept longer, so that many
+    /// clients with one request each can't displace them.
     requests: usize,
     idle_since: Instant,
 }
 
 impl ClientConnection {
-    /// A new connection, whose first request is still to come.
+    /// Creates the state of a new connection, which has not received a request.
     pub fn new(disconnect_event: mpsc::OwnedPermit<Event>) -> ClientConnection {
         ClientConnection {
             busy: AtomicBool::new(false),
@@ -101,32 +102,32 @@
         }
     }
 
-    /// Records a head that was given to the HTTP library, and when it had arrived.
+    /// Records a head that is passed to the HTTP library, and when it had arrived.
     pub fn record_head(&self, head: ObservedHead, arrived_at: Instant) {
         self.has_content_length
             .store(head.content_length, Ordering::Relaxed);
         lock(&self.times).head_arrived_at = arrived_at;
     }
 
-    /// What the head showed that the HTTP library read last. That is a request's own head only while the library hands the
-    /// request over: it may read the next head right after.
+    /// What was observed of the head that the HTTP library read last. This is the head of a request only at the moment when
+    /// the library hands the request over, as it may read the next head right after.
     pub fn last_head(&self) -> ObservedHead {
         ObservedHead {
             content_length: self.has_content_length.load(Ordering::Relaxed),
         }
     }
 
-    /// When the head of [`ClientConnection::last_head`] had arrived.
+    /// When the head of [`ClientConnection::last_head`] had arrived completely.
     pub fn head_arrived_at(&self) -> Instant {
         lock(&self.times).head_arrived_at
     }
 
-    /// Records whether the last read found nothing more.
+    /// Records whether the last read found no data.
     pub fn set_awaits_input(&self, awaits_input: bool) {
         self.awaits_input.store(awaits_input, Ordering::Relaxed);
     }
 
-    /// Whether the last read found nothing more: only then may a client be held to a deadline of its request.
+    /// Whether the last read found no data. Only then does a deadline of the request apply to the client.
     pub fn awaits_input(&self) -> bool {
         self.awaits_input.load(Ordering::Relaxed)
     }
@@ -141,8 +142,8 @@
         self.body_progressed.swap(false, Ordering::Relaxed)
     }
 
-    /// Counts all that the HTTP library was given so far as consumed: complete requests, or heads whose body is to come. The
-    /// library hands a request over before it reads anything behind its head, and a chunked body ends with a section.
+    /// Counts all bytes passed to the HTTP library so far as consumed. They end with a request's head or a chunked body: the
+    /// library hands a request over before it reads anything after its head, and a chunked body ends with a section.
     pub fn consume_delivered(&self) {
         self.consumed_bytes.store(
             self.delivered_bytes.load(Ordering::Relaxed),
@@ -150,22 +151,22 @@
         );
     }
 
-    /// Counts the body of the request whose head was consumed last as consumed.
+    /// Counts the body of the request whose head was consumed last as consumed. `bytes` is its announced length.
     pub fn consume_body(&self, bytes: u64) {
         self.consumed_bytes.fetch_add(bytes, Ordering::Relaxed);
     }
 
-    /// Whether the HTTP library has read part of the next request, or all of it.
+    /// Whether the HTTP library has read any part of the next request.
     fn next_request_started(&self) -> bool {
         self.delivered_bytes.load(Ordering::Relaxed) > self.consumed_bytes.load(Ordering::Relaxed)
     }
 
-    /// Whether anything was read behind the request in flight.
+    /// Whether any data was read after the request in flight.
     pub fn has_pipelined_input(&self) -> bool {
         self.next_request_started() || self.buffered_bytes.load(Ordering::Relaxed) > 0
     }
 
-    /// Marks it idle from now on, except for what was read of the next request meanwhile.
+    /// Marks the connection idle from now on, or partial if the HTTP library has read any of the next request.
     pub fn mark_idle(&self) {
         let partial_since = self.next_request_started().then(Instant::now);
         let mut times = lock(&self.times);
@@ -174,7 +175,7 @@
         times.body_due = None;
     }
 
-    /// Records that part of a request is there, unless a request is in flight.
+    /// Records that the connection has a partial request from now on, unless it had one before or a request is in flight.
     pub fn mark_partial(&self) {
         if !self.busy.load(Ordering::Relaxed) {
             lock(&self.times)
@@ -183,8 +184,8 @@
         }
     }
 
-    /// When its next request must be complete: it closes then, as one that never sends a request, or never completes it,
-    /// must not keep its place.
+    /// When the connection's next request must be complete. The connection is closed then, so that clients that never send
+    /// or complete a request can't keep a connection slot.
     pub fn request_due(&self, limits: &Limits) -> Instant {
         let times = lock(&self.times);
         let due = match (self.requests.load(Ordering::Relaxed), times.partial_since) {
@@ -195,8 +196,8 @@
         times.body_due.map_or(due, |body_due| due.max(body_due))
     }
 
-    /// Whether the rest of a request may lie unread, as the limiter is behind its client. One that takes no response is
-    /// behind itself.
+    /// Whether the rest of a partial request may be unread in the socket buffer because the limiter is late. While a
+    /// response waits for the client to read it, the client is late.
     fn may_have_unread_rest(&self, times: &ConnectionTimes) -> bool {
         times.partial_since.is_some()
             && times.write_blocked_since.is_none()
@@ -204,8 +205,8 @@
             && !self.closing.load(Ordering::Relaxed)
     }
 
-    /// Whether it can be closed under pressure. A new connection has longer, as its first request may not have been read
-    /// yet: clients repeat a lost request by themselves only on connections that they used before.
+    /// Whether the connection can be closed now to free its slot. A new connection is kept longer, as its first request may
+    /// not have been read yet: clients retry a lost request by themselves only on connections that they used before.
     pub fn is_evictable(&self, limits: &Limits) -> bool {
         let times = lock(&self.times);
         if times.is_write_blocked(limits) || self.may_have_unread_rest(&times) {
@@ -220,8 +221,9 @@
             && times.partial_since.unwrap_or(times.idle_since).elapsed() >= evict_after
     }
 
-    /// Whether a shutdown can close it: no request is in flight, no part of one is there, no response waits to be read, and
-    /// it was idle for a while; any time is enough where `close_idle`. One whose first request is still to come has longer.
+    /// Whether a shutdown can close the connection: no request is in flight or partly read, no response waits for the
+    /// client to read it, and the connection was idle for long enough. With `close_idle` that is `evict_idle_after`; a
+    /// connection without a request so far has `first_request_timeout` in either case.
     pub fn can_shut_down(&self, limits: &Limits, close_idle: bool) -> bool {
         let min_idle = match self.requests.load(Ordering::Relaxed) {
             0 => limits.shutdown.first_request_timeout,
@@ -236,13 +238,13 @@
             && times.idle_since.elapsed() >= min_idle
     }
 
-    /// Asks it to close, unless something arrives meanwhile.
+    /// Asks the connection to close. If a request arrives before it does, that is answered first.
     pub fn evict(&self) {
         self.evicted.store(true, Ordering::Relaxed);
         self.close_requested.notify_one();
     }
 
-    /// Its place in the order of eviction.
+    /// The connection's rank in the order of eviction.
     pub fn eviction_rank(&self) -> EvictionRank {
         EvictionRank {
             requests: self.requests.load(Ordering::Relaxed).min(2),
@@ -259,13 +261,13 @@
     fn on_write(&self, _: usize) {
         let mut times = lock(&self.times);
         if times.write_blocked_since.take().is_some() {
-            // Idle from the last byte on.
+            // Idle time counts from the last byte written.
             times.idle_since = Instant::now();
         }
     }
 
     fn on_write_blocked(&self) {
-        // From the first time on: a write is tried again whenever the connection is polled.
+        // Keeps the first time, as a write is retried whenever the connection is polled.
         lock(&self.times)
             .write_blocked_since
             .get_or_insert_with(Instant::now);
--- a/crates/merlinreel/src/client/decode.rs
+++ b/crates/merlinreel/src/client/decode.rs
@@ -1,4 +1,4 @@
-//! Decodes a client's request from the head of its HTTP request.
+//! Decodes and validates a client's request from the head of its HTTP request.
 
 use hyper::Method;
 use hyper::header::{CONTENT_LENGTH, HeaderMap, HeaderName, HeaderValue, ToStrError};
@@ -9,28 +9,28 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// The request id.
+/// The request id, required. No two requests in flight at a limiter may have the same.
 pub const REQUEST_ID: HeaderName = HeaderName::from_static("x-txn");
-/// The request class; the path names it too.
+/// The request class, optional: it must match the class in the path.
 const CLASS: HeaderName = HeaderName::from_static("x-lane");
-/// The customer's plan.
+/// The name of the customer's plan, required.
 const PLAN: HeaderName = HeaderName::from_static("x-plan");
-/// How long the client still waits.
+/// How long the client still waits for the response, required.
 const REMAINING_TIME: HeaderName = HeaderName::from_static("x-remaining");
-/// The units that the request uses, and the limiters that share the customer's quota.
+/// The units that the request uses and the customer's limiter set, required.
 const QUOTA: HeaderName = HeaderName::from_static("x-quota");
-/// `1` where the client sent the request before.
+/// `1` if the client sent the request before. Any other value counts as a first request.
 const IS_RETRY: HeaderName = HeaderName::from_static("x-resent");
-/// The idempotency key.
+/// The idempotency key, required in classes with idempotency keys.
 const IDEMPOTENCY_KEY: HeaderName = HeaderName::from_static("idempotency-key");
 
-/// Customers' numbers are less than this.
+/// Customer numbers are below this.
 const CUSTOMER_LIMIT: u64 = 1 << 33;
 
-/// Why a request can't be decoded. Clients get this text in the body of a 400.
+/// Why a request can't be decoded. The text is sent to the client in the body of a 400 response.
 #[derive(Debug, Error)]
 pub enum RequestError {
-    /// A header that may occur once occurs again: two readers might take two values.
+    /// A header that may occur at most once is repeated: two readers might take different values.
     #[error("{0} stands there twice")]
     RepeatedHeader(HeaderName),
     /// A header is missing or empty.
@@ -39,58 +39,58 @@
     /// A header's value is not visible ASCII.
     #[error("{name} is no text")]
     InvalidHeader {
-        /// The header.
+        /// The header with the invalid value.
         name: HeaderName,
-        /// Why it is not.
+        /// The conversion that failed.
         source: ToStrError,
     },
-    /// The class in the path is not the one in the header.
+    /// The class in the path differs from the one in the class header.
     #[error("the path and x-lane name two classes")]
     ClassMismatch,
-    /// The settings have no such class.
+    /// The settings have no class of that name.
     #[error("class '{0}' is unknown")]
     UnknownClass(String),
-    /// The settings have no such plan.
+    /// The settings have no plan of that name.
     #[error("x-plan: unknown")]
     UnknownPlan,
-    /// Requests of the class come by another method.
+    /// Requests of the class use another method.
     #[error("class '{class}' comes by {expected}")]
     WrongMethod {
-        /// The class.
+        /// The name of the class.
         class: String,
-        /// Its method.
+        /// The method that requests of the class use.
         expected: Method,
     },
-    /// Requests of the class have no body.
+    /// The request announces a body, which requests of the class must not have.
     #[error("class '{0}' comes without a body")]
     UnexpectedBody(String),
-    /// The query has no customer's number, or several.
+    /// The query has no customer number, or more than one.
     #[error("key is missing or stands there twice")]
     NotOneCustomer,
-    /// The customer's number is no hexadecimal number in range.
+    /// The customer number is not a hexadecimal number below 2^33.
     #[error("key: no customer's number")]
     InvalidCustomer,
-    /// The quota header has an element that is no pair.
+    /// The quota header has an element that is not of the form `name=value`.
     #[error("x-quota: no name=value")]
     InvalidQuotaPair,
-    /// The quota header names something twice.
+    /// The quota header has `units`, `spread` or `first` twice.
     #[error("x-quota: {0} stands there twice")]
     RepeatedQuotaName(String),
-    /// The units are missing or out of range.
+    /// The units are missing, not a decimal number, not positive or above the settings' maximum.
     #[error("x-quota: units is no number in range")]
     InvalidUnits,
-    /// The limiters that share the quota are missing or not in the fleet.
+    /// The limiter set is missing, empty or not within the fleet.
     #[error("x-quota: no set among {limiters} limiters")]
     InvalidLimiterSet {
-        /// Limiters in the fleet.
+        /// Number of limiters in the fleet.
         limiters: u32,
     },
-    /// The remaining time has another form.
+    /// The remaining time is not an integer followed by `m` or `u`.
     #[error("x-remaining: no number with m or u")]
     InvalidRemainingTime,
 }
 
-/// The value of a header that may occur once at most.
+/// The value of a header that may occur at most once. `None` if it is missing.
 fn single<'a>(
     headers: &'a HeaderMap,
     name: &HeaderName,
@@ -104,7 +104,7 @@
     }
 }
 
-/// The text of a header that must occur once and not be empty.
+/// The text of a header that must occur exactly once and not be empty.
 fn required<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Result<&'a str, RequestError> {
     single(headers, name)?
         .filter(|value| !value.is_empty())
@@ -116,7 +116,7 @@
         })
 }
 
-/// An integer in digits alone; `parse` accepts signs too.
+/// Parses an integer that consists of digits only; `str::parse` accepts signs too.
 fn parse_integer(digits: &str) -> Option<u32> {
     digits
         .bytes()
@@ -125,7 +125,7 @@
         .flatten()
 }
 
-/// A number in digits and a point; `parse` accepts signs, exponents and words too.
+/// Parses a number of digits and a decimal point; `str::parse` accepts signs, exponents and words such as `nan` too.
 fn parse_decimal(text: &str) -> Option<f64> {
     let is_plain = text
         .bytes()
@@ -133,7 +133,7 @@
     is_plain.then(|| text.parse().ok()).flatten()
 }
 
-/// An integer followed by its unit: `m` for milliseconds, `u` for microseconds.
+/// Parses an integer followed by its unit: `m` for milliseconds, `u` for microseconds.
 fn parse_remaining_time(text: &str) -> Option<Duration> {
     let integer = |digits: &str| parse_integer(digits).map(u64::from);
     match text.strip_suffix('m') {
@@ -145,13 +145,13 @@
     }
 }
 
-/// What the quota header says.
+/// The values of the quota header.
 struct Quota {
     /// Units that the request uses.
     units: f64,
-    /// How many limiters share the customer's quota.
+    /// Number of limiters in the customer's limiter set, which share its quota.
     set_size: u32,
-    /// The first of these limiters.
+    /// Index of the first limiter of the set.
     set_first: u32,
 }
 
@@ -196,7 +196,7 @@
     }
 }
 
-/// The index of the class that the path names, in the settings.
+/// The settings' index of the class that the path names.
 fn decode_class(
     head: &Parts,
     class_name: &str,
@@ -215,7 +215,7 @@
         .ok_or_else(|| RequestError::UnknownClass(class_name.to_owned()))
 }
 
-/// The index of the plan in the settings.
+/// The settings' index of the plan that the header names.
 fn decode_plan(headers: &HeaderMap, settings: &Settings) -> Result<usize, RequestError> {
     let plan = required(headers, &PLAN)?;
     settings
@@ -226,7 +226,7 @@
         .ok_or(RequestError::UnknownPlan)
 }
 
-/// Checks the method, and the headers that depend on the class's idempotency.
+/// Checks the method and the headers that depend on the class's idempotency.
 fn check_method(
     head: &Parts,
     class_name: &str,
@@ -253,7 +253,7 @@
     Ok(())
 }
 
-/// The customer's number, in hexadecimal digits in the query.
+/// The customer number, given in the query as `key` in hexadecimal digits.
 fn decode_customer(query: &str) -> Result<u64, RequestError> {
     let mut keys = query
         .split('&')
@@ -269,12 +269,12 @@
         .ok_or(RequestError::InvalidCustomer)
 }
 
-/// Decodes a request from its head: class, customer, plan, quota, and the time that the client waits, which is at most the
-/// deadline of the class.
+/// Decodes a request from its head: class, customer, plan, quota, and the time that the client still waits, capped at the
+/// class's deadline. The request's index is not known here and 0.
 ///
 /// # Errors
 ///
-/// The first thing that is wrong with the head.
+/// The first fault found in the head.
 pub fn decode(head: &Parts, settings: &Settings) -> Result<Request, RequestError> {
     let path = head.uri.path().trim_start_matches('/');
     let class_name = path.split('/').next().unwrap_or(path);
--- a/crates/merlinreel/src/client/eviction.rs
+++ b/crates/merlinreel/src/client/eviction.rs
@@ -1,4 +1,4 @@
-//! Which idle connections are closed so that new clients find a place.
+//! Selects idle connections to close, so that new clients get a connection slot.
 
 use super::connection::ClientConnection;
 use super::listener::ClientListener;
@@ -8,7 +8,7 @@
 use std::sync::atomic::Ordering;
 
 impl ClientListener {
-    /// Asks idle connections to close where too many are open.
+    /// Asks idle connections to close if too many are open.
     pub(super) fn evict_idle(&self) {
         for client_connection in
             select_evictions(lock(&self.client_connections).values(), &self.limits)
@@ -18,9 +18,10 @@
     }
 }
 
-/// Selects as many idle connections as there are over the number that may stay idle; one that carried several requests
-/// only at the connection limit. Proxies that hold so many connections and no more are thereby safe from clients that
-/// connect, ask once and stay.
+/// Selects idle connections for eviction, one for each connection above `max_idle_connections`, the next one included.
+/// Connections with two or more requests are selected only once the next one would exceed `max_connections`: proxies that
+/// keep up to `max_idle_connections` connections thereby don't lose them to clients that connect, send one request and
+/// stay.
 pub fn select_evictions<'a>(
     client_connections: impl ExactSizeIterator<Item = &'a Arc<ClientConnection>>,
     limits: &Limits,
@@ -29,7 +30,7 @@
     if with_next <= limits.client.max_idle_connections {
         return Vec::new();
     }
-    // Those that were asked to close before may still be open.
+    // Connections that were asked to close before may still be open.
     let (evicted, others): (Vec<_>, Vec<_>) = client_connections
         .map(Arc::as_ref)
         .partition(|client_connection| client_connection.evicted.load(Ordering::Relaxed));
--- a/crates/merlinreel/src/client/framing.rs
+++ b/crates/merlinreel/src/client/framing.rs
@@ -1,17 +1,18 @@
-//! How a request's body is framed, and what the HTTP library does not show of it.
+//! Checks the framing of request bodies, including what the HTTP library does not show of it.
 //!
-//! The library drops a Content-Length that stands beside a Transfer-Encoding, before it or behind it, so a request
-//! that has both (RFC 9112, section 6.3: another request may hide in its body) can't be distinguished from a sound one by its
-//! headers. [`HeadScanner`] therefore observes the bytes on their way to the library. It is no second parser: it knows
-//! lines, the name of one header, and the blank line that ends a head.
+//! The HTTP library drops a Content-Length header next to a Transfer-Encoding, whichever comes first. A request with both
+//! may smuggle another request in its body (RFC 9112, section 6.3), and its headers no longer show it. [`HeadScanner`]
+//! therefore observes the bytes on their way to the library. It is not a second parser: it recognizes lines, the name of
+//! one header, and the blank line that ends a head.
 //!
-//! The connection gives the library no more than one section a read, up to the next blank line, and the library reads
-//! only where it has nothing left or its head is incomplete. So the section that ended last when it hands a request over
-//! is the one that ends with that request's head, and a Content-Length line of that head lies in it.
+//! The bytes are divided into sections, each of which ends with a blank line. The connection passes at most one section to
+//! the library per read, and the library reads only if it has no data left or its head is incomplete. So when the library
+//! hands a request over, the last section that ended is the one that ends with the request's head, and it contains any
+//! Content-Length line of that head.
 //!
-//! The rest of a body may lie at the beginning of the same section, where a client sends the next request behind it and
-//! no blank line stands between. A line of that rest that looks like a Content-Length then has the next request rejected
-//! if it is chunked: more is rejected than need be, never less.
+//! The end of the preceding body may be part of the same section if no blank line separates it from the next request. If
+//! that end has a line that looks like a Content-Length header and the next request is chunked, that request is rejected
+//! although it is valid. The error is on the safe side: an ambiguous request is never accepted.
 
 use hyper::header::{HeaderMap, TRANSFER_ENCODING};
 use thiserror::Error;
@@ -19,37 +20,37 @@
 /// The only transfer coding that is accepted.
 const CHUNKED: &[u8] = b"chunked";
 
-/// The beginning of a line that announces a body's length. Nothing may stand before the name nor before the colon: the
-/// HTTP library rejects a head that has a space there.
+/// The beginning of a Content-Length line, in lower case. Whitespace before the name or the colon needs no check, as the
+/// HTTP library rejects such a head.
 const CONTENT_LENGTH_LINE: &[u8; 15] = b"content-length:";
 
-/// What the bytes of a head show and the HTTP library may drop.
+/// Properties of a head, observed in its bytes, that the HTTP library may not show.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ObservedHead {
-    /// It has a line of Content-Length, whatever its value.
+    /// Whether the head has a Content-Length line, whatever its value.
     pub content_length: bool,
 }
 
-/// As much of some bytes as belongs to one section.
+/// The part of the scanned bytes that belongs to the current section.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Section {
-    /// How many bytes of those given lie in it.
+    /// How many of the given bytes belong to the section.
     pub length: usize,
-    /// The head that it ended with, where it ended in them.
+    /// What was observed in the section. `None` if it does not end within the given bytes.
     pub head: Option<ObservedHead>,
 }
 
-/// Observes the bytes that the HTTP library reads, line by line, however they are cut.
+/// Observes the bytes that the HTTP library reads, line by line. The bytes may be split at any position.
 #[derive(Debug, Default)]
 pub struct HeadScanner {
-    /// The first bytes of the line that is being read.
+    /// The first bytes of the current line, as many as a Content-Length line's beginning has.
     prefix: [u8; CONTENT_LENGTH_LINE.len()],
     prefix_length: usize,
     observed: ObservedHead,
 }
 
 impl HeadScanner {
-    /// Scans bytes up to the first blank line and that line itself. Those behind it are to be given again.
+    /// Scans bytes up to and including the first blank line. The caller passes the bytes after it again in the next call.
     pub fn scan(&mut self, bytes: &[u8]) -> Section {
         let mut scanned = 0;
         while let Some(line) = bytes[scanned..].iter().position(|&byte| byte == b'\n') {
@@ -69,7 +70,7 @@
         }
     }
 
-    /// Keeps as much of the line as decides what it is.
+    /// Adds bytes to the current line. Only the line's beginning is kept.
     fn extend_line(&mut self, bytes: &[u8]) {
         let free = &mut self.prefix[self.prefix_length..];
         let taken = bytes.len().min(free.len());
@@ -77,7 +78,7 @@
         self.prefix_length += taken;
     }
 
-    /// Ends the line, and returns whether it is blank.
+    /// Ends the current line and returns whether it is blank.
     fn end_line(&mut self) -> bool {
         let line = &self.prefix[..self.prefix_length];
         let is_blank = matches!(line, [] | [b'\r']);
@@ -87,10 +88,11 @@
     }
 }
 
-/// A framing by which two readers might find two bodies in one request. Clients get this text in the body of a 400.
+/// A framing for which two readers may disagree on where the body ends. The text is sent to the client in the body of a 400
+/// response.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum FramingError {
-    /// The body's length is given in two ways.
+    /// The request has both a Transfer-Encoding and a Content-Length.
     #[error("transfer-encoding and content-length: send one of them, not both")]
     TwoLengths,
     /// The transfer coding is not `chunked` alone.
@@ -98,8 +100,8 @@
     UnknownCoding,
 }
 
-/// Checks that a request has a Content-Length, or the coding `chunked` once and no other: with any other framing a second
-/// request might hide in its body.
+/// Checks that a request has no Transfer-Encoding, or `chunked` alone and no Content-Length. Any other framing may smuggle a
+/// second request in the body.
 ///
 /// # Errors
 ///
--- a/crates/merlinreel/src/client/in_flight.rs
+++ b/crates/merlinreel/src/client/in_flight.rs
@@ -1,4 +1,4 @@
-//! Guards of what is in flight on a client connection: a request, or the response that still streams.
+//! Guards for what is in flight on a client connection: a request, or a response that is still streaming.
 
 use super::connection::ClientConnection;
 use super::listener::ClientListener;
@@ -9,14 +9,14 @@
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 
-/// Reports on drop that the client has disconnected, unless its request was answered.
+/// Reports on drop that the client has disconnected, unless disarmed.
 pub struct DisconnectGuard<'a> {
     client_connection: &'a ClientConnection,
     request_id: Option<u64>,
 }
 
 impl<'a> DisconnectGuard<'a> {
-    /// A guard of a request that is not answered yet.
+    /// Guards a request that is not answered yet.
     pub fn new(client_connection: &'a ClientConnection, request_id: u64) -> DisconnectGuard<'a> {
         DisconnectGuard {
             client_connection,
@@ -24,7 +24,7 @@
         }
     }
 
-    /// The request is answered: nothing is reported any more.
+    /// Disarms the guard, as the request is answered.
     pub fn disarm(&mut self) {
         self.request_id = None;
     }
@@ -40,7 +40,7 @@
     }
 }
 
-/// Counts a request as in flight until it is dropped.
+/// Counts a request as in flight until the guard is dropped.
 pub struct InFlightGuard<'a> {
     client_listener: &'a ClientListener,
     client_connection: &'a ClientConnection,
@@ -49,7 +49,7 @@
 }
 
 impl<'a> InFlightGuard<'a> {
-    /// Counts a complete request of a connection.
+    /// Counts a request that was received completely on the connection.
     pub fn new(
         client_listener: &'a ClientListener,
         client_connection: &'a ClientConnection,
@@ -71,8 +71,8 @@
     }
 }
 
-/// Counts a streaming response as in flight until it is dropped. The connection would otherwise look idle once the head
-/// is written, and be closed before the end of the body, or a shutdown would end the process.
+/// Counts a streaming response as in flight until the guard is dropped. Otherwise the connection would look idle once the
+/// head is written: it could be closed, or a shutdown could end the process, before the end of the body.
 pub struct StreamingGuard {
     client_listener: Arc<ClientListener>,
     client_connection: Arc<ClientConnection>,
@@ -80,7 +80,7 @@
 }
 
 impl StreamingGuard {
-    /// Counts a response to a request of that class.
+    /// Counts a streaming response to a request of `class`, the name under which its outcome is counted.
     pub fn new(
         client_listener: Arc<ClientListener>,
         client_connection: Arc<ClientConnection>,
@@ -97,7 +97,7 @@
 }
 
 impl StreamObserver for StreamingGuard {
-    /// A response that was begun and not completed has failed.
+    /// Counts the response's outcome: a response that was begun and not completed has failed.
     fn stream_ended(self: Box<Self>, end: StreamEnd) {
         let outcome = match end {
             StreamEnd::Complete => ResponseOutcome::Success,
--- a/crates/merlinreel/src/client/listener.rs
+++ b/crates/merlinreel/src/client/listener.rs
@@ -1,4 +1,4 @@
-//! What the connections of all clients share.
+//! State that all client connections of the limiter share.
 
 use super::connection::ClientConnection;
 use crate::admission::AdmissionPermits;
@@ -12,41 +12,41 @@
 use std::time::Instant;
 use tokio::sync::watch;
 
-/// Accepts clients' connections, and holds what they share. The modules beside this one say how: `accept`, `serving`,
-/// `request_reader`, `eviction` and `shutdown`.
+/// Accepts client connections and holds the state that they share. Its methods are in the modules `accept`, `serving`,
+/// `request_reader`, `body`, `eviction` and `shutdown` beside this one.
 pub struct ClientListener {
     pub(super) limits: Limits,
-    /// The settings in force, and the index that the policy has for each class.
+    /// The settings in force, and the policy's index of each class.
     pub(super) active_settings: watch::Receiver<Arc<ActiveSettings>>,
-    /// Where the event loop takes its events from.
+    /// The event loop's queue.
     pub(super) queue: Queue,
-    /// Numbers requests and connections.
+    /// The id of the next request or connection; both are numbered from one sequence.
     pub(super) next_id: AtomicU64,
-    /// Whether requests have been accepted yet.
+    /// Set once the listener accepts connections; it stays set during a shutdown.
     pub(super) started: AtomicBool,
-    /// When the shutdown was requested.
+    /// When the shutdown was requested. Empty before.
     pub(super) shutdown_requested_at: OnceLock<Instant>,
-    /// From some time after that on: responses announce that their connection closes.
+    /// Set during a shutdown, once responses announce that their connection closes.
     pub(super) announcing_close: AtomicBool,
     pub(super) in_flight: AtomicUsize,
     pub(super) permits: AdmissionPermits,
     pub(super) client_connections: Mutex<HashMap<u64, Arc<ClientConnection>>>,
     pub(super) metrics: Arc<Metrics>,
-    pub(super) hold_ups: Arc<HoldUpMonitor>,
+    pub(super) stall_monitor: Arc<HoldUpMonitor>,
 }
 
 impl ClientListener {
-    /// A listener that accepts nothing yet; requests go into `queue`.
+    /// Creates a listener that accepts nothing yet. Requests will be sent to `queue`.
     pub fn new(
         limits: Limits,
         active_settings: watch::Receiver<Arc<ActiveSettings>>,
         queue: Queue,
         metrics: Arc<Metrics>,
-        hold_ups: Arc<HoldUpMonitor>,
+        stall_monitor: Arc<HoldUpMonitor>,
     ) -> Arc<ClientListener> {
         Arc::new(ClientListener {
             metrics,
-            hold_ups,
+            stall_monitor,
             permits: AdmissionPermits::new(&limits),
             limits,
             active_settings,
@@ -60,17 +60,17 @@
         })
     }
 
-    /// The number of requests that are completely read and not answered, or whose response is still streaming.
+    /// Number of requests that were read completely and are not answered, or whose response is still streaming.
     pub fn in_flight(&self) -> usize {
         self.in_flight.load(Ordering::Relaxed)
     }
 
-    /// Whether requests are accepted: from the start until a shutdown is requested.
+    /// Whether the limiter reports itself as serving: from the start until a shutdown is requested.
     pub fn is_serving(&self) -> bool {
         self.started.load(Ordering::Relaxed) && self.shutdown_requested_at.get().is_none()
     }
 
-    /// Ends a request in flight: its connection is idle from now on.
+    /// Ends a request in flight and marks its connection idle.
     pub(super) fn complete_request(&self, client_connection: &ClientConnection) {
         self.in_flight.fetch_sub(1, Ordering::Relaxed);
         client_connection.mark_idle();
--- a/crates/merlinreel/src/client/request_reader.rs
+++ b/crates/merlinreel/src/client/request_reader.rs
@@ -22,23 +22,23 @@
 use std::time::Instant;
 use tokio::sync::oneshot;
 
-/// The path by which the platform asks whether requests are accepted.
+/// The path of the platform's readiness check.
 pub const UP_PATH: &str = "/up";
 
-/// A request that was read to its end.
+/// A request whose head is decoded and whose body is read completely.
 struct CompleteRequest {
     request: Request,
     upstream_request: UpstreamRequest,
 }
 
 impl ClientListener {
-    /// The response to a request. Its client's time runs from `sent_at`, when its head had arrived: the earliest time that
-    /// is known of it here.
+    /// Reads a request and returns the response to it. The client's remaining time counts from `head_arrived_at`, the
+    /// earliest time known here.
     pub(super) async fn respond(
         &self,
         request: hyper::Request<Incoming>,
         head: ObservedHead,
-        sent_at: Instant,
+        head_arrived_at: Instant,
         client_connection: &ClientConnection,
     ) -> Response<ResponseBody> {
         if let Err(error) = framing::check(request.headers(), head) {
@@ -49,20 +49,20 @@
         if request.uri().path() == UP_PATH {
             return self.respond_to_up(client_connection).map(Either::Left);
         }
-        // It must be complete by then, whatever time the client claims to have.
+        // The request must be complete by then, whatever remaining time the client claims.
         let request_due = client_connection
             .request_due(&self.limits)
             .min(Instant::now() + self.limits.client.request_timeout);
         client_connection.mark_partial();
         let length = request.body().size_hint().exact();
         let read = self
-            .read_request(request, sent_at, request_due, client_connection)
+            .read_request(request, head_arrived_at, request_due, client_connection)
             .await;
         let complete = match read {
             Ok(complete) => complete,
             Err(response) => return with_connection_close(response).map(Either::Left),
         };
-        // A body of announced length was counted from its head on, a chunked one ends where the library stands.
+        // A body of announced length ends that many bytes after its head, a chunked one where the HTTP library has read to.
         match length {
             Some(length) => client_connection.consume_body(length),
             None => client_connection.consume_delivered(),
@@ -72,40 +72,41 @@
             self.metrics.count_excess_connection();
             return respond_too_many(client_connection).map(Either::Left);
         }
-        // A shutdown has a deadline of its own: late requests are answered by then.
-        let client_deadline = sent_at + complete.request.remaining_time;
+        // During a shutdown requests are answered by the shutdown deadline at the latest.
+        let client_deadline = head_arrived_at + complete.request.remaining_time;
         let deadline = self
             .shutdown_deadline()
             .map_or(client_deadline, |deadline| client_deadline.min(deadline));
         self.submit(complete, deadline, client_connection).await
     }
 
-    /// Whether requests are accepted: 200 or 503.
+    /// Responds to a readiness check: 200 if the limiter is serving, otherwise 503.
     fn respond_to_up(&self, client_connection: &ClientConnection) -> Response<Full<Bytes>> {
         let status = if self.is_serving() {
             StatusCode::OK
         } else {
             StatusCode::SERVICE_UNAVAILABLE
         };
-        // Idle again: a shutdown would otherwise wait for the rest of a request.
+        // Otherwise a shutdown would take the check for a partial request and wait for the rest of it.
         client_connection.mark_idle();
         text_response(status, String::new())
     }
 
-    /// Reads a request to its end. Nothing is admitted until it is complete, so that one that never is can be evicted.
+    /// Decodes a request's head and reads its body. The request is admitted only once it is complete, so that a connection
+    /// with an incomplete one can be evicted.
     ///
     /// # Errors
     ///
-    /// The response that says what is wrong with the request.
+    /// The response to a request that is not accepted.
     async fn read_request(
         &self,
         request: hyper::Request<Incoming>,
-        sent_at: Instant,
+        head_arrived_at: Instant,
         request_due: Instant,
         client_connection: &ClientConnection,
     ) -> Result<CompleteRequest, Response<Full<Bytes>>> {
         let (head, body) = request.into_parts();
-        // A request keeps the settings that were in force when it came, whatever is loaded later.
+        // A request keeps the settings in force when its head was read, even if others are loaded later.
         let active_settings = self.active_settings.borrow().clone();
         let mut request = decode(&head, &active_settings.settings)
             .map_err(|error| text_response(StatusCode::BAD_REQUEST, format!("{error}\n")))?;
@@ -117,7 +118,7 @@
             let allowed = head.method != Method::GET;
             let deadline = BodyDeadline {
                 request_due,
-                client_deadline: sent_at + request.remaining_time,
+                client_deadline: head_arrived_at + request.remaining_time,
                 started: Instant::now(),
             };
             let buffered = self
@@ -138,7 +139,7 @@
         })
     }
 
-    /// Passes a request to the event loop, and waits for the response.
+    /// Passes a request to the event loop and waits for the response.
     async fn submit(
         &self,
         complete: CompleteRequest,
@@ -164,7 +165,7 @@
         disconnect.disarm();
         match response {
             Ok(response) => encode(response),
-            // The event loop has ended; nothing is known of the request.
+            // The event loop has ended; the request's outcome is unknown.
             Err(_) => {
                 let bad_gateway = text_response(StatusCode::BAD_GATEWAY, String::new());
                 with_connection_close(bad_gateway).map(Either::Left)
@@ -173,8 +174,8 @@
     }
 }
 
-/// The response over the limit of served connections; the places left above it serve to say so at once. Requests that were
-/// read behind this one get the same response one after another, so only the last of them announces the close.
+/// The response above `max_served_connections`. The connection slots between that and `max_connections` serve to reject
+/// clients at once. Pipelined requests each get this response, so only the last one announces the close.
 fn respond_too_many(client_connection: &ClientConnection) -> Response<Full<Bytes>> {
     let response = text_response(
         StatusCode::SERVICE_UNAVAILABLE,
@@ -187,7 +188,7 @@
     }
 }
 
-/// The response where a request of the same id is in flight.
+/// The response if a request with the same id is in flight.
 fn respond_id_in_use() -> Response<Full<Bytes>> {
     text_response(
         StatusCode::CONFLICT,
@@ -195,7 +196,7 @@
     )
 }
 
-/// What a server is to get. Its target is the path alone, whichever form the client's target has.
+/// The request as servers receive it. Its target is path and query only, also if the client sent an absolute URI.
 fn upstream_request(mut head: Parts, body: Bytes, permit: AdmissionPermit) -> UpstreamRequest {
     strip_hop_by_hop(&mut head.headers);
     let uri = match head.uri.authority() {
--- a/crates/merlinreel/src/client/response.rs
+++ b/crates/merlinreel/src/client/response.rs
@@ -1,4 +1,4 @@
-//! Encodes the response to a client.
+//! Encodes the event loop's responses as HTTP responses to clients.
 
 use crate::messages::ClientResponse;
 use crate::messages::streaming_body::ResponseBody;
@@ -9,7 +9,7 @@
 use hyper::{Response, StatusCode};
 use std::time::Duration;
 
-/// Has a response announce that its connection closes.
+/// Adds a `Connection: close` header to a response.
 pub fn with_connection_close(mut response: Response<Full<Bytes>>) -> Response<Full<Bytes>> {
     response
         .headers_mut()
@@ -17,7 +17,7 @@
     response
 }
 
-/// The HTTP response of what the event loop decided.
+/// Encodes a response decided by the event loop.
 pub fn encode(response: ClientResponse) -> Response<ResponseBody> {
     match response {
         ClientResponse::Success(upstream_response) => {
@@ -36,7 +36,7 @@
     }
 }
 
-/// Retry-After has seconds with three decimals.
+/// Encodes a 429 response. Retry-After, if the time is known, is in seconds with three decimals.
 fn encode_rejected(retry_after: Option<Duration>) -> Response<Full<Bytes>> {
     let mut response = text_response(StatusCode::TOO_MANY_REQUESTS, String::new());
     let value = retry_after
--- a/crates/merlinreel/src/client/serving.rs
+++ b/crates/merlinreel/src/client/serving.rs
@@ -1,4 +1,4 @@
-//! Serving one client connection: one request after another, until it ends or is closed between two of them.
+//! Serves one client connection, request by request, until it ends or is closed between requests.
 
 use super::connection::ClientConnection;
 use super::in_flight::StreamingGuard;
@@ -30,11 +30,11 @@
 /// A client connection as the HTTP library reads and writes it.
 type HttpStream = TokioIo<ClientStream>;
 
-/// Polls of a connection at once while it reads a body; other tasks run after these.
-const MAX_POLLS_AT_ONCE: usize = 32;
+/// Maximum number of times a connection that reads a body is polled before other tasks run.
+const MAX_POLLS_PER_TURN: usize = 32;
 
 impl ClientListener {
-    /// Serves a connection until it has ended.
+    /// Serves a connection until it has ended or is closed.
     pub(super) async fn serve_connection(
         self: &Arc<ClientListener>,
         stream: TcpStream,
@@ -46,10 +46,10 @@
             client_connection.clone(),
             &self.limits,
             self.permits.clone(),
-            self.hold_ups.clone(),
+            self.stall_monitor.clone(),
         ));
         while let Some(mut idle) = self.serve_until_idle(stream, &client_connection).await {
-            // The kernel is asked last: what arrived since the poller looked must not be cut off.
+            // The socket itself is checked last, as the close must not cut off data that the poller has not reported yet.
             if !idle.inner().has_unread() {
                 return idle.inner_mut().close().await;
             }
@@ -57,8 +57,9 @@
         }
     }
 
-    /// Serves a connection until its end, or until it is to close between requests. It is then returned: to be closed, or
-    /// served further if something arrived meanwhile, whose response announces the close.
+    /// Serves a connection until its end, or until it is to be closed between requests. In that case the stream is
+    /// returned: the caller closes it, or serves it again if data has arrived, in which case the response announces the
+    /// close.
     async fn serve_until_idle(
         self: &Arc<ClientListener>,
         stream: HttpStream,
@@ -72,11 +73,11 @@
                 service_fn(|request| self.accept_request(request, client_connection)),
             );
         let close_timer = sleep(Duration::ZERO);
-        // One timer a connection that looks when it was last used costs less than one a request.
+        // One timer per connection that checks its last use costs less than one timer per request.
         let idle_timer = sleep(self.limits.client.request_timeout);
         tokio::pin!(close_timer, idle_timer);
         let mut is_closing = false;
-        // A connection that is to close is polled before: a request may have arrived and not been read.
+        // A connection is polled once more before it is closed, as a request may have arrived and not been read.
         let poll_end = || tokio::time::Instant::now() + POLLER_TURN;
         loop {
             tokio::select! {
@@ -84,15 +85,16 @@
                 () = poll_fn(|cx| poll_connection(&mut connection, client_connection, cx)) => return None,
                 () = &mut close_timer, if is_closing => {
                     if client_connection.closing.load(Ordering::Relaxed) {
-                        // It lingers, and was evicted meanwhile.
+                        // The connection was evicted during its lingering close.
                         return None;
                     }
                     if client_connection.is_evictable(&self.limits) {
                         let parts = connection.into_parts();
                         return reclaim_idle(parts.io, parts.read_buf, client_connection).await;
                     }
-                    // What arrived has its response, which announces the close. The library's own shutdown would end a
-                    // connection that holds half a head, and never one that never sent anything.
+                    // The connection is no longer idle; the response to its request announces the close. The HTTP
+                    // library's graceful shutdown is not used: it would end a connection with half a head, and never one
+                    // that sent nothing.
                     is_closing = false;
                 }
                 () = &mut idle_timer, if !is_closing => {
@@ -112,18 +114,18 @@
         }
     }
 
-    /// When a connection is looked at again: often enough to end a partial request in time, which may come at any moment.
+    /// When a connection is checked again: often enough that a partial request, which may begin at any time, ends on time.
     fn next_idle_check(&self, now: Instant, request_due: Instant) -> Instant {
-        let at_latest = now + self.limits.client.request_timeout / 4;
+        let latest = now + self.limits.client.request_timeout / 4;
         if request_due > now {
-            request_due.min(at_latest)
+            request_due.min(latest)
         } else {
-            at_latest
+            latest
         }
     }
 
-    /// Accepts a request as the HTTP library hands it over. What belongs to the head that was read last is read at once,
-    /// not when the future is first polled: the library may have read the next head by then.
+    /// Accepts a request that the HTTP library hands over. The observations of its head are copied here and not when the
+    /// future is first polled, as the library may have read the next head by then.
     fn accept_request(
         self: &Arc<ClientListener>,
         request: Request<Incoming>,
@@ -136,7 +138,7 @@
         client_connection.consume_delivered();
         async move {
             let class = class_of(request.uri().path()).to_owned();
-            let counts = request.uri().path() != UP_PATH;
+            let is_counted = request.uri().path() != UP_PATH;
             let mut response = client_listener
                 .respond(request, head, head_arrived_at, &client_connection)
                 .await;
@@ -147,7 +149,7 @@
                     client_connection.clone(),
                     class,
                 ))),
-                Either::Left(_) if counts => {
+                Either::Left(_) if is_counted => {
                     client_listener.metrics.count_response(&class, outcome);
                 }
                 Either::Left(_) => {}
@@ -161,28 +163,28 @@
         }
     }
 
-    /// Whether a response announces that its connection closes, so that its client sends no request that would cross the
-    /// close. With pipelined requests the last response does, so that each is answered; an earlier one only where some
-    /// were dropped or the time of the shutdown is over.
+    /// Whether a response announces that its connection closes, so that the client sends no further request into the close.
+    /// With pipelined requests only the last response does, so that each is answered, unless pipelined data was dropped
+    /// or the shutdown's response grace is over.
     fn announces_close(&self, client_connection: &ClientConnection) -> bool {
         let must_close = self.announcing_close.load(Ordering::Relaxed)
             || client_connection.evicted.load(Ordering::Relaxed);
-        let is_over = self.shutdown_deadline().is_some_and(|deadline| {
+        let grace_is_over = self.shutdown_deadline().is_some_and(|deadline| {
             deadline + self.limits.shutdown.response_grace <= Instant::now()
         });
         client_connection.overflowed.load(Ordering::Relaxed)
-            || must_close && (is_over || !client_connection.has_pipelined_input())
+            || must_close && (grace_is_over || !client_connection.has_pipelined_input())
     }
 }
 
-/// Polls a connection, and polls it again as long as it reads a body that is at hand: the HTTP library passes on one frame
-/// a poll, and a turn of the scheduler for each would cost more than the frame.
+/// Polls a connection repeatedly while it reads body data that has already arrived: the HTTP library passes on one frame
+/// per poll, and a scheduler turn for each would cost more than the frame.
 fn poll_connection<E>(
     mut connection: impl Future<Output = Result<(), E>> + Unpin,
     client_connection: &ClientConnection,
     cx: &mut Context,
 ) -> Poll<()> {
-    for _ in 0..MAX_POLLS_AT_ONCE {
+    for _ in 0..MAX_POLLS_PER_TURN {
         if Pin::new(&mut connection).poll(cx).is_ready() {
             return Poll::Ready(());
         }
@@ -190,11 +192,12 @@
             break;
         }
     }
-    // The library has this task woken for the frames that are left.
+    // The HTTP library wakes this task for the remaining frames.
     Poll::Pending
 }
 
-/// Takes an idle connection back from the HTTP library. One with part of a request on it, whose time is over, is closed.
+/// Takes an idle connection back from the HTTP library. A connection with a partial request, whose time is over, is closed
+/// and `None` returned.
 async fn reclaim_idle(
     mut stream: HttpStream,
     read_buffer: Bytes,
@@ -202,7 +205,7 @@
 ) -> Option<HttpStream> {
     let is_partial = lock(&client_connection.times).partial_since.is_some();
     if is_partial {
-        log!("clients: part of a request, incomplete at its deadline: the connection is closed");
+        log!("clients: request incomplete at its deadline; closing the connection");
         stream.inner_mut().close().await;
         return None;
     }
--- a/crates/merlinreel/src/client/shutdown.rs
+++ b/crates/merlinreel/src/client/shutdown.rs
@@ -1,7 +1,12 @@
-//! Serving until the end of a graceful shutdown. After the signal clients still send requests on every open connection, and
-//! new clients connect for a while. So the shutdown goes in steps: requests are served as before; then each response
-//! announces that its connection closes, and idle connections are closed; then the connections that wait on the socket are
-//! accepted and the socket is closed; and the limiter ends once no client is left.
+//! Serves clients until the end of a graceful shutdown. After the signal clients still send requests on every open
+//! connection, and new clients connect for a while. The shutdown therefore proceeds in steps:
+//!
+//! 1. Requests are served as before.
+//! 2. Each response announces that its connection closes, and idle connections are closed.
+//! 3. The connections pending on the listening socket are accepted, and the socket is closed.
+//! 4. The limiter ends once no client is left.
+//!
+//! With an inherited socket this process's descriptor is closed at once, and steps 2 and 4 follow.
 
 use super::listener::ClientListener;
 use crate::config::limits;
@@ -15,26 +20,26 @@
 use tokio::sync::Semaphore;
 use tokio::time::sleep;
 
-/// Who else may accept from the listening socket.
+/// Whether another process may accept connections from the listening socket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListenerOrigin {
-    /// This process bound it: nobody else does.
+    /// This process bound the socket, and no other process has it.
     Bound,
-    /// It was handed down, and stays open in the process that follows: what waits on it at a shutdown is left there.
+    /// The socket was inherited and stays open in the next process, which accepts the connections pending at a shutdown.
     Inherited,
 }
 
-/// What a shutdown still waits for.
+/// What keeps a shutdown from completing.
 struct Remaining {
-    /// Any connection at all.
+    /// Whether any connection is open.
     connections: bool,
-    /// A request in flight, or a response that its client has not read yet.
+    /// Whether a request is in flight or a response waits for its client to read it.
     unfinished: bool,
 }
 
 impl ClientListener {
-    /// Accepts and serves connections until `shutdown` completes, then shuts down gracefully, and returns once no client is
-    /// left.
+    /// Accepts and serves connections until `shutdown` completes or the event loop ends, then shuts down gracefully. Returns
+    /// once no client is left or, after the shutdown deadline, nothing is in flight.
     pub async fn serve(
         self: Arc<ClientListener>,
         listener: TcpListener,
@@ -50,52 +55,52 @@
         }
         let requested_at = *self.shutdown_requested_at.get_or_init(Instant::now);
         match origin {
-            ListenerOrigin::Inherited => self.leave_socket(listener).await,
+            ListenerOrigin::Inherited => self.shut_down_inherited(listener).await,
             ListenerOrigin::Bound => {
-                self.shut_down(listener, &connection_permits, requested_at)
+                self.shut_down_bound(listener, &connection_permits, requested_at)
                     .await;
             }
         }
     }
 
-    /// When the last request has its response, once a shutdown was requested.
+    /// When the last request is answered at the latest. `None` before a shutdown is requested.
     pub(super) fn shutdown_deadline(&self) -> Option<Instant> {
         self.shutdown_requested_at
             .get()
             .map(|&requested_at| self.shutdown_deadline_from(requested_at))
     }
 
-    /// The same, for a shutdown that was requested then.
+    /// The shutdown deadline, given when the shutdown was requested.
     fn shutdown_deadline_from(&self, requested_at: Instant) -> Instant {
         requested_at + limits::shutdown_deadline(&self.active_settings.borrow().settings.classes)
     }
 
-    /// Shuts down with an inherited socket: accepts nothing more, as the next process would serve it to its end.
-    async fn leave_socket(&self, listener: TcpListener) {
+    /// Shuts down with an inherited socket. Accepts no further connections, as the next process accepts and serves them.
+    async fn shut_down_inherited(&self, listener: TcpListener) {
         log!(
-            "shutdown requested: the socket is the next process's, completing the requests in flight"
+            "shutdown requested: leaving the listening socket to the next process, completing the requests in flight"
         );
         drop(listener);
         self.announcing_close.store(true, Ordering::Relaxed);
         self.drain_connections(Duration::ZERO).await;
     }
 
-    /// Shuts down with a socket of its own.
-    async fn shut_down(
+    /// Shuts down with a socket that this process bound.
+    async fn shut_down_bound(
         self: &Arc<ClientListener>,
         listener: TcpListener,
         connection_permits: &Arc<Semaphore>,
         requested_at: Instant,
     ) {
         log!(
-            "shutdown requested: accepting for a moment more, then completing the requests in flight"
+            "shutdown requested: accepting connections for a short time, then completing the requests in flight"
         );
         tokio::select! {
             () = self.accept(&listener, connection_permits) => {}
             () = sleep(self.limits.shutdown.announce_after) => {}
         }
         self.announcing_close.store(true, Ordering::Relaxed);
-        // Short of the deadline, so that the last connection still has its response.
+        // Ends before the shutdown deadline, so that the last connection accepted still gets its response.
         let accept_until = self
             .shutdown_deadline_from(requested_at)
             .checked_sub(self.limits.shutdown.quiet_period)
@@ -110,11 +115,11 @@
             () = sleep(accept_for) => {}
             () = self.drain_connections(self.limits.shutdown.quiet_period) => {}
         }
-        // Meanwhile idle connections are closed for those that wait.
+        // Idle connections are closed meanwhile, to free slots for the pending ones.
         tokio::select! {
             accepted = self.accept_pending(listener, connection_permits) => {
                 if let Err(error) = accepted {
-                    log!("clients: pending connections can't be accepted at the shutdown: {error}");
+                    log!("clients: pending connections could not be accepted during the shutdown: {error}; the kernel resets them");
                 }
             }
             () = self.keep_closing_idle() => {}
@@ -122,12 +127,12 @@
         self.drain_connections(Duration::ZERO).await;
     }
 
-    /// How often idle connections are looked for.
+    /// The interval at which idle connections are closed during a shutdown.
     fn drain_interval(&self) -> Duration {
         self.limits.shutdown.quiet_period / 20
     }
 
-    /// Closes idle connections, and never returns.
+    /// Closes idle connections periodically. Never returns.
     async fn keep_closing_idle(&self) {
         loop {
             self.close_idle();
@@ -135,16 +140,16 @@
         }
     }
 
-    /// Closes idle connections until none is left, and none was there for `quiet_period`; after the deadline of the shutdown
-    /// until nothing is in flight.
+    /// Closes idle connections until no connection has been open for `quiet_period`. After the shutdown deadline, open
+    /// connections count only while a request is in flight or a response waits for its client to read it.
     async fn drain_connections(&self, quiet_period: Duration) {
         let mut quiet_since = Instant::now();
         loop {
             let remaining = self.close_idle();
-            let is_over = self
+            let past_deadline = self
                 .shutdown_deadline()
                 .is_some_and(|deadline| deadline <= Instant::now());
-            if remaining.connections && (remaining.unfinished || !is_over) {
+            if remaining.connections && (remaining.unfinished || !past_deadline) {
                 quiet_since = Instant::now();
             } else if quiet_since.elapsed() >= quiet_period {
                 return;
@@ -153,7 +158,7 @@
         }
     }
 
-    /// Asks idle connections to close, and says what remains.
+    /// Asks idle connections to close and returns what remains.
     fn close_idle(&self) -> Remaining {
         let close_all_idle = self
             .shutdown_requested_at
@@ -169,7 +174,7 @@
             if client_connection.can_shut_down(&self.limits, close_all_idle) {
                 client_connection.evict();
             }
-            // The end of a response may still wait for a client that reads slowly.
+            // The rest of a response may be waiting for a client that reads slowly.
             remaining.unfinished |= lock(&client_connection.times).is_write_blocked(&self.limits);
         }
         remaining
--- a/crates/merlinreel/src/client/stream.rs
+++ b/crates/merlinreel/src/client/stream.rs
@@ -1,7 +1,10 @@
-//! A client connection as a stream. It notices the client's disconnect while a request is in flight, whatever was sent
-//! behind that request, and it is closed in one way: what was written goes out, the limiter's side ends, and the
-//! client's end is waited for without reading what still comes. The HTTP library gets what it reads section by section,
-//! each up to a blank line, so that [`HeadScanner`] knows which head it has read last.
+//! A client connection as a stream for the HTTP library.
+//!
+//! - It detects the client's disconnect while a request is in flight, also if more data follows that request.
+//! - It closes gracefully: written data is sent, the limiter's side is shut down, and the stream waits for the client to
+//!   close its side, without reading further data.
+//! - It passes data to the HTTP library section by section, each up to a blank line, so that [`HeadScanner`] knows which
+//!   head the library has read last.
 
 use super::arrival_times::ArrivalTimes;
 use super::connection::ClientConnection;
@@ -22,51 +25,52 @@
 use tokio::sync::OwnedSemaphorePermit;
 use tokio::time::{Sleep, sleep};
 
-/// Bytes that are read ahead at once.
+/// Maximum number of bytes per read when reading ahead.
 const READ_AHEAD_BYTES: usize = 4096;
 
-/// A close whose limiter's side has ended, and that waits for the client's side.
+/// A lingering close: the limiter's side is shut down and the client's side is not closed yet.
 struct LingeringClose {
-    /// The end of the wait where nothing lies unread.
+    /// Ends the wait if there is no unread data in the socket buffer.
     timeout: Pin<Box<Sleep>>,
-    /// The end of the wait in any case.
+    /// Ends the wait in any case.
     timeout_with_unread: Pin<Box<Sleep>>,
 }
 
-/// A client connection as the HTTP library reads and writes it.
+/// The stream that the HTTP library reads from and writes to.
 pub struct ClientStream {
     stream: ObservedStream<ClientConnection>,
     client_connection: Arc<ClientConnection>,
     scanner: HeadScanner,
-    /// Arrived behind a blank line in one read of the library, or while a request was in flight: read before the rest.
+    /// Data received and not yet passed to the HTTP library: what followed a blank line in a read, and what was read ahead
+    /// while a request was in flight.
     buffer: BytesMut,
-    /// So many bytes of the buffer the library had asked for itself; only those after them were read ahead.
+    /// Number of bytes at the start of `buffer` that were received in reads of the HTTP library. The rest was read ahead.
     requested: usize,
     arrival_times: ArrivalTimes,
-    hold_ups: Arc<HoldUpMonitor>,
-    /// Bytes that may be read ahead.
+    stall_monitor: Arc<HoldUpMonitor>,
+    /// Maximum number of bytes read ahead.
     max_read_ahead: usize,
-    /// Bytes of them that take no memory from that of request bodies.
+    /// Number of bytes read ahead that need no reservation in the memory for request bodies.
     unreserved_read_ahead: usize,
     permits: AdmissionPermits,
     reserved: Option<OwnedSemaphorePermit>,
-    /// More arrived than may be read ahead: the rest is dropped, and nothing behind it is read.
+    /// Set once more data arrived than may be read ahead. The excess is dropped, and the HTTP library gets nothing after it.
     overflowed: bool,
-    /// How long a close waits for the client's end.
+    /// How long a close waits for the client to close its side if there is no unread data in the socket buffer.
     linger_timeout: Duration,
-    /// The same, where something lies unread.
+    /// How long a close waits for the client if there is unread data in the socket buffer.
     linger_timeout_with_unread: Duration,
     lingering: Option<LingeringClose>,
 }
 
 impl ClientStream {
-    /// The stream of a connection; bytes read ahead take memory from `permits`.
+    /// Wraps an accepted connection. Memory for data read ahead is reserved from `permits`.
     pub fn new(
         stream: TcpStream,
         client_connection: Arc<ClientConnection>,
         limits: &Limits,
         permits: AdmissionPermits,
-        hold_ups: Arc<HoldUpMonitor>,
+        stall_monitor: Arc<HoldUpMonitor>,
     ) -> ClientStream {
         ClientStream {
             stream: ObservedStream::new(stream, client_connection.clone()),
@@ -75,7 +79,7 @@
             buffer: BytesMut::new(),
             requested: 0,
             arrival_times: ArrivalTimes::default(),
-            hold_ups,
+            stall_monitor,
             max_read_ahead: limits.client.max_read_ahead_bytes,
             unreserved_read_ahead: limits.max_head_bytes,
             permits,
@@ -90,12 +94,12 @@
         }
     }
 
-    /// Whether something arrived that the library has not read.
+    /// Whether data has arrived that the HTTP library has not read.
     pub fn has_unread(&self) -> bool {
         !self.buffer.is_empty() || self.stream.has_unread()
     }
 
-    /// Puts back what the HTTP library had read and not used: the beginning of a request.
+    /// Puts back data that the HTTP library has read and not used, the beginning of a request.
     pub fn put_back(&mut self, bytes: Bytes) {
         if bytes.is_empty() {
             return;
@@ -110,10 +114,10 @@
         self.publish_buffered();
     }
 
-    /// Closes the connection and waits for the client's end, until it is over or the connection is evicted.
+    /// Closes the connection, waiting for the client to close its side. The wait ends early if the connection is evicted.
     pub async fn close(&mut self) {
         let client_connection = self.client_connection.clone();
-        // A request to close that came before is fulfilled by this.
+        // Consumes an earlier close request, so that it does not count as an eviction during the close.
         tokio::select! {
             biased;
             () = client_connection.close_requested.notified() => {}
@@ -125,23 +129,24 @@
         }
     }
 
-    /// The earliest time at which bytes that are read now can have arrived. Their clients' time counts from then.
+    /// The earliest time at which data read now may have arrived. The client's remaining time counts from then.
     fn arrived_since(&self) -> Instant {
-        self.hold_ups.arrived_since(Instant::now())
+        self.stall_monitor.arrived_since(Instant::now())
     }
 
+    /// Updates the connection's count of buffered bytes.
     fn publish_buffered(&self) {
         self.client_connection
             .buffered_bytes
             .store(self.buffer.len(), Ordering::Relaxed);
     }
 
-    /// Bytes of the buffer that were read ahead of the library.
+    /// Number of bytes in the buffer that were read ahead of the HTTP library.
     fn read_ahead_bytes(&self) -> usize {
         self.buffer.len() - self.requested
     }
 
-    /// Reserves memory for so many bytes read ahead, and returns whether there was enough.
+    /// Makes sure that memory is reserved for `bytes` bytes read ahead. Returns false if too little is free.
     fn reserve_read_ahead(&mut self, bytes: usize) -> bool {
         let reserved = self
             .reserved
@@ -159,9 +164,9 @@
         }
     }
 
-    /// Reads ahead while a request is in flight, to notice a disconnect: the HTTP library stops reading once there is anything
-    /// behind a request, and servers would work on requests that nobody waits for. Nothing is read while the memory is in
-    /// use; what is longer than any client's requests is dropped, and the response announces the close.
+    /// Reads ahead while a request is in flight, to detect a disconnect: the HTTP library stops reading once data follows a
+    /// request, and servers would process requests that no client waits for. Nothing is read while too little memory is
+    /// free. Data beyond `max_read_ahead` is dropped, and the response announces the close.
     fn read_ahead(&mut self, cx: &mut Context) -> io::Result<()> {
         if !self.client_connection.busy.load(Ordering::Relaxed) {
             return Ok(());
@@ -195,8 +200,8 @@
         Ok(())
     }
 
-    /// How many of these bytes, which the library reads next, lie in one section. Records what the section's head showed
-    /// where it ends.
+    /// Returns how many of the bytes that the HTTP library reads next belong to the current section. If the section ends,
+    /// records what was observed of its head.
     fn scan_section(&mut self, bytes: &[u8]) -> usize {
         let section = self.scanner.scan(bytes);
         let arrived_at = self.arrival_times.take(section.length);
@@ -210,7 +215,8 @@
         section.length
     }
 
-    /// Gives the library one section of the buffer. It counts as read where the kernel's bytes would.
+    /// Passes data of at most one section from the buffer to the HTTP library, and reports it as read like data from the
+    /// socket.
     fn read_buffered(&mut self, into: &mut ReadBuf) {
         let mut buffer = std::mem::take(&mut self.buffer);
         let available = buffer.len().min(into.remaining());
@@ -227,7 +233,7 @@
         self.client_connection.on_read(length);
     }
 
-    /// Keeps what the kernel gave after one section, from `start` on.
+    /// Leaves at most one section of the data read from `start` on in `into`, and moves the rest to the buffer.
     fn buffer_excess(&mut self, into: &mut ReadBuf, start: usize) {
         let arrived_since = self.arrived_since();
         self.arrival_times
@@ -242,7 +248,7 @@
 }
 
 impl AsyncRead for ClientStream {
-    /// At most one section.
+    /// Reads at most one section.
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context,
@@ -286,14 +292,15 @@
         self.stream.is_write_vectored()
     }
 
-    /// The library flushes whenever the connection is polled, so this is where each poll looks for the client's end.
+    /// The HTTP library flushes whenever the connection is polled, so each poll reads ahead here and detects a disconnect.
     fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context) -> Poll<io::Result<()>> {
         self.read_ahead(cx)?;
         Pin::new(&mut self.stream).poll_flush(cx)
     }
 
-    /// A lingering close. The kernel resets a connection that is closed over unread bytes, and the client's side may then
-    /// drop the end of a response that it had not read. What arrives now is not read: nobody has read a request in it.
+    /// A lingering close. The kernel resets a connection that is closed with unread data, and the client's kernel may then
+    /// drop the end of a response that the client has not read. Data that arrives now is never read, so no request in it
+    /// is processed and the client may send it again.
     fn poll_shutdown(mut self: Pin<&mut Self>, cx: &mut Context) -> Poll<io::Result<()>> {
         if self.lingering.is_none() {
             ready!(Pin::new(&mut self.stream).poll_shutdown(cx))?;
--- a/crates/merlinreel/src/client/tests.rs
+++ b/crates/merlinreel/src/client/tests.rs
@@ -20,14 +20,16 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::sleep;
 
-/// A connection that carried so many requests, idle for so many seconds, with part of a request for as many.
+/// A connection with that many received requests, idle for `idle_s` seconds, and with a partial request for `partial_s`
+/// seconds, if given.
 fn client_connection(
     requests: usize,
     idle_s: f64,
     partial_s: Option<f64>,
 ) -> Arc<ClientConnection> {
     let (queue, _events) = mpsc::channel(1);
-    let client_connection = ClientConnection::new(queue.try_reserve_owned().expect("a place"));
+    let client_connection =
+        ClientConnection::new(queue.try_reserve_owned().expect("queue capacity"));
     client_connection
         .requests
         .store(requests, Ordering::Relaxed);
@@ -46,34 +48,35 @@
     Arc::new(client_connection)
 }
 
-/// Settings without a class.
+/// Settings without any class.
 fn settings() -> Settings {
     SettingsTree::from_json(&serde_json::json!({}))
         .and_then(|paths| Settings::read(&paths))
-        .expect("sound")
+        .expect("valid settings")
 }
 
 fn limits() -> Limits {
-    Limits::new(1024, 192, &settings()).expect("enough for the least")
+    Limits::new(1024, 192, &settings()).expect("enough descriptors and memory")
 }
 
-/// Settings with one class, whose clients wait for up to 9 s.
-fn settings_of_look() -> Settings {
+/// Settings with one class, `look`, whose deadline is 9 s.
+fn settings_with_look_class() -> Settings {
     let settings = serde_json::json!({"packages": [{"name": "team"}], "balancers": 1, "classes":
         [{"name": "look", "idempotency": "read_like", "hardLimitS": 9}]});
     SettingsTree::from_json(&settings)
         .and_then(|paths| Settings::read(&paths))
-        .expect("sound")
+        .expect("valid settings")
 }
 
-/// A request of that class.
-const LOOK: &[u8] = b"GET /look?key=7 HTTP/1.1\r\nX-Txn: 9b\r\nX-Lane: look\r\nX-Plan: team\r\n\
+/// A request of the class `look`.
+const LOOK_REQUEST: &[u8] =
+    b"GET /look?key=7 HTTP/1.1\r\nX-Txn: 9b\r\nX-Lane: look\r\nX-Plan: team\r\n\
     X-Remaining: 8000m\r\nX-Quota: units=1,spread=1,first=0\r\n\r\n";
 
-/// A request that asks for the end of its connection.
-const UP_AND_CLOSE: &[u8] = b"GET /up HTTP/1.1\r\nConnection: close\r\n\r\n";
+/// A readiness check that asks to close its connection.
+const UP_REQUEST_WITH_CLOSE: &[u8] = b"GET /up HTTP/1.1\r\nConnection: close\r\n\r\n";
 
-/// A client that has sent something, and its connection as it was accepted.
+/// Connects a client that sends `text`. Returns the client's and the accepted side of the connection.
 fn connect_client(text: &[u8]) -> std::io::Result<(std::net::TcpStream, TcpStream)> {
     use std::io::Write;
     let listener = std::net::TcpListener::bind("127.0.0.1:0")?;
@@ -84,7 +87,7 @@
     Ok((client, TcpStream::from_std(stream)?))
 }
 
-/// A listener that has not started, and the events that the event loop would get.
+/// A listener that has not started, and the receiver of the events that it sends to the event loop.
 fn new_listener(
     limits: Limits,
     settings: Settings,
@@ -92,19 +95,20 @@
     let (queue, events) = mpsc::channel(64);
     let active_settings = watch::channel(Arc::new(ActiveSettings::first(settings))).1;
     let metrics = Metrics::new(&[]);
-    let hold_ups = HoldUpMonitor::new(metrics.clone());
-    let client_listener = ClientListener::new(limits, active_settings, queue, metrics, hold_ups);
+    let stall_monitor = HoldUpMonitor::new(metrics.clone());
+    let client_listener =
+        ClientListener::new(limits, active_settings, queue, metrics, stall_monitor);
     (client_listener, events)
 }
 
-/// A listener that accepts requests of one class, and the events that the event loop would get.
+/// A started listener that accepts requests of the class `look`, and the receiver of its events.
 fn serving_listener(limits: Limits) -> (Arc<ClientListener>, mpsc::Receiver<Event>) {
-    let (client_listener, events) = new_listener(limits, settings_of_look());
+    let (client_listener, events) = new_listener(limits, settings_with_look_class());
     client_listener.started.store(true, Ordering::Relaxed);
     (client_listener, events)
 }
 
-/// Serves a connection as the listener serves each, in a task of its own.
+/// Spawns a task that serves an accepted connection, as the listener does.
 fn spawn_serving(
     client_listener: &Arc<ClientListener>,
     stream: TcpStream,
@@ -114,7 +118,7 @@
             .queue
             .clone()
             .try_reserve_owned()
-            .expect("a place"),
+            .expect("queue capacity"),
     ));
     let served = client_connection.clone();
     let client_listener = client_listener.clone();
@@ -122,8 +126,8 @@
     (client_connection, task)
 }
 
-/// Waits until a flag of a connection is set.
-async fn wait_for(flag: &AtomicBool) {
+/// Waits until a connection's flag is set.
+async fn wait_until_set(flag: &AtomicBool) {
     let set = async {
         while !flag.load(Ordering::Relaxed) {
             tokio::task::yield_now().await;
@@ -131,10 +135,11 @@
     };
     tokio::time::timeout(Duration::from_secs(20), set)
         .await
-        .expect("in time");
+        .expect("flag set within 20 s");
 }
 
-async fn next(events: &mut mpsc::Receiver<Event>) -> Event {
+async fn next_event(events: &mut mpsc::Receiver<Event>) -> Event {
     let next = tokio::time::timeout(Duration::from_secs(20), events.recv()).await;
-    next.expect("in time").expect("a listener")
+    next.expect("event within 20 s")
+        .expect("listener still running")
 }
