--- a/crates/merlinreel/src/client/arrival_times/tests.rs
+++ b/crates/merlinreel/src/client/arrival_times/tests.rs
@@ -11,7 +11,7 @@
     assert_eq!(
         arrival_times.take(15),
         Some(at(0)),
-        "what follows within the resolution arrived with the first"
+        "bytes that arrive within the resolution share the first arrival time"
     );
     assert_eq!(arrival_times.take(5), Some(at(0)));
     assert_eq!(arrival_times.take(1), Some(at(50)));
--- a/crates/merlinreel/src/client/decode/tests.rs
+++ b/crates/merlinreel/src/client/decode/tests.rs
@@ -13,8 +13,8 @@
     ("x-quota", "units=2,spread=2,first=1,odd=4"),
 ];
 
-/// Decodes a request with [`HEADERS`], one of them changed. A `+` before its name adds the header, an empty value removes it,
-/// and the value `GET` changes the method.
+/// Decodes a request with [`HEADERS`], one of which is changed. A `+` before the name adds a second header of that name, an
+/// empty value removes the header, and the value `GET` changes the method.
 fn decode_changed(uri: &str, changed: (&str, &str)) -> Result<Request, String> {
     let settings = json!({"balancers": 3, "familyInfo": {"maxUnits": 8}, "packages": [{"name": "solo"}, {"name": "team"}], "classes": [
         {"name": "look", "idempotency": "read_like", "hardLimitS": 1},
@@ -38,13 +38,13 @@
             request = request.header(*name, *value);
         }
     }
-    let (head, ()) = request.body(()).expect("sound").into_parts();
+    let (head, ()) = request.body(()).expect("valid request").into_parts();
     decode(&head, &settings).map_err(|error| error.to_string())
 }
 
 #[test]
 fn head_with_all_headers_is_decoded() {
-    let request = decode_changed(URI, ("x-resent", "1")).expect("sound");
+    let request = decode_changed(URI, ("x-resent", "1")).expect("valid request");
     assert_eq!(
         (request.customer, request.plan, request.class),
         (0xb4d6_5521, 1, 1)
@@ -59,14 +59,14 @@
         (2.0, 2, 1, true)
     );
     assert_eq!(request.remaining_time, Duration::from_millis(480));
-    let patient = decode_changed(URI, ("x-remaining", "4000000000m")).expect("sound");
-    assert_eq!(patient.remaining_time, Duration::from_secs(1));
+    let long_waiting = decode_changed(URI, ("x-remaining", "4000000000m")).expect("valid request");
+    assert_eq!(long_waiting.remaining_time, Duration::from_secs(1));
 }
 
 #[test]
 fn chunked_request_is_decoded_as_one_with_a_length() {
-    let chunked = decode_changed(URI, ("transfer-encoding", "chunked")).expect("sound");
-    let with_length = decode_changed(URI, ("content-length", "6")).expect("sound");
+    let chunked = decode_changed(URI, ("transfer-encoding", "chunked")).expect("valid request");
+    let with_length = decode_changed(URI, ("content-length", "6")).expect("valid request");
     assert_eq!(
         (chunked.customer, chunked.class),
         (with_length.customer, with_length.class)
--- a/crates/merlinreel/src/client/framing/tests.rs
+++ b/crates/merlinreel/src/client/framing/tests.rs
@@ -9,7 +9,7 @@
     content_length: false,
 };
 
-/// The sections that end in pieces given one after another: how long each is, and what it showed.
+/// Scans the pieces one after another and returns each complete section's length and what was observed in it.
 fn sections(pieces: &[&[u8]]) -> Vec<(usize, ObservedHead)> {
     let mut scanner = HeadScanner::default();
     let (mut sections, mut length) = (Vec::new(), 0);
@@ -22,14 +22,17 @@
             if let Some(observed) = section.head {
                 sections.push((std::mem::take(&mut length), observed));
             } else {
-                assert!(rest.is_empty(), "all is scanned where no section ends");
+                assert!(
+                    rest.is_empty(),
+                    "all bytes are scanned if no section ends in them"
+                );
             }
         }
     }
     sections
 }
 
-/// Sections are written with a `|` where each ends.
+/// In each text a `|` marks the end of a section.
 #[test_case("A / HTTP/1.1\r\nContent-Length: 4\r\n\r\n|" => vec![WITH_LENGTH] ; "with a length")]
 #[test_case("A / HTTP/1.1\r\ncOnTeNt-LeNgTh:4\r\n\r\n|" => vec![WITH_LENGTH] ; "mixed case and no space")]
 #[test_case("A / HTTP/1.1\nContent-Length: 4\n\n|" => vec![WITH_LENGTH] ; "line feeds alone")]
@@ -111,7 +114,7 @@
     for coding in codings {
         let value =
             HeaderValue::from_maybe_shared(bytes::Bytes::copy_from_slice(coding.as_bytes()));
-        // Bytes that are no header's value are rejected by the library.
+        // The HTTP library rejects bytes that are not a valid header value.
         let Ok(value) = value else {
             return Err(FramingError::UnknownCoding);
         };
--- a/crates/merlinreel/src/client/tests/closing.rs
+++ b/crates/merlinreel/src/client/tests/closing.rs
@@ -1,22 +1,22 @@
-//! Disconnects of clients, and connections that the limiter closes.
+//! Tests of client disconnects and of connections that the limiter closes.
 
 use super::*;
 use crate::messages::{ClientResponse, UpstreamResponse};
 use test_case::test_case;
 
-/// A response of more than the kernel holds, to a client that takes far longer for it than a connection may be
-/// without a second request: the connection is not closed before the last bytes are read.
+/// The response is larger than the socket buffers, and the client takes far longer to read it than a connection may wait
+/// for its second request. The connection must not be closed before the last bytes are read.
 #[tokio::test]
 async fn slow_reader_gets_its_complete_response() -> std::io::Result<()> {
     use std::io::Read;
     const LENGTH: usize = 24 << 20;
-    let (mut client, stream) = connect_client(LOOK)?;
+    let (mut client, stream) = connect_client(LOOK_REQUEST)?;
     let limits = {
         let mut changed = limits();
         changed.client.request_timeout = Duration::from_millis(40);
         changed
     };
-    let (client_listener, mut events) = new_listener(limits, settings_of_look());
+    let (client_listener, mut events) = new_listener(limits, settings_with_look_class());
     let served = client_connection(0, 0.0, None);
     tokio::spawn(async move {
         client_listener.serve_connection(stream, served).await;
@@ -32,7 +32,7 @@
     incoming
         .response_sender
         .send(ClientResponse::Success(upstream_response))
-        .expect("a client that waits");
+        .expect("the client is waiting");
     let read = tokio::task::spawn_blocking(move || {
         std::thread::sleep(Duration::from_millis(400));
         let mut response = Vec::new();
@@ -42,46 +42,47 @@
     Ok(())
 }
 
-/// The event loop hears of a client that disconnects while its request waits, with something sent behind the request. The
-/// HTTP library reads no more once there is anything behind one, and servers would work on requests that nobody waits for.
-#[test_case(0 ; "nothing behind it")]
+/// A client sends data after its request and disconnects while the request waits: the event loop must be notified. The HTTP
+/// library stops reading once data follows a request, and servers would process requests that no client waits for.
+#[test_case(0 ; "no data after it")]
 #[test_case(3 ; "half a line")]
 #[test_case(9_000 ; "more than a head")]
-#[test_case(300_000 ; "a flood")]
+#[test_case(300_000 ; "much data")]
 #[tokio::test]
-async fn disconnect_with_bytes_behind_the_request_is_reported(
-    behind: usize,
+async fn disconnect_with_data_after_the_request_is_reported(
+    trailing_bytes: usize,
 ) -> std::io::Result<()> {
     use std::io::Write;
-    let (mut client, stream) = connect_client(LOOK)?;
+    let (mut client, stream) = connect_client(LOOK_REQUEST)?;
     let (client_listener, mut events) = serving_listener(limits());
     let _serving = spawn_serving(&client_listener, stream);
-    let Event::Request(incoming) = next(&mut events).await else {
+    let Event::Request(incoming) = next_event(&mut events).await else {
         panic!("no request")
     };
-    let disconnects = tokio::task::spawn_blocking(move || client.write_all(&vec![b'x'; behind]));
-    let Event::ClientDisconnected(request_id) = next(&mut events).await else {
-        panic!("it has not disconnected")
+    let disconnects =
+        tokio::task::spawn_blocking(move || client.write_all(&vec![b'x'; trailing_bytes]));
+    let Event::ClientDisconnected(request_id) = next_event(&mut events).await else {
+        panic!("no disconnect event")
     };
     assert_eq!(request_id, incoming.request_id);
     disconnects.await.expect("written")
 }
 
-/// A connection closed over what its client still sends: the client gets its complete response and then an orderly
-/// end, no reset. What arrives after the limiter's side has ended is part of no request, and never sent on.
+/// The limiter closes a connection while the client is still sending: the client gets its complete response and then an
+/// orderly end, not a reset. Data that arrives after the limiter's side is shut down is not processed as a request.
 #[tokio::test]
 async fn close_over_bytes_in_transit_is_no_reset() -> std::io::Result<()> {
     use std::io::{Read, Write};
-    let (mut client, stream) = connect_client(UP_AND_CLOSE)?;
+    let (mut client, stream) = connect_client(UP_REQUEST_WITH_CLOSE)?;
     let (client_listener, mut events) = serving_listener(limits());
     let (client_connection, serving) = spawn_serving(&client_listener, stream);
-    wait_for(&client_connection.closing).await;
+    wait_until_set(&client_connection.closing).await;
     let response = tokio::task::spawn_blocking(move || {
-        client.write_all(LOOK)?;
+        client.write_all(LOOK_REQUEST)?;
         let mut response = String::new();
         client.read_to_string(&mut response)?;
-        // Its end is orderly to the last: what is sent now would meet a reset, had there been one.
-        client.write_all(LOOK)?;
+        // The connection was not reset: otherwise this write would fail.
+        client.write_all(LOOK_REQUEST)?;
         Ok::<_, std::io::Error>(response)
     });
     assert!(response.await.expect("read")?.starts_with("HTTP/1.1 200"));
@@ -90,12 +91,12 @@
     Ok(())
 }
 
-/// What crosses the end of the limiter's side is not read, so its client may send a request in it again. The close is over
-/// as soon as the client ends its side, whatever lies unread.
+/// Data that arrives after the limiter has shut down its side is not read, so the client may safely send a request in it
+/// again. The close ends as soon as the client closes its side, even with unread data in the socket buffer.
 #[tokio::test]
 async fn bytes_after_the_limiters_end_are_not_read() -> std::io::Result<()> {
     use std::io::{Read, Write};
-    let (mut client, stream) = connect_client(UP_AND_CLOSE)?;
+    let (mut client, stream) = connect_client(UP_REQUEST_WITH_CLOSE)?;
     let stream = stream.into_std()?;
     let kernel = stream.try_clone()?;
     let limits = {
@@ -106,32 +107,32 @@
     let (client_listener, mut events) = serving_listener(limits);
     let (client_connection, serving) =
         spawn_serving(&client_listener, TcpStream::from_std(stream)?);
-    wait_for(&client_connection.closing).await;
+    wait_until_set(&client_connection.closing).await;
     let crossing = tokio::task::spawn_blocking(move || {
         client.read_to_string(&mut String::new())?;
-        client.write_all(LOOK)?;
-        // Time enough for a reader that reads.
+        client.write_all(LOOK_REQUEST)?;
+        // Gives the limiter time to read the data, which it must not do.
         std::thread::sleep(Duration::from_millis(100));
         Ok::<_, std::io::Error>(client)
     });
     let client = crossing.await.expect("written")?;
-    assert_eq!(kernel.peek(&mut [0; 1024])?, LOOK.len());
+    assert_eq!(kernel.peek(&mut [0; 1024])?, LOOK_REQUEST.len());
     drop(client);
     tokio::time::timeout(Duration::from_secs(20), serving)
         .await
-        .expect("over")
+        .expect("closed within 20 s")
         .expect("served");
     assert!(events.try_recv().is_err());
     Ok(())
 }
 
-/// A client that is idle until its connection is closed, and then stays idle: its place is free at once where it is evicted,
-/// and the close is over in its time.
+/// The limiter closes a connection whose client never closes its side. The close ends at once if the connection is evicted,
+/// and otherwise after the linger timeout.
 #[test_case(true ; "evicted")]
 #[test_case(false ; "not evicted")]
 #[tokio::test]
 async fn close_ends_though_the_client_never_ends_its_side(evicts: bool) -> std::io::Result<()> {
-    let (_client, stream) = connect_client(UP_AND_CLOSE)?;
+    let (_client, stream) = connect_client(UP_REQUEST_WITH_CLOSE)?;
     let linger_timeout = Duration::from_secs(if evicts { 3600 } else { 0 });
     let (client_listener, _events) = serving_listener({
         let mut changed = limits();
@@ -140,12 +141,12 @@
     });
     let (client_connection, serving) = spawn_serving(&client_listener, stream);
     if evicts {
-        wait_for(&client_connection.closing).await;
+        wait_until_set(&client_connection.closing).await;
         client_connection.evict();
     }
     tokio::time::timeout(Duration::from_secs(20), serving)
         .await
-        .expect("closed")
+        .expect("closed within 20 s")
         .expect("served");
     Ok(())
 }
--- a/crates/merlinreel/src/client/tests/eviction.rs
+++ b/crates/merlinreel/src/client/tests/eviction.rs
@@ -1,11 +1,11 @@
-//! Which connections are evicted, and what happens to those that are asked to close.
+//! Tests of the selection of connections to evict, and of connections that were asked to close.
 
 use super::*;
 use crate::client::eviction::select_evictions;
 use crate::net::observed_stream::IoObserver;
 use test_case::test_case;
 
-/// A first request that had arrived unseen when the connection was asked to close has its response.
+/// A connection is asked to close when its first request has arrived and is not yet read. The request is answered.
 #[tokio::test]
 async fn evicted_connection_answers_what_arrived_unseen() -> std::io::Result<()> {
     use std::io::Read;
@@ -22,9 +22,9 @@
     Ok(())
 }
 
-/// Blocked since so many seconds, and tried again just now: each attempt that fails is no new beginning, or a client that
-/// never reads would keep its place, and a shutdown waiting.
-#[test_case(5.0 => false ; "it may read on")]
+/// A write has been blocked for `blocked_s` seconds and a retry has just failed. A failed retry must not restart the time,
+/// or a client that never reads would keep its connection slot and delay a shutdown.
+#[test_case(5.0 => false ; "the client may still read")]
 #[test_case(11.0 => true ; "counts as disconnected")]
 fn write_blocked_connection_is_evictable_after_the_idle_timeout(blocked_s: f64) -> bool {
     let client_connection = client_connection(1, 20.0, None);
@@ -37,7 +37,7 @@
     client_connection.is_evictable(&limits())
 }
 
-#[test_case(7, 9 => Vec::<usize>::new() ; "nobody below the limit")]
+#[test_case(7, 9 => Vec::<usize>::new() ; "none below the limit")]
 #[test_case(6, 9 => vec![3] ; "those without a request first")]
 #[test_case(3, 9 => vec![3, 1, 2] ; "then those with one, the longest idle first")]
 #[test_case(2, 6 => vec![3, 1, 2, 0] ; "those with several at the connection limit")]
@@ -58,7 +58,7 @@
         client_connection(1, 3.0, None),
         client_connection(0, 1.0, None),
     ];
-    // One with part of its first request, and one with a request in flight.
+    // One connection with part of its first request, and one with a request in flight.
     client_connections.extend([
         client_connection(0, 0.2, Some(0.2)),
         client_connection(9, 4.0, None),
--- a/crates/merlinreel/src/client/tests/reading.rs
+++ b/crates/merlinreel/src/client/tests/reading.rs
@@ -1,59 +1,60 @@
-//! What a client sends behind a request, in pieces or in chunks.
+//! Tests of reading pipelined requests, short reads and chunked bodies.
 
 use super::*;
 use crate::admission::AdmissionPermits;
 use crate::client::stream::ClientStream;
 use test_case::test_case;
 
-/// Bytes that may be read ahead of a request in flight.
-const READ_AHEAD: usize = 8192;
+/// Maximum number of bytes read ahead while a request is in flight.
+const MAX_READ_AHEAD_BYTES: usize = 8192;
 
-/// What a client sends behind its request is its next one, and is served after it; nothing of a flood is.
+/// A pipelined request is served after the one in flight, unless more data follows than may be read ahead. In that case
+/// nothing after the request in flight is served.
 #[test_case(0 => 2 ; "the next request")]
-#[test_case(100_000 => 2 ; "with noise behind it, which is kept until it is read")]
-#[test_case(600_000 => 1 ; "with a flood behind it")]
+#[test_case(100_000 => 2 ; "with more data that may be read ahead")]
+#[test_case(600_000 => 1 ; "with more data than may be read ahead")]
 #[tokio::test]
-async fn request_behind_another_is_served_unless_flooded(noise: usize) -> usize {
+async fn pipelined_request_is_served_unless_read_ahead_overflows(trailing_bytes: usize) -> usize {
     use std::io::{Read, Write};
-    let (mut client, stream) = connect_client(LOOK).expect("a client");
+    let (mut client, stream) = connect_client(LOOK_REQUEST).expect("client connected");
     let (client_listener, mut events) = serving_listener(limits());
     let (client_connection, serving) = spawn_serving(&client_listener, stream);
-    let Event::Request(first) = next(&mut events).await else {
+    let Event::Request(first) = next_event(&mut events).await else {
         panic!("no request")
     };
     let writing = tokio::task::spawn_blocking(move || {
-        let second = String::from_utf8_lossy(LOOK).replace("9b", "9c");
+        let second = String::from_utf8_lossy(LOOK_REQUEST).replace("9b", "9c");
         client
             .write_all(second.as_bytes())
-            .and_then(|()| client.write_all(&vec![b'x'; noise]))
+            .and_then(|()| client.write_all(&vec![b'x'; trailing_bytes]))
             .expect("written");
         client
     });
     let client = writing.await.expect("written");
-    // The kernel has all of it; that it was too much shows in the flag of the connection.
-    let is_flood = noise > limits().client.max_read_ahead_bytes;
-    if is_flood {
-        wait_for(&client_connection.overflowed).await;
+    // All of the data is in the socket buffers. The connection's flag shows that it was too much.
+    let is_overflow = trailing_bytes > limits().client.max_read_ahead_bytes;
+    if is_overflow {
+        wait_until_set(&client_connection.overflowed).await;
     }
     first
         .response_sender
         .send(crate::messages::ClientResponse::Failed)
-        .expect("a client that waits");
-    let requests = if is_flood {
+        .expect("the client is waiting");
+    let requests = if is_overflow {
         1
     } else {
-        let Event::Request(second) = next(&mut events).await else {
+        let Event::Request(second) = next_event(&mut events).await else {
             panic!("no second request")
         };
         second
             .response_sender
             .send(crate::messages::ClientResponse::Failed)
-            .expect("a client that waits");
+            .expect("the client is waiting");
         2
     };
     client
         .shutdown(std::net::Shutdown::Write)
-        .expect("its side ends");
+        .expect("write side shut down");
     let responses = tokio::task::spawn_blocking(move || {
         let mut all = String::new();
         (&client)
@@ -66,9 +67,9 @@
     requests
 }
 
-/// Two requests in one piece: the HTTP library gets one head a read, with what is known of that head, and what is buffered
-/// counts as unread until then. A Content-Length is thereby not taken for another request's, and no connection closes over a
-/// request that has left the kernel already.
+/// Two requests arrive in one piece. The HTTP library gets one head per read, with the observations of that head, so that a
+/// Content-Length is not attributed to another request. Buffered data counts as unread, so that no connection is closed
+/// while it holds a request that was already read from the socket.
 #[tokio::test]
 async fn stream_gives_the_library_one_head_a_read() -> std::io::Result<()> {
     use tokio::io::AsyncReadExt;
@@ -93,31 +94,30 @@
         assert_eq!(client_connection.last_head().content_length, content_length);
         assert!(
             lock(&client_connection.times).partial_since.is_some(),
-            "what was buffered counts as read when the library reads it"
+            "buffered data is reported as read when the library reads it"
         );
     }
     assert!(!client_stream.has_unread());
     Ok(())
 }
 
-/// What the library had asked for is no flood, however short its reads are; as much again may come behind a request.
-#[test_case(8192, READ_AHEAD => false ; "as much as may be read ahead")]
-#[test_case(8192, READ_AHEAD + 1 => true ; "a byte more")]
-#[test_case(100, READ_AHEAD => false ; "less in the library's read")]
-#[test_case(100, READ_AHEAD + 1 => true ; "less in the library's read and a byte more")]
+/// Data received in reads of the HTTP library does not count against the read-ahead limit, however short the reads are: the
+/// full limit is available for data after a request.
+#[test_case(8192, MAX_READ_AHEAD_BYTES => false ; "as much as may be read ahead")]
+#[test_case(8192, MAX_READ_AHEAD_BYTES + 1 => true ; "a byte more")]
+#[test_case(100, MAX_READ_AHEAD_BYTES => false ; "less in the library's read")]
+#[test_case(100, MAX_READ_AHEAD_BYTES + 1 => true ; "less in the library's read and a byte more")]
 #[tokio::test]
-async fn buffered_bytes_count_as_a_flood_only_over_the_read_ahead(
-    first: usize,
-    behind: usize,
-) -> bool {
+async fn read_ahead_overflows_only_above_its_limit(first: usize, trailing_bytes: usize) -> bool {
     use std::io::Write;
     use tokio::io::{AsyncReadExt, AsyncWriteExt};
     let (mut client, stream) =
-        connect_client(&[b"\r\n", vec![b'x'; first - 2].as_slice()].concat()).expect("a client");
+        connect_client(&[b"\r\n", vec![b'x'; first - 2].as_slice()].concat())
+            .expect("client connected");
     let client_connection = client_connection(2, 0.0, None);
     let limits = {
         let mut changed = limits();
-        changed.client.max_read_ahead_bytes = READ_AHEAD;
+        changed.client.max_read_ahead_bytes = MAX_READ_AHEAD_BYTES;
         changed
     };
     let mut client_stream = ClientStream::new(
@@ -130,29 +130,31 @@
     let length = client_stream.read(&mut [0; 8192]).await.expect("read");
     assert_eq!(length, 2);
     client_connection.busy.store(true, Ordering::Relaxed);
-    client.write_all(&vec![b'x'; behind]).expect("written");
+    client
+        .write_all(&vec![b'x'; trailing_bytes])
+        .expect("written");
     drop(client);
-    // Each flush reads ahead, until the client's end is seen.
+    // Each flush reads ahead, and fails once the client's disconnect is detected.
     while client_stream.flush().await.is_ok() {
         tokio::task::yield_now().await;
     }
     client_connection.overflowed.load(Ordering::Relaxed)
 }
 
-/// The kernel ends a read before bytes that are there already, as at an urgent mark, and the poller reports nothing more:
-/// the rest is read all the same, and the request served.
+/// The kernel ends a read early although more data has arrived, as at an urgent mark, and the poller reports no further
+/// event. The rest must be read nevertheless, and the request served.
 #[tokio::test]
 async fn request_after_a_short_read_is_served() -> std::io::Result<()> {
     use std::io::Write;
     let listener = std::net::TcpListener::bind("127.0.0.1:0")?;
     let mut client = std::net::TcpStream::connect(listener.local_addr()?)?;
-    let (begin, rest) = LOOK.split_at(30);
+    let (begin, rest) = LOOK_REQUEST.split_at(30);
     client.write_all(begin)?;
     socket2::SockRef::from(&client).send_out_of_band(b"!")?;
     client.write_all(rest)?;
     let (stream, _) = listener.accept()?;
     stream.set_nonblocking(true)?;
-    // All of it is there before the first read.
+    // All of the data has arrived before the first read.
     while stream.peek(&mut [0; 64])? < begin.len() {
         tokio::task::yield_now().await;
     }
@@ -164,24 +166,24 @@
     };
     let (client_listener, mut events) = serving_listener(limits);
     let _served = spawn_serving(&client_listener, TcpStream::from_std(stream)?);
-    let Event::Request(incoming) = next(&mut events).await else {
+    let Event::Request(incoming) = next_event(&mut events).await else {
         panic!("no request")
     };
     assert_eq!(incoming.upstream_request.uri.path(), "/look");
     Ok(())
 }
 
-/// Settings with one class, whose requests have a body.
-fn settings_of_pay() -> Settings {
+/// Settings with one class, `pay`, whose requests may have a body.
+fn settings_with_pay_class() -> Settings {
     let settings = serde_json::json!({"packages": [{"name": "team"}], "balancers": 1, "classes":
         [{"name": "pay", "idempotency": "non_idempotent", "hardLimitS": 9}]});
     SettingsTree::from_json(&settings)
         .and_then(|paths| Settings::read(&paths))
-        .expect("sound")
+        .expect("valid settings")
 }
 
-/// A chunked body, whose length is not announced, reserves its memory piece by piece, and releases it where it is rejected,
-/// so that many at once can't exceed the memory of all bodies.
+/// Memory for a chunked body, whose length is not announced, is reserved as the body arrives, so that many bodies at once
+/// can't exceed the memory for bodies. It is released if the body is rejected.
 #[tokio::test]
 async fn chunked_body_reserves_memory_as_it_arrives() -> std::io::Result<()> {
     use std::io::Read;
@@ -192,7 +194,7 @@
         changed.client.max_buffered_body_bytes = 8;
         changed
     };
-    let (client_listener, mut events) = new_listener(limits, settings_of_pay());
+    let (client_listener, mut events) = new_listener(limits, settings_with_pay_class());
     let (mut client, stream) =
         connect_client(format!("{HEAD}6\r\na body\r\n3\r\nabc\r\n0\r\n\r\n").as_bytes())?;
     client.set_read_timeout(Some(Duration::from_secs(20)))?;
@@ -209,7 +211,7 @@
     let (_client, stream) =
         connect_client(format!("{HEAD}6\r\na body\r\n2\r\nab\r\n0\r\n\r\n").as_bytes())?;
     let _accepted = spawn_serving(&client_listener, stream);
-    let Event::Request(incoming) = next(&mut events).await else {
+    let Event::Request(incoming) = next_event(&mut events).await else {
         panic!("no request")
     };
     assert_eq!(incoming.upstream_request.body, "a bodyab");
--- a/crates/merlinreel/src/client/tests/response_heads.rs
+++ b/crates/merlinreel/src/client/tests/response_heads.rs
@@ -1,4 +1,4 @@
-//! The literal bytes of each kind of response. They are wire: no client may see them change.
+//! Tests of the literal bytes of each kind of response, which must not change for clients.
 
 use super::*;
 use crate::messages::{ClientResponse, UpstreamResponse};
@@ -6,20 +6,20 @@
 use std::io::Read;
 use test_case::test_case;
 
-/// What stands in place of the date, of the same length.
-const DATE: &str = "date: Thu, 01 Jan 1970 00:00:00 GMT\r\n";
+/// Replaces the Date header of responses and has the same length.
+const FIXED_DATE: &str = "date: Thu, 01 Jan 1970 00:00:00 GMT\r\n";
 
-/// A class of each method.
-fn settings_of_two_classes() -> Settings {
+/// Settings with one class for GET, `look`, and one for POST, `pay`.
+fn settings_with_two_classes() -> Settings {
     let settings = serde_json::json!({"packages": [{"name": "team"}], "balancers": 1, "classes": [
         {"name": "look", "idempotency": "read_like", "hardLimitS": 9},
         {"name": "pay", "idempotency": "non_idempotent", "hardLimitS": 9}]});
     SettingsTree::from_json(&settings)
         .and_then(|paths| Settings::read(&paths))
-        .expect("sound")
+        .expect("valid settings")
 }
 
-/// The text of a request with this first line, these framing headers and this body.
+/// A request's text. `first` is the request line without the version, `framing` further header lines.
 fn request(first: &str, remaining: &str, framing: &str, body: &str) -> String {
     format!(
         "{first} HTTP/1.1\r\nX-Txn: 9b\r\nX-Plan: team\r\nX-Remaining: {remaining}\r\n\
@@ -27,28 +27,29 @@
     )
 }
 
-/// As many bytes of the response as `expected` has, its date replaced.
+/// Sends a request and returns as many bytes of the response as `expected` has, with the date replaced. If `response` is
+/// given, the event loop's side sends it.
 async fn exchange(
     limits: Limits,
     request: &str,
     response: Option<ClientResponse>,
     expected: &str,
 ) -> String {
-    let (mut client, stream) = connect_client(request.as_bytes()).expect("a client");
+    let (mut client, stream) = connect_client(request.as_bytes()).expect("client connected");
     client
         .set_read_timeout(Some(Duration::from_secs(20)))
-        .expect("set");
-    let (client_listener, mut events) = new_listener(limits, settings_of_two_classes());
+        .expect("read timeout set");
+    let (client_listener, mut events) = new_listener(limits, settings_with_two_classes());
     client_listener.started.store(true, Ordering::Relaxed);
     let _served = spawn_serving(&client_listener, stream);
     if let Some(response) = response {
-        let Event::Request(incoming) = next(&mut events).await else {
+        let Event::Request(incoming) = next_event(&mut events).await else {
             panic!("no request")
         };
         incoming
             .response_sender
             .send(response)
-            .expect("a client that waits");
+            .expect("the client is waiting");
     }
     let length = expected.len();
     let read = tokio::task::spawn_blocking(move || {
@@ -65,13 +66,16 @@
     with_fixed_date(&read.await.expect("read"))
 }
 
-/// The text of a response with its date replaced.
+/// A response's text with the date replaced.
 fn with_fixed_date(text: &str) -> String {
-    let (before, date) = text.split_once("date: ").expect("a date");
-    format!("{before}{DATE}{}", &date[DATE.len() - "date: ".len()..])
+    let (before, date) = text.split_once("date: ").expect("response has a date");
+    format!(
+        "{before}{FIXED_DATE}{}",
+        &date[FIXED_DATE.len() - "date: ".len()..]
+    )
 }
 
-/// All that a client gets until its connection ends, with the date replaced.
+/// Everything that a client receives until its connection ends, with the date replaced.
 async fn read_to_end(mut client: std::net::TcpStream) -> String {
     let read = tokio::task::spawn_blocking(move || {
         let mut text = String::new();
@@ -179,10 +183,13 @@
     const EXPECTED: &str = "HTTP/1.1 409 Conflict\r\nconnection: close\r\ncontent-length: 26\r\n\
         date: Thu, 01 Jan 1970 00:00:00 GMT\r\n\r\nx-txn: such a job is open\n";
     let text = request("GET /look?key=7", "8000m", "", "");
-    let (client, stream) = connect_client(text.as_bytes()).expect("a client");
+    let (client, stream) = connect_client(text.as_bytes()).expect("client connected");
     let (client_listener, mut events) = serving_listener(limits());
     let id = HeaderValue::from_static("9b");
-    let _permit = client_listener.permits.admit(&id, None).expect("free");
+    let _permit = client_listener
+        .permits
+        .admit(&id, None)
+        .expect("id is free");
     let _served = spawn_serving(&client_listener, stream);
     assert_eq!(read_to_end(client).await, EXPECTED);
     assert!(events.try_recv().is_err());
@@ -193,7 +200,7 @@
     const EXPECTED: &str = "HTTP/1.1 503 Service Unavailable\r\nconnection: close\r\ncontent-length: 0\r\n\
         date: Thu, 01 Jan 1970 00:00:00 GMT\r\n\r\n";
     let (client, stream) =
-        connect_client(b"GET /up HTTP/1.1\r\nConnection: close\r\n\r\n").expect("a client");
+        connect_client(b"GET /up HTTP/1.1\r\nConnection: close\r\n\r\n").expect("client connected");
     let (client_listener, _events) = serving_listener(limits());
     client_listener.started.store(false, Ordering::Relaxed);
     let _served = spawn_serving(&client_listener, stream);
--- a/crates/merlinreel/src/client/tests/shutdown.rs
+++ b/crates/merlinreel/src/client/tests/shutdown.rs
@@ -1,9 +1,10 @@
-//! Connections and requests during a shutdown.
+//! Tests of connections and requests during a shutdown.
 
 use super::*;
 use test_case::test_case;
 
-/// The kernel resets what was never accepted when the socket is closed, so all that waits there is accepted before.
+/// The kernel resets connections that were not accepted when the listening socket is closed, so all pending connections
+/// must be accepted before.
 #[tokio::test]
 async fn pending_connections_are_accepted_before_the_socket_closes() -> std::io::Result<()> {
     use std::io::{Read, Write};
@@ -11,7 +12,7 @@
     let mut clients = Vec::new();
     for _ in 0..20 {
         let mut client = std::net::TcpStream::connect(listener.local_addr()?)?;
-        client.write_all(UP_AND_CLOSE)?;
+        client.write_all(UP_REQUEST_WITH_CLOSE)?;
         clients.push(client);
     }
     let (client_listener, _events) = new_listener(limits(), settings());
@@ -29,13 +30,13 @@
     Ok(())
 }
 
-/// So many requests carried, idle for so many seconds, with part of one or one in flight; early in a shutdown, or once it
-/// closes every idle connection.
+/// A connection with that many received requests, idle for `idle_s` seconds, with a partial request for `partial_s` seconds,
+/// or `busy` with a request in flight. `close_idle` is set late in a shutdown, when every idle connection is closed.
 #[test_case(2, 0.15, None, false, false => true ; "idle")]
 #[test_case(2, 0.05, None, false, false => false ; "just used")]
-#[test_case(2, 0.05, None, false, true => true ; "just used and every idle one closes")]
-#[test_case(0, 0.3, None, false, true => false ; "its first request may come")]
-#[test_case(0, 0.5, None, false, false => true ; "its first request never came")]
+#[test_case(2, 0.05, None, false, true => true ; "just used and every idle connection closes")]
+#[test_case(0, 0.3, None, false, true => false ; "first request may still arrive")]
+#[test_case(0, 0.5, None, false, false => true ; "first request never arrived")]
 #[test_case(2, 5.0, Some(1.0), false, true => false ; "part of a request")]
 #[test_case(2, 5.0, None, true, true => false ; "request in flight")]
 fn shutdown_closes_connections_between_requests(
@@ -50,15 +51,17 @@
     client_connection.can_shut_down(&limits(), close_idle)
 }
 
-/// A request that comes after the signal ends before the process may be killed, whatever time its client has left: the
-/// longest deadline, counted as 3 s at most, and 0.7 s after the signal.
+/// A request received after the signal is answered before the process may be killed, whatever time its client has left. The
+/// process may be killed 0.7 s plus the longest deadline, capped at 3 s, after the signal.
 #[tokio::test]
 async fn late_request_ends_before_the_process_is_killed() -> std::io::Result<()> {
-    let limits = Limits::new(1024, 192, &settings_of_look()).expect("enough for the least");
-    let until_deadline = crate::config::limits::shutdown_deadline(&settings_of_look().classes);
+    let limits =
+        Limits::new(1024, 192, &settings_with_look_class()).expect("enough descriptors and memory");
+    let until_deadline =
+        crate::config::limits::shutdown_deadline(&settings_with_look_class().classes);
     assert_eq!(until_deadline, Duration::from_millis(3300));
-    let (_client, stream) = connect_client(LOOK)?;
-    let (client_listener, mut events) = new_listener(limits.clone(), settings_of_look());
+    let (_client, stream) = connect_client(LOOK_REQUEST)?;
+    let (client_listener, mut events) = new_listener(limits.clone(), settings_with_look_class());
     let requested_at = *client_listener
         .shutdown_requested_at
         .get_or_init(Instant::now);
@@ -74,7 +77,7 @@
     Ok(())
 }
 
-/// The platform's call is over once it is answered: a shutdown that took it for part of a request would wait 2.2 s for the
+/// A readiness check is complete once it is answered. A shutdown that took it for a partial request would wait 2.2 s for the
 /// rest.
 #[tokio::test]
 async fn answered_up_call_leaves_the_connection_idle() -> std::io::Result<()> {
