--- a/crates/merlinreel/src/client/request_reader.rs
+++ b/crates/merlinreel/src/client/request_reader.rs
@@ -42,7 +42,7 @@
         client_connection: &ClientConnection,
     ) -> Response<ResponseBody> {
         if let Err(error) = framing::check(request.headers(), head) {
-            log!("clients: {error}: 400");
+            log!("clients: request rejected with 400: {error}");
             let response = text_response(StatusCode::BAD_REQUEST, format!("{error}\n"));
             return with_connection_close(response).map(Either::Left);
         }
