--- a/crates/merlinreel-testkit/src/checker.rs
+++ b/crates/merlinreel-testkit/src/checker.rs
@@ -1,5 +1,5 @@
-//! The five rules of the protocol, checked against an event log. What the rules leave open is not judged: a request may
-//! have no response where its limiter was killed meanwhile, and a late one where its limiter was suspended.
+//! Checks an event log against the five rules of the protocol. Cases that the rules leave open are not violations: a
+//! request may remain unanswered if its limiter was killed meanwhile, and be answered late if its limiter was suspended.
 
 mod fault_timeline;
 mod request_history;
@@ -15,36 +15,37 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The status of a response to a request that was not complete in time.
-const REQUEST_TIMEOUT: u16 = 408;
-/// A request that its client's kernel has taken within this was written at once.
-const WRITTEN_AT_ONCE: Duration = Duration::from_millis(200);
+/// HTTP status of the response to a request that was not received completely in time.
+const REQUEST_TIMEOUT_STATUS: u16 = 408;
+/// A request counts as written promptly if its client finished writing it within less than this time.
+const MAX_PROMPT_WRITE_TIME: Duration = Duration::from_millis(200);
 
-/// What a customer may use: never more than the burst and what was refilled since.
+/// The token bucket that bounds a customer's use: full at first, and refilled at a constant rate up to the burst.
 #[derive(Clone, Copy, Debug)]
 pub struct QuotaBound {
-    /// Units that may be used at once.
+    /// Capacity of the bucket: units that may be used at once.
     pub burst: f64,
-    /// Units that are refilled each second.
+    /// Refill rate of the bucket.
     pub units_per_second: f64,
 }
 
-/// How far a log may deviate from the rules: what the protocol grants and the share of the machine under the test.
+/// Tolerated deviations from the rules: what the protocol grants, plus delays of the machine that runs the test.
 #[derive(Clone, Copy, Debug)]
 pub struct Tolerances {
     /// How long after the request's deadline a response may arrive.
     pub response_delay: Duration,
-    /// How long after its client disconnected an attempt may begin.
+    /// How long after its client disconnected an attempt may still arrive at a server.
     pub attempt_after_disconnect: Duration,
-    /// How much more than the client's remaining time may be advertised to a server.
+    /// How far the time advertised to a server may exceed the client's remaining time.
     pub advertised_time_excess: Duration,
-    /// How long after a drain was announced an attempt may begin.
+    /// How long after a drain was announced an attempt may still arrive at the draining server.
     pub drain_grace: Duration,
-    /// How late a server may observe that a limiter closed a connection, or that a link carries traffic again.
+    /// How late a server may observe that a limiter closed a connection, or that a link was healed.
     pub observation_delay: Duration,
-    /// One request in this many may have no response: those sent while the limiter closed their connection.
+    /// One request in this many may remain unanswered, as a limiter may close a connection while a request is being sent on
+    /// it.
     pub requests_per_unanswered: usize,
-    /// The bound on each customer's use, where it is checked.
+    /// The bound on each customer's use; `None` skips the check.
     pub quota: Option<QuotaBound>,
 }
 
@@ -62,7 +63,7 @@
     }
 }
 
-/// All violations of the rules in a log.
+/// Returns all violations of the rules in a log; empty if there is none.
 pub fn find_violations(entries: &[LogEntry], tolerances: &Tolerances) -> Vec<Violation> {
     let requests = request_history::from_log(entries);
     let mut checker = Checker {
@@ -73,7 +74,7 @@
     };
     for (id, request) in &requests {
         checker.check_response(id, request);
-        checker.check_not_called_incomplete(id, request);
+        checker.check_not_rejected_as_incomplete(id, request);
         checker.check_effects(id, request);
         for attempt in &request.attempts {
             checker.check_attempt(id, request, attempt);
@@ -90,12 +91,12 @@
     tolerances: &'a Tolerances,
     timeline: FaultTimeline,
     violations: Vec<Violation>,
-    /// Requests without a response though their limiter was running.
+    /// Number of unanswered requests that no fault of their limiter excuses.
     unanswered: usize,
 }
 
 impl Checker<'_> {
-    /// Each request has one response, in time.
+    /// Checks that a request has exactly one response, and in time.
     fn check_response(&mut self, id: &RequestId, request: &RequestHistory) {
         if request.responses.len() > 1 {
             self.violations
@@ -115,23 +116,23 @@
         }
     }
 
-    /// A request that its client had written at once is not called incomplete.
-    fn check_not_called_incomplete(&mut self, id: &RequestId, request: &RequestHistory) {
-        let was_called_incomplete = request
+    /// Checks that a request which its client wrote promptly is not rejected as incomplete.
+    fn check_not_rejected_as_incomplete(&mut self, id: &RequestId, request: &RequestHistory) {
+        let was_rejected_as_incomplete = request
             .responses
             .iter()
-            .any(|response| response.status == REQUEST_TIMEOUT);
-        let was_written_at_once = request
+            .any(|response| response.status == REQUEST_TIMEOUT_STATUS);
+        let was_written_promptly = request
             .written_at
-            .is_some_and(|written| written < request.sent_at + WRITTEN_AT_ONCE);
-        if was_called_incomplete && was_written_at_once {
+            .is_some_and(|written| written < request.sent_at + MAX_PROMPT_WRITE_TIME);
+        if was_rejected_as_incomplete && was_written_promptly {
             self.violations
-                .push(Violation::CalledIncomplete(id.clone()));
+                .push(Violation::RejectedAsIncomplete(id.clone()));
         }
     }
 
     fn check_missing_response(&mut self, id: &RequestId, request: &RequestHistory, due: Duration) {
-        // A client that disconnected, or still waited as the log ended, proves nothing.
+        // A missing response says nothing if the client disconnected, or was still waiting at the end of the log.
         if request.disconnected_at.is_some() || !request.client_gave_up {
             return;
         }
@@ -149,21 +150,22 @@
         }
         let is_excused = self.timeline.was_killed(limiter, until_due)
             || self.timeline.suspended_for(limiter, until_due) > Duration::ZERO
-            // A new connection may be closed unread where a burst occupies all connection slots.
+            // While a burst occupies all connection slots, a new connection may be closed before its request is read.
             || (request.is_first_on_connection && self.timeline.had_burst(limiter, until_due));
         if !is_excused {
             self.unanswered += 1;
         }
     }
 
-    /// A non-idempotent request has no second effect, and no request has two attempts at a time.
+    /// Checks that a non-idempotent request can't have had two effects, and that a request has one attempt at a time.
     fn check_effects(&mut self, id: &RequestId, request: &RequestHistory) {
         if request.may_have_duplicate_effect() {
             self.violations.push(Violation::DuplicateEffect(id.clone()));
         }
-        // Whether the server may not yet have observed the end of an earlier attempt.
-        let is_unobserved = |earlier: &Attempt, at: Duration| {
-            let has_ended = earlier
+        // The earlier attempt may have ended before `at` if its server observed the end within the tolerated delay, or if
+        // a partition kept the server from observing it.
+        let may_have_ended = |earlier: &Attempt, at: Duration| {
+            let ended_within_tolerance = earlier
                 .ended_at
                 .is_some_and(|ended| ended <= at + self.tolerances.observation_delay);
             let interval = Interval {
@@ -171,15 +173,16 @@
                 end: at,
             };
             let link = request.link_to(earlier.server);
-            has_ended || self.timeline.was_partitioned(link, interval)
+            ended_within_tolerance || self.timeline.was_partitioned(link, interval)
         };
-        if request.has_concurrent_attempts(is_unobserved) {
+        if request.has_concurrent_attempts(may_have_ended) {
             self.violations
                 .push(Violation::ConcurrentAttempts(id.clone()));
         }
     }
 
-    /// An attempt begins only for a client that waits, with its remaining time, at a server that accepts requests.
+    /// Checks that an attempt is made only while its client waits, advertises no more than the client's remaining time, and
+    /// does not go to a draining server.
     fn check_attempt(&mut self, id: &RequestId, request: &RequestHistory, attempt: &Attempt) {
         let link = request.link_to(attempt.server);
         let until_attempt = Interval {
@@ -233,6 +236,7 @@
         }
     }
 
+    /// Checks that no more requests are unanswered than tolerated, out of `requests` in all.
     fn check_unanswered(&mut self, requests: usize) {
         if self.unanswered * self.tolerances.requests_per_unanswered > requests {
             self.violations.push(Violation::LostRequests {
@@ -242,7 +246,8 @@
         }
     }
 
-    /// No customer uses more than a token bucket with the bound's burst and rate holds, over any span.
+    /// Checks that no customer's requests exceed the token bucket. Each request that reaches a server counts as one unit at
+    /// the time of its first attempt.
     fn check_quotas(&mut self, requests: &BTreeMap<RequestId, RequestHistory>, quota: QuotaBound) {
         let mut uses: BTreeMap<u32, Vec<Duration>> = BTreeMap::new();
         for request in requests.values() {
@@ -253,7 +258,7 @@
         }
         for (customer, mut times) in uses {
             times.sort_unstable();
-            let overage = greatest_overage(&times, quota);
+            let overage = max_overage(&times, quota);
             if overage >= 1.0 {
                 self.violations.push(Violation::QuotaExceeded {
                     customer,
@@ -264,8 +269,10 @@
     }
 }
 
-/// The most units by which uses at these times, in ascending order, exceed the quota; 0 or less where they do not.
-fn greatest_overage(times: &[Duration], quota: QuotaBound) -> f64 {
+/// Returns the greatest number of units by which one-unit uses at these times exceed the quota; 0 if they never do. The
+/// times must be in ascending order.
+fn max_overage(times: &[Duration], quota: QuotaBound) -> f64 {
+    // Use in excess makes the number of tokens negative.
     let mut tokens = quota.burst;
     let mut last = Duration::ZERO;
     let mut overage = 0.0f64;
--- a/crates/merlinreel-testkit/src/checker/fault_timeline.rs
+++ b/crates/merlinreel-testkit/src/checker/fault_timeline.rs
@@ -1,24 +1,25 @@
-//! Which faults a log holds, by limiter and by link.
+//! The faults recorded in a log, grouped by limiter and by link.
 
 use crate::event_log::{Event, LinkId, LogEntry};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// A request sent this long after SIGTERM must have its response before SIGKILL.
-const LATE_IN_SHUTDOWN: Duration = Duration::from_millis(700);
-/// SIGKILL follows SIGTERM within this time; a later kill is of a process that was started again.
-const KILL_FOLLOWS_WITHIN: Duration = Duration::from_millis(2450);
+/// A request sent later than this after SIGTERM must be answered before SIGKILL.
+const LATE_REQUEST_AFTER_SIGTERM: Duration = Duration::from_millis(700);
+/// A kill within less than this time after SIGTERM ends that shutdown. A later one kills a restarted process.
+const MAX_KILL_DELAY_AFTER_SIGTERM: Duration = Duration::from_millis(2450);
 
-/// A closed interval of the log's time.
+/// A time interval that includes both bounds, measured like [`LogEntry::at`].
 #[derive(Clone, Copy, Debug)]
 pub struct Interval {
-    /// Its first moment.
+    /// Lower bound.
     pub start: Duration,
-    /// Its last moment; [`Duration::MAX`] while it is open.
+    /// Upper bound; [`Duration::MAX`] if the interval has not ended.
     pub end: Duration,
 }
 
 impl Interval {
+    /// An interval that has not ended.
     fn open_from(start: Duration) -> Interval {
         Interval {
             start,
@@ -38,13 +39,14 @@
         self.start <= other.end && self.end >= other.start
     }
 
+    /// Length of the intersection; zero if there is none.
     fn overlap(&self, other: Interval) -> Duration {
         let end = self.end.min(other.end);
         end.saturating_sub(self.start.max(other.start))
     }
 }
 
-/// The faults of a log.
+/// Times and intervals of the faults in a log.
 #[derive(Default)]
 pub struct FaultTimeline {
     kills: BTreeMap<usize, Vec<Duration>>,
@@ -56,7 +58,7 @@
 }
 
 impl FaultTimeline {
-    /// Collects the faults of a log.
+    /// Collects the faults of a log, whose entries must be in chronological order.
     pub fn from_log(entries: &[LogEntry]) -> FaultTimeline {
         let mut timeline = FaultTimeline::default();
         for entry in entries {
@@ -66,30 +68,33 @@
     }
 
     fn add(&mut self, at: Duration, event: &Event) {
-        let opened = Interval::open_from(at);
+        let open_interval = Interval::open_from(at);
         match *event {
             Event::LimiterKilled { limiter } => self.kills.entry(limiter).or_default().push(at),
             Event::LimiterTerminated { limiter } => {
                 self.terminations.entry(limiter).or_default().push(at);
             }
             Event::BurstStarted { limiter } => {
-                self.bursts.entry(limiter).or_default().push(opened);
+                self.bursts.entry(limiter).or_default().push(open_interval);
             }
-            Event::BurstEnded { limiter } => close_open(self.bursts.get_mut(&limiter), at),
+            Event::BurstEnded { limiter } => end_open_intervals(self.bursts.get_mut(&limiter), at),
             Event::LimiterSuspended { limiter } => {
-                self.suspensions.entry(limiter).or_default().push(opened);
+                self.suspensions
+                    .entry(limiter)
+                    .or_default()
+                    .push(open_interval);
             }
             Event::LimiterContinued { limiter } => {
-                // One signal ends one suspension: the last that is open.
+                // SIGCONT ends only the latest suspension that has not ended.
                 let suspensions = self.suspensions.get_mut(&limiter).into_iter().flatten();
                 if let Some(last) = suspensions.rev().find(|interval| interval.is_open()) {
                     last.end = at;
                 }
             }
             Event::LinkPartitioned(link) => {
-                self.partitions.entry(link).or_default().push(opened);
+                self.partitions.entry(link).or_default().push(open_interval);
             }
-            Event::LinkHealed(link) => close_open(self.partitions.get_mut(&link), at),
+            Event::LinkHealed(link) => end_open_intervals(self.partitions.get_mut(&link), at),
             Event::DrainAnnounced(link) => {
                 self.drains.entry(link).or_insert(at);
             }
@@ -103,20 +108,20 @@
         kills.any(|&at| interval.contains(at))
     }
 
-    /// Whether the limiter was killed within the interval at the end of a shutdown, in which the interval began late.
+    /// Whether the interval began late in a shutdown of the limiter, and the SIGKILL of that shutdown lies within it.
     pub fn was_killed_late_in_shutdown(&self, limiter: usize, interval: Interval) -> bool {
         let terminations = self.terminations.get(&limiter).into_iter().flatten();
         let last = terminations.filter(|&&at| at <= interval.start).max();
         let Some(&terminated) = last else {
             return false;
         };
-        let is_late = interval.start > terminated + LATE_IN_SHUTDOWN;
+        let is_late = interval.start > terminated + LATE_REQUEST_AFTER_SIGTERM;
         let kills = self.kills.get(&limiter).into_iter().flatten();
         let mut kills = kills.filter(|&&at| interval.contains(at));
-        is_late && kills.any(|&killed| killed < terminated + KILL_FOLLOWS_WITHIN)
+        is_late && kills.any(|&killed| killed < terminated + MAX_KILL_DELAY_AFTER_SIGTERM)
     }
 
-    /// How long the limiter was suspended within the interval.
+    /// Total time of the interval in which the limiter was suspended.
     pub fn suspended_for(&self, limiter: usize, interval: Interval) -> Duration {
         let suspensions = self.suspensions.get(&limiter).into_iter().flatten();
         suspensions
@@ -136,13 +141,15 @@
         partitions.any(|partition| partition.overlaps(interval))
     }
 
-    /// When discovery first announced to the link's limiter that the link's server drains.
+    /// When discovery first announced to the link's limiter that the link's server is draining or removed; `None` if it
+    /// never did.
     pub fn drain_announced_at(&self, link: LinkId) -> Option<Duration> {
         self.drains.get(&link).copied()
     }
 }
 
-fn close_open(intervals: Option<&mut Vec<Interval>>, at: Duration) {
+/// Ends all intervals that have not ended before.
+fn end_open_intervals(intervals: Option<&mut Vec<Interval>>, at: Duration) {
     for interval in intervals.into_iter().flatten() {
         interval.end = interval.end.min(at);
     }
--- a/crates/merlinreel-testkit/src/checker/request_history.rs
+++ b/crates/merlinreel-testkit/src/checker/request_history.rs
@@ -1,65 +1,65 @@
-//! The history of each request, put together from what clients and servers observed.
+//! Reconstructs the history of each request from the events that clients and servers recorded.
 
 use crate::event_log::{Event, LinkId, LogEntry, RequestId};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The class of non-idempotent requests.
+/// Name of the class of non-idempotent requests.
 const NON_IDEMPOTENT_CLASS: &str = "pay";
 
 /// An attempt as its server observed it.
 #[derive(Debug)]
 pub struct Attempt {
-    /// The server.
+    /// Index of the server.
     pub server: usize,
-    /// When its last byte arrived.
+    /// When the server had received the attempt completely.
     pub received_at: Duration,
-    /// The remaining time that the limiter advertised.
+    /// The remaining time in `X-Remaining`; `None` if the header is missing or malformed.
     pub advertised_time: Option<Duration>,
-    /// When it was completed, rejected or aborted.
+    /// When the attempt was completed, rejected or aborted; `None` if it was in flight at the end of the log.
     pub ended_at: Option<Duration>,
-    /// Whether the server rejected it without running it.
+    /// Whether the server rejected the attempt without running it.
     pub was_rejected: bool,
 }
 
 /// A response as its client observed it.
 #[derive(Debug)]
 pub struct Response {
-    /// When it was complete.
+    /// When the client had read the response completely.
     pub at: Duration,
     /// The HTTP status code.
     pub status: u16,
 }
 
-/// A request from its sending on.
+/// A request and everything that was observed of it.
 #[derive(Debug)]
 pub struct RequestHistory {
-    /// Its request class.
+    /// Name of the request class.
     pub class: &'static str,
-    /// The customer that sent it.
+    /// The customer whose quota the request uses.
     pub customer: u32,
-    /// The limiter that it was sent to.
+    /// Index of the limiter that received the request.
     pub limiter: usize,
-    /// When it was sent.
+    /// When the client began to write the request; for a request sent in two parts, the second part.
     pub sent_at: Duration,
-    /// When the kernel had taken its last byte; `None` where the client never got to record it.
+    /// When the client had written the last byte; `None` if it had not by the end of the log.
     pub written_at: Option<Duration>,
-    /// The deadline that the client gave it.
+    /// Time allowed for the response, from `sent_at` on.
     pub timeout: Duration,
-    /// Its responses; there should be one.
+    /// All responses to the request. The rules allow one.
     pub responses: Vec<Response>,
-    /// Whether the client stopped waiting, or its connection ended, without a response.
+    /// Whether the client timed out, or the connection ended, without a response.
     pub client_gave_up: bool,
-    /// Whether it had no response and was the first on its connection.
+    /// Whether the request was unanswered and sent in the first round on its connection.
     pub is_first_on_connection: bool,
-    /// When its client closed the connection.
+    /// When the client closed the connection while the request was in flight; `None` if it did not.
     pub disconnected_at: Option<Duration>,
-    /// Its attempts in the order in which they were received.
+    /// The attempts in the order in which servers received them.
     pub attempts: Vec<Attempt>,
 }
 
 impl RequestHistory {
-    /// The link from its limiter to a server.
+    /// The link from the request's limiter to a server.
     pub fn link_to(&self, server: usize) -> LinkId {
         LinkId {
             limiter: self.limiter,
@@ -67,7 +67,8 @@
         }
     }
 
-    /// Whether a non-idempotent request was retried, or rejected, after an attempt that may have run.
+    /// Whether the request is non-idempotent and was retried, or rejected with 429 or 503, after an attempt that may have run.
+    /// A client may send a rejected request again.
     pub fn may_have_duplicate_effect(&self) -> bool {
         if self.class != NON_IDEMPOTENT_CLASS {
             return false;
@@ -83,14 +84,14 @@
         was_retried || was_rejected
     }
 
-    /// Whether an attempt arrived while an earlier one was in flight, as far as its server could observe:
-    /// `is_unobserved` says whether the earlier one may have ended unobserved by that time.
+    /// Whether an attempt arrived while an earlier one was in flight. `may_have_ended` returns whether the earlier attempt
+    /// may have ended by that time although its server had not observed the end.
     pub fn has_concurrent_attempts(
         &self,
-        is_unobserved: impl Fn(&Attempt, Duration) -> bool,
+        may_have_ended: impl Fn(&Attempt, Duration) -> bool,
     ) -> bool {
         let is_in_flight = |attempt: &Attempt, at| {
-            attempt.ended_at.is_none_or(|ended| ended > at) && !is_unobserved(attempt, at)
+            attempt.ended_at.is_none_or(|ended| ended > at) && !may_have_ended(attempt, at)
         };
         self.attempts.iter().enumerate().any(|(i, later)| {
             self.attempts[..i]
@@ -100,7 +101,7 @@
     }
 }
 
-/// The history of all requests of a log. Attempts and responses without a request are left out.
+/// Returns the histories of all requests in a log. Events of requests that are not in the log are ignored.
 pub fn from_log(entries: &[LogEntry]) -> BTreeMap<RequestId, RequestHistory> {
     let mut histories = Histories::default();
     for entry in entries {
@@ -109,8 +110,8 @@
     histories.requests
 }
 
-/// An attempt's request and its place among that request's attempts.
-struct AttemptPlace {
+/// Locates an attempt: its request, and the index in [`RequestHistory::attempts`].
+struct AttemptLocation {
     id: RequestId,
     index: usize,
 }
@@ -118,7 +119,8 @@
 #[derive(Default)]
 struct Histories {
     requests: BTreeMap<RequestId, RequestHistory>,
-    attempts: BTreeMap<u64, AttemptPlace>,
+    /// By attempt number.
+    attempts: BTreeMap<u64, AttemptLocation>,
 }
 
 impl Histories {
@@ -159,7 +161,7 @@
         }
     }
 
-    /// Adds an event to its request, where that is known.
+    /// Adds an event to the history of its request. Does nothing if the request is unknown.
     fn update(&mut self, id: &RequestId, at: Duration, event: &Event) {
         let Some(request) = self.requests.get_mut(id) else {
             return;
@@ -184,11 +186,11 @@
                 advertised_time,
                 ..
             } => {
-                let place = AttemptPlace {
+                let location = AttemptLocation {
                     id: id.clone(),
                     index: request.attempts.len(),
                 };
-                self.attempts.insert(*attempt, place);
+                self.attempts.insert(*attempt, location);
                 request.attempts.push(Attempt {
                     server: *server,
                     received_at: at,
@@ -201,11 +203,12 @@
         }
     }
 
+    /// Records the end of an attempt; only the first end counts.
     fn end_attempt(&mut self, attempt: u64, at: Duration, was_rejected: bool) {
-        let place = self.attempts.get(&attempt);
-        let found = place.and_then(|place| {
-            let request = self.requests.get_mut(&place.id)?;
-            request.attempts.get_mut(place.index)
+        let location = self.attempts.get(&attempt);
+        let found = location.and_then(|location| {
+            let request = self.requests.get_mut(&location.id)?;
+            request.attempts.get_mut(location.index)
         });
         if let Some(attempt) = found {
             attempt.ended_at.get_or_insert(at);
--- a/crates/merlinreel-testkit/src/checker/tests.rs
+++ b/crates/merlinreel-testkit/src/checker/tests.rs
@@ -29,7 +29,7 @@
     }
 }
 
-fn received_with_time(milliseconds: u64) -> Event {
+fn received_with_advertised_time(milliseconds: u64) -> Event {
     Event::AttemptReceived {
         id: "a".into(),
         server: 0,
@@ -57,7 +57,8 @@
     }
 }
 
-/// The rules that a sequence of events violates, by their names in the text.
+/// Returns the names of the rules that a sequence of events violates, as their descriptions begin. Times are in
+/// milliseconds.
 fn violated_rules(events: &[(u64, Event)]) -> Vec<String> {
     let entries: Vec<LogEntry> = events
         .iter()
@@ -78,25 +79,32 @@
     );
     found
         .iter()
-        .map(|one| one.to_string().split(':').next().unwrap_or("").to_owned())
+        .map(|violation| {
+            violation
+                .to_string()
+                .split(':')
+                .next()
+                .unwrap_or("")
+                .to_owned()
+        })
         .collect()
 }
 
-/// Each rule has a sequence that violates it and one close to it that does not.
+/// For each rule, a sequence of events that violates it and a similar one that does not.
 #[test_case(&[(0, sent("pay")), (1, received(0, 1)), (2, Event::AttemptCompleted { attempt: 1 }), (3, answered(200))] => Vec::<String>::new() ; "no violation")]
-#[test_case(&[(0, sent("pay")), (900, unanswered(false))] => vec!["no request lost"] ; "lost")]
+#[test_case(&[(0, sent("pay")), (900, unanswered(false))] => vec!["no request lost"] ; "unanswered request")]
 #[test_case(&[(0, sent("pay")), (5, Event::LimiterKilled { limiter: 0 }), (9, unanswered(false))] => Vec::<String>::new() ; "limiter killed")]
 #[test_case(&[(0, Event::BurstStarted { limiter: 0 }), (1, sent("pay")), (9, unanswered(true))] => Vec::<String>::new() ; "new connection closed in a burst")]
-#[test_case(&[(0, Event::BurstStarted { limiter: 0 }), (1, sent("pay")), (9, unanswered(false))] => vec!["no request lost"] ; "kept connection closed in a burst")]
-#[test_case(&[(0, Event::LimiterTerminated { limiter: 0 }), (800, sent("pay")), (1500, Event::LimiterKilled { limiter: 0 }), (1501, unanswered(false))] => vec!["no request lost"] ; "sent late in a shutdown, lost at the kill")]
-#[test_case(&[(0, Event::LimiterTerminated { limiter: 0 }), (2600, sent("pay")), (2700, Event::LimiterKilled { limiter: 0 }), (2701, unanswered(false))] => Vec::<String>::new() ; "lost at a later kill, after a restart")]
-#[test_case(&[(0, Event::LimiterTerminated { limiter: 0 }), (600, sent("pay")), (1500, Event::LimiterKilled { limiter: 0 }), (1501, unanswered(false))] => Vec::<String>::new() ; "sent early in a shutdown, lost at the kill")]
+#[test_case(&[(0, Event::BurstStarted { limiter: 0 }), (1, sent("pay")), (9, unanswered(false))] => vec!["no request lost"] ; "reused connection closed in a burst")]
+#[test_case(&[(0, Event::LimiterTerminated { limiter: 0 }), (800, sent("pay")), (1500, Event::LimiterKilled { limiter: 0 }), (1501, unanswered(false))] => vec!["no request lost"] ; "sent late in a shutdown, unanswered at the kill")]
+#[test_case(&[(0, Event::LimiterTerminated { limiter: 0 }), (2600, sent("pay")), (2700, Event::LimiterKilled { limiter: 0 }), (2701, unanswered(false))] => Vec::<String>::new() ; "unanswered at a later kill, after a restart")]
+#[test_case(&[(0, Event::LimiterTerminated { limiter: 0 }), (600, sent("pay")), (1500, Event::LimiterKilled { limiter: 0 }), (1501, unanswered(false))] => Vec::<String>::new() ; "sent early in a shutdown, unanswered at the kill")]
 #[test_case(&[(0, sent("pay")), (5, Event::ClientDisconnected { id: "a".into() }), (600, received(0, 1)), (601, Event::AttemptAborted { attempt: 1 })] => vec!["no attempt after the client disconnected"] ; "attempt after the client disconnected")]
 #[test_case(&[(0, sent("pay")), (3, received(0, 1)), (5, Event::ClientDisconnected { id: "a".into() }), (60, Event::AttemptAborted { attempt: 1 })] => Vec::<String>::new() ; "attempt before the client disconnected")]
-#[test_case(&[(0, sent("pay")), (700, received_with_time(1000)), (701, Event::AttemptCompleted { attempt: 1 }), (702, answered(200))] => vec!["time advertised to servers"] ; "full time advertised late")]
-#[test_case(&[(0, sent("pay")), (700, received_with_time(320)), (701, Event::AttemptCompleted { attempt: 1 }), (702, answered(200))] => Vec::<String>::new() ; "remaining time advertised")]
+#[test_case(&[(0, sent("pay")), (700, received_with_advertised_time(1000)), (701, Event::AttemptCompleted { attempt: 1 }), (702, answered(200))] => vec!["time advertised to servers"] ; "full time advertised late")]
+#[test_case(&[(0, sent("pay")), (700, received_with_advertised_time(320)), (701, Event::AttemptCompleted { attempt: 1 }), (702, answered(200))] => Vec::<String>::new() ; "remaining time advertised")]
 #[test_case(&[(0, sent("look")), (3, answered(200)), (4, answered(429))] => vec!["one final response"] ; "two responses")]
-#[test_case(&[(0, sent("look")), (4000, answered(200))] => vec!["response in time"] ; "late")]
+#[test_case(&[(0, sent("look")), (4000, answered(200))] => vec!["response in time"] ; "late response")]
 #[test_case(&[(0, sent("look")), (10, Event::LimiterSuspended { limiter: 0 }), (3000, Event::LimiterContinued { limiter: 0 }), (4000, answered(502))] => Vec::<String>::new() ; "limiter suspended")]
 #[test_case(&[(0, sent("pay")), (1, received(0, 1)), (2, Event::AttemptAborted { attempt: 1 }), (3, received(1, 2)), (4, Event::AttemptCompleted { attempt: 2 }), (5, answered(200))] => vec!["no duplicate effect"] ; "non-idempotent request retried")]
 #[test_case(&[(0, sent("pay")), (1, received(0, 1)), (2, Event::AttemptAborted { attempt: 1 }), (3, answered(429))] => vec!["no duplicate effect"] ; "rejected though it may have run")]
@@ -105,21 +113,21 @@
 #[test_case(&[(0, sent("look")), (1, received(0, 1)), (2, received(1, 2)), (4, Event::AttemptCompleted { attempt: 2 }), (5, answered(200)), (400, Event::AttemptAborted { attempt: 1 })] => vec!["one attempt at a time"] ; "two attempts at once")]
 #[test_case(&[(0, Event::LinkPartitioned(link(0, 0))), (1, sent("look")), (2, received(0, 1)), (3, received(1, 2)), (4, Event::AttemptCompleted { attempt: 2 }), (5, answered(200)), (6, Event::LinkHealed(link(0, 0))), (7, Event::AttemptAborted { attempt: 1 })] => Vec::<String>::new() ; "partition hides the end of an attempt")]
 #[test_case(&[(0, Event::LinkPartitioned(link(0, 1))), (1, sent("look")), (2, received(0, 1)), (3, received(1, 2)), (4, Event::AttemptCompleted { attempt: 2 }), (5, answered(200)), (6, Event::LinkHealed(link(0, 1))), (400, Event::AttemptAborted { attempt: 1 })] => vec!["one attempt at a time"] ; "another link partitioned")]
-#[test_case(&[(0, Event::DrainAnnounced(link(0, 3))), (3500, sent("look")), (3600, received(3, 1)), (3601, Event::AttemptCompleted { attempt: 1 }), (3602, answered(200))] => vec!["no attempt after a drain"] ; "after the grace")]
-#[test_case(&[(0, Event::DrainAnnounced(link(1, 3))), (3500, sent("look")), (3600, received(3, 1)), (3601, Event::AttemptCompleted { attempt: 1 }), (3602, answered(200))] => Vec::<String>::new() ; "announced to another limiter")]
-#[test_case(&[(0, sent("put")), (10, written()), (2200, answered(408))] => vec!["response in time", "no complete request refused as late"] ; "complete request called incomplete")]
-#[test_case(&[(0, sent("put")), (900, written()), (1900, answered(408))] => Vec::<String>::new() ; "slowly written request called incomplete")]
-fn event_sequence_breaks_expected_rules(events: &[(u64, Event)]) -> Vec<String> {
+#[test_case(&[(0, Event::DrainAnnounced(link(0, 3))), (3500, sent("look")), (3600, received(3, 1)), (3601, Event::AttemptCompleted { attempt: 1 }), (3602, answered(200))] => vec!["no attempt after a drain"] ; "attempt after the drain grace")]
+#[test_case(&[(0, Event::DrainAnnounced(link(1, 3))), (3500, sent("look")), (3600, received(3, 1)), (3601, Event::AttemptCompleted { attempt: 1 }), (3602, answered(200))] => Vec::<String>::new() ; "drain announced to another limiter")]
+#[test_case(&[(0, sent("put")), (10, written()), (2200, answered(408))] => vec!["response in time", "no complete request refused as late"] ; "complete request rejected as incomplete")]
+#[test_case(&[(0, sent("put")), (900, written()), (1900, answered(408))] => Vec::<String>::new() ; "slowly written request rejected as incomplete")]
+fn event_sequence_violates_expected_rules(events: &[(u64, Event)]) -> Vec<String> {
     violated_rules(events)
 }
 
-/// Three requests at once exceed a burst of two by one; spread over the refill they do not.
-#[test_case(0 => vec!["quota"] ; "at once")]
-#[test_case(1000 => Vec::<String>::new() ; "spread over the refill")]
-fn use_over_the_quota_is_a_violation(apart: u64) -> Vec<String> {
+/// Three requests at once exceed a burst of two units by one. At the rate of the refill they do not.
+#[test_case(0 => vec!["quota"] ; "all at once")]
+#[test_case(1000 => Vec::<String>::new() ; "at the rate of the refill")]
+fn use_over_the_quota_is_a_violation(interval_ms: u64) -> Vec<String> {
     let mut events = Vec::new();
     for n in 0..3u64 {
-        let (id, at) = (format!("j{n}"), n * apart);
+        let (id, at) = (format!("j{n}"), n * interval_ms);
         let timeout = ms(1000);
         events.push((
             at,
--- a/crates/merlinreel-testkit/src/checker/violation.rs
+++ b/crates/merlinreel-testkit/src/checker/violation.rs
@@ -1,25 +1,25 @@
-//! What a log may violate.
+//! Violations of the protocol's rules, and their descriptions.
 
 use crate::event_log::RequestId;
 use std::fmt;
 use std::time::Duration;
 
-/// An attempt with more time than its client had left, and what was observed of it.
+/// An attempt that advertised more time than its client had left.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AdvertisedTime {
-    /// The request.
+    /// Id of the request that the attempt belongs to.
     pub id: RequestId,
-    /// The number of its limiter.
+    /// Index of the limiter that made the attempt.
     pub limiter: usize,
-    /// When its client was about to write it.
+    /// When the client began to write the request.
     pub sent_at: Duration,
-    /// When the kernel had taken its last byte.
+    /// When the client had written the last byte of the request; `None` if it had not by the end of the log.
     pub written_at: Option<Duration>,
-    /// When the attempt's last byte arrived at its server.
+    /// When the server had received the attempt completely.
     pub received_at: Duration,
-    /// What the limiter advertised.
+    /// The remaining time that the limiter advertised to the server.
     pub advertised: Duration,
-    /// What the client had left.
+    /// The remaining time of the client at `received_at`.
     pub remaining: Duration,
 }
 
@@ -38,44 +38,44 @@
     }
 }
 
-/// A rule that a log violates, and where.
+/// A violation of a rule, with the request, server or customer concerned.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Violation {
-    /// More requests than tolerated had no response though their limiter was running.
+    /// More requests than tolerated were unanswered although no fault of their limiter excused it.
     LostRequests {
-        /// Requests without a response.
+        /// Number of such requests.
         unanswered: usize,
-        /// All requests.
+        /// Number of all requests in the log.
         requests: usize,
     },
-    /// The request arrived late in a shutdown, and SIGKILL found it without a response.
+    /// The request was sent late in a shutdown and was still unanswered at SIGKILL.
     LostAtKill(RequestId),
     /// The request had more than one response.
     DuplicateResponse(RequestId),
-    /// The response arrived too long after the deadline.
+    /// The response arrived later after the deadline than tolerated.
     LateResponse(RequestId),
-    /// The request was answered as incomplete, though its client had written all of it at once.
-    CalledIncomplete(RequestId),
-    /// An attempt began after its client had disconnected.
+    /// The request was rejected as incomplete (408) although its client had written all of it promptly.
+    RejectedAsIncomplete(RequestId),
+    /// An attempt arrived at a server too long after its client had disconnected.
     AttemptAfterDisconnect(RequestId),
-    /// More time than the client had left was advertised to a server.
+    /// An attempt advertised more time than the client had left.
     ExcessiveAdvertisedTime(AdvertisedTime),
-    /// A non-idempotent request was retried, or rejected, after an attempt that may have run.
+    /// A non-idempotent request was retried, or rejected with 429 or 503, after an attempt that may have run.
     DuplicateEffect(RequestId),
     /// Two attempts of one request were in flight at once.
     ConcurrentAttempts(RequestId),
-    /// An attempt began at a server after the grace of its announced drain.
+    /// An attempt arrived at a server later than the drain grace after its drain was announced.
     AttemptAfterDrain {
-        /// The request.
+        /// Id of the request that the attempt belongs to.
         id: RequestId,
-        /// The server.
+        /// Index of the draining server.
         server: usize,
     },
     /// A customer used more units than its quota grants.
     QuotaExceeded {
-        /// The customer.
+        /// The customer that exceeded its quota.
         customer: u32,
-        /// Units in excess.
+        /// Whole units used in excess.
         units: u64,
     },
 }
@@ -100,7 +100,7 @@
             Violation::LateResponse(id) => {
                 write!(f, "response in time: request {id} had it later")
             }
-            Violation::CalledIncomplete(id) => {
+            Violation::RejectedAsIncomplete(id) => {
                 write!(f, "no complete request refused as late: request {id}")
             }
             Violation::AttemptAfterDisconnect(id) => {
--- a/crates/merlinreel-testkit/src/event_log.rs
+++ b/crates/merlinreel-testkit/src/event_log.rs
@@ -1,136 +1,136 @@
-//! What clients, stubs and fault injection observed, in the order of time.
+//! The shared log in which clients, stubs and fault injection record events, in chronological order.
 
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
-/// The value of `X-Txn`, as the client wrote it.
+/// A request's `X-Txn` header value, as the client wrote it. All attempts of the request carry the same value.
 pub type RequestId = String;
 
-/// The link between a limiter and a server, by their numbers in the cluster.
+/// Identifies the link between a limiter and a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct LinkId {
-    /// The limiter.
+    /// The limiter's index in the cluster, from 0.
     pub limiter: usize,
-    /// The server.
+    /// The server's index in the cluster, from 0.
     pub server: usize,
 }
 
-/// One observation. Limiters and servers are identified by their numbers in the cluster.
+/// An observed event. Limiters and servers are identified by their indexes in the cluster, from 0.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
     /// A client is about to write a complete request to a limiter.
     RequestSent {
-        /// The request.
+        /// Unique id of the new request.
         id: RequestId,
-        /// Its request class.
+        /// Name of the request class, as in the settings.
         class: &'static str,
-        /// The customer that sent it.
+        /// The customer whose quota the request uses.
         customer: u32,
-        /// The limiter that it was sent to.
+        /// Index of the limiter that receives the request.
         limiter: usize,
-        /// The deadline that the client gave it.
+        /// Time allowed for the response, from this event on. The client sends it in `X-Remaining`.
         timeout: Duration,
     },
-    /// The kernel has taken the last byte of a request from its client.
+    /// The client has written the last byte of a request to its socket. Recorded after the write returns, even if it failed.
     RequestWritten {
-        /// The request.
+        /// Id given in [`Event::RequestSent`].
         id: RequestId,
     },
     /// The client read a complete response.
     ResponseReceived {
-        /// The request.
+        /// Id of the answered request.
         id: RequestId,
         /// The HTTP status code.
         status: u16,
         /// Whether the response carried `Retry-After`.
         has_retry_after: bool,
     },
-    /// The connection ended, or the client stopped waiting, without a complete response.
+    /// The connection ended, or the client timed out, before a complete and well-formed response.
     NoResponse {
-        /// The request.
+        /// Id of the unanswered request.
         id: RequestId,
-        /// Whether the request was the first on its connection.
+        /// Whether the request was sent in the first round on its connection (pipelined requests form one round).
         is_first_on_connection: bool,
     },
     /// The client closed the connection while the request was in flight.
     ClientDisconnected {
-        /// The request.
+        /// Id of the abandoned request.
         id: RequestId,
     },
-    /// The last byte of an attempt arrived at a server.
+    /// A server received an attempt completely.
     AttemptReceived {
-        /// The request.
+        /// Id of the request that the limiter forwarded.
         id: RequestId,
-        /// The server.
+        /// Index of the receiving server.
         server: usize,
-        /// A number unique to the attempt.
+        /// Number of the attempt, unique among all stub servers of the test process.
         attempt: u64,
-        /// The remaining time that the limiter advertised to the server.
+        /// The remaining time in the attempt's `X-Remaining` header; `None` if the header is missing or malformed.
         advertised_time: Option<Duration>,
     },
     /// The server rejected the attempt without running it.
     AttemptRejected {
-        /// The attempt.
+        /// Number given in [`Event::AttemptReceived`].
         attempt: u64,
     },
-    /// The attempt has run, and its response is about to be written.
+    /// The server ran the attempt to completion and is about to write the response.
     AttemptCompleted {
-        /// The attempt.
+        /// Number given in [`Event::AttemptReceived`].
         attempt: u64,
     },
-    /// The limiter ended the connection before the attempt had run.
+    /// The connection from the limiter ended before the attempt completed.
     AttemptAborted {
-        /// The attempt.
+        /// Number given in [`Event::AttemptReceived`].
         attempt: u64,
     },
-    /// Discovery announced to a limiter that a server is draining or removed.
+    /// Discovery is about to send a limiter a list in which a server is draining or removed. Recorded for each such response.
     DrainAnnounced(LinkId),
-    /// The link carries nothing from now on, so that neither side sees what the other does.
+    /// The link stops carrying traffic in at least the direction from server to limiter.
     LinkPartitioned(LinkId),
-    /// The link carries everything again.
+    /// The link carries traffic in both directions again.
     LinkHealed(LinkId),
-    /// The limiter's process was killed.
+    /// The limiter's process is about to be sent, or was just sent, SIGKILL. May be recorded twice for one kill.
     LimiterKilled {
-        /// The limiter.
+        /// Index of the limiter.
         limiter: usize,
     },
-    /// The limiter's process was asked to stop; it is killed later where it has not exited by then.
+    /// The limiter's process is sent SIGTERM. If it doesn't exit in time, [`Event::LimiterKilled`] follows.
     LimiterTerminated {
-        /// The limiter.
+        /// Index of the limiter.
         limiter: usize,
     },
-    /// Connections that never send a request occupy all of the limiter's connection slots.
+    /// Connections that never send a complete request begin to occupy all of the limiter's connection slots.
     BurstStarted {
-        /// The limiter.
+        /// Index of the limiter.
         limiter: usize,
     },
-    /// Those connections were closed.
+    /// The connections of the burst were closed.
     BurstEnded {
-        /// The limiter.
+        /// Index of the limiter.
         limiter: usize,
     },
-    /// The limiter's process was suspended.
+    /// The limiter's process is sent SIGSTOP.
     LimiterSuspended {
-        /// The limiter.
+        /// Index of the limiter.
         limiter: usize,
     },
-    /// The limiter's process was continued.
+    /// The limiter's process was sent SIGCONT.
     LimiterContinued {
-        /// The limiter.
+        /// Index of the limiter.
         limiter: usize,
     },
 }
 
-/// An event and its time.
+/// An event with the time at which it was recorded.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LogEntry {
     /// Time since the log was created.
     pub at: Duration,
-    /// What was observed.
+    /// The recorded event.
     pub event: Event,
 }
 
-/// A log that all observers share; clones append to the same log.
+/// A log shared by all observers. Clones append to the same log.
 #[derive(Clone, Debug)]
 pub struct EventLog {
     created: Instant,
@@ -147,17 +147,17 @@
 }
 
 impl EventLog {
-    /// Appends an event with the present time.
+    /// Appends an event with the current time.
     pub fn record(&self, event: Event) {
         let mut entries = self.entries.lock().unwrap_or_else(PoisonError::into_inner);
-        // The time is read under the lock, so that entries are in the order of time.
+        // The time is read under the lock to keep the entries in chronological order.
         entries.push(LogEntry {
             at: self.created.elapsed(),
             event,
         });
     }
 
-    /// All entries so far, in the order of time.
+    /// Returns a copy of all entries so far, in chronological order.
     pub fn entries(&self) -> Vec<LogEntry> {
         self.entries
             .lock()
--- a/crates/merlinreel-testkit/src/fault_plan.rs
+++ b/crates/merlinreel-testkit/src/fault_plan.rs
@@ -1,4 +1,4 @@
-//! Which faults are injected when: drawn from a seed, the same each time.
+//! Fault plans: randomly generated schedules of faults, reproducible from a seed.
 
 use crate::event_log::LinkId;
 use rand::{RngExt, SeedableRng};
@@ -7,108 +7,112 @@
 
 mod wide;
 
-/// A terminated limiter is restarted after this time; where necessary it was killed before.
-const RESTART_AFTER_TERMINATION: Duration = Duration::from_millis(2500);
+/// Time from SIGTERM to the restart of a limiter. It is longer than the time after which the cluster sends SIGKILL, so
+/// the old process no longer runs by then.
+const RESTART_DELAY_AFTER_SIGTERM: Duration = Duration::from_millis(2500);
 
-/// One fault, or the end of one. Limiters and servers are identified by their numbers in the cluster.
+/// A fault, or the recovery from one. Limiters and servers are identified by their indexes in the cluster, from 0.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// A fault of a limiter's process or its surroundings.
+    /// A fault of a limiter's process, its configuration, its clients or its discovery.
     Limiter {
-        /// The limiter.
+        /// Index of the limiter.
         limiter: usize,
-        /// What is done to it.
+        /// The action on the limiter.
         fault: LimiterFault,
     },
     /// A fault of a server.
     Server {
-        /// The server.
+        /// Index of the server.
         server: usize,
-        /// What is done to it.
+        /// The action on the server.
         fault: ServerFault,
     },
-    /// A fault of a link.
+    /// A fault of the network between a limiter and a server.
     Link {
-        /// The link.
+        /// The affected link.
         link: LinkId,
-        /// What is done to it.
+        /// The action on the link.
         fault: LinkFault,
     },
 }
 
-/// What is done to a limiter.
+/// A fault of a limiter, or the recovery from one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LimiterFault {
-    /// Kills its process.
+    /// Kills the process with SIGKILL.
     Kill,
-    /// Starts its process again.
+    /// Starts a new process after a kill or termination.
     Start,
-    /// Suspends its process with SIGSTOP.
+    /// Suspends the process with SIGSTOP.
     Suspend,
-    /// Continues its process with SIGCONT.
+    /// Continues the process with SIGCONT.
     Continue,
-    /// Sends SIGTERM, with SIGHUP between repeated signals; SIGKILL follows as early as the protocol allows.
+    /// Sends SIGTERM, with SIGHUP before each repetition. SIGKILL follows as early as the protocol allows.
     Terminate {
-        /// How often SIGTERM is sent, 20 ms apart.
+        /// How many times SIGTERM is sent, at intervals of 20 ms.
         signals: u32,
     },
-    /// Has it reload a configuration that can't be read, and then the same one as before.
+    /// Makes the limiter reload a configuration that can't be parsed, and then its previous configuration again. Skipped for
+    /// a limiter that is shutting down or not running.
     Reload,
-    /// Occupies all of its connection slots with connections that never send a request.
+    /// Occupies all connection slots with connections that never send a complete request.
     StartConnectionBurst,
     /// Closes the connections of the burst.
     EndConnectionBurst,
-    /// Its discovery stops responding.
+    /// Makes the limiter's discovery stop responding. Connections to it stay open.
     SilenceDiscovery,
-    /// Its discovery responds again.
+    /// Makes the limiter's discovery respond again.
     RestoreDiscovery,
 }
 
-/// What is done to a server.
+/// A fault of a server, or the recovery from one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServerFault {
-    /// It drains, and discovery announces it.
+    /// Makes the server reject new requests, and every discovery list it as draining. The server never leaves this state.
     Drain,
-    /// It accepts requests and makes no progress.
+    /// Makes the server accept requests without making progress.
     Pause,
-    /// It makes progress again.
+    /// Lets the server make progress again.
     Resume,
 }
 
-/// What is done to a link.
+/// A fault of a link, or the recovery from one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LinkFault {
-    /// Nothing passes in either direction.
+    /// Stops traffic in both directions.
     Partition,
-    /// Nothing passes from the server to the limiter.
+    /// Stops traffic from the server to the limiter only.
     PartitionResponses,
-    /// Everything passes late, and responses in small pieces.
+    /// Delays traffic in both directions and splits responses into small pieces.
     Slow,
-    /// Everything passes again.
+    /// Restores undelayed traffic in both directions.
     Heal,
-    /// Closes all open connections.
+    /// Closes all open connections of the link. New connections can be made.
     CloseConnections,
 }
 
-/// A fault and its time.
+/// A fault and the time at which it is injected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PlannedFault {
-    /// Time since the plan's start.
+    /// Time since the start of the run.
     pub at: Duration,
-    /// What is injected.
+    /// The fault to inject, or the recovery from an earlier one.
     pub fault: Fault,
 }
 
-/// Faults in the order of their times.
+/// A schedule of faults, reproducible from its seed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FaultPlan {
-    /// The faults and their ends.
+    /// The faults and recoveries in chronological order.
     pub faults: Vec<PlannedFault>,
 }
 
 impl FaultPlan {
-    /// Draws `fault_count` faults within a duration, each of which also ends within it. A limiter's process has no two
-    /// faults at a time, and server 0 has none, so that there is always one available.
+    /// Draws `fault_count` faults that begin and end within `duration`. Process faults of one limiter do not overlap. With
+    /// more than one server, server 0 and its links have no faults, so that one server is always available.
+    ///
+    /// A restart after termination takes a fixed time, so in plans shorter than 6.25 s it may lie beyond `duration`.
     pub fn generate(
         seed: u64,
         fault_count: usize,
@@ -123,7 +127,8 @@
         generator.into_plan()
     }
 
-    /// The same faults, and as many that combine several (`fault_plan/wide.rs`).
+    /// Draws `fault_count` single faults like [`FaultPlan::generate`], and as many compound faults, which combine several
+    /// (`fault_plan/wide.rs`). Links to server 0 may be slow.
     pub fn generate_wide(
         seed: u64,
         fault_count: usize,
@@ -134,7 +139,7 @@
         let mut generator = Generator::new(seed, limiters, servers);
         for _ in 0..fault_count {
             generator.draw(duration);
-            generator.draw_wide(duration);
+            generator.draw_compound_fault(duration);
         }
         generator.into_plan()
     }
@@ -145,12 +150,12 @@
         Generator {
             random: ChaCha8Rng::seed_from_u64(seed),
             servers,
-            unavailable_until: vec![Duration::ZERO; limiters],
+            process_faulty_until: vec![Duration::ZERO; limiters],
             faults: Vec::new(),
         }
     }
 
-    /// The faults drawn so far, in the order of their times.
+    /// Sorts the drawn faults by time.
     fn into_plan(self) -> FaultPlan {
         let mut faults = self.faults;
         faults.sort_by_key(|planned| planned.at);
@@ -161,23 +166,23 @@
 struct Generator {
     random: ChaCha8Rng,
     servers: usize,
-    /// By limiter, until when its process has a fault.
-    unavailable_until: Vec<Duration>,
+    /// For each limiter, the time from which its process may have another fault.
+    process_faulty_until: Vec<Duration>,
     faults: Vec<PlannedFault>,
 }
 
 impl Generator {
-    /// Draws one fault and its end.
+    /// Draws one fault and its recovery.
     fn draw(&mut self, duration: Duration) {
         let start = duration.mul_f64(self.random.random_range(0.05..0.6));
         let end = start + duration.mul_f64(self.random.random_range(0.1..0.3));
-        let limiter = self.random.random_range(0..self.unavailable_until.len());
+        let limiter = self.random.random_range(0..self.process_faulty_until.len());
         let server = if self.servers > 1 {
             self.random.random_range(1..self.servers)
         } else {
             0
         };
-        let is_available = start >= self.unavailable_until[limiter];
+        let is_available = start >= self.process_faulty_until[limiter];
         match self.random.random_range(0..12) {
             0 | 1 if is_available => self.draw_outage(limiter, start, end),
             8 | 9 if is_available => self.draw_termination(limiter, start),
@@ -189,9 +194,9 @@
         }
     }
 
-    /// Kills or suspends a limiter's process.
+    /// Draws whether the limiter's process is killed or suspended from `start` to `end`.
     fn draw_outage(&mut self, limiter: usize, start: Duration, end: Duration) {
-        self.unavailable_until[limiter] = end;
+        self.process_faulty_until[limiter] = end;
         let (fault, recovery) = if self.random.random_range(0..2) == 0 {
             (LimiterFault::Kill, LimiterFault::Start)
         } else {
@@ -203,8 +208,8 @@
     }
 
     fn draw_termination(&mut self, limiter: usize, start: Duration) {
-        let restart = start + RESTART_AFTER_TERMINATION;
-        self.unavailable_until[limiter] = restart;
+        let restart = start + RESTART_DELAY_AFTER_SIGTERM;
+        self.process_faulty_until[limiter] = restart;
         let signals = self.random.random_range(1..4);
         let fault = LimiterFault::Terminate { signals };
         self.push(start, Fault::Limiter { limiter, fault });
@@ -212,7 +217,8 @@
         self.push(restart, Fault::Limiter { limiter, fault });
     }
 
-    /// A fault beside those of processes, and its end.
+    /// Returns the fault with this drawn number and its recovery, for faults that leave processes running. Numbers with no
+    /// fault of their own, or whose fault is not possible now, close connections.
     fn fault_of_kind(&self, kind: u32, link: LinkId) -> (Fault, Fault) {
         let LinkId { limiter, server } = link;
         let of_limiter = |fault| Fault::Limiter { limiter, fault };
--- a/crates/merlinreel-testkit/src/fault_plan/tests.rs
+++ b/crates/merlinreel-testkit/src/fault_plan/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// The faults of limiters with their numbers, in the order of time.
+/// The limiter faults of a plan in chronological order, each with its limiter's index.
 fn limiter_faults(plan: &FaultPlan) -> Vec<(usize, LimiterFault)> {
     let faults = plan
         .faults
@@ -12,7 +12,8 @@
     faults.collect()
 }
 
-/// The same seed always draws the same plan.
+/// The same seed draws the same plan. Each kill, termination, suspension and connection burst has a recovery, all faults
+/// lie within the duration, and process faults of one limiter do not overlap.
 #[test]
 fn generated_plan_ends_every_fault() {
     for seed in 0..200 {
@@ -23,11 +24,11 @@
         let count = |wanted: fn(&LimiterFault) -> bool| {
             faults.iter().filter(|(_, fault)| wanted(fault)).count()
         };
-        let ends_process = |fault: &LimiterFault| {
+        let is_kill_or_termination = |fault: &LimiterFault| {
             matches!(fault, LimiterFault::Kill | LimiterFault::Terminate { .. })
         };
         assert_eq!(
-            count(ends_process),
+            count(is_kill_or_termination),
             count(|fault| *fault == LimiterFault::Start)
         );
         assert_eq!(
@@ -39,14 +40,14 @@
             count(|fault| *fault == LimiterFault::Continue)
         );
         assert!(plan.faults.iter().all(|planned| planned.at <= duration));
-        let mut unavailable = [false; 3];
+        let mut has_process_fault = [false; 3];
         for (limiter, fault) in faults {
             match fault {
                 LimiterFault::Kill | LimiterFault::Terminate { .. } | LimiterFault::Suspend => {
-                    assert!(!std::mem::replace(&mut unavailable[limiter], true));
+                    assert!(!std::mem::replace(&mut has_process_fault[limiter], true));
                 }
                 LimiterFault::Start | LimiterFault::Continue => {
-                    assert!(std::mem::replace(&mut unavailable[limiter], false));
+                    assert!(std::mem::replace(&mut has_process_fault[limiter], false));
                 }
                 _ => {}
             }
