--- a/crates/merlinreel-testkit/src/client.rs
+++ b/crates/merlinreel-testkit/src/client.rs
@@ -1,4 +1,4 @@
-//! A client's connection to a limiter, and requests as clients write them.
+//! A client's connection to a limiter, and the text of client requests.
 
 use crate::TEST_TIMEOUT;
 use crate::http::{Message, ReadError, read};
@@ -7,9 +7,10 @@
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::time::Duration;
 
+/// Id of the next request, unique within the test process.
 static NEXT_REQUEST_ID: AtomicU32 = AtomicU32::new(0x9b1f_03aa);
 
-/// A connection to a limiter.
+/// A client's HTTP/1.1 connection to a limiter. Reads time out after [`TEST_TIMEOUT`] by default.
 #[derive(Debug)]
 pub struct Client {
     writer: TcpStream,
@@ -25,10 +26,10 @@
         Client::connect_within(address, TEST_TIMEOUT)
     }
 
-    /// Connects within a time of its own.
+    /// Connects within `timeout`.
     ///
     /// # Errors
-    /// The connection is refused or not established within that time, as where the listener's queue is full.
+    /// The connection is refused or not established within `timeout`, for example because the listen queue is full.
     pub fn connect_within(address: SocketAddr, timeout: Duration) -> io::Result<Client> {
         let writer = TcpStream::connect_timeout(&address, timeout)?;
         writer.set_read_timeout(Some(TEST_TIMEOUT))?;
@@ -38,21 +39,21 @@
         })
     }
 
-    /// Bounds the time of each later read.
+    /// Sets the timeout of each later read.
     ///
     /// # Errors
-    /// The timeout is zero, or the socket refuses it.
+    /// The timeout is zero, or the socket option can't be set.
     pub fn set_read_timeout(&self, timeout: Duration) -> io::Result<()> {
         self.writer.set_read_timeout(Some(timeout))
     }
 
-    /// Sends text as it stands.
+    /// Sends text unchanged. Errors are ignored.
     pub fn send(&mut self, text: &str) {
-        // Where the other side has closed, the missing response shows it.
+        // If the other side has closed the connection, the missing response shows it.
         let _ = self.writer.write_all(text.as_bytes());
     }
 
-    /// A second handle, to write while this one reads.
+    /// Returns a second handle of the connection, for writing while this one reads.
     ///
     /// # Errors
     /// The socket can't be duplicated.
@@ -60,12 +61,12 @@
         self.writer.try_clone()
     }
 
-    /// The next response; none where the connection ends without a complete one.
+    /// Reads the next response. `None` if the connection ends or times out without a complete, well-formed one.
     pub fn receive(&mut self) -> Option<Message> {
         self.receive_or_error().ok().flatten()
     }
 
-    /// The next response; `None` where the connection ended before one began.
+    /// Reads the next response. `None` if the connection ended before it began.
     ///
     /// # Errors
     /// The response was truncated, malformed or did not arrive in time.
@@ -73,29 +74,29 @@
         read(&mut self.reader, 0)
     }
 
-    /// Shuts down the sending side; responses still arrive.
+    /// Shuts down the write half of the connection. Responses can still be received.
     pub fn finish_sending(&mut self) {
-        // Where the other side has closed already, there is nothing to shut down.
+        // If the other side has closed the connection already, there is nothing to shut down.
         let _ = self.writer.shutdown(Shutdown::Write);
     }
 
-    /// Sends text and reads one response.
+    /// Sends text and reads one response, see [`Client::receive`].
     pub fn call(&mut self, text: &str) -> Option<Message> {
         self.send(text);
         self.receive()
     }
 
-    /// The response to one request of that customer.
+    /// Sends one request of `class` with a remaining time of 3000 ms, and returns the response.
     ///
     /// # Panics
     /// There is no complete response.
     pub fn request(&mut self, class: &str, customer: u32, units: u32) -> Message {
         self.call(&request(class, customer, units, "3000m"))
-            .expect("an answer")
+            .expect("a complete response")
     }
 }
 
-/// A request as clients send it, with a unique id.
+/// The text of a request with a unique `X-Txn`. `remaining` is the value of `X-Remaining`, such as `3000m`.
 pub fn request(class: &str, customer: u32, units: u32, remaining: &str) -> String {
     let (method, key, body) = match class {
         "look" => ("GET", "", ""),
--- a/crates/merlinreel-testkit/src/cluster.rs
+++ b/crates/merlinreel-testkit/src/cluster.rs
@@ -1,4 +1,5 @@
-//! Several limiters with stub servers, a stub discovery each, clients, and a link on each path between them.
+//! A cluster under test: several limiters, each with its own stub discovery and clients, shared stub servers, and links
+//! from each limiter to each server and between the limiters.
 
 mod setup;
 
@@ -13,42 +14,54 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// The deadline of all request classes and of all clients' requests.
+/// Deadline of all request classes, and of each request that a client sends.
 const DEADLINE: Duration = Duration::from_millis(1500);
-/// How long after SIGTERM new connections still arrive: a load balancer learns of the shutdown late.
+/// Time after SIGTERM in which clients still open connections, as a load balancer notices the shutdown late.
 const LOAD_BALANCER_DELAY: Duration = Duration::from_millis(300);
-/// How long after SIGTERM and the deadline SIGKILL follows.
+/// SIGKILL follows SIGTERM after [`DEADLINE`] plus this time.
 const KILL_DELAY: Duration = Duration::from_millis(700);
+/// Pause between the repeated signals of a shutdown.
 const SIGNAL_INTERVAL: Duration = Duration::from_millis(20);
-/// Connections of a burst: more than a limiter accepts.
-const BURST_CONNECTIONS: usize = 160;
-/// A connection of a burst that is not established by then is the last one, as a suspended process's queue may be full.
+/// Number of connections in a burst. Exceeds a limiter's connection limit.
+const BURST_CONNECTION_COUNT: usize = 160;
+/// A burst stops at the first connection that is not established within this time, as the listen queue of a suspended
+/// process may be full.
 const BURST_CONNECT_TIMEOUT: Duration = Duration::from_millis(100);
+/// Clients per limiter in [`Cluster::run`]: one sequential, one pipelining, one that disconnects during requests.
 const CLIENTS_PER_LIMITER: usize = 3;
-/// Clients that stop in the middle of a request, and clients that upload in small chunks, are added to them.
+/// Clients per limiter in [`Cluster::run_wide`]: the same, one that pauses within requests, one that uploads in small
+/// chunks.
 const WIDE_CLIENTS_PER_LIMITER: usize = 5;
-const HALT: Duration = Duration::from_millis(60);
-const UPLOAD_CHUNKS: usize = 4000;
+/// Pause between the two halves of a request.
+const MID_REQUEST_PAUSE: Duration = Duration::from_millis(60);
+/// Number of one-byte chunks in each upload.
+const UPLOAD_CHUNK_COUNT: usize = 4000;
+/// Minimum delay of a slow link, and maximum jitter in addition to it.
 const SLOW_LINK_DELAY: Duration = Duration::from_millis(10);
+/// Size of the pieces into which a slow link splits responses.
 const SLOW_LINK_CHUNK_BYTES: usize = 64;
-const PIPELINED_REQUESTS: usize = 4;
+/// Number of requests that a pipelining client sends at once.
+const PIPELINED_REQUEST_COUNT: usize = 4;
+/// Pause of a client before each round of requests.
 const CLIENT_INTERVAL: Duration = Duration::from_millis(15);
+/// How long beyond [`DEADLINE`] a client waits for a response, to observe a late one.
 const CLIENT_GRACE: Duration = Duration::from_secs(3);
 
-/// A limiter's process and everything that belongs to it alone.
+/// A limiter: its process, and the parts of the cluster that belong to it alone.
 #[derive(Debug)]
 struct Limiter {
-    /// None while it is killed.
+    /// `None` after the process was killed or terminated, until the next start.
     program: Option<Program>,
+    /// The configuration of the current process, and of the next one.
     config: Value,
     discovery: StubDiscovery,
-    /// By server, the link to it.
+    /// The links to all servers, by server index.
     links: Vec<TcpLink>,
-    /// Whether the load balancer before the limiter sends it new connections.
+    /// Whether clients open new connections to the limiter, as decided by a simulated load balancer in front of it.
     accepts_connections: Arc<AtomicBool>,
-    /// Connections that never send a complete request.
+    /// Connections of a burst; empty while there is none.
     burst: Vec<Client>,
-    /// When it is killed, once it was asked to stop.
+    /// When the process is killed if it is still running; `None` if it was not sent SIGTERM.
     kill_at: Option<Instant>,
 }
 
@@ -57,15 +70,17 @@
         let address = self.config["listen"]
             .as_str()
             .and_then(|text| text.parse().ok());
-        address.expect("an address")
+        address.expect("`listen` is a socket address")
     }
 
+    /// Sends a signal by name, such as `-TERM`, if there is a process.
     fn signal(&self, name: &str) {
         if let Some(program) = &self.program {
             program.signal(name);
         }
     }
 
+    /// Reloads truncated JSON, then the current configuration. Does nothing without a process, or during a shutdown.
     fn reload(&self) {
         if let Some(program) = &self.program
             && self.kill_at.is_none()
@@ -75,7 +90,7 @@
         }
     }
 
-    /// Opens connections of which one in two sends half a request and the others nothing.
+    /// Opens the connections of a burst. Every other one sends part of a request, the rest send nothing.
     fn start_burst(&mut self) {
         let address = self.address();
         let connect = |n: usize| {
@@ -87,23 +102,24 @@
             });
             Some(client)
         };
-        self.burst = (0..BURST_CONNECTIONS).map_while(connect).collect();
+        self.burst = (0..BURST_CONNECTION_COUNT).map_while(connect).collect();
     }
 }
 
-/// Limiters, stub servers, and the links between them. Limiters and servers are identified by their numbers from 0 on.
+/// Running limiters, stub servers, and the links between them. Limiters and servers are identified by their indexes, from
+/// 0.
 #[derive(Debug)]
 pub struct Cluster {
     log: EventLog,
-    /// The servers.
+    /// The stub servers, by index.
     pub servers: Vec<StubServer>,
     limiters: Vec<Limiter>,
-    /// Between the limiters; they are kept as long as the cluster.
+    /// Links for peer messages between the limiters, kept as long as the cluster.
     _peer_links: Vec<UdpLink>,
 }
 
 impl Cluster {
-    /// Sets the conditions from a limiter to a server, and back.
+    /// Sets the network conditions of a link: `forward` from the limiter to the server, `reverse` back.
     pub fn set_network_conditions(
         &self,
         link: LinkId,
@@ -115,7 +131,8 @@
         link.reverse.set(reverse);
     }
 
-    /// Injects the plan's faults under the load of clients for a duration; everything that was observed.
+    /// Injects the plan's faults while clients send requests for `duration`. Returns all events observed since the cluster's
+    /// start.
     ///
     /// # Panics
     /// A client's thread panicked, or a limiter does not start again.
@@ -123,7 +140,8 @@
         self.run_with_clients(plan, duration, CLIENTS_PER_LIMITER)
     }
 
-    /// The same, with further clients: some stop in the middle of a request, some upload in small chunks.
+    /// Like [`Cluster::run`], with two more clients per limiter: one pauses in the middle of each request, the other uploads
+    /// in small chunks.
     ///
     /// # Panics
     /// A client's thread panicked, or a limiter does not start again.
@@ -131,6 +149,7 @@
         self.run_with_clients(plan, duration, WIDE_CLIENTS_PER_LIMITER)
     }
 
+    /// Runs the plan with this many clients per limiter, see [`Cluster::run`].
     fn run_with_clients(
         &mut self,
         plan: &FaultPlan,
@@ -149,18 +168,20 @@
         self.wait_until(start + duration);
         stop.store(true, Ordering::Relaxed);
         for client in clients {
-            client.join().expect("a client");
+            client.join().expect("a client thread that did not panic");
         }
         self.log.entries()
     }
 
+    /// Starts a client in a thread of its own. `number` counts the clients of all limiters and selects the limiter and the
+    /// pattern.
     fn start_client(&self, number: usize, stop: &Arc<AtomicBool>) -> thread::JoinHandle<()> {
         let limiter = number % self.limiters.len();
         let pattern = match number / self.limiters.len() {
             0 => RequestPattern::Sequential,
-            1 => RequestPattern::Pipelined(PIPELINED_REQUESTS),
-            3 => RequestPattern::Halting(HALT),
-            4 => RequestPattern::Chunked(UPLOAD_CHUNKS),
+            1 => RequestPattern::Pipelined(PIPELINED_REQUEST_COUNT),
+            3 => RequestPattern::PausingMidRequest(MID_REQUEST_PAUSE),
+            4 => RequestPattern::Chunked(UPLOAD_CHUNK_COUNT),
             _ => RequestPattern::Abandoning(Duration::from_millis(3 * number as u64)),
         };
         let client = LoadClient {
@@ -178,7 +199,7 @@
         thread::spawn(move || client.run(&log, &stop, &accepts_connections))
     }
 
-    /// Waits until then, and kills limiters whose shutdown is overdue meanwhile.
+    /// Sleeps until `until`. Meanwhile kills each limiter whose shutdown takes too long.
     fn wait_until(&mut self, until: Instant) {
         loop {
             let next = (0..self.limiters.len())
@@ -197,7 +218,7 @@
             {
                 self.log.record(Event::LimiterKilled { limiter });
             }
-            // Nothing is signalled until the next start.
+            // Without a process, later signals do nothing until the next start.
             terminated.program = None;
         }
         thread::sleep(until.saturating_duration_since(Instant::now()));
@@ -267,17 +288,18 @@
                 self.set_network_conditions(link, open, partitioned);
             }
             LinkFault::Slow => {
-                // Requests go in one piece: a limiter can't know how long a link takes, and tells the time as it writes.
+                // Requests are not split: the limiter advertises the remaining time as it writes and can't know how long the
+                // link takes to carry the request.
                 let slow = NetworkConditions {
                     delay: SLOW_LINK_DELAY,
                     jitter: SLOW_LINK_DELAY,
                     ..open
                 };
-                let in_pieces = NetworkConditions {
+                let slow_and_split = NetworkConditions {
                     chunk_bytes: Some(SLOW_LINK_CHUNK_BYTES),
                     ..slow
                 };
-                self.set_network_conditions(link, slow, in_pieces);
+                self.set_network_conditions(link, slow, slow_and_split);
             }
             LinkFault::Heal => {
                 self.set_network_conditions(link, open, open);
@@ -289,19 +311,21 @@
         }
     }
 
+    /// Sends SIGKILL and waits until the process has exited.
     fn kill(&mut self, limiter: usize) {
         self.log.record(Event::LimiterKilled { limiter });
         self.limiters[limiter].signal("-KILL");
         self.limiters[limiter].program = None;
-        // Recorded once more, as requests that were sent while the process died are lost by the kill, too.
+        // Recorded again after the process has exited: requests sent while it was exiting are lost to this kill too.
         self.log.record(Event::LimiterKilled { limiter });
     }
 
+    /// Starts the limiter's next process, and waits until it is ready.
     fn start_limiter(&mut self, limiter: usize) {
         let started = &mut self.limiters[limiter];
-        // The earlier process ends before the next one takes its address.
+        // The earlier process has to exit before the new one binds the same address.
         started.program = None;
-        // It knows the list that the process before had last, as discovery may be silent now.
+        // The new process starts from the last list that the limiter received, as discovery may be silent now.
         if let Some(announced) = started.discovery.last_announced() {
             started.config["known"] = announced;
         }
@@ -309,7 +333,7 @@
         started.accepts_connections.store(true, Ordering::Relaxed);
     }
 
-    /// Sends the signals of a shutdown; `wait_until` kills the process where it is overdue.
+    /// Sends the signals of a shutdown. `wait_until` kills the process if it does not exit in time.
     fn terminate(&mut self, limiter: usize, signals: u32) {
         self.log.record(Event::LimiterTerminated { limiter });
         let terminated = &mut self.limiters[limiter];
--- a/crates/merlinreel-testkit/src/cluster/setup.rs
+++ b/crates/merlinreel-testkit/src/cluster/setup.rs
@@ -1,4 +1,4 @@
-//! Starts a cluster: addresses, links, configurations and processes.
+//! Setup of a cluster: addresses, links, configurations and processes.
 
 use super::{Cluster, DEADLINE, Limiter};
 use crate::link::{NetworkConditions, TcpLink, UdpLink};
@@ -10,13 +10,17 @@
 use std::sync::atomic::AtomicBool;
 use std::time::Duration;
 
+/// Factor on the servers' service time right after their start.
 const INITIAL_SLOWDOWN: f64 = 2.0;
+/// Time after which the servers run at full speed.
 const SLOW_START_DURATION: Duration = Duration::from_secs(1);
-/// Peer messages that are lost, in percent.
+/// Share of peer messages that are lost in each direction.
 const PEER_LOSS_PERCENT: u32 = 20;
+/// Share of peer messages that are duplicated in each direction.
 const PEER_DUPLICATE_PERCENT: u32 = 5;
+/// Share of peer messages that are reordered, only from the second to the first limiter of each pair.
 const PEER_REORDER_PERCENT: u32 = 5;
-/// Units per second and burst of the plan: more than the clients use.
+/// Units per second, and burst in units, of the customers' plan. More than the clients use.
 const PLAN_UNITS: u32 = 1000;
 
 impl Cluster {
@@ -33,7 +37,7 @@
         let discoveries: Vec<StubDiscovery> = (0..limiters)
             .map(|limiter| StubDiscovery::start(limiter, addresses(&links[limiter]), &log))
             .collect();
-        // One of them writes its messages in the other form that the program must read.
+        // One discovery writes indented JSON, which the program must also accept.
         discoveries[0].indent_responses();
         let peers = PeerNetwork::start(seed, limiters);
         let configs: Vec<Value> = (0..limiters)
@@ -75,7 +79,7 @@
         .collect()
 }
 
-/// A limiter's links to all servers.
+/// Starts a limiter's links to all servers.
 fn links_to(servers: &[StubServer], limiter: usize, seed: u64) -> Vec<TcpLink> {
     servers
         .iter()
@@ -91,11 +95,11 @@
     links.iter().map(|link| link.address).collect()
 }
 
-/// The links for the limiters' peer messages.
+/// The limiters' addresses for peer messages, and the links between them.
 struct PeerNetwork {
-    /// By limiter, where it listens for peer messages.
+    /// For each limiter, the address at which it listens for peer messages.
     listen: Vec<SocketAddr>,
-    /// By limiter, the addresses of all limiters as it reaches them.
+    /// For each limiter, the addresses of all limiters as it reaches them: its own, and those of links to the others.
     peers: Vec<Vec<SocketAddr>>,
     links: Vec<UdpLink>,
 }
@@ -132,6 +136,7 @@
     }
 }
 
+/// The configuration of the limiter with this rank (its index in the cluster).
 fn limiter_config(
     rank: usize,
     links: &[TcpLink],
--- a/crates/merlinreel-testkit/src/config.rs
+++ b/crates/merlinreel-testkit/src/config.rs
@@ -1,53 +1,57 @@
-//! Configurations of the program, discovery messages and free addresses.
+//! Default configuration of the program, discovery messages and free addresses.
 
 use serde_json::{Value, json};
 use std::net::{SocketAddr, TcpListener, UdpSocket};
 use std::sync::LazyLock;
 use std::sync::atomic::{AtomicU16, Ordering};
 
-/// First of the ports given out here, which lie below those that the system assigns to outgoing connections.
+/// First port of the first block. All blocks lie below the ports that the system assigns to outgoing connections.
 const FIRST_PORT: u16 = 10_240;
-/// Ports of a block; a test process has one block to itself.
+/// Number of ports in a block. Each test process has a block of its own.
 const BLOCK_PORTS: u16 = 2_000;
-const BLOCKS: u16 = 10;
+/// Number of blocks, and so of test processes that can run at once.
+const BLOCK_COUNT: u16 = 10;
 
-/// The ports of this process. The listener at the block's first port keeps other test processes off it.
+/// The block of ports of this process. A listener at the block's first port reserves it against other test processes.
 struct PortBlock {
     first: u16,
-    _owner: TcpListener,
+    _reservation: TcpListener,
 }
 
 impl PortBlock {
-    /// Takes a block that no other process has.
-    fn take() -> PortBlock {
+    /// Reserves a block that no other process has reserved.
+    fn reserve() -> PortBlock {
         let block = |number: u16| {
             let first = FIRST_PORT + number * BLOCK_PORTS;
-            let owner = TcpListener::bind(("127.0.0.1", first)).ok()?;
+            let reservation = TcpListener::bind(("127.0.0.1", first)).ok()?;
             Some(PortBlock {
                 first,
-                _owner: owner,
+                _reservation: reservation,
             })
         };
-        (0..BLOCKS)
+        (0..BLOCK_COUNT)
             .find_map(block)
-            .expect("a block of ports that no other test process has")
+            .expect("a block of ports that is not reserved by another test process")
     }
 
-    /// The address of a port by its number, which is counted round.
+    /// The loopback address of the block's port with this number. Numbers wrap around at the end of the block, and the
+    /// reserving listener's port is left out.
     fn address(&self, number: u16) -> SocketAddr {
         let port = self.first + 1 + number % (BLOCK_PORTS - 1);
         SocketAddr::from(([127, 0, 0, 1], port))
     }
 }
 
-static BLOCK: LazyLock<PortBlock> = LazyLock::new(PortBlock::take);
+/// The block of this process, reserved at its first use.
+static BLOCK: LazyLock<PortBlock> = LazyLock::new(PortBlock::reserve);
+/// Number of the port that is tried next; wraps around.
 static NEXT_PORT: AtomicU16 = AtomicU16::new(0);
 
-/// An address whose port was free for TCP and UDP a moment ago. A process can be restarted at it, as the system assigns
-/// its port to no connection, and other test processes have other ports.
+/// Returns a loopback address whose port was just free for both TCP and UDP. A process can be restarted at it: the system
+/// does not assign the port to a connection, and other test processes use other blocks.
 ///
 /// # Panics
-/// No port of this process's block is free, or ten other test processes run.
+/// No port of this process's block is free, or ten other test processes have reserved all blocks.
 pub fn free_address() -> SocketAddr {
     let is_free = |address: &SocketAddr| {
         TcpListener::bind(address).is_ok() && UdpSocket::bind(address).is_ok()
@@ -58,7 +62,7 @@
         .expect("a free port")
 }
 
-/// A server as a discovery message lists it.
+/// A server's entry in a discovery message. `state` is its `lifecycle`, such as `up` or `draining`.
 pub fn instance(name: &str, address: SocketAddr, state: &str) -> Value {
     json!({"instanceId": name, "hostPort": address.to_string(), "zone": "a", "machineType": "m", "cell": 0,
         "lifecycle": state, "weight": 1.0, "startedAtMs": 0})
@@ -74,10 +78,12 @@
     json!({"generation": generation, "reset": false, "instances": instances})
 }
 
-/// A configuration: three classes, a plan with a burst of ten units and hardly any refill, one limiter.
+/// A configuration for a single limiter: three classes, a plan with a burst of ten units and hardly any refill, and
+/// `instances` as the known servers.
 pub fn config(instances: &[Value]) -> Value {
     let listen = free_address();
-    // A free port might become the next test's server, which would then be polled: this port is never used.
+    // Port 9 for discovery is never used. A free port could later belong to another test's server, which the limiter would
+    // then poll.
     json!({"listen": listen.to_string(), "discovery": "127.0.0.1:9", "seed": "8c1f30d27a5be964",
         "limits": {"memory_mb": 192, "sockets": 256}, "known": full_list(1, instances),
         "settings": {"balancers": 1, "rank": 0, "zone": 0, "dcs": ["a"], "packages": [
--- a/crates/merlinreel-testkit/src/http.rs
+++ b/crates/merlinreel-testkit/src/http.rs
@@ -1,27 +1,30 @@
-//! Messages of HTTP/1.1 as stubs and clients read them, in each framing: `Content-Length`, chunked, and delimited by the
-//! connection's close. Truncated messages are distinguished from complete ones.
+//! Reads HTTP/1.1 messages for stubs and clients, in all framings: `Content-Length`, chunked, and delimited by the close of
+//! the connection. Distinguishes truncated messages from complete ones.
 
 use std::io::{self, BufRead, ErrorKind, Read};
 use thiserror::Error;
 
+/// Beginning of a status line, which distinguishes a response from a request.
 const STATUS_LINE: &str = "HTTP/";
+/// Base of chunk sizes.
 const HEXADECIMAL: u32 = 16;
 
-/// A request or a response.
+/// A complete or truncated HTTP/1.1 request or response.
 #[derive(Clone, Debug)]
 pub struct Message {
-    /// The request line or the status line.
+    /// The request line or the status line, without CRLF.
     pub first: String,
-    /// Names and values in the order of the message.
+    /// Names, in their original case, and trimmed values, in the order of the message. Without trailers.
     pub headers: Vec<(String, String)>,
-    /// The body, with invalid UTF-8 replaced.
+    /// The decoded body, with invalid UTF-8 replaced. Empty if there is none.
     pub body: String,
-    /// The number of the connection that it arrived on, from 0 on.
+    /// The number of the connection that the message arrived on, as passed to [`read`]; a [`crate::ScriptedServer`] counts
+    /// from 0, all other readers pass 0.
     pub connection: usize,
 }
 
 impl Message {
-    /// The first header of that name, whatever its case.
+    /// The value of the first header with this name, ignoring case; `None` if there is none.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers
             .iter()
@@ -29,7 +32,7 @@
             .map(|(_, value)| value.as_str())
     }
 
-    /// The status code; 0 where the first line has none.
+    /// The status code; 0 if the first line has none.
     pub fn status(&self) -> u16 {
         self.first
             .split(' ')
@@ -38,19 +41,19 @@
             .unwrap_or(0)
     }
 
-    /// Its status allows no body, whatever its headers say.
+    /// Whether the status allows no body, whatever the headers say.
     fn is_without_body(&self) -> bool {
         matches!(self.status(), 100..200 | 204 | 304)
     }
 }
 
-/// Why there is no complete message.
+/// Why a complete message could not be read.
 #[derive(Debug, Error)]
 pub enum ReadError {
-    /// The connection ended within the body of the message, which holds what was read of it.
+    /// The connection ended within the body. The message's body holds the part that was read.
     #[error("`{}` was truncated after {} bytes of its body", .0.first, .0.body.len())]
     Incomplete(Message),
-    /// The connection failed otherwise, or the message is malformed.
+    /// The connection ended within the head, a read failed or timed out, or the message is malformed.
     #[error(transparent)]
     Io(#[from] io::Error),
 }
@@ -64,11 +67,14 @@
     }
 }
 
-/// How a message's end is found.
+/// How the end of a message's body is determined.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Framing {
+    /// By a length in bytes; 0 for a message without a body.
     Length(u64),
+    /// By the last chunk and the trailers.
     Chunked,
+    /// By the close of the connection.
     UntilClose,
 }
 
@@ -84,7 +90,7 @@
             Some(text) => text
                 .parse()
                 .map(Framing::Length)
-                .map_err(|_| malformed("a length")),
+                .map_err(|_| malformed("`Content-Length` is not a valid number")),
             None if message.first.starts_with(STATUS_LINE) && !message.is_without_body() => {
                 Ok(Framing::UntilClose)
             }
@@ -92,7 +98,7 @@
         }
     }
 
-    /// Reads the body; what was read before an error is in `body`.
+    /// Reads the body. If it fails, `body` holds the part that was read.
     fn read_body(self, from: &mut impl BufRead, body: &mut Vec<u8>) -> io::Result<()> {
         match self {
             Framing::Length(length) => read_exactly(from, length, body),
@@ -102,7 +108,8 @@
     }
 }
 
-/// The next message; none at the end of the connection.
+/// Reads the next message. `None` if the connection ended before it began. `connection` is the number to store in the
+/// message.
 pub fn read(from: &mut impl BufRead, connection: usize) -> Result<Option<Message>, ReadError> {
     if has_ended(from)? {
         return Ok(None);
@@ -120,13 +127,13 @@
     message.body = String::from_utf8_lossy(&body).into_owned();
     match outcome {
         Ok(()) => Ok(Some(message)),
-        Err(error) if is_end_of_connection(&error) => Err(ReadError::Incomplete(message)),
+        Err(error) if is_connection_end(&error) => Err(ReadError::Incomplete(message)),
         Err(error) => Err(ReadError::Io(error)),
     }
 }
 
-/// Whether the connection ends before anything more. Unlike the other reads here `fill_buf` doesn't repeat a read that a
-/// signal interrupted.
+/// Whether the connection ends without any more bytes. Retries interrupted reads itself, as `fill_buf` does not, unlike the
+/// other reads here.
 fn has_ended(from: &mut impl BufRead) -> io::Result<bool> {
     loop {
         match from.fill_buf() {
@@ -143,13 +150,15 @@
         if line.is_empty() {
             return Ok(headers);
         }
-        let (name, value) = line.split_once(':').ok_or_else(|| malformed("a header"))?;
+        let (name, value) = line
+            .split_once(':')
+            .ok_or_else(|| malformed("header line without a colon"))?;
         headers.push((name.to_owned(), value.trim().to_owned()));
     }
 }
 
-/// An orderly end or a reset, but no timeout.
-fn is_end_of_connection(error: &io::Error) -> bool {
+/// Whether the error means that the connection ended, in an orderly way or by a reset, and not, for example, a timeout.
+fn is_connection_end(error: &io::Error) -> bool {
     matches!(
         error.kind(),
         ErrorKind::UnexpectedEof | ErrorKind::ConnectionReset
@@ -169,34 +178,37 @@
     loop {
         let line = read_line(from)?;
         let digits = line.split(';').next().unwrap_or_default();
-        let size =
-            u64::from_str_radix(digits, HEXADECIMAL).map_err(|_| malformed("a chunk's size"))?;
+        let size = u64::from_str_radix(digits, HEXADECIMAL)
+            .map_err(|_| malformed("chunk size is not a hexadecimal number"))?;
         if size == 0 {
             break;
         }
         read_exactly(from, size, body)?;
         if !read_line(from)?.is_empty() {
-            return Err(malformed("a chunk's end"));
+            return Err(malformed("chunk data is not followed by CRLF"));
         }
     }
-    // Trailers, up to the empty line.
+    // Skip trailers up to the empty line.
     while !read_line(from)?.is_empty() {}
     Ok(())
 }
 
-/// A line without its CRLF; one that is truncated by the end of the connection is an error.
+/// Reads a line and removes its CRLF. A line that is truncated by the end of the connection is an error.
 fn read_line(from: &mut impl BufRead) -> io::Result<String> {
     let mut line = String::new();
     from.read_line(&mut line)?;
     match line.strip_suffix("\r\n") {
         Some(content) => Ok(content.to_owned()),
-        None if line.ends_with('\n') => Err(malformed("a line's end")),
+        None if line.ends_with('\n') => Err(malformed("line ends with LF instead of CRLF")),
         None => Err(ErrorKind::UnexpectedEof.into()),
     }
 }
 
-fn malformed(what: &str) -> io::Error {
-    io::Error::new(ErrorKind::InvalidData, format!("malformed: {what}"))
+fn malformed(reason: &str) -> io::Error {
+    io::Error::new(
+        ErrorKind::InvalidData,
+        format!("malformed HTTP message: {reason}"),
+    )
 }
 
 #[cfg(test)]
--- a/crates/merlinreel-testkit/src/lib.rs
+++ b/crates/merlinreel-testkit/src/lib.rs
@@ -1,12 +1,12 @@
-//! A test kit that runs several real processes of the program on loopback and injects faults between them. For tests
-//! and measured fault campaigns only: the program never depends on it.
+//! A test kit that runs several real processes of the program on loopback and injects faults into and between them. For
+//! tests and measured fault campaigns only: the program never depends on it.
 //!
-//! Stubs written from the published protocol ([`StubServer`], [`StubDiscovery`], [`Client`]) record what they observe in
-//! an [`EventLog`]. Each path between two processes may lead through a [`link`], which loses, delays, jitters,
-//! duplicates, partitions, throttles or trickles the traffic. Processes are killed, suspended, continued and restarted
-//! ([`Program`]). Faults come from a [`FaultPlan`], which is the same for the same seed. [`find_violations`] checks the
-//! log against the five rules of the protocol. Verdicts are invariants with tolerances: none depends on the speed of the
-//! machine.
+//! Stubs written from the published protocol ([`StubServer`], [`StubDiscovery`], [`Client`]) stand in for the program's
+//! environment, and what they observe is recorded in an [`EventLog`]. Traffic between two processes may pass through a
+//! [`link`], which can drop, delay, jitter, duplicate, reorder, partition, throttle or split it. Processes are killed,
+//! suspended, continued and restarted ([`Program`]). Faults follow a [`FaultPlan`], which is reproducible from its seed.
+//! [`find_violations`] checks the log against the five rules of the protocol. The checks are invariants with tolerances:
+//! none depends on the speed of the machine.
 
 #![warn(missing_docs)]
 
@@ -44,5 +44,6 @@
 
 use std::time::Duration;
 
-/// Upper bound of every wait for something that must happen; no verdict is measured by it.
+/// Upper bound of every wait for something that must happen. Normally reached only by a failing test: no check measures a
+/// time against it.
 pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
--- a/crates/merlinreel-testkit/src/link.rs
+++ b/crates/merlinreel-testkit/src/link.rs
@@ -1,4 +1,5 @@
-//! The path between two processes: traffic passes under network conditions that may change at any time.
+//! Links between two processes: relays for TCP connections and UDP datagrams under network conditions that can be changed
+//! at any time.
 
 mod tcp;
 mod udp;
@@ -11,29 +12,31 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-/// How much later than others a reordered datagram arrives.
+/// Additional delay of a reordered datagram.
 const REORDER_DELAY: Duration = Duration::from_millis(20);
-/// How much later than the first copy a duplicate arrives.
+/// Delay of a duplicate after the first copy.
 const DUPLICATE_DELAY: Duration = Duration::from_millis(7);
 
-/// The conditions of one direction of a link. By default everything passes at once.
+/// The conditions in one direction of a link. The default passes everything at once.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct NetworkConditions {
-    /// Nothing passes: open connections stay open and silent, new ones are accepted and stay silent.
+    /// Whether nothing passes. Open connections stay open and silent; new ones are accepted and stay silent. Bytes of
+    /// connections are held until the partition ends, datagrams are lost.
     pub partitioned: bool,
-    /// Share of datagrams that are lost, in percent.
+    /// Percentage of datagrams that are lost.
     pub loss_percent: u32,
-    /// Share of datagrams that arrive twice, in percent.
+    /// Percentage of datagrams that arrive twice.
     pub duplicate_percent: u32,
-    /// Share of datagrams that arrive behind later ones, in percent.
+    /// Percentage of datagrams that are delayed by a further 20 ms, so that later ones may overtake them.
     pub reorder_percent: u32,
-    /// The least delay.
+    /// Minimum delay.
     pub delay: Duration,
-    /// The most that is added to the delay, drawn each time.
+    /// Maximum addition to the delay, drawn uniformly for each datagram or piece of a connection.
     pub jitter: Duration,
-    /// The throughput of a connection in bytes per second, where it is limited.
+    /// Throughput of each connection; `None` for no limit. Does not apply to datagrams.
     pub bytes_per_second: Option<u32>,
-    /// The most bytes of a connection that pass at a time, where it is limited.
+    /// Maximum number of bytes of a connection that pass at a time; `None` for the relay's buffer size. Does not apply to
+    /// datagrams.
     pub chunk_bytes: Option<usize>,
 }
 
@@ -43,14 +46,14 @@
     random: ChaCha8Rng,
 }
 
-/// One direction of a link; clones share its conditions and its random draws.
+/// One direction of a link. Clones share the conditions and the random generator.
 #[derive(Clone, Debug)]
 pub struct LinkDirection {
     state: Arc<Mutex<DirectionState>>,
 }
 
 impl LinkDirection {
-    /// A direction under default conditions that draws from the seed.
+    /// Creates a direction with default conditions and a random generator with this seed.
     pub fn new(seed: u64) -> LinkDirection {
         LinkDirection {
             state: Arc::new(Mutex::new(DirectionState {
@@ -64,23 +67,23 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Changes the conditions, also for open connections.
+    /// Sets the conditions, including those of open connections.
     pub fn set(&self, conditions: NetworkConditions) {
         self.lock().conditions = conditions;
     }
 
-    /// The present conditions.
+    /// The current conditions.
     pub fn conditions(&self) -> NetworkConditions {
         self.lock().conditions
     }
 
-    /// Draws the delay of what passes next.
+    /// Draws the delay of the next datagram, or of the next piece of a connection.
     fn draw_delay(&self) -> Duration {
         let DirectionState { conditions, random } = &mut *self.lock();
         conditions.delay + conditions.jitter.mul_f64(random.random_range(0.0..1.0))
     }
 
-    /// Draws the delay of each copy of a datagram; none where it is lost.
+    /// Draws the delay of each copy of a datagram. Empty if the datagram is lost.
     fn draw_copies(&self) -> Vec<Duration> {
         let delay = self.draw_delay();
         let DirectionState { conditions, random } = &mut *self.lock();
--- a/crates/merlinreel-testkit/src/link/tcp.rs
+++ b/crates/merlinreel-testkit/src/link/tcp.rs
@@ -1,4 +1,4 @@
-//! A link for connections from one process to another.
+//! A link for TCP connections from one process to another.
 
 use super::LinkDirection;
 use std::io::{Read, Write};
@@ -7,26 +7,28 @@
 use std::thread;
 use std::time::Duration;
 
-/// How often a partitioned direction checks whether it has healed.
+/// Pause between two checks of a partitioned direction for the end of the partition.
 const PARTITION_CHECK_INTERVAL: Duration = Duration::from_millis(5);
+/// Size of the buffer of each direction, and so the maximum number of bytes relayed at a time.
 const BUFFER_BYTES: usize = 16 * 1024;
-/// Makes the seeds of the two directions differ.
+/// Applied by XOR to the link's seed, so that the two directions have different seeds.
 const REVERSE_SEED_MASK: u64 = 0xb4c4;
 
 /// Relays each connection made to `address` to the target.
 #[derive(Debug)]
 pub struct TcpLink {
-    /// Where the link listens.
+    /// The address at which the link listens.
     pub address: SocketAddr,
-    /// Towards the target.
+    /// The direction towards the target.
     pub forward: LinkDirection,
-    /// From the target.
+    /// The direction from the target.
     pub reverse: LinkDirection,
+    /// The sockets on both sides of the relayed connections, for [`TcpLink::close_all`].
     open: Arc<Mutex<Vec<TcpStream>>>,
 }
 
 impl TcpLink {
-    /// Starts a link to the target.
+    /// Starts a link to `target`. The seed determines the random draws of both directions.
     ///
     /// # Panics
     /// There is no free port.
@@ -54,7 +56,7 @@
         link
     }
 
-    /// Closes all open connections.
+    /// Closes all open connections on both sides.
     pub fn close_all(&self) {
         let mut open = self.open.lock().unwrap_or_else(PoisonError::into_inner);
         open.drain(..)
@@ -62,6 +64,7 @@
     }
 }
 
+/// What the thread of each relayed connection needs.
 #[derive(Clone)]
 struct Relay {
     target: SocketAddr,
@@ -71,12 +74,13 @@
 }
 
 impl Relay {
-    /// Relays one connection until it ends.
+    /// Connects to the target and relays one connection until it ends. Waits first while the forward direction is
+    /// partitioned.
     fn run(self, client_side: TcpStream) {
         while self.forward.conditions().partitioned {
             thread::sleep(PARTITION_CHECK_INTERVAL);
         }
-        // Where the target refuses, the client's connection is closed without a byte.
+        // If the target refuses, the client's connection is closed without a response.
         let Ok(target_side) = TcpStream::connect(self.target) else {
             return;
         };
@@ -95,7 +99,7 @@
     }
 }
 
-/// Relays one direction of a connection; its end is relayed like its bytes.
+/// Relays one direction of a connection under its conditions, including the end of the stream.
 fn relay(mut from: TcpStream, mut to: TcpStream, direction: &LinkDirection) {
     let _ = from.set_nodelay(true);
     let _ = to.set_nodelay(true);
--- a/crates/merlinreel-testkit/src/link/tests.rs
+++ b/crates/merlinreel-testkit/src/link/tests.rs
@@ -5,16 +5,16 @@
 #[test_case(NetworkConditions { partitioned: true, ..NetworkConditions::default() }, 1 => 0 ; "partitioned")]
 #[test_case(NetworkConditions { loss_percent: 100, ..NetworkConditions::default() }, 1 => 0 ; "all lost")]
 #[test_case(NetworkConditions { duplicate_percent: 100, ..NetworkConditions::default() }, 1 => 2000 ; "all duplicated")]
-fn datagrams_arrive_as_the_conditions_say(conditions: NetworkConditions, seed: u64) -> usize {
+fn copies_of_datagrams_follow_the_conditions(conditions: NetworkConditions, seed: u64) -> usize {
     let direction = LinkDirection::new(seed);
     direction.set(conditions);
     (0..1000).map(|_| direction.draw_copies().len()).sum()
 }
 
-/// A run can be repeated exactly.
+/// Draws are reproducible from the seed, and differ between seeds.
 #[test]
 fn same_seed_draws_the_same_copies() {
-    let play = |seed| {
+    let draw_200 = |seed| {
         let direction = LinkDirection::new(seed);
         direction.set(NetworkConditions {
             loss_percent: 30,
@@ -27,5 +27,5 @@
             .map(|_| direction.draw_copies())
             .collect::<Vec<_>>()
     };
-    assert!(play(4) == play(4) && play(4) != play(5));
+    assert!(draw_200(4) == draw_200(4) && draw_200(4) != draw_200(5));
 }
--- a/crates/merlinreel-testkit/src/link/udp.rs
+++ b/crates/merlinreel-testkit/src/link/udp.rs
@@ -7,26 +7,28 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Makes the seeds of the two directions differ.
+/// Applied by XOR to the link's seed, so that the two directions have different seeds.
 const REVERSE_SEED_MASK: u64 = 0xb4c4;
+/// Size of the receive buffer. No UDP datagram is larger.
 const MAX_DATAGRAM_BYTES: usize = 65536;
 
-/// Relays datagrams between a first and a second process. Each sees the other at an address of the link, and datagrams
-/// arrive from there, so that a process which knows its peers by their addresses recognizes the other.
+/// Relays datagrams between a first and a second process. Each process reaches the other at an address of the link, and
+/// receives the other's datagrams from that same address, so it can identify its peer by address.
 #[derive(Debug)]
 pub struct UdpLink {
-    /// Where the first process reaches the second.
+    /// The link's address at which the first process reaches the second.
     pub address_for_first: SocketAddr,
-    /// Where the second process reaches the first.
+    /// The link's address at which the second process reaches the first.
     pub address_for_second: SocketAddr,
-    /// From the first to the second.
+    /// The direction from the first process to the second.
     pub forward: LinkDirection,
-    /// From the second to the first.
+    /// The direction from the second process to the first.
     pub reverse: LinkDirection,
 }
 
 impl UdpLink {
-    /// Starts a link between two addresses.
+    /// Starts a link between two processes that listen at these addresses. The seed determines the random draws of both
+    /// directions.
     ///
     /// # Panics
     /// There is no free port.
@@ -52,11 +54,12 @@
     }
 }
 
-/// Relays what arrives at one socket through the other, in a thread that runs until the test's process ends.
+/// Starts a thread that sends each datagram received by `from` through `to` to `target`. The thread runs until the test's
+/// process ends.
 fn relay(from: Arc<UdpSocket>, to: Arc<UdpSocket>, target: SocketAddr, direction: LinkDirection) {
     thread::spawn(move || {
         let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
-        // The number keeps datagrams of one moment in order.
+        // Datagrams by due time. The number keeps those with equal due times distinct and in order.
         let mut pending: BTreeMap<(Instant, u64), Vec<u8>> = BTreeMap::new();
         let mut number = 0;
         loop {
--- a/crates/merlinreel-testkit/src/load_client.rs
+++ b/crates/merlinreel-testkit/src/load_client.rs
@@ -1,4 +1,4 @@
-//! Clients that keep sending requests to one limiter and record what they observe.
+//! Clients that continuously send requests to one limiter and record the events they observe.
 
 use crate::client::{Client, request};
 use crate::event_log::{Event, EventLog, RequestId};
@@ -7,13 +7,13 @@
 use std::thread;
 use std::time::Duration;
 
-/// The request classes that a client cycles through.
+/// The request classes that a client cycles through, one request each.
 const CLASSES: [&str; 3] = ["look", "put", "pay"];
 
-/// The place of a class with a body that may not be repeated, in [`CLASSES`].
-const UPLOAD_SEQUENCE: usize = 2;
+/// Index in [`CLASSES`] of the class of uploads: its requests have a body and are non-idempotent.
+const UPLOAD_CLASS_INDEX: usize = 2;
 
-/// A request as it is written.
+/// The complete text of a request, with its id and class.
 struct ComposedRequest {
     id: RequestId,
     class: &'static str,
@@ -21,6 +21,7 @@
 }
 
 impl ComposedRequest {
+    /// Takes the id from the text's `X-Txn` header; empty if there is none.
     fn new(class: &'static str, text: String) -> ComposedRequest {
         let id = text
             .split("X-Txn: ")
@@ -32,7 +33,7 @@
     }
 }
 
-/// Reads a response and records it, or that there is none; whether the connection stays open.
+/// Reads a response and records it, or its absence. Returns whether the connection stays open.
 fn record_response(client: &mut Client, id: RequestId, is_new: bool, log: &EventLog) -> bool {
     let Some(response) = client.receive() else {
         log.record(Event::NoResponse {
@@ -56,36 +57,38 @@
     Sequential,
     /// This many pipelined requests at a time.
     Pipelined(usize),
-    /// One request at a time; after every fourth the client closes the connection, this long after sending it.
+    /// One request at a time. The client closes the connection this long after sending every fourth, without reading the
+    /// response.
     Abandoning(Duration),
-    /// One request at a time, in two parts with this pause between them. It counts as sent with its second part.
-    Halting(Duration),
-    /// One request at a time, with a body of this many chunks of a byte.
+    /// One request at a time, in two parts with this pause between them. [`Event::RequestSent`] is recorded at the second
+    /// part.
+    PausingMidRequest(Duration),
+    /// One request at a time, with a body of this many one-byte chunks.
     Chunked(usize),
 }
 
-/// A client and its load.
+/// The parameters of a client: its target, its customer and its request pattern.
 #[derive(Clone, Copy, Debug)]
 pub struct LoadClient {
-    /// The number of the limiter.
+    /// Index of the limiter in the cluster, recorded in events.
     pub limiter: usize,
     /// The limiter's address.
     pub address: SocketAddr,
-    /// The customer that all requests belong to.
+    /// The customer of all requests. Also the offset at which the client enters the cycle of classes.
     pub customer: u32,
     /// How the client uses its connection.
     pub pattern: RequestPattern,
     /// The pause before each round of requests.
     pub interval: Duration,
-    /// The deadline of each request.
+    /// The deadline of each request, sent in `X-Remaining`.
     pub timeout: Duration,
-    /// How much longer than the deadline the client waits for a late response.
+    /// How long beyond `timeout` each read may wait, to observe late responses.
     pub grace: Duration,
 }
 
 impl LoadClient {
-    /// Sends requests until `stop` is set, with the classes in turn. The connection is kept as long as it stays open;
-    /// after that the client reconnects while `accepts_connections` is set, as a load balancer before the limiter would.
+    /// Sends requests of each class in turn until `stop` is set. The connection is kept as long as it stays open. After that
+    /// the client reconnects only while `accepts_connections` is set, as through a load balancer in front of the limiter.
     pub fn run(&self, log: &EventLog, stop: &AtomicBool, accepts_connections: &AtomicBool) {
         let mut open: Option<Client> = None;
         let mut sequence = self.customer as usize;
@@ -108,16 +111,16 @@
                 }
                 RequestPattern::Chunked(chunks) => {
                     let request = self.compose_upload(chunks);
-                    let stays_open = self.send_in_parts(&mut client, &request, 0, is_new, log);
+                    let stays_open = self.send_remainder(&mut client, &request, 0, is_new, log);
                     open = stays_open.then_some(client);
                     continue;
                 }
-                RequestPattern::Halting(pause) => {
+                RequestPattern::PausingMidRequest(pause) => {
                     let request = self.compose(sequence);
                     let half = request.text.len() / 2;
                     client.send(&request.text[..half]);
                     thread::sleep(pause);
-                    let stays_open = self.send_in_parts(&mut client, &request, half, is_new, log);
+                    let stays_open = self.send_remainder(&mut client, &request, half, is_new, log);
                     open = stays_open.then_some(client);
                     continue;
                 }
@@ -128,23 +131,23 @@
         }
     }
 
-    /// Composes a request of the class whose turn it is.
+    /// Composes a request of the class that is next in the cycle.
     fn compose(&self, sequence: usize) -> ComposedRequest {
         let class = CLASSES[sequence % CLASSES.len()];
         let remaining = format!("{}m", self.timeout.as_millis());
         ComposedRequest::new(class, request(class, self.customer, 1, &remaining))
     }
 
-    /// Composes a request whose body comes in this many chunks of a byte.
+    /// Composes an upload: a request whose body consists of this many one-byte chunks.
     fn compose_upload(&self, chunks: usize) -> ComposedRequest {
-        let mut upload = self.compose(UPLOAD_SEQUENCE);
+        let mut upload = self.compose(UPLOAD_CLASS_INDEX);
         let head = upload.text.trim_end_matches("a body");
         let head = head.replace("Content-Length: 6", "Transfer-Encoding: chunked");
         upload.text = head + &"1\r\nx\r\n".repeat(chunks) + "0\r\n\r\n";
         upload
     }
 
-    /// Records that a request is sent now.
+    /// Records that the client is about to send a request.
     fn record_sent(&self, request: &ComposedRequest, log: &EventLog) {
         log.record(Event::RequestSent {
             id: request.id.clone(),
@@ -155,24 +158,25 @@
         });
     }
 
-    /// Sends what of a request was not `sent` yet and reads its response; whether the connection stays open.
-    fn send_in_parts(
+    /// Sends a request except for the `sent_bytes` that were already sent, and reads the response. Returns whether the
+    /// connection stays open.
+    fn send_remainder(
         &self,
         client: &mut Client,
         request: &ComposedRequest,
-        sent: usize,
+        sent_bytes: usize,
         is_new: bool,
         log: &EventLog,
     ) -> bool {
         let _ = client.set_read_timeout(self.timeout + self.grace);
         self.record_sent(request, log);
-        client.send(&request.text[sent..]);
+        client.send(&request.text[sent_bytes..]);
         let id = request.id.clone();
         log.record(Event::RequestWritten { id });
         record_response(client, request.id.clone(), is_new, log)
     }
 
-    /// Sends requests at once and reads their responses; whether the connection stays open.
+    /// Sends `count` requests at once and reads their responses. Returns whether the connection stays open.
     fn exchange(
         &self,
         client: &mut Client,
@@ -207,7 +211,7 @@
         stays_open
     }
 
-    /// Sends a request and closes the connection a while later.
+    /// Sends a request, waits for `after`, and closes the connection without reading the response.
     fn send_and_disconnect(
         &self,
         mut client: Client,
--- a/crates/merlinreel-testkit/src/scripted_server.rs
+++ b/crates/merlinreel-testkit/src/scripted_server.rs
@@ -1,4 +1,4 @@
-//! Servers and discoveries that respond to each request as a test says.
+//! Servers and discoveries whose reaction to each request is defined by a test.
 
 use crate::TEST_TIMEOUT;
 use crate::http::{Message, read};
@@ -12,29 +12,30 @@
 
 mod unread_bytes;
 
-/// The pause between two look-ups in the kernel's table is doubled from the first to the second: each look-up takes
-/// milliseconds of processor time.
+/// Initial pause between two lookups in the kernel's socket table. The pause is doubled after each lookup up to
+/// [`MAX_LOOKUP_PAUSE`], as each lookup takes milliseconds of processor time.
 const MIN_LOOKUP_PAUSE: Duration = Duration::from_millis(1);
+/// Longest pause between two lookups.
 const MAX_LOOKUP_PAUSE: Duration = Duration::from_millis(100);
 
-/// What a scripted server does with a request.
+/// The reaction of a scripted server to a request.
 pub enum Reaction {
     /// Sends a complete response.
     Respond(String),
     /// Closes the connection without a response.
     Close,
-    /// Sends the beginning of a response and ends the connection.
+    /// Sends a truncated response and ends the connection.
     Truncate(TruncatedResponse),
-    /// Sends a response in small pieces, and closes the connection after the last.
+    /// Sends a response in small pieces and closes the connection after the last one.
     Trickle(Trickle),
-    /// Sends nothing.
+    /// Sends no response and keeps the connection open.
     Hang,
 }
 
-/// The beginning of a response, and the connection's end after it.
+/// A truncated response, and how the connection ends after it.
 #[derive(Clone, Debug)]
 pub struct TruncatedResponse {
-    /// What is sent.
+    /// The beginning of the response, sent as it is.
     pub text: String,
     /// When the connection ends.
     pub when: CloseTiming,
@@ -42,32 +43,32 @@
     pub end: ConnectionEnd,
 }
 
-/// When a connection with a truncated response ends.
+/// When the connection ends after a truncated response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CloseTiming {
-    /// As soon as the text is written: a reset may overtake it.
+    /// As soon as the text is written. A reset may then discard the text before it is read.
     Written,
-    /// Once the other side's process has read all of the text from its socket.
+    /// Once the peer process has read all of the text from its socket.
     Read,
-    /// This long after the request was received, once the text is read.
+    /// This long after the request was received, but not before the peer process has read the text.
     Delayed(Duration),
 }
 
 /// How a connection ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionEnd {
-    /// RST: the other side's read fails.
+    /// With RST: the peer's read fails.
     Reset,
-    /// FIN: the other side reads the end of the stream.
+    /// With FIN: the peer reads the end of the stream.
     Orderly,
 }
 
 /// A response that is sent slowly: the head at once, then the pieces with a pause before each.
 #[derive(Clone, Debug)]
 pub struct Trickle {
-    /// The status line and headers, and as much of the body as is sent at once.
+    /// The status line and headers, and any part of the body that is sent with them.
     pub head: String,
-    /// The text of each piece.
+    /// The text that is sent as each piece.
     pub piece: &'static str,
     /// The pause before each piece.
     pub every: Duration,
@@ -75,7 +76,8 @@
     pub pieces: usize,
 }
 
-/// A complete response; each header in `headers` ends with CRLF.
+/// A complete response with a `Content-Length`. `status` is the code and the reason phrase. Each header in `headers` ends
+/// with CRLF.
 pub fn response(status: &str, headers: &str, body: &str) -> Reaction {
     Reaction::Respond(format!(
         "HTTP/1.1 {status}\r\n{headers}Content-Length: {}\r\n\r\n{body}",
@@ -88,18 +90,18 @@
     response("200 OK", "", "done")
 }
 
-/// A server or a discovery, which serves until the test's process ends. Connections are numbered from 0 on.
+/// A server or a discovery. Serves until the test's process ends, and numbers its connections from 0.
 pub struct ScriptedServer {
-    /// Where it listens.
+    /// The address at which the server listens.
     pub address: SocketAddr,
-    /// The requests it received.
+    /// The requests that the server received, in the order of their arrival.
     pub requests: Receiver<Message>,
-    /// The connections that the other side closed.
+    /// The numbers of the connections that the peer closed.
     pub closed: Receiver<usize>,
 }
 
 impl ScriptedServer {
-    /// Starts a server that calls `react` for each request.
+    /// Starts a server that calls `react` for each request, on the thread of its connection.
     ///
     /// # Panics
     /// There is no free port.
@@ -129,7 +131,7 @@
     /// Waits for the next request.
     ///
     /// # Panics
-    /// There is none in time.
+    /// None arrives within [`TEST_TIMEOUT`].
     pub fn next_request(&self) -> Message {
         self.requests.recv_timeout(TEST_TIMEOUT).expect("a request")
     }
@@ -145,18 +147,18 @@
     let mut reader = BufReader::new(stream.try_clone()?);
     while let Ok(Some(message)) = read(&mut reader, connection) {
         let received = Instant::now();
-        // Nobody receives it once the test has ended.
+        // Sending fails if the test has dropped the receiver.
         let _ = request_sender.send(message.clone());
         match react(&message) {
             Reaction::Respond(text) => stream.write_all(text.as_bytes())?,
             Reaction::Close => return Ok(()),
             Reaction::Truncate(truncated) => return truncate(stream, &truncated, received),
             Reaction::Trickle(trickle) => {
-                let outcome = send_trickle(&mut stream, &trickle);
-                if outcome.is_err() {
+                let result = send_trickle(&mut stream, &trickle);
+                if result.is_err() {
                     let _ = closed_sender.send(connection);
                 }
-                return outcome;
+                return result;
             }
             Reaction::Hang => {}
         }
@@ -165,7 +167,7 @@
     Ok(())
 }
 
-/// Writes the text and ends the connection, which closes as the last of its handles is dropped.
+/// Writes the text and prepares the end of the connection. The connection closes when its last handle is dropped.
 fn truncate(
     mut stream: TcpStream,
     truncated: &TruncatedResponse,
@@ -187,25 +189,26 @@
     }
 }
 
-/// Waits until the other side's process has read all that was written.
+/// Waits until the peer process has read all written bytes.
 fn wait_until_read(stream: &TcpStream) -> io::Result<()> {
     let start = Instant::now();
     let mut pause = MIN_LOOKUP_PAUSE;
-    let mut is_acknowledged = false;
+    let mut was_acknowledged = false;
     while start.elapsed() < TEST_TIMEOUT {
         let unread = unread_bytes::look_up(stream)?;
-        // Acknowledged by an earlier look-up: within one, bytes that left this queue may not be in the other yet.
-        if is_acknowledged && unread.is_some_and(|unread| unread.received == 0) {
+        // The acknowledgement must come from an earlier lookup: the two ends are not read at the same instant, so within one
+        // lookup bytes may have left the send queue without being counted in the receive queue.
+        if was_acknowledged && unread.is_some_and(|unread| unread.received == 0) {
             return Ok(());
         }
-        is_acknowledged |= unread.is_some_and(|unread| unread.unacknowledged == 0);
+        was_acknowledged |= unread.is_some_and(|unread| unread.unacknowledged == 0);
         thread::sleep(pause);
         pause = (pause * 2).min(MAX_LOOKUP_PAUSE);
     }
     Err(ErrorKind::TimedOut.into())
 }
 
-/// An error where the other side closes before the last piece.
+/// Sends the head and the pieces. Fails if the peer closes the connection before the last piece.
 fn send_trickle(stream: &mut TcpStream, trickle: &Trickle) -> io::Result<()> {
     stream.set_nodelay(true)?;
     stream.write_all(trickle.head.as_bytes())?;
@@ -216,8 +219,8 @@
     Ok(())
 }
 
-/// A server that holds each request with the method POST until a message is sent to release it, and responds to all
-/// others at once.
+/// Starts a server that holds each POST request until a message is sent by the returned sender, which releases one request.
+/// It responds to all other requests at once.
 ///
 /// # Panics
 /// There is no free port.
@@ -226,23 +229,26 @@
     let released = Mutex::new(released);
     let server = ScriptedServer::start(move |message| {
         if message.first.starts_with("POST") {
-            let _ = released.lock().expect("no panic").recv();
+            let _ = released.lock().expect("a lock that is not poisoned").recv();
         }
         ok_response()
     });
     (server, release)
 }
 
-/// A discovery that responds to each request with the next of the texts, and closes the connection for the text `break`.
+/// Starts a discovery that responds to each request with the next text that it receives, and waits for one if necessary. The
+/// text `break` makes it close the connection instead. After the last text, requests get no response.
 ///
 /// # Panics
 /// There is no free port.
 pub fn discovery(texts: Receiver<String>) -> ScriptedServer {
     let texts = Mutex::new(texts);
-    ScriptedServer::start(move |_| match texts.lock().expect("no panic").recv() {
-        Ok(text) if text == "break" => Reaction::Close,
-        Ok(text) => response("200 OK", "", &text),
-        Err(_) => Reaction::Hang,
+    ScriptedServer::start(move |_| {
+        match texts.lock().expect("a lock that is not poisoned").recv() {
+            Ok(text) if text == "break" => Reaction::Close,
+            Ok(text) => response("200 OK", "", &text),
+            Err(_) => Reaction::Hang,
+        }
     })
 }
 
--- a/crates/merlinreel-testkit/src/scripted_server/tests.rs
+++ b/crates/merlinreel-testkit/src/scripted_server/tests.rs
@@ -3,6 +3,7 @@
 use test_case::test_case;
 
 const REQUEST: &[u8] = b"GET / HTTP/1.1\r\nHost: svc\r\n\r\n";
+/// A truncated response: its body has two bytes of four.
 const TEXT: &str = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndo";
 
 fn send_request(server: &ScriptedServer) -> TcpStream {
@@ -35,16 +36,17 @@
         .map(|error| error.kind())
 }
 
-/// A write to a connection of one machine with itself has arrived as it returns.
+/// The number of unread bytes in the receive buffer of the connection's other end. Waits until all written bytes are
+/// acknowledged: on loopback they are in that buffer then.
 fn unread_bytes_of(stream: &TcpStream) -> u64 {
     let start = Instant::now();
     while start.elapsed() < TEST_TIMEOUT {
-        let found = unread_bytes::look_up(stream).expect("the kernel's table");
+        let found = unread_bytes::look_up(stream).expect("the kernel's socket table is read");
         if let Some(unread) = found.filter(|unread| unread.unacknowledged == 0) {
             return unread.received;
         }
     }
-    panic!("never acknowledged");
+    panic!("written bytes were not acknowledged within {TEST_TIMEOUT:?}");
 }
 
 #[test]
--- a/crates/merlinreel-testkit/src/scripted_server/unread_bytes.rs
+++ b/crates/merlinreel-testkit/src/scripted_server/unread_bytes.rs
@@ -1,35 +1,41 @@
-//! Bytes of a loopback connection that the other side's process has not read yet, by the kernel's table of sockets.
-//! Linux only, like the test kit.
+//! Looks up unread data of a loopback connection in the kernel's socket table. Linux only, like the test kit.
 
 use std::fs::read_to_string;
 use std::io;
 use std::net::{SocketAddr, TcpStream};
 
+/// The kernel's table of IPv4 TCP sockets.
 const TABLE: &str = "/proc/net/tcp";
+/// Base of the numbers in the table.
 const HEXADECIMAL: u32 = 16;
 
-/// Columns of the table.
+/// Column of the local address and port, from 0.
 const LOCAL_COLUMN: usize = 1;
+/// Column of the remote address and port.
 const REMOTE_COLUMN: usize = 2;
+/// Column of the lengths of the send queue and the receive queue.
 const QUEUES_COLUMN: usize = 4;
 
-/// A connection's bytes; the two ends are not read at the same instant.
+/// Bytes of a connection that were sent from this end to the other. The kernel's entries of the two ends are not read at the
+/// same instant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct UnreadBytes {
-    /// Written at this end and not acknowledged by the other.
+    /// Bytes written at this end and not acknowledged by the other.
     pub unacknowledged: u64,
-    /// Received by the other end and not read by its process.
+    /// Bytes in the other end's receive buffer that its process has not read.
     pub received: u64,
 }
 
-/// The queues of one end of a connection, in bytes.
+/// The socket queues of one end of a connection.
 struct Queues {
+    /// Bytes in the send queue.
     unacknowledged: u64,
+    /// Bytes in the receive queue.
     received: u64,
 }
 
-/// Looks up an IPv4 connection of this machine with itself. None where an end of it is not in the table, which may miss
-/// one while others are opened and closed.
+/// Looks up the unread bytes of a loopback IPv4 connection. `None` if an end is not found in the table: a read of the table
+/// may miss entries while other sockets are opened and closed.
 pub fn look_up(stream: &TcpStream) -> io::Result<Option<UnreadBytes>> {
     let local = port_suffix(stream.local_addr()?);
     let remote = port_suffix(stream.peer_addr()?);
@@ -47,6 +53,7 @@
     }))
 }
 
+/// Finds the queues of the end with these port suffixes. `None` if its entry is missing or malformed.
 fn queues(table: &str, local: &str, remote: &str) -> Option<Queues> {
     let columns = table
         .lines()
@@ -63,7 +70,7 @@
     })
 }
 
-/// The ports of both ends identify a connection of one loopback address.
+/// The port as it ends an address in the table. The ports of both ends are enough to identify a loopback connection.
 fn port_suffix(address: SocketAddr) -> String {
     format!(":{:04X}", address.port())
 }
--- a/crates/merlinreel-testkit/src/stub_discovery.rs
+++ b/crates/merlinreel-testkit/src/stub_discovery.rs
@@ -1,4 +1,5 @@
-//! A stub of one limiter's discovery agent: lists, watches, silence and changes of state.
+//! A stub of one limiter's discovery agent. Serves server lists and watches; tests can silence it and change the state of
+//! servers.
 
 use crate::EndpointState;
 use crate::event_log::{Event, EventLog, LinkId};
@@ -10,27 +11,32 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// How often a watch checks for a change.
+/// Pause between two checks of a waiting request for a change.
 const WATCH_INTERVAL: Duration = Duration::from_millis(3);
 
+/// A server of the list. Its index in the list is its index in the cluster.
 #[derive(Debug)]
 struct ListedServer {
     address: SocketAddr,
     state: EndpointState,
 }
 
+/// What tests and the threads of connections share.
 #[derive(Debug)]
 struct State {
+    /// Generation of the list, increased by each change.
     generation: u64,
     is_silent: bool,
+    /// Whether responses are indented JSON.
     is_indented: bool,
     servers: Vec<ListedServer>,
-    /// The list that was announced last.
+    /// The list that was sent last; `None` before the first response.
     announced: Option<Value>,
 }
 
 impl State {
-    /// The complete list as discovery writes it.
+    /// The complete list as a discovery message. Removed servers are left out, and all that are not ready are listed as
+    /// draining.
     fn message(&self) -> Value {
         let instances: Vec<Value> = self
             .servers
@@ -49,6 +55,7 @@
         crate::full_list(self.generation, &instances)
     }
 
+    /// The complete list as JSON text.
     fn text(&self) -> String {
         let message = self.message();
         let text = if self.is_indented {
@@ -60,10 +67,10 @@
     }
 }
 
-/// A stub discovery, which serves until the test's process ends.
+/// A stub discovery. Serves until the test's process ends.
 #[derive(Debug)]
 pub struct StubDiscovery {
-    /// Where it listens.
+    /// The address at which the stub listens.
     pub address: SocketAddr,
     state: Arc<Mutex<State>>,
 }
@@ -73,7 +80,7 @@
 }
 
 impl StubDiscovery {
-    /// Starts the discovery of that limiter, which reaches its servers at these addresses.
+    /// Starts the discovery of the limiter with this index, and lists the servers at these addresses as ready.
     ///
     /// # Panics
     /// There is no free port.
@@ -104,24 +111,24 @@
         StubDiscovery { address, state }
     }
 
-    /// Changes a server's state, which the next response announces.
+    /// Changes the state of the server with this index. Later responses announce it.
     pub fn set_state(&self, server: usize, endpoint_state: EndpointState) {
         let mut state = lock(&self.state);
         state.generation += 1;
         state.servers[server].state = endpoint_state;
     }
 
-    /// While silent, connections stay open and no response is sent.
+    /// Sets whether the stub is silent: connections stay open, but no response is sent.
     pub fn set_silent(&self, is_silent: bool) {
         lock(&self.state).is_silent = is_silent;
     }
 
-    /// The list that the limiter was told last: what a new process of it is given as known.
+    /// The list that was last sent to the limiter; `None` if there is none. A restarted limiter starts from it.
     pub fn last_announced(&self) -> Option<Value> {
         lock(&self.state).announced.clone()
     }
 
-    /// Writes indented JSON from now on.
+    /// Makes all later responses indented JSON.
     pub fn indent_responses(&self) {
         lock(&self.state).is_indented = true;
     }
@@ -146,7 +153,8 @@
     Ok(())
 }
 
-/// The response to a request, which waits for a newer generation as long as its query says.
+/// Returns the body of the response to a request. Waits for a generation newer than the query's `after`, at most for its
+/// `wait_ms`, and in any case until the stub is not silent.
 fn wait_for_response(
     limiter: usize,
     request: &Message,
@@ -163,9 +171,9 @@
     loop {
         let mut state = lock(state);
         let is_new = known_generation.is_none_or(|known| state.generation > known);
-        let is_due = start.elapsed() >= wait;
-        if !state.is_silent && (is_new || is_due) {
-            // Recorded before the response is written, so that no attempt after it precedes it in the log.
+        let wait_is_over = start.elapsed() >= wait;
+        if !state.is_silent && (is_new || wait_is_over) {
+            // Recorded before the response is written, so that attempts made after the response follow it in the log.
             for (server, listed) in state.servers.iter().enumerate() {
                 if listed.state != EndpointState::Ready {
                     log.record(Event::DrainAnnounced(LinkId { limiter, server }));
--- a/crates/merlinreel-testkit/src/stub_server.rs
+++ b/crates/merlinreel-testkit/src/stub_server.rs
@@ -1,4 +1,4 @@
-//! A stub of a server with a queue, cores, a slow start, pauses and drains, which records the attempts it receives.
+//! A stub server with cores, a queue and a slow start. It can be paused and drained, and records the attempts it receives.
 
 use crate::event_log::{Event, EventLog};
 use crate::http::{Message, read};
@@ -9,18 +9,18 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// The capacity of a stub server.
+/// The capacity of a stub server. Requests that run share the cores.
 #[derive(Clone, Copy, Debug)]
 pub struct StubServerConfig {
-    /// Requests that run at full speed at once.
+    /// Number of requests that can run at once at full speed.
     pub cores: usize,
-    /// Requests accepted in addition to those on the cores; more are rejected.
+    /// Number of requests that are accepted in addition to `cores`. Further ones are rejected.
     pub queue: usize,
-    /// The time of one request after the slow start.
+    /// Time to run one request at full speed, after the slow start.
     pub service_time: Duration,
-    /// The factor on the service time right after the start; it falls linearly to 1.
+    /// Factor on the service time right after the start. It falls linearly to 1 during the slow start.
     pub initial_slowdown: f64,
-    /// The time after which the factor is 1.
+    /// Length of the slow start; zero for none.
     pub slow_start_duration: Duration,
 }
 
@@ -36,31 +36,35 @@
     }
 }
 
+/// What the server and the threads of its connections share.
 #[derive(Debug)]
 struct State {
+    /// Index of the server, recorded in events.
     number: usize,
     config: StubServerConfig,
     log: EventLog,
     started: Instant,
+    /// Number of accepted requests that have not ended.
     running: AtomicUsize,
+    /// Number of requests that were run to completion.
     completed: AtomicUsize,
     is_paused: AtomicBool,
     is_draining: AtomicBool,
 }
 
-/// A stub server, which serves until the test's process ends.
+/// A stub server. Serves until the test's process ends.
 #[derive(Debug)]
 pub struct StubServer {
-    /// Where it listens.
+    /// The address at which the server listens.
     pub address: SocketAddr,
     state: Arc<State>,
 }
 
-/// The next attempt's number, over all stub servers of a test's process.
+/// Number of the next attempt, counted over all stub servers of the test's process.
 static NEXT_ATTEMPT: AtomicU64 = AtomicU64::new(1);
 
 impl StubServer {
-    /// Starts the server of that number.
+    /// Starts a server. `number` is its index in the recorded events.
     ///
     /// # Panics
     /// There is no free port.
@@ -87,23 +91,23 @@
         StubServer { address, state }
     }
 
-    /// While paused, the server accepts requests and makes no progress.
+    /// Sets whether the server is paused: it accepts requests but makes no progress on them.
     pub fn set_paused(&self, is_paused: bool) {
         self.state.is_paused.store(is_paused, Ordering::Relaxed);
     }
 
-    /// Finishes running requests and rejects new ones from now on.
+    /// Drains the server for good: it finishes running requests and rejects new ones.
     pub fn drain(&self) {
         self.state.is_draining.store(true, Ordering::Relaxed);
     }
 
-    /// Requests that were run to their end.
+    /// Number of requests that were run to completion.
     pub fn completed_requests(&self) -> usize {
         self.state.completed.load(Ordering::Relaxed)
     }
 }
 
-/// The remaining time that the limiter advertises.
+/// The remaining time in `X-Remaining`, in whole milliseconds; `None` if the header is missing or malformed.
 fn advertised_time(message: &Message) -> Option<Duration> {
     let milliseconds = message
         .header("x-remaining")?
@@ -114,6 +118,7 @@
 }
 
 impl State {
+    /// Serves a connection. Requests without `X-Txn` are health checks.
     fn serve(&self, mut stream: TcpStream) -> io::Result<()> {
         stream.set_nodelay(true)?;
         let mut reader = BufReader::new(stream.try_clone()?);
@@ -151,7 +156,7 @@
         });
         let is_full = self.running() >= self.config.cores + self.config.queue;
         if self.is_draining.load(Ordering::Relaxed) || is_full {
-            // Recorded before it is written, so that what follows the response finds it in the log.
+            // Recorded before the response is written, so that events caused by the response follow it in the log.
             self.log.record(Event::AttemptRejected { attempt });
             return stream.write_all(
                 b"HTTP/1.1 503 Service Unavailable\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n",
@@ -173,27 +178,28 @@
         self.running.load(Ordering::Relaxed)
     }
 
-    /// The time of a request that begins now.
+    /// The time that a request takes which begins now, at the current load and stage of the slow start.
     fn service_time(&self) -> Duration {
         let slow_start = self.config.slow_start_duration.as_secs_f64().max(0.001);
         let progress = self.started.elapsed().as_secs_f64() / slow_start;
         let slowdown = 1.0 + (self.config.initial_slowdown - 1.0) * (1.0 - progress).max(0.0);
-        // All cores are shared by the requests that run.
+        // Running requests share all cores equally.
         let requests_per_core = self.running().div_ceil(self.config.cores).max(1);
         self.config.service_time.mul_f64(slowdown)
             * u32::try_from(requests_per_core).unwrap_or(u32::MAX)
     }
 
-    /// Runs a request for its service time, unless the limiter closes the connection; whether it was completed.
+    /// Runs a request for its service time, unless the connection ends before. Returns whether the request completed.
     fn run(&self, stream: &TcpStream) -> io::Result<bool> {
-        // The read timeout is both the interval of the check for a closed connection and the sleep between two.
+        // The read timeout makes `peek` both the check for a closed connection and the pause until the next check.
         stream.set_read_timeout(Some(Duration::from_millis(2)))?;
         let mut remaining = self.service_time();
         loop {
             let start = Instant::now();
             match stream.peek(&mut [0]) {
                 Ok(0) => return Ok(false),
-                // The next request, which limiters never send so early.
+                // Bytes of a further request, which limiters never send before the response: `peek` returns at once, so the
+                // loop sleeps instead.
                 Ok(_) => thread::sleep(Duration::from_millis(1)),
                 Err(error) if is_timeout(&error) => {}
                 Err(_) => return Ok(false),
