--- a/crates/merlinreel-testkit/src/cluster.rs
+++ b/crates/merlinreel-testkit/src/cluster.rs
@@ -29,8 +29,8 @@
 const BURST_CONNECT_TIMEOUT: Duration = Duration::from_millis(100);
 /// Clients per limiter in [`Cluster::run`]: one sequential, one pipelining, one that disconnects during requests.
 const CLIENTS_PER_LIMITER: usize = 3;
-/// Clients per limiter in [`Cluster::run_wide`]: the same, one that pauses within requests, one that uploads in small
-/// chunks.
+/// Clients per limiter in [`Cluster::run_wide`]: those of [`Cluster::run`], one that pauses within requests, and one that
+/// uploads in small chunks.
 const WIDE_CLIENTS_PER_LIMITER: usize = 5;
 /// Pause between the two halves of a request.
 const MID_REQUEST_PAUSE: Duration = Duration::from_millis(60);
@@ -61,7 +61,7 @@
     accepts_connections: Arc<AtomicBool>,
     /// Connections of a burst; empty while there is none.
     burst: Vec<Client>,
-    /// When the process is killed if it is still running; `None` if it was not sent SIGTERM.
+    /// When the process is killed if a shutdown has not ended it; `None` while no shutdown is pending.
     kill_at: Option<Instant>,
 }
 
--- a/crates/merlinreel-testkit/src/event_log.rs
+++ b/crates/merlinreel-testkit/src/event_log.rs
@@ -31,7 +31,8 @@
         /// Time allowed for the response, from this event on. The client sends it in `X-Remaining`.
         timeout: Duration,
     },
-    /// The client has written the last byte of a request to its socket. Recorded after the write returns, even if it failed.
+    /// The client has written the last byte of a request to its socket, that is, to its kernel's send buffer. Recorded after
+    /// the write returns, even if it failed.
     RequestWritten {
         /// Id given in [`Event::RequestSent`].
         id: RequestId,
@@ -85,7 +86,8 @@
     },
     /// Discovery is about to send a limiter a list in which a server is draining or removed. Recorded for each such response.
     DrainAnnounced(LinkId),
-    /// The link stops carrying traffic in at least the direction from server to limiter.
+    /// The link stops carrying traffic in both directions, or only from the server to the limiter, so that at least one side
+    /// no longer sees what the other does.
     LinkPartitioned(LinkId),
     /// The link carries traffic in both directions again.
     LinkHealed(LinkId),
--- a/crates/merlinreel-testkit/src/fault_plan.rs
+++ b/crates/merlinreel-testkit/src/fault_plan.rs
@@ -101,7 +101,7 @@
     pub fault: Fault,
 }
 
-/// A schedule of faults, reproducible from its seed.
+/// A schedule of faults to inject during a run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FaultPlan {
     /// The faults and recoveries in chronological order.
--- a/crates/merlinreel-testkit/src/http.rs
+++ b/crates/merlinreel-testkit/src/http.rs
@@ -18,8 +18,8 @@
     pub headers: Vec<(String, String)>,
     /// The decoded body, with invalid UTF-8 replaced. Empty if there is none.
     pub body: String,
-    /// The number of the connection that the message arrived on, as passed to [`read`]; a [`crate::ScriptedServer`] counts
-    /// from 0, all other readers pass 0.
+    /// The number of the connection that the message arrived on. A [`crate::ScriptedServer`] counts connections from 0; all
+    /// other readers store 0.
     pub connection: usize,
 }
 
--- a/crates/merlinreel-testkit/src/link/udp.rs
+++ b/crates/merlinreel-testkit/src/link/udp.rs
@@ -34,7 +34,8 @@
     /// There is no free port.
     pub fn between(first: SocketAddr, second: SocketAddr, seed: u64) -> UdpLink {
         let bind = || Arc::new(UdpSocket::bind("127.0.0.1:0").expect("a free port"));
-        let address = |socket: &UdpSocket| socket.local_addr().expect("bound");
+        let address =
+            |socket: &UdpSocket| socket.local_addr().expect("the socket has a local address");
         let first_side = bind();
         let second_side = bind();
         let link = UdpLink {
--- a/crates/merlinreel-testkit/src/scripted_server.rs
+++ b/crates/merlinreel-testkit/src/scripted_server.rs
@@ -107,7 +107,9 @@
     /// There is no free port.
     pub fn start(react: impl Fn(&Message) -> Reaction + Send + Sync + 'static) -> ScriptedServer {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
-        let address = listener.local_addr().expect("bound");
+        let address = listener
+            .local_addr()
+            .expect("the listener has a local address");
         let (request_sender, requests) = channel();
         let (closed_sender, closed) = channel();
         let react = Arc::new(react);
--- a/crates/merlinreel-testkit/src/scripted_server/tests.rs
+++ b/crates/merlinreel-testkit/src/scripted_server/tests.rs
@@ -10,7 +10,7 @@
     let mut stream = TcpStream::connect(server.address).expect("a connection");
     stream
         .set_read_timeout(Some(TEST_TIMEOUT))
-        .expect("a socket");
+        .expect("the read timeout is set");
     stream.write_all(REQUEST).expect("written");
     server.next_request();
     stream
@@ -52,8 +52,12 @@
 #[test]
 fn written_bytes_are_unread_until_the_other_side_reads_them() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
-    let mut reader =
-        TcpStream::connect(listener.local_addr().expect("bound")).expect("a connection");
+    let mut reader = TcpStream::connect(
+        listener
+            .local_addr()
+            .expect("the listener has a local address"),
+    )
+    .expect("a connection");
     let (mut writer, _) = listener.accept().expect("a connection");
     assert_eq!(unread_bytes_of(&writer), 0);
     writer.write_all(&[0; 10]).expect("written");
--- a/crates/merlinreel-testkit/src/stub_discovery.rs
+++ b/crates/merlinreel-testkit/src/stub_discovery.rs
@@ -86,7 +86,9 @@
     /// There is no free port.
     pub fn start(limiter: usize, servers: Vec<SocketAddr>, log: &EventLog) -> StubDiscovery {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
-        let address = listener.local_addr().expect("bound");
+        let address = listener
+            .local_addr()
+            .expect("the listener has a local address");
         let servers = servers
             .into_iter()
             .map(|address| ListedServer {
--- a/crates/merlinreel-testkit/src/stub_server.rs
+++ b/crates/merlinreel-testkit/src/stub_server.rs
@@ -70,7 +70,9 @@
     /// There is no free port.
     pub fn start(number: usize, config: StubServerConfig, log: &EventLog) -> StubServer {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
-        let address = listener.local_addr().expect("bound");
+        let address = listener
+            .local_addr()
+            .expect("the listener has a local address");
         let state = Arc::new(State {
             number,
             config,
