--- a/crates/merlinreel/tests/sockets/advertised_time.rs
+++ b/crates/merlinreel/tests/sockets/advertised_time.rs
@@ -1,38 +1,41 @@
-//! The time that servers are told: never more than the client has left, however long its request lay unread.
+//! The remaining time that the limiter advertises to servers in `X-Remaining`: it never exceeds the time that the client has
+//! left, even if the request was unread data in the socket buffer for a while.
 
 use merlinreel_testkit::*;
 use std::thread;
 use std::time::{Duration, Instant};
 
-const CLIENT_TIME: Duration = Duration::from_millis(1500);
+/// Remaining time of a request when the client sends it.
+const CLIENT_TIMEOUT: Duration = Duration::from_millis(1500);
+/// How long a suspension lasts at least.
 const SUSPENSION: Duration = Duration::from_millis(800);
-/// How much more than the client has left a server may be told.
-const SLACK: Duration = Duration::from_millis(150);
-/// How much less a calm limiter tells.
-const MAX_LOSS: Duration = Duration::from_millis(300);
+/// Tolerance by which the advertised time may exceed the time that the client has left.
+const MAX_EXCESS: Duration = Duration::from_millis(150);
+/// Tolerance by which a limiter that is not suspended may advertise less than the time that the client has left.
+const MAX_SHORTFALL: Duration = Duration::from_millis(300);
 
-/// A limiter before a server that answers everything.
-fn started() -> (ScriptedServer, Program) {
+/// Starts a server that responds with status 200 to every request, and a limiter in front of it.
+fn start_server_and_limiter() -> (ScriptedServer, Program) {
     let server = ScriptedServer::start(|_| ok_response());
     let program = Program::start(&config(&[instance("s-1", server.address, "up")]));
     (server, program)
 }
 
 fn request_text() -> String {
-    request("look", 7, 1, &format!("{}m", CLIENT_TIME.as_millis()))
+    request("look", 7, 1, &format!("{}m", CLIENT_TIMEOUT.as_millis()))
 }
 
-/// The time that the server was told with the next request.
-fn advertised(server: &ScriptedServer) -> Duration {
-    let seen = server.next_request();
-    let text = seen.header("x-remaining").expect("a remaining time");
+/// Waits for the next request at the server and returns the time that was advertised with it.
+fn next_advertised_time(server: &ScriptedServer) -> Duration {
+    let forwarded = server.next_request();
+    let text = forwarded.header("x-remaining").expect("a remaining time");
     let ms = text
         .strip_suffix('m')
         .and_then(|digits| digits.parse().ok());
     Duration::from_millis(ms.expect("milliseconds"))
 }
 
-/// Suspends the limiter, and continues it after the time of [`SUSPENSION`] behind what `during` does.
+/// Suspends the limiter, runs `during`, and continues the limiter [`SUSPENSION`] later.
 fn suspend<T>(program: &Program, during: impl FnOnce() -> T) -> T {
     program.signal("-STOP");
     let result = during();
@@ -41,18 +44,22 @@
     result
 }
 
-/// The client has its response, and the server was told nothing of the suspension's time.
+/// Asserts that the client gets its response, and that the time advertised to the server does not include the suspension.
 fn assert_suspension_is_counted(client: &mut Client, server: &ScriptedServer) {
     let status = client.receive().map(|response| response.status());
     assert_eq!(status, Some(200));
-    let told = advertised(server);
-    assert!(told + SUSPENSION <= CLIENT_TIME + SLACK, "{told:?}");
+    let advertised_time = next_advertised_time(server);
+    assert!(
+        advertised_time + SUSPENSION <= CLIENT_TIMEOUT + MAX_EXCESS,
+        "{advertised_time:?}"
+    );
 }
 
-/// Guards against a request's time that is counted from when a suspended limiter read it, on an open connection.
+/// Guards against a remaining time that is counted from the moment when a suspended limiter read the request. Here the
+/// request arrives on an open connection during the suspension.
 #[test]
-fn time_in_which_a_request_lay_unread_on_an_open_connection_is_counted() {
-    let (server, program) = started();
+fn time_unread_on_an_open_connection_is_counted() {
+    let (server, program) = start_server_and_limiter();
     let mut client = program.client();
     assert_eq!(client.request("look", 7, 1).status(), 200);
     server.next_request();
@@ -60,10 +67,11 @@
     assert_suspension_is_counted(&mut client, &server);
 }
 
-/// Guards against the same on a new connection.
+/// Guards against a remaining time that is counted from the moment when a suspended limiter accepted the connection. Here
+/// the client connects and sends its request during the suspension.
 #[test]
-fn time_in_which_a_request_lay_unread_on_a_new_connection_is_counted() {
-    let (server, program) = started();
+fn time_unread_on_a_new_connection_is_counted() {
+    let (server, program) = start_server_and_limiter();
     let mut client = suspend(&program, || {
         let mut client = program.client();
         client.send(&request_text());
@@ -72,24 +80,28 @@
     assert_suspension_is_counted(&mut client, &server);
 }
 
-/// Guards against the same for requests that wait behind another on a connection.
+/// Guards against a remaining time that omits the suspension where several requests are pipelined on a connection.
 #[test]
-fn time_in_which_pipelined_requests_lay_unread_is_counted() {
-    let (server, program) = started();
+fn time_unread_is_counted_for_pipelined_requests() {
+    let (server, program) = start_server_and_limiter();
     let mut client = program.client();
     suspend(&program, || client.send(&request_text()));
     client.send(&request_text());
     for _ in 0..2 {
         assert!(client.receive().is_some());
     }
-    let told = advertised(&server);
-    assert!(told + SUSPENSION <= CLIENT_TIME + SLACK, "{told:?}");
+    let advertised_time = next_advertised_time(&server);
+    assert!(
+        advertised_time + SUSPENSION <= CLIENT_TIMEOUT + MAX_EXCESS,
+        "{advertised_time:?}"
+    );
 }
 
-/// Guards against an attempt with no time left: such a request is rejected, and has no effect.
+/// Guards against an attempt for a request whose time ran out while the limiter was suspended: the request is rejected
+/// without any effect.
 #[test]
-fn request_whose_time_was_over_while_it_lay_unread_is_rejected_without_an_attempt() {
-    let (server, program) = started();
+fn request_that_expires_unread_is_rejected_without_an_attempt() {
+    let (server, program) = start_server_and_limiter();
     let mut client = program.client();
     suspend(&program, || client.send(&request("pay", 7, 1, "500m")));
     let status = client.receive().map(|response| response.status());
@@ -97,15 +109,16 @@
     assert!(server.requests.try_recv().is_err());
 }
 
-/// Guards against a request's time that is counted from when its connection was accepted, where that waited for a place.
+/// Guards against a remaining time that is counted from the moment when the connection was accepted, although the connection
+/// had to wait because the connection limit was reached.
 #[test]
 fn time_in_which_a_connection_waited_for_a_place_is_counted() {
-    const CROWD: usize = 420;
+    const PARTIAL_CLIENT_COUNT: usize = 420;
     let server = ScriptedServer::start(|_| ok_response());
     let mut config = config(&[instance("s-1", server.address, "up")]);
     config["limits"]["sockets"] = 256.into();
     let program = Program::start(&config);
-    let crowd: Vec<Client> = (0..CROWD)
+    let partial_clients: Vec<Client> = (0..PARTIAL_CLIENT_COUNT)
         .map(|_| {
             let mut client = program.client();
             client.send("GET /look?key=7 HTTP/1.1\r\nHost:");
@@ -115,36 +128,46 @@
     let sent_at = Instant::now();
     let mut client = program.client();
     client.send(&request_text());
-    let told = advertised(&server);
+    let advertised_time = next_advertised_time(&server);
     let waited = sent_at.elapsed();
-    assert!(told + waited <= CLIENT_TIME + SLACK, "{told:?} {waited:?}");
-    drop(crowd);
+    assert!(
+        advertised_time + waited <= CLIENT_TIMEOUT + MAX_EXCESS,
+        "{advertised_time:?} {waited:?}"
+    );
+    drop(partial_clients);
 }
 
-/// Guards against idle time that is taken for waiting: a calm limiter tells nearly all that the client has.
+/// Guards against idle time that is deducted as if the request had waited: a limiter that is not suspended advertises nearly
+/// all the time that the client has left.
 #[test]
-fn calm_limiter_counts_neither_a_new_connection_nor_idle_time() {
-    let (server, program) = started();
+fn idle_time_before_and_between_requests_is_not_counted() {
+    let (server, program) = start_server_and_limiter();
     let mut client = program.client();
     thread::sleep(Duration::from_millis(1000));
     for _ in 0..3 {
         client.send(&request_text());
         assert!(client.receive().is_some());
-        let told = advertised(&server);
-        assert!(told + MAX_LOSS >= CLIENT_TIME, "{told:?}");
+        let advertised_time = next_advertised_time(&server);
+        assert!(
+            advertised_time + MAX_SHORTFALL >= CLIENT_TIMEOUT,
+            "{advertised_time:?}"
+        );
         thread::sleep(Duration::from_millis(500));
     }
 }
 
-/// Guards against a hold-up that is counted for requests that come after it.
+/// Guards against a stall that is also deducted from the time of requests that arrive after it.
 #[test]
 fn suspension_is_not_counted_for_later_requests() {
-    let (server, program) = started();
+    let (server, program) = start_server_and_limiter();
     let mut client = program.client();
     suspend(&program, || ());
     thread::sleep(Duration::from_millis(300));
     client.send(&request_text());
     assert!(client.receive().is_some());
-    let told = advertised(&server);
-    assert!(told + MAX_LOSS >= CLIENT_TIME, "{told:?}");
+    let advertised_time = next_advertised_time(&server);
+    assert!(
+        advertised_time + MAX_SHORTFALL >= CLIENT_TIMEOUT,
+        "{advertised_time:?}"
+    );
 }
--- a/crates/merlinreel/tests/sockets/client_disconnects.rs
+++ b/crates/merlinreel/tests/sockets/client_disconnects.rs
@@ -1,4 +1,4 @@
-//! Clients that disconnect while their request waits for its first attempt.
+//! Clients that disconnect while the connection for their request's first attempt is being established.
 
 use merlinreel_testkit::*;
 use socket2::{Domain, Socket, Type};
@@ -8,44 +8,46 @@
 use std::time::{Duration, Instant};
 use test_case::test_case;
 
-/// A server whose connections are established late: its backlog holds one connection, which is in use until it is accepted.
-pub fn server_with_a_full_queue() -> (TcpListener, TcpStream) {
+/// Returns a listener and the connection that fills its backlog of one. Further connections to it are established only after
+/// that one has been accepted.
+pub fn listener_with_full_backlog() -> (TcpListener, TcpStream) {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
     socket
         .bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into())
         .expect("a free port");
-    socket.listen(0).expect("listens");
+    socket.listen(0).expect("a listening socket");
     let listener = TcpListener::from(socket);
-    let address = listener.local_addr().expect("bound");
+    let address = listener.local_addr().expect("a local address");
     (
         listener,
-        TcpStream::connect(address).expect("the one place"),
+        TcpStream::connect(address).expect("the connection that fills the backlog"),
     )
 }
 
-/// Waits until a connection to `address` is being established, its first packet dropped by the full backlog, other than the
-/// one from `known`; returns its source address. The kernel tries each again a second after its first packet.
-pub fn wait_for_connecting(address: SocketAddr, known: Option<&str>) -> String {
+/// Waits until a connection to `address` is being established, other than the one with source address `known`, and returns
+/// its source address. Its SYN was dropped because the backlog is full; the kernel retransmits each SYN a second after the
+/// first.
+pub fn wait_for_pending_connection(address: SocketAddr, known: Option<&str>) -> String {
     const SYN_SENT: &str = "02";
     let port = format!(":{:04X}", address.port());
-    let from = |line: &str| {
+    let pending_source = |line: &str| {
         let columns: Vec<&str> = line.split_whitespace().collect();
-        let connecting = columns.len() > 3 && columns[2].ends_with(&port) && columns[3] == SYN_SENT;
-        (connecting && Some(columns[1]) != known).then(|| columns[1].to_owned())
+        let is_pending = columns.len() > 3 && columns[2].ends_with(&port) && columns[3] == SYN_SENT;
+        (is_pending && Some(columns[1]) != known).then(|| columns[1].to_owned())
     };
     let started_at = Instant::now();
     while started_at.elapsed() < TEST_TIMEOUT {
         let sockets =
             std::fs::read_to_string("/proc/net/tcp").expect("the kernel's table of sockets");
-        if let Some(from) = sockets.lines().find_map(from) {
-            return from;
+        if let Some(source) = sockets.lines().find_map(pending_source) {
+            return source;
         }
         thread::sleep(Duration::from_millis(1));
     }
     panic!("no connection to {address} is being established");
 }
 
-/// The id of the first request on the next connection that brings any.
+/// Accepts connections until one carries a request, and returns the id of that request.
 fn next_request_id(listener: &TcpListener) -> String {
     loop {
         let (stream, _) = listener.accept().expect("a connection");
@@ -56,29 +58,31 @@
     }
 }
 
-/// The attempt's connection is still being established as its client disconnects: nothing is written on it, whether or not
-/// the settings allow attempts to be cancelled. It would be established before the second client's, which asked later.
+/// Guards against an attempt that is sent although its client has disconnected: the client disconnects while the connection
+/// is still being established, and nothing may be written to it later. This must not depend on whether the settings allow
+/// attempts to be cancelled. The abandoned connection would be established before that of the second client, which was
+/// opened later.
 #[test_case(true ; "attempts may be cancelled")]
 #[test_case(false ; "attempts may not be cancelled")]
-fn disconnected_client_starts_no_further_attempt(may_cancel: bool) {
-    let (listener, place) = server_with_a_full_queue();
-    let address = listener.local_addr().expect("bound");
+fn attempt_of_a_disconnected_client_is_not_sent(may_cancel: bool) {
+    let (listener, backlog_holder) = listener_with_full_backlog();
+    let address = listener.local_addr().expect("a local address");
     let mut config = config(&[instance("s-1", address, "up")]);
     config["settings"]["policyLimits"]["mayCancel"] = may_cancel.into();
     config["settings"]["policyLimits"]["connectTimeoutS"] = 20.into();
     let program = Program::start(&config);
     let mut disconnecting = program.client();
     disconnecting.send(&request("pay", 1, 1, "4000m"));
-    let first = wait_for_connecting(address, None);
+    let abandoned = wait_for_pending_connection(address, None);
     drop(disconnecting);
     let mut waiting = program.client();
     let text = request("pay", 2, 1, "4000m");
     waiting.send(&text);
-    wait_for_connecting(address, Some(&first));
-    drop(place);
+    wait_for_pending_connection(address, Some(&abandoned));
+    drop(backlog_holder);
     let id = next_request_id(&listener);
     assert!(
         text.contains(&format!("X-Txn: {id}\r\n")),
-        "{id} is the request of the client that has disconnected"
+        "request {id} of the disconnected client was sent"
     );
 }
--- a/crates/merlinreel/tests/sockets/endpoint_draining.rs
+++ b/crates/merlinreel/tests/sockets/endpoint_draining.rs
@@ -1,32 +1,35 @@
-//! Servers that begin to drain while attempts at them are being connected.
+//! Servers that begin to drain while connections for attempts to them are being established.
 
-use super::client_disconnects::{server_with_a_full_queue, wait_for_connecting};
+use super::client_disconnects::{listener_with_full_backlog, wait_for_pending_connection};
 use merlinreel_testkit::*;
 use std::sync::mpsc::channel;
 
-/// The connection of an attempt is still being established as its server begins to drain: the attempt moves to another server,
-/// and nothing is written to this one, however long after the drain grace its connection is established.
+/// Guards against an attempt that is sent to a draining server because its connection was still being established when the
+/// drain began: the attempt must move to another server, as the connection may be established after the drain grace period.
 #[test]
 fn unstarted_attempt_leaves_a_draining_server() {
-    let (listener, _place) = server_with_a_full_queue();
-    let draining = listener.local_addr().expect("bound");
+    let (listener, _backlog_holder) = listener_with_full_backlog();
+    let draining = listener.local_addr().expect("a local address");
     let other = ScriptedServer::start(|_| ok_response());
-    let (lists, queue) = channel();
-    let discovery = discovery(queue);
+    let (list_sender, lists) = channel();
+    let discovery = discovery(lists);
     let mut config = config(&[instance("s-1", draining, "up")]);
     config["discovery"] = discovery.address.to_string().into();
     config["settings"]["policyLimits"]["connectTimeoutS"] = 20.into();
     let program = Program::start(&config);
     let mut client = program.client();
     client.send(&request("pay", 1, 1, "4000m"));
-    wait_for_connecting(draining, None);
+    wait_for_pending_connection(draining, None);
     let changes = [
         instance("s-1", draining, "draining"),
         instance("s-2", other.address, "up"),
     ];
-    lists
+    list_sender
         .send(list_changes(2, &changes).to_string())
         .expect("sent");
-    assert_eq!(client.receive().map(|answer| answer.status()), Some(200));
+    assert_eq!(
+        client.receive().map(|response| response.status()),
+        Some(200)
+    );
     assert_eq!(other.requests.try_iter().count(), 1);
 }
--- a/crates/merlinreel/tests/sockets/fault_campaign.rs
+++ b/crates/merlinreel/tests/sockets/fault_campaign.rs
@@ -1,4 +1,4 @@
-//! Several limiters with faults injected into them and between them; the event log is checked against the five rules.
+//! Clusters of several limiters with generated faults. The event log is checked against the five rules of the protocol.
 
 use merlinreel_testkit::link::NetworkConditions;
 use merlinreel_testkit::*;
@@ -8,10 +8,9 @@
 const LIMITERS: usize = 3;
 const SERVERS: usize = 4;
 
-/// Under any drawn faults no rule is violated, and most requests are served: limiters are killed, terminated by repeated
-/// signals and killed as early as possible, suspended, restarted and reconfigured; servers pause and drain, links are
-/// partitioned in one direction or both, connections are closed, discoveries are silent, connection bursts arrive,
-/// clients pipeline four requests or disconnect, a fifth of the peer messages is lost.
+/// Guards against violations of the rules under randomly drawn faults of limiters, servers and links ([`Fault`] lists them),
+/// while clients pipeline four requests or disconnect and a fifth of the peer messages is lost. More than half of the
+/// requests must be served.
 #[test_case(1)]
 #[test_case(2)]
 #[test_case(3)]
@@ -24,19 +23,28 @@
     let plan = FaultPlan::generate(seed, 6, LIMITERS, SERVERS, duration);
     let entries = cluster.run(&plan, duration);
     let violations = find_violations(&entries, &Tolerances::default());
-    let shown: Vec<String> = violations.iter().take(5).map(ToString::to_string).collect();
-    assert!(violations.is_empty(), "{shown:?} under {:?}", plan.faults);
-    let count =
-        |wanted: fn(&Event) -> bool| entries.iter().filter(|entry| wanted(&entry.event)).count();
+    let first_violations: Vec<String> =
+        violations.iter().take(5).map(ToString::to_string).collect();
+    assert!(
+        violations.is_empty(),
+        "{first_violations:?} under {:?}",
+        plan.faults
+    );
+    let count = |matches_event: fn(&Event) -> bool| {
+        entries
+            .iter()
+            .filter(|entry| matches_event(&entry.event))
+            .count()
+    };
     let sent = count(|event| matches!(event, Event::RequestSent { .. }));
     let served = count(|event| matches!(event, Event::ResponseReceived { status: 200, .. }));
     assert!(sent > 300 && served * 2 > sent, "{served} of {sent} served");
     assert!(cluster.servers[0].completed_requests() > 0);
 }
 
-/// The same with faults of several parts (short suspensions in a row, slow links, a restart while discovery is silent, a
-/// connection burst into a shutdown, reloads in a drain), and with clients that stop in the middle of a request or upload
-/// in thousands of chunks.
+/// Guards against violations of the rules under compound faults: short suspensions in a row, slow links, a restart while
+/// discovery is silent, a shutdown during a connection burst, reloads during a drain. Further clients pause in the middle of
+/// a request or upload in thousands of chunks.
 #[test_case(1)]
 #[test_case(2)]
 fn faults_of_several_parts_violate_no_rule(seed: u64) {
@@ -45,8 +53,13 @@
     let plan = FaultPlan::generate_wide(seed, 4, LIMITERS, SERVERS, duration);
     let entries = cluster.run_wide(&plan, duration);
     let violations = find_violations(&entries, &Tolerances::default());
-    let shown: Vec<String> = violations.iter().take(5).map(ToString::to_string).collect();
-    assert!(violations.is_empty(), "{shown:?} under {:?}", plan.faults);
+    let first_violations: Vec<String> =
+        violations.iter().take(5).map(ToString::to_string).collect();
+    assert!(
+        violations.is_empty(),
+        "{first_violations:?} under {:?}",
+        plan.faults
+    );
     let served = entries
         .iter()
         .filter(|entry| matches!(entry.event, Event::ResponseReceived { status: 200, .. }))
@@ -54,7 +67,7 @@
     assert!(served > 300, "{served} served");
 }
 
-/// Responses that are slow and split into small pieces on all links at once are complete.
+/// Guards against responses that are truncated or lost when all links are slow and split responses into small pieces.
 #[test]
 fn trickled_responses_violate_no_rule() {
     let mut cluster = Cluster::start(9, LIMITERS, SERVERS);
--- a/crates/merlinreel/tests/sockets/graceful_shutdown.rs
+++ b/crates/merlinreel/tests/sockets/graceful_shutdown.rs
@@ -1,5 +1,5 @@
-//! The graceful shutdown of the program, with clients that never stop sending, and a process that starts while discovery
-//! knows more than it does.
+//! Graceful shutdown while clients keep sending requests, the start of a process whose cached endpoint list is outdated, and
+//! watches of the endpoint list that fail.
 
 use merlinreel_testkit::*;
 use serde_json::Value;
@@ -10,69 +10,72 @@
 use std::time::Duration;
 
 /// Whether a response announces that its connection closes.
-fn closing(answer: &Message) -> bool {
-    answer
+fn announces_close(response: &Message) -> bool {
+    response
         .header("connection")
         .is_some_and(|value| value == "close")
 }
 
-/// Calls until a response announces that its connection closes: from then on connections are closed between requests.
-fn wait_until_closing(program: &Program) {
-    let closes = || {
-        let answer = program
+/// Calls `/up` until a response announces that its connection closes. From then on, the limiter closes connections between
+/// requests.
+fn wait_until_close_is_announced(program: &Program) {
+    let is_announced = || {
+        let response = program
             .client()
             .call("GET /up HTTP/1.1\r\nHost: svc\r\n\r\n");
-        answer.is_some_and(|answer| closing(&answer))
+        response.is_some_and(|response| announces_close(&response))
     };
     let announced = (0..2000).any(|_| {
         thread::sleep(Duration::from_millis(1));
-        closes()
+        is_announced()
     });
     assert!(announced, "no response announced the close");
 }
 
-/// What one of the busy clients saw.
+/// Counts of one client that keeps sending requests.
 #[derive(Default)]
-struct Seen {
+struct ClientCounts {
+    /// Requests that were sent, with or without a response.
     sent: usize,
-    /// Closed without a response and unannounced.
+    /// Requests whose connection was closed without a response and without an announcement.
     unanswered: usize,
-    /// Connections that ended with a response that announced it.
+    /// Connections whose last response announced the close.
     announced: usize,
 }
 
-/// Sends requests on a connection for as long as it stays open, and then on the next, until none can be established.
+/// Sends requests with `pause` between them, on one connection for as long as it stays open and then on the next, until
+/// `stop` is set or no connection can be established.
 fn send_until_stopped(
     address: std::net::SocketAddr,
     customer: u32,
     stop: &AtomicBool,
     pause: Duration,
-) -> Seen {
-    let mut seen = Seen::default();
+) -> ClientCounts {
+    let mut counts = ClientCounts::default();
     while let Ok(mut client) = Client::connect(address) {
         loop {
             if stop.load(Ordering::Relaxed) {
-                return seen;
+                return counts;
             }
-            seen.sent += 1;
+            counts.sent += 1;
             match client.call(&request("look", customer, 1, "3000m")) {
                 None => {
-                    seen.unanswered += 1;
+                    counts.unanswered += 1;
                     break;
                 }
-                Some(answer) if closing(&answer) => {
-                    seen.announced += 1;
+                Some(response) if announces_close(&response) => {
+                    counts.announced += 1;
                     break;
                 }
                 Some(_) => thread::sleep(pause),
             }
         }
     }
-    seen
+    counts
 }
 
-/// Clients send on every connection that stays open, and on new ones up to the end: fewer than one request in 200 may meet a
-/// connection that closes without a response.
+/// Guards against requests that are lost during a shutdown because their connection is closed as they arrive. Clients send
+/// on every connection that stays open, and on new ones up to the end: fewer than one request in 200 may go unanswered.
 #[test]
 fn busy_clients_are_answered_throughout_a_shutdown() {
     let server = ScriptedServer::start(|_| ok_response());
@@ -81,16 +84,17 @@
     config["settings"]["packages"][0]["unitsPerS"] = 1e6.into();
     config["settings"]["packages"][0]["mostAtOnce"] = 1e6.into();
     let mut program = Program::start(&config);
-    let (stop, connected) = (
+    let (stop, started_clients) = (
         Arc::new(AtomicBool::new(false)),
         Arc::new(AtomicUsize::new(0)),
     );
     let clients: Vec<_> = (0..40)
         .map(|customer| {
-            let (address, stop, connected) = (program.address, stop.clone(), connected.clone());
+            let (address, stop, started_clients) =
+                (program.address, stop.clone(), started_clients.clone());
             thread::spawn(move || {
-                connected.fetch_add(1, Ordering::Relaxed);
-                // Some leave their connection idle for longer than others.
+                started_clients.fetch_add(1, Ordering::Relaxed);
+                // Connections are idle between requests for different times, depending on the client.
                 send_until_stopped(
                     address,
                     customer,
@@ -100,30 +104,33 @@
             })
         })
         .collect();
-    while connected.load(Ordering::Relaxed) < 40 {
+    while started_clients.load(Ordering::Relaxed) < 40 {
         thread::sleep(Duration::from_millis(5));
     }
     thread::sleep(Duration::from_millis(200));
     program.signal("-TERM");
-    let ended = program.wait();
+    let status = program.wait();
     stop.store(true, Ordering::Relaxed);
-    let seen: Vec<Seen> = clients
+    let counts: Vec<ClientCounts> = clients
         .into_iter()
         .map(|client| client.join().expect("a client"))
         .collect();
-    let sum = |of: fn(&Seen) -> usize| seen.iter().map(of).sum::<usize>();
+    let sum = |field: fn(&ClientCounts) -> usize| counts.iter().map(field).sum::<usize>();
     let (sent, unanswered, announced) =
         (sum(|s| s.sent), sum(|s| s.unanswered), sum(|s| s.announced));
-    assert!(ended.success());
+    assert!(status.success());
     assert!(announced >= 40, "{announced} announced closes");
-    eprintln!("busy clients: {unanswered} of {sent} unanswered, {announced} announced");
+    eprintln!(
+        "clients during the shutdown: {unanswered} of {sent} requests unanswered, {announced} closes announced"
+    );
     assert!(
         sent > 400 && unanswered * 200 < sent,
         "{unanswered} of {sent} had no response"
     );
 }
 
-/// Half a request is there as the shutdown begins, the rest comes once connections are closed: it is served like any other.
+/// Guards against a request that is lost because only its first part has arrived when the shutdown begins; the rest arrives
+/// when idle connections are already being closed.
 #[test]
 fn partial_request_at_shutdown_is_answered() {
     let server = ScriptedServer::start(|_| ok_response());
@@ -134,41 +141,42 @@
     let (first, rest) = text.split_at(40);
     client.send(first);
     program.signal("-TERM");
-    wait_until_closing(&program);
-    // Longer than an idle connection is kept by then.
+    wait_until_close_is_announced(&program);
+    // Longer than an idle connection is kept in this stage of the shutdown.
     thread::sleep(Duration::from_millis(300));
     client.send(rest);
-    let answer = client.receive().expect("an answer");
-    assert!(answer.status() == 200 && closing(&answer));
+    let response = client.receive().expect("a response");
+    assert!(response.status() == 200 && announces_close(&response));
     assert!(program.wait().success());
 }
 
-/// A client that reads nothing until the shutdown has closed all other connections still gets its complete response.
+/// Guards against a response that is truncated by the shutdown because its client reads nothing until all other connections
+/// have been closed.
 #[test]
 fn slow_reader_at_shutdown_gets_its_complete_response() {
-    const LENGTH: usize = 24 << 20;
-    let long = "x".repeat(LENGTH);
-    let server = ScriptedServer::start(move |_| response("200 OK", "", &long));
+    const BODY_BYTES: usize = 24 << 20;
+    let body = "x".repeat(BODY_BYTES);
+    let server = ScriptedServer::start(move |_| response("200 OK", "", &body));
     let mut program = Program::start(&config(&[instance("s-1", server.address, "up")]));
     let mut client = program.client();
     client.send(&request("look", 7, 1, "3000m"));
     server.next_request();
     program.signal("-TERM");
-    wait_until_closing(&program);
+    wait_until_close_is_announced(&program);
     thread::sleep(Duration::from_millis(300));
     assert_eq!(
-        client.receive().map(|answer| answer.body.len()),
-        Some(LENGTH)
+        client.receive().map(|response| response.body.len()),
+        Some(BODY_BYTES)
     );
     assert!(program.wait().success());
 }
 
-/// Starts a limiter in a thread of its own, whose wait for discovery's first list is as long as the test says; it ends with
-/// the test's process.
-fn start_here(config: &Value, first_list: Duration) {
+/// Starts a limiter on a thread of the test process, which waits for its first endpoint list no longer than
+/// `first_list_timeout`. It runs until the test process ends.
+fn start_in_test_process(config: &Value, first_list_timeout: Duration) {
     let mut gateway_config =
-        merlinreel::config::parse(&config.to_string(), |_| None).expect("sound");
-    gateway_config.limits.endpoints.first_list_timeout = first_list;
+        merlinreel::config::parse(&config.to_string(), |_| None).expect("a valid configuration");
+    gateway_config.limits.endpoints.first_list_timeout = first_list_timeout;
     thread::spawn(move || {
         let metrics =
             merlinreel::telemetry::metrics::Metrics::new(&gateway_config.settings.sockets.classes);
@@ -195,58 +203,59 @@
     });
 }
 
-/// Sends a request in a thread of its own, as soon as the socket is there; returns where its status arrives.
-fn first_request(config: &Value) -> mpsc::Receiver<u16> {
+/// Sends a request on a new thread as soon as the limiter accepts a connection. The returned receiver gets the response's
+/// status, or 0 if there is none.
+fn send_first_request(config: &Value) -> mpsc::Receiver<u16> {
     let address: std::net::SocketAddr = config["listen"]
         .as_str()
-        .expect("an address")
+        .expect("`listen` is text")
         .parse()
-        .expect("one");
+        .expect("a socket address");
     let (sender, status) = channel();
     thread::spawn(move || {
         let client = (0..2000).find_map(|_| {
             thread::sleep(Duration::from_millis(5));
             Client::connect(address).ok()
         });
-        let answer = client
-            .expect("a socket")
+        let response = client
+            .expect("a connection")
             .call(&request("pay", 7, 1, "3000m"));
-        let _ = sender.send(answer.map_or(0, |answer| answer.status()));
+        let _ = sender.send(response.map_or(0, |response| response.status()));
     });
     status
 }
 
-/// Discovery knows of a drain that the list cached before the start does not have: nothing is sent to that server, however
-/// long discovery takes, as what discovery knows counts from the first moment on.
+/// Guards against requests to a draining server after a restart, because the cached endpoint list does not contain the
+/// drain: clients are not served before the first list from discovery is applied, or its timeout has passed.
 #[test]
 fn new_process_waits_for_the_first_endpoint_list() {
     let (old, new) = (
         ScriptedServer::start(|_| ok_response()),
         ScriptedServer::start(|_| ok_response()),
     );
-    let (lists, queue) = channel();
-    let discovery = discovery(queue);
+    let (list_sender, lists) = channel();
+    let discovery = discovery(lists);
     let mut config = config(&[instance("s-1", old.address, "up")]);
     config["discovery"] = discovery.address.to_string().into();
-    start_here(&config, TEST_TIMEOUT);
-    let answered = first_request(&config);
+    start_in_test_process(&config, TEST_TIMEOUT);
+    let status = send_first_request(&config);
     assert!(
         discovery
             .next_request()
             .first
             .contains("after=1&wait_ms=10 ")
     );
-    // Long enough for an attempt at the old one, were it allowed.
-    assert!(answered.recv_timeout(Duration::from_millis(400)).is_err());
+    // Long enough for an attempt to reach the old server, if one were made.
+    assert!(status.recv_timeout(Duration::from_millis(400)).is_err());
     let changes = [
         instance("s-1", old.address, "draining"),
         instance("s-2", new.address, "up"),
     ];
-    // Lists may come indented.
-    lists
+    // Discovery may send indented JSON.
+    list_sender
         .send(serde_json::to_string_pretty(&list_changes(2, &changes)).expect("text"))
         .expect("sent");
-    assert_eq!(answered.recv_timeout(TEST_TIMEOUT), Ok(200));
+    assert_eq!(status.recv_timeout(TEST_TIMEOUT), Ok(200));
     assert_eq!(
         (
             old.requests.try_iter().count(),
@@ -256,18 +265,22 @@
     );
 }
 
-/// Silent discovery delays a start for a limited time: then the cached list is used.
+/// Guards against a start that waits for a silent discovery forever: after the timeout the cached list is used.
 #[test]
 fn silent_discovery_delays_the_start_for_a_limited_time() {
     let server = ScriptedServer::start(|_| ok_response());
     let silent = ScriptedServer::start(|_| Reaction::Hang);
     let mut config = config(&[instance("s-1", server.address, "up")]);
     config["discovery"] = silent.address.to_string().into();
-    start_here(&config, Duration::from_millis(50));
-    assert_eq!(first_request(&config).recv_timeout(TEST_TIMEOUT), Ok(200));
+    start_in_test_process(&config, Duration::from_millis(50));
+    assert_eq!(
+        send_first_request(&config).recv_timeout(TEST_TIMEOUT),
+        Ok(200)
+    );
 }
 
-/// Watches that fail in a row: silent, silent after the head of a response, closed. The next call is answered.
+/// Guards against a watch that is not repeated after several failures in a row: no response, a response that stops within
+/// its body, a closed connection. The next call is answered.
 #[test]
 fn failed_watches_are_repeated_until_one_is_answered() {
     let (old, new) = (
@@ -290,7 +303,11 @@
     let connections: Vec<usize> = (0..4)
         .map(|_| discovery.next_request().connection)
         .collect();
-    assert_eq!(connections, [0, 1, 2, 3], "each on a connection of its own");
+    assert_eq!(
+        connections,
+        [0, 1, 2, 3],
+        "each call uses a connection of its own"
+    );
     // The fifth call is made once the list is in the event loop's queue.
     discovery.next_request();
     assert_eq!(program.client().request("look", 1, 1).status(), 200);
@@ -303,10 +320,11 @@
     );
 }
 
-/// SIGHUP brings shorter deadlines: the process may be killed the longest of them and 0.7 s after SIGTERM. A request that
-/// arrives late in the shutdown, at a server that hangs, has its response before that.
+/// Guards against a shutdown that uses the deadlines from before a reload: the process may be killed 0.7 s after the longest
+/// deadline in force, counted from SIGTERM. A request that arrives late in the shutdown, at a server that hangs, must be
+/// answered before that.
 #[test]
-fn shutdown_ends_by_the_deadlines_in_force() {
+fn shutdown_uses_the_reloaded_deadlines() {
     let server = ScriptedServer::start(|_| Reaction::Hang);
     let mut config = config(&[instance("s-1", server.address, "up")]);
     let mut program = Program::start(&config);
@@ -318,34 +336,38 @@
     }
     program.reload(&config.to_string());
     let text = request("pay", 7, 1, "1000m");
-    let (half, rest) = text.split_at(40);
+    let (first_part, rest) = text.split_at(40);
     let mut client = program.client();
-    client.send(half);
+    client.send(first_part);
     // Longer than a reload takes.
     thread::sleep(Duration::from_millis(300));
-    let requested_at = std::time::Instant::now();
+    let signalled_at = std::time::Instant::now();
     program.signal("-TERM");
     thread::sleep(Duration::from_millis(900));
     client.send(rest);
     assert!(client.receive().is_some());
     assert!(
-        requested_at.elapsed() < Duration::from_millis(1700),
+        signalled_at.elapsed() < Duration::from_millis(1700),
         "{:?}",
-        requested_at.elapsed()
+        signalled_at.elapsed()
     );
     assert!(program.wait().success());
 }
 
-/// Nobody reads the log any more: the limiter continues without it.
+/// Guards against a limiter that stops or blocks because writing its log fails: the read end of its standard error is
+/// closed.
 #[test]
 fn unwritable_log_is_ignored() {
     let server = ScriptedServer::start(|_| ok_response());
     let mut program = Program::start(&config(&[instance("s-1", server.address, "up")]));
     program.close_stderr();
-    // A body that is too long is logged.
+    // A body over the maximum length is logged.
     let text = request("pay", 7, 1, "900m").replace("Content-Length: 6", "Content-Length: 65537");
     assert_eq!(
-        program.client().call(&text).map(|answer| answer.status()),
+        program
+            .client()
+            .call(&text)
+            .map(|response| response.status()),
         Some(413)
     );
     program.reload("{}");
@@ -354,10 +376,10 @@
     assert!(program.wait().success());
 }
 
-/// Three signals to shut down, with reloads before and between them, are one shutdown. Requests in flight, at a server that
-/// hangs, have their response before the process may be killed.
+/// Guards against repeated signals that restart or abort a shutdown: SIGTERM is sent three times, with SIGHUP before each.
+/// Requests in flight, at a server that hangs, must be answered before the process may be killed.
 #[test]
-fn repeated_signals_are_one_shutdown() {
+fn repeated_signals_cause_one_shutdown() {
     let server = ScriptedServer::start(|_| Reaction::Hang);
     let config = config(&[instance("s-1", server.address, "up")]);
     let mut program = Program::start(&config);
@@ -371,7 +393,7 @@
         ));
     }
     server.next_request();
-    let requested_at = std::time::Instant::now();
+    let signalled_at = std::time::Instant::now();
     for signal in ["-HUP", "-TERM", "-HUP", "-TERM", "-HUP", "-TERM"] {
         program.signal(signal);
         thread::sleep(Duration::from_millis(20));
@@ -379,8 +401,8 @@
     assert!(clients.iter_mut().all(|client| client.receive().is_some()));
     assert!(program.wait().success());
     assert!(
-        requested_at.elapsed() < Duration::from_millis(3700),
+        signalled_at.elapsed() < Duration::from_millis(3700),
         "{:?}",
-        requested_at.elapsed()
+        signalled_at.elapsed()
     );
 }
--- a/crates/merlinreel/tests/sockets/limited_process.rs
+++ b/crates/merlinreel/tests/sockets/limited_process.rs
@@ -1,4 +1,5 @@
-//! Processes of the program under the system's own limit on descriptors, whose start nobody waits for.
+//! Processes of the program under the operating system's limit on file descriptors. Unlike the test kit's `Program`, they
+//! are started without waiting until they are ready.
 
 use merlinreel_testkit::*;
 use serde_json::Value;
@@ -9,71 +10,73 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-const UP: &str = "GET /up HTTP/1.1\r\nHost: svc\r\n\r\n";
+const READINESS_REQUEST: &str = "GET /up HTTP/1.1\r\nHost: svc\r\n\r\n";
 
-/// Ended with the test.
+/// A process of the program with a limit on its file descriptors; killed when dropped.
 pub struct LimitedProcess {
     child: Child,
-    file: PathBuf,
-    descriptors: u32,
+    config_file: PathBuf,
+    max_descriptors: u32,
     pub address: SocketAddr,
 }
 
 impl LimitedProcess {
-    /// With so many descriptors at most, whatever its configuration says.
-    pub fn start(config: &Value, descriptors: u32) -> LimitedProcess {
+    /// Starts the program with at most this many file descriptors, whatever its configuration says.
+    pub fn start(config: &Value, max_descriptors: u32) -> LimitedProcess {
         let address: SocketAddr = config["listen"]
             .as_str()
             .and_then(|text| text.parse().ok())
-            .expect("an address");
-        let file = std::env::temp_dir().join(format!("merlinreel-limited-{}.json", address.port()));
-        std::fs::write(&file, config.to_string()).expect("a file for the configuration");
-        let child = LimitedProcess::run(&file, descriptors);
+            .expect("`listen` is a socket address");
+        let config_file =
+            std::env::temp_dir().join(format!("merlinreel-limited-{}.json", address.port()));
+        std::fs::write(&config_file, config.to_string())
+            .expect("the configuration file is written");
+        let child = LimitedProcess::spawn(&config_file, max_descriptors);
         LimitedProcess {
             child,
-            file,
-            descriptors,
+            config_file,
+            max_descriptors,
             address,
         }
     }
 
-    fn run(file: &PathBuf, descriptors: u32) -> Child {
-        let limited = format!("ulimit -n {descriptors} && exec \"$0\"");
+    fn spawn(config_file: &PathBuf, max_descriptors: u32) -> Child {
+        let limited = format!("ulimit -n {max_descriptors} && exec \"$0\"");
         let mut command = Command::new("sh");
         command
             .args(["-c", &limited, env!("CARGO_BIN_EXE_merlinreel")])
-            .env("PROXY_CONFIG", file);
+            .env("PROXY_CONFIG", config_file);
         command
             .stderr(Stdio::null())
             .stdout(Stdio::null())
             .spawn()
-            .expect("the program")
+            .expect("the program is spawned")
     }
 
     pub fn kill(&mut self) {
-        self.child.kill().expect("killed");
-        self.child.wait().expect("an end");
+        self.child.kill().expect("the process can be killed");
+        self.child.wait().expect("the process can be waited for");
     }
 
-    pub fn start_again(&mut self) {
-        self.child = LimitedProcess::run(&self.file, self.descriptors);
+    pub fn restart(&mut self) {
+        self.child = LimitedProcess::spawn(&self.config_file, self.max_descriptors);
     }
 
     pub fn signal(&self, name: &str) {
         let sent = Command::new("kill")
             .args([name, &self.child.id().to_string()])
             .status();
-        assert!(sent.expect("the signal is sent").success());
+        assert!(sent.expect("`kill` is run").success());
     }
 
-    pub fn end(&mut self) -> ExitStatus {
-        self.child.wait().expect("an end")
+    pub fn wait(&mut self) -> ExitStatus {
+        self.child.wait().expect("the process can be waited for")
     }
 
-    /// Whether it says that it is ready before `until`.
-    pub fn is_ready_by(&self, until: Instant) -> bool {
-        while Instant::now() < until {
-            if self.says_up(until) {
+    /// Waits until the process reports that it is ready, at most until `deadline`. Returns whether it did.
+    pub fn is_ready_by(&self, deadline: Instant) -> bool {
+        while Instant::now() < deadline {
+            if self.reports_ready(deadline) {
                 return true;
             }
             thread::sleep(Duration::from_millis(5));
@@ -81,22 +84,24 @@
         false
     }
 
-    fn says_up(&self, until: Instant) -> bool {
-        let wait = until
+    fn reports_ready(&self, deadline: Instant) -> bool {
+        let timeout = deadline
             .saturating_duration_since(Instant::now())
             .max(Duration::from_millis(1));
-        let Ok(mut stream) = TcpStream::connect_timeout(&self.address, wait) else {
+        let Ok(mut stream) = TcpStream::connect_timeout(&self.address, timeout) else {
             return false;
         };
-        stream.set_read_timeout(Some(wait)).expect("a time-out");
+        stream
+            .set_read_timeout(Some(timeout))
+            .expect("the read timeout is set");
         let mut status = [0; 12];
-        let called = stream
-            .write_all(UP.as_bytes())
+        let exchanged = stream
+            .write_all(READINESS_REQUEST.as_bytes())
             .and_then(|()| stream.read_exact(&mut status));
-        called.is_ok() && &status == b"HTTP/1.1 200"
+        exchanged.is_ok() && &status == b"HTTP/1.1 200"
     }
 
-    pub fn descriptors(&self) -> usize {
+    pub fn open_descriptors(&self) -> usize {
         std::fs::read_dir(format!("/proc/{}/fd", self.child.id())).map_or(0, Iterator::count)
     }
 
@@ -109,6 +114,6 @@
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
-        let _ = std::fs::remove_file(&self.file);
+        let _ = std::fs::remove_file(&self.config_file);
     }
 }
--- a/crates/merlinreel/tests/sockets/main.rs
+++ b/crates/merlinreel/tests/sockets/main.rs
@@ -1,4 +1,5 @@
-//! The program as it runs: started by its configuration, spoken to over sockets.
+//! End-to-end tests: they start the program with a configuration and talk to it over sockets, as clients, servers, discovery
+//! and operators do.
 
 mod advertised_time;
 mod client_disconnects;
@@ -36,25 +37,28 @@
     let mut client = program.client();
     for _ in 0..2 {
         let text = request("put", 7, 1, "3000m");
-        let answer = client.call(&text).expect("a response");
+        let response = client.call(&text).expect("a response");
         assert_eq!(
-            (answer.status(), answer.body.as_str()),
+            (response.status(), response.body.as_str()),
             (200, "the response")
         );
-        assert_eq!(answer.header("x-kind"), Some("blue"));
-        let seen = server.next_request();
+        assert_eq!(response.header("x-kind"), Some("blue"));
+        let forwarded = server.next_request();
         assert_eq!(
-            (seen.first.as_str(), seen.body.as_str()),
+            (forwarded.first.as_str(), forwarded.body.as_str()),
             ("POST /put?key=0000000000000007 HTTP/1.1", "a body")
         );
-        let id = seen.header("x-txn").expect("an id");
+        let id = forwarded.header("x-txn").expect("a request id");
         assert!(text.contains(&format!("X-Txn: {id}\r\n")), "{id}");
-        assert_eq!(seen.header("idempotency-key"), Some("5c0f6e1a"));
-        let waits = seen
+        assert_eq!(forwarded.header("idempotency-key"), Some("5c0f6e1a"));
+        let remaining_ms = forwarded
             .header("x-remaining")
             .and_then(|text| text.strip_suffix('m')?.parse::<u32>().ok());
-        assert!(waits.is_some_and(|ms| ms > 0 && ms < 3000), "{waits:?}");
-        assert_eq!(seen.connection, 0);
+        assert!(
+            remaining_ms.is_some_and(|ms| ms > 0 && ms < 3000),
+            "{remaining_ms:?}"
+        );
+        assert_eq!(forwarded.connection, 0);
     }
 }
 
@@ -64,7 +68,10 @@
     let program = Program::start(&config(&[instance("s-1", server.address, "up")]));
     let text = request("look", 7, 1, "3000m").replace("GET /look", "GET http://origin.svc/look");
     assert_eq!(
-        program.client().call(&text).map(|answer| answer.status()),
+        program
+            .client()
+            .call(&text)
+            .map(|response| response.status()),
         Some(200)
     );
     assert_eq!(
@@ -81,10 +88,13 @@
     assert_eq!(client.request("look", 7, 8).status(), 200);
     let rejected = client.request("look", 7, 8);
     assert_eq!(rejected.status(), 429);
-    let wait = rejected
+    let retry_after_seconds = rejected
         .header("retry-after")
         .and_then(|text| text.parse::<f64>().ok());
-    assert!(wait.is_some_and(|seconds| seconds > 0.0), "{wait:?}");
+    assert!(
+        retry_after_seconds.is_some_and(|seconds| seconds > 0.0),
+        "{retry_after_seconds:?}"
+    );
     assert_eq!(client.request("look", 8, 8).status(), 200);
 }
 
@@ -102,68 +112,76 @@
     );
 }
 
-#[test_case("look", &["200"], 2 ; "idempotent is retried")]
-#[test_case("put", &["200"], 2 ; "with an idempotency key is retried in its scope")]
-#[test_case("pay", &["502"], 1 ; "non-idempotent that may have run fails")]
+#[test_case("look", &["200"], 2 ; "idempotent request is retried")]
+#[test_case("put", &["200"], 2 ; "request with an idempotency key is retried in the scope of the key")]
+#[test_case("pay", &["502"], 1 ; "non-idempotent request that may have run fails")]
 fn request_whose_connection_breaks_is_retried_where_its_class_allows(
     class: &str,
     statuses: &[&str],
     attempts: usize,
 ) {
-    let broken = std::sync::atomic::AtomicBool::new(false);
+    let has_closed_once = std::sync::atomic::AtomicBool::new(false);
     let server = ScriptedServer::start(move |_| {
-        if broken.swap(true, std::sync::atomic::Ordering::SeqCst) {
+        if has_closed_once.swap(true, std::sync::atomic::Ordering::SeqCst) {
             ok_response()
         } else {
             Reaction::Close
         }
     });
     let program = Program::start(&config(&[instance("s-1", server.address, "up")]));
-    let answer = program.client().request(class, 7, 1);
+    let response = program.client().request(class, 7, 1);
     assert!(
-        statuses.contains(&answer.status().to_string().as_str()),
-        "{answer:?}"
+        statuses.contains(&response.status().to_string().as_str()),
+        "{response:?}"
     );
     assert_eq!(server.requests.try_iter().count(), attempts);
 }
 
-#[test_case("503 Service Unavailable" ; "full")]
-#[test_case("504 Gateway Timeout" ; "past its deadline")]
+#[test_case("503 Service Unavailable" ; "server is full")]
+#[test_case("504 Gateway Timeout" ; "deadline has passed at the server")]
 fn request_rejected_by_a_server_is_retried_elsewhere_even_if_non_idempotent(status: &'static str) {
-    let full = ScriptedServer::start(move |_| response(status, "X-Turned-Away: 1\r\n", ""));
-    let other = ScriptedServer::start(|_| ok_response());
-    let nobody = free_address();
+    let rejecting_server =
+        ScriptedServer::start(move |_| response(status, "X-Turned-Away: 1\r\n", ""));
+    let accepting_server = ScriptedServer::start(|_| ok_response());
+    let unreachable_address = free_address();
     let servers = [
-        instance("s-1", full.address, "up"),
-        instance("s-2", other.address, "up"),
-        instance("s-3", nobody, "up"),
+        instance("s-1", rejecting_server.address, "up"),
+        instance("s-2", accepting_server.address, "up"),
+        instance("s-3", unreachable_address, "up"),
     ];
     let program = Program::start(&config(&servers));
     let mut client = program.client();
     for customer in 0..6 {
         assert_eq!(client.request("pay", customer, 1).status(), 200);
     }
-    assert_eq!(other.requests.try_iter().count(), 6);
+    assert_eq!(accepting_server.requests.try_iter().count(), 6);
 }
 
 #[test]
 fn request_with_an_id_in_flight_is_rejected_and_the_first_continues() {
     let server = ScriptedServer::start(|_| Reaction::Hang);
     let program = Program::start(&config(&[instance("s-1", server.address, "up")]));
-    let (text, mut first) = (request("pay", 7, 1, "1200m"), program.client());
-    first.send(&text);
+    let (text, mut first_client) = (request("pay", 7, 1, "1200m"), program.client());
+    first_client.send(&text);
     server.next_request();
     assert_eq!(
-        program.client().call(&text).map(|answer| answer.status()),
+        program
+            .client()
+            .call(&text)
+            .map(|response| response.status()),
         Some(409)
     );
-    assert_eq!(first.receive().map(|answer| answer.status()), Some(502));
+    assert_eq!(
+        first_client.receive().map(|response| response.status()),
+        Some(502)
+    );
     assert!(server.requests.try_recv().is_err());
 }
 
-/// A body whose length is given twice may hide another request.
+/// Guards against request smuggling: if a head contains both `Content-Length` and `Transfer-Encoding`, two readers may
+/// disagree on where the body ends, so that it can hide another request.
 #[test_case("Content-Length: 4\r\nTransfer-Encoding: chunked\r\n" ; "length first")]
-#[test_case("Transfer-Encoding: chunked\r\nContent-Length: 4\r\n" ; "pieces first")]
+#[test_case("Transfer-Encoding: chunked\r\nContent-Length: 4\r\n" ; "chunked first")]
 fn request_hidden_in_a_body_is_not_forwarded(lengths: &str) {
     let server = ScriptedServer::start(|_| ok_response());
     let program = Program::start(&config(&[instance("s-1", server.address, "up")]));
@@ -175,48 +193,50 @@
     assert_eq!(
         client
             .call(&(outer + &hidden))
-            .map(|answer| answer.status()),
+            .map(|response| response.status()),
         Some(400)
     );
     assert!(client.receive().is_none());
     assert!(server.requests.try_recv().is_err());
 }
 
-/// A client that sends nothing, or never a complete request, is closed within 3 s, whatever time it claims to have; one that
-/// sent requests before and is idle stays.
-#[test_case("" => None ; "nothing")]
-#[test_case("POST /pay?key=7 HTTP/1.1\r\nHost:" => None ; "half a head")]
+/// Guards against clients that hold a connection and never complete a request: their connection must be closed within 3 s,
+/// whatever `X-Remaining` says. An idle connection that has carried two requests stays open.
+#[test_case("" => None ; "no bytes")]
+#[test_case("POST /pay?key=7 HTTP/1.1\r\nHost:" => None ; "partial head")]
 #[test_case("POST /pay?key=7 HTTP/1.1\r\nHost: svc\r\nX-Txn: 1\r\nX-Plan: team\r\nX-Remaining: 9000000m\r\n\
-    X-Quota: units=1,spread=1,first=0\r\nContent-Length: 10\r\n\r\nhalf" => Some(408) ; "half a body")]
+    X-Quota: units=1,spread=1,first=0\r\nContent-Length: 10\r\n\r\nhalf" => Some(408) ; "partial body")]
 fn incomplete_request_is_ended_in_time(text: &str) -> Option<u16> {
     let server = ScriptedServer::start(|_| ok_response());
     let program = Program::start(&config(&[instance("s-1", server.address, "up")]));
-    let mut known = program.client();
-    assert!((0..2).all(|customer| known.request("look", customer, 1).status() == 200));
-    let answer = program.client().call(text);
-    assert_eq!(known.request("look", 2, 1).status(), 200);
-    answer.map(|answer| answer.status())
+    let mut returning_client = program.client();
+    assert!((0..2).all(|customer| returning_client.request("look", customer, 1).status() == 200));
+    let response = program.client().call(text);
+    assert_eq!(returning_client.request("look", 2, 1).status(), 200);
+    response.map(|response| response.status())
 }
 
-/// Many clients that send one request and stay must not hold all connections; those that come back are kept longer.
+/// Guards against many clients that send one request and then hold their connections. The connection of a client that has
+/// sent several requests stays open for longer.
 #[test]
 fn connection_idle_after_one_request_is_closed() {
     let server = ScriptedServer::start(|_| ok_response());
     let program = Program::start(&config(&[instance("s-1", server.address, "up")]));
-    let (mut once, mut twice) = (program.client(), program.client());
-    assert_eq!(once.request("look", 1, 1).status(), 200);
-    assert!((2..4).all(|customer| twice.request("look", customer, 1).status() == 200));
-    assert!(once.receive().is_none());
-    assert_eq!(twice.request("look", 4, 1).status(), 200);
+    let (mut single_request_client, mut returning_client) = (program.client(), program.client());
+    assert_eq!(single_request_client.request("look", 1, 1).status(), 200);
+    assert!((2..4).all(|customer| returning_client.request("look", customer, 1).status() == 200));
+    assert!(single_request_client.receive().is_none());
+    assert_eq!(returning_client.request("look", 4, 1).status(), 200);
 }
 
-/// Clients that send nothing, stay after one request, or never complete one, hold no connection that others need.
-#[test_case("", 0 ; "silent")]
-#[test_case("GET /look?key=7 HTTP/1.1\r\nHost:", 0 ; "half a head")]
+/// Guards against connection slots held by clients that send nothing, never complete a request, or stay idle after one: once
+/// the connection limit is reached, a new client must still be served.
+#[test_case("", 0 ; "no bytes")]
+#[test_case("GET /look?key=7 HTTP/1.1\r\nHost:", 0 ; "partial head")]
 #[test_case("POST /pay?key=7 HTTP/1.1\r\nHost: svc\r\nX-Txn: 1\r\nX-Plan: team\r\nX-Remaining: 9000m\r\n\
-    X-Quota: units=1,spread=1,first=0\r\nContent-Length: 10\r\n\r\nhalf", 0 ; "half a body")]
+    X-Quota: units=1,spread=1,first=0\r\nContent-Length: 10\r\n\r\nhalf", 0 ; "partial body")]
 #[test_case("", 1 ; "one request")]
-fn idle_connections_do_not_displace_a_new_client(sends: &str, requests: usize) {
+fn idle_connections_do_not_displace_a_new_client(sent_text: &str, request_count: usize) {
     let server = ScriptedServer::start(|_| ok_response());
     let mut config = config(&[instance("s-1", server.address, "up")]);
     config["limits"]["sockets"] = 80.into();
@@ -224,32 +244,33 @@
     let idle_clients: Vec<Client> = (0..150)
         .map(|customer| {
             let mut client = program.client();
-            client.send(sends);
+            client.send(sent_text);
             assert!(
-                (0..requests).all(|_| client.request("look", 10 + customer, 1).status() == 200)
+                (0..request_count)
+                    .all(|_| client.request("look", 10 + customer, 1).status() == 200)
             );
             client
         })
         .collect();
-    // Well within its time: none of the idle connections is due yet.
+    // None of the idle connections has reached its timeout of 2.2 s yet: the slot has to come from an eviction.
     assert_eq!(
         program
             .client()
             .call(&request("look", 1000, 1, "2100m"))
-            .map(|answer| answer.status()),
+            .map(|response| response.status()),
         Some(200)
     );
     drop(idle_clients);
 }
 
-#[test_case("GET /look?key=7 HTTP/1.1\r\nHost: svc\r\n\r\n" => 400 ; "headers missing")]
+#[test_case("GET /look?key=7 HTTP/1.1\r\nHost: svc\r\n\r\n" => 400 ; "missing headers")]
 #[test_case("GET /other HTTP/1.1\r\nHost: svc\r\n\r\n" => 400 ; "unknown class")]
-#[test_case("no request at all\r\n\r\n" => 400 ; "not http")]
+#[test_case("no request at all\r\n\r\n" => 400 ; "not HTTP")]
 #[test_case("POST /pay?key=7 HTTP/1.1\r\nHost: svc\r\nX-Txn: 1\r\nX-Plan: team\r\nX-Remaining: 900m\r\n\
-    X-Quota: units=1,spread=1,first=0\r\nContent-Length: 65537\r\n\r\n" => 413 ; "too long")]
+    X-Quota: units=1,spread=1,first=0\r\nContent-Length: 65537\r\n\r\n" => 413 ; "body over the maximum length")]
 #[test_case("POST /pay?key=7 HTTP/1.1\r\nHost: svc\r\nX-Txn: 1\r\nX-Plan: team\r\nX-Remaining: 50m\r\n\
-    X-Quota: units=1,spread=1,first=0\r\nContent-Length: 10\r\n\r\nhalf" => 408 ; "incomplete")]
-fn invalid_request_has_its_status(text: &str) -> u16 {
+    X-Quota: units=1,spread=1,first=0\r\nContent-Length: 10\r\n\r\nhalf" => 408 ; "incomplete body")]
+fn invalid_request_is_rejected_with_its_status(text: &str) -> u16 {
     let program = Program::start(&config(&[]));
     program.client().call(text).expect("a response").status()
 }
@@ -272,15 +293,15 @@
 }
 
 #[test]
-fn request_at_a_silent_server_fails_before_the_client_deadline() {
+fn request_to_a_silent_server_fails_before_the_client_deadline() {
     let server = ScriptedServer::start(|_| Reaction::Hang);
     let program = Program::start(&config(&[instance("s-1", server.address, "up")]));
-    let answer = program
+    let response = program
         .client()
         .call(&request("pay", 7, 1, "1200m"))
         .expect("a response");
     assert_eq!(
-        (answer.status(), server.requests.try_iter().count()),
+        (response.status(), server.requests.try_iter().count()),
         (502, 1)
     );
     assert_eq!(server.closed.recv_timeout(TEST_TIMEOUT), Ok(0));
@@ -300,7 +321,8 @@
     sender
         .send(list_changes(2, &changes).to_string())
         .expect("sent");
-    // A malformed message changes nothing, nor does a call that breaks: the next call asks from the last version.
+    // Neither a malformed message nor a closed connection changes the list: the next call asks for changes after the last
+    // version.
     sender.send("{}".to_owned()).expect("sent");
     sender.send("break".to_owned()).expect("sent");
     let discovery = discovery(messages);
@@ -320,7 +342,8 @@
     );
 }
 
-/// While a watch is silent, changes would stay unknown.
+/// Guards against endpoint changes that stay unknown because a watch gets no response: the limiter repeats the watch on
+/// another connection.
 #[test]
 fn silent_watch_is_repeated_on_another_connection() {
     let server = ScriptedServer::start(|_| ok_response());
@@ -341,31 +364,32 @@
     assert_eq!(program.client().request("look", 1, 1).status(), 200);
 }
 
-/// SIGHUP must neither end the program nor leave the watch at the old address.
+/// Guards against a SIGHUP that ends the program, loses a request in flight, or leaves the watch at the old discovery
+/// address.
 #[test]
 fn reload_moves_the_watch_and_loses_no_request() {
     let (old, new) = (
         ScriptedServer::start(|_| Reaction::Hang),
         ScriptedServer::start(|_| ok_response()),
     );
-    let silent = ScriptedServer::start(|_| Reaction::Hang);
+    let silent_discovery = ScriptedServer::start(|_| Reaction::Hang);
     let mut config = config(&[instance("s-1", old.address, "up")]);
-    config["discovery"] = silent.address.to_string().into();
+    config["discovery"] = silent_discovery.address.to_string().into();
     let program = Program::start(&config);
-    let mut slow = program.client();
-    slow.send(&request("pay", 1, 1, "3000m"));
+    let mut slow_client = program.client();
+    slow_client.send(&request("pay", 1, 1, "3000m"));
     old.next_request();
-    assert!(silent.next_request().first.contains("after=1&"));
+    assert!(silent_discovery.next_request().first.contains("after=1&"));
     program.reload("{}");
     let (sender, messages) = channel();
     let discovery = discovery(messages);
-    // A lower version than the last one: another discovery has versions of its own.
+    // The version is lower than the last one received: each discovery numbers its versions independently.
     sender
         .send(full_list(0, &[instance("s-2", new.address, "up")]).to_string())
         .expect("sent");
     config["discovery"] = discovery.address.to_string().into();
     program.reload(&config.to_string());
-    assert_eq!(silent.closed.recv_timeout(TEST_TIMEOUT), Ok(0));
+    assert_eq!(silent_discovery.closed.recv_timeout(TEST_TIMEOUT), Ok(0));
     assert_eq!(
         discovery.next_request().first,
         "GET /discovery/hosts HTTP/1.1"
@@ -376,8 +400,11 @@
         new.next_request().first,
         "GET /look?key=0000000000000002 HTTP/1.1"
     );
-    // The request in flight has its response all the same.
-    assert_eq!(slow.receive().map(|answer| answer.status()), Some(502));
+    // The request in flight still gets its response.
+    assert_eq!(
+        slow_client.receive().map(|response| response.status()),
+        Some(502)
+    );
 }
 
 #[test]
@@ -393,17 +420,19 @@
             Program::start(&config)
         })
         .collect();
-    let shared = |units| request("look", 7, units, "3000m").replace("spread=1", "spread=2");
+    let shared_request = |units| request("look", 7, units, "3000m").replace("spread=1", "spread=2");
     let mut clients: Vec<Client> = programs.iter().map(Program::client).collect();
     assert_eq!(
-        clients[0].call(&shared(8)).map(|answer| answer.status()),
+        clients[0]
+            .call(&shared_request(8))
+            .map(|response| response.status()),
         Some(200)
     );
-    // Peer messages are lost where peers start together; the total is reported with each further request.
+    // Peer messages may be lost while the peers are starting; each further request reports the total again.
     let is_reported = (0..200).any(|_| {
         thread::sleep(Duration::from_millis(20));
-        let answer = clients[1].call(&shared(8)).expect("a response");
-        answer.status() == 429
+        let response = clients[1].call(&shared_request(8)).expect("a response");
+        response.status() == 429
     });
     assert!(is_reported);
 }
@@ -412,16 +441,22 @@
 fn shutdown_serves_new_clients_and_completes_requests_in_flight() {
     let (server, release) = holding_server();
     let mut program = Program::start(&config(&[instance("s-1", server.address, "up")]));
-    let mut slow = program.client();
-    slow.send(&request("pay", 1, 1, "3000m"));
+    let mut slow_client = program.client();
+    slow_client.send(&request("pay", 1, 1, "3000m"));
     server.next_request();
-    let mut idle = program.client();
-    assert_eq!(idle.request("look", 2, 1).status(), 200);
+    let mut idle_client = program.client();
+    assert_eq!(idle_client.request("look", 2, 1).status(), 200);
     program.signal("-TERM");
     assert_eq!(program.client().request("look", 3, 1).status(), 200);
-    assert!(idle.receive().is_none(), "closed between requests");
-    release.send(()).expect("the server waits");
-    assert_eq!(slow.receive().map(|answer| answer.status()), Some(200));
+    assert!(
+        idle_client.receive().is_none(),
+        "the idle connection was not closed"
+    );
+    release.send(()).expect("the server holds the request");
+    assert_eq!(
+        slow_client.receive().map(|response| response.status()),
+        Some(200)
+    );
     assert!(program.wait().success());
 }
 
@@ -431,17 +466,17 @@
     let mut config = config(&[instance("s-1", server.address, "up")]);
     config["limits"]["sockets"] = 80.into();
     let program = Program::start(&config);
-    // One that is delayed between its connection and its request may be evicted as idle: it connects again.
+    // A client that is delayed between connecting and sending its request may be evicted as idle; it connects again.
     let connect = |customer| {
         let mut client = program.client();
-        let answer = client.call(&request("look", customer, 1, "3000m"))?;
-        assert_eq!(answer.status(), 200);
+        let response = client.call(&request("look", customer, 1, "3000m"))?;
+        assert_eq!(response.status(), 200);
         Some(client)
     };
     let mut clients: Vec<Client> = (0..100)
         .map(|customer| (0..50).find_map(|_| connect(customer)).expect("a response"))
         .collect();
-    // The newest are still open, the oldest were evicted.
+    // The newest connections are still open; the oldest were evicted.
     assert_eq!(clients[99].request("look", 1000, 1).status(), 200);
     assert!(
         clients[0]
@@ -450,7 +485,8 @@
     );
 }
 
-/// A limiter with as many requests in flight as it serves at once, or soon so: their clients wait at a server that hangs.
+/// Starts a limiter whose served connections are all in use, or will be soon: each of the returned clients waits for a
+/// response from a server that hangs.
 fn busy_limiter() -> (ScriptedServer, Program, Vec<Client>) {
     let server = ScriptedServer::start(|_| Reaction::Hang);
     let mut config = config(&[instance("s-1", server.address, "up")]);
@@ -460,7 +496,7 @@
         config["settings"]["classes"][2]["hardLimitS"],
     ) = (20.into(), 30.into());
     let program = Program::start(&config);
-    let holders = (0..45)
+    let waiting_clients = (0..45)
         .map(|customer| {
             let mut client = program.client();
             client.send(&request("pay", customer, 1, "25000m"));
@@ -468,19 +504,20 @@
         })
         .collect();
     server.next_request();
-    (server, program, holders)
+    (server, program, waiting_clients)
 }
 
 #[test]
-fn request_over_the_served_connections_is_rejected_as_busy() {
-    let (_server, program, holders) = busy_limiter();
-    // Whichever of the others is read first: soon all connections are busy.
+fn request_over_the_limit_of_served_connections_is_rejected_with_503() {
+    let (_server, program, waiting_clients) = busy_limiter();
+    // The order in which the limiter reads connections is undefined, so requests are repeated until all served connections
+    // are in use.
     let rejected = (0..100).find_map(|_| {
-        let answer = program.client().call(&request("pay", 100, 1, "200m"))?;
-        (answer.status() == 503).then_some(answer)
+        let response = program.client().call(&request("pay", 100, 1, "200m"))?;
+        (response.status() == 503).then_some(response)
     });
-    drop(holders);
-    let rejected = rejected.expect("one that is rejected");
+    drop(waiting_clients);
+    let rejected = rejected.expect("a rejected request");
     assert_eq!(
         (rejected.body.as_str(), rejected.header("connection")),
         ("too many connections\n", Some("close"))
@@ -488,7 +525,7 @@
 }
 
 #[test]
-fn client_deadline_counts_from_the_sending_of_the_head() {
+fn client_deadline_counts_from_the_head() {
     let server = ScriptedServer::start(|_| ok_response());
     let program = Program::start(&config(&[instance("s-1", server.address, "up")]));
     let mut client = program.client();
@@ -498,11 +535,11 @@
     thread::sleep(Duration::from_millis(150));
     assert!(server.requests.try_recv().is_err());
     client.send(body);
-    let waits = server
+    let remaining_ms = server
         .next_request()
         .header("x-remaining")
         .and_then(|text| text.strip_suffix('m')?.parse::<u32>().ok());
-    assert!(waits.is_some_and(|ms| ms < 2900), "{waits:?}");
+    assert!(remaining_ms.is_some_and(|ms| ms < 2900), "{remaining_ms:?}");
 }
 
 #[test]
--- a/crates/merlinreel/tests/sockets/mesh.rs
+++ b/crates/merlinreel/tests/sockets/mesh.rs
@@ -1,4 +1,4 @@
-//! Clusters of several processes of the program, with datagrams over relays that the test controls.
+//! Clusters of several processes of the program, whose datagrams pass through links that the test controls.
 
 use merlinreel_testkit::link::{NetworkConditions, UdpLink};
 use merlinreel_testkit::*;
@@ -8,8 +8,8 @@
 use std::thread;
 use std::time::Duration;
 
-/// Several limiters, with a relay between each two.
-struct Cluster {
+/// Several limiters with a link between each pair.
+struct MeshCluster {
     configs: Vec<Value>,
     programs: Vec<Option<Program>>,
     links: HashMap<(usize, usize), UdpLink>,
@@ -22,13 +22,13 @@
 impl KeyFolder {
     fn new() -> KeyFolder {
         let path = std::env::temp_dir().join(format!("merlinreel-keys-{}", free_address().port()));
-        std::fs::create_dir_all(&path).expect("a folder");
+        std::fs::create_dir_all(&path).expect("the folder is created");
         KeyFolder(path)
     }
 
     fn write(&self, name: &str, key: &str) -> String {
         let path = self.0.join(name);
-        std::fs::write(&path, key).expect("a key");
+        std::fs::write(&path, key).expect("the key file is written");
         path.to_str().expect("text").to_owned()
     }
 }
@@ -39,17 +39,17 @@
     }
 }
 
-const FIRST: &str = "0123456789abcdef0123456789abcdef";
-const SECOND: &str = "fedcba9876543210fedcba9876543210";
+const FIRST_KEY: &str = "0123456789abcdef0123456789abcdef";
+const SECOND_KEY: &str = "fedcba9876543210fedcba9876543210";
 
-impl Cluster {
-    fn start(size: usize, loss_percent: u32) -> Cluster {
+impl MeshCluster {
+    fn start(size: usize, loss_percent: u32) -> MeshCluster {
         let keys = KeyFolder::new();
-        let file = keys.write("first", FIRST);
-        let places: Vec<SocketAddr> = (0..size).map(|_| free_address()).collect();
+        let file = keys.write("first", FIRST_KEY);
+        let addresses: Vec<SocketAddr> = (0..size).map(|_| free_address()).collect();
         let mut links = HashMap::new();
-        for (i, one) in places.iter().enumerate() {
-            for (j, other) in places.iter().enumerate().skip(i + 1) {
+        for (i, one) in addresses.iter().enumerate() {
+            for (j, other) in addresses.iter().enumerate().skip(i + 1) {
                 let link = UdpLink::between(*one, *other, (i * size + j) as u64);
                 let conditions = NetworkConditions {
                     loss_percent,
@@ -66,16 +66,16 @@
             let mut routes = serde_json::Map::new();
             for ((one, other), link) in &links {
                 if *one == i {
-                    routes.insert(places[*other].to_string(), link.address_for_first.to_string().into());
+                    routes.insert(addresses[*other].to_string(), link.address_for_first.to_string().into());
                 } else if *other == i {
-                    routes.insert(places[*one].to_string(), link.address_for_second.to_string().into());
+                    routes.insert(addresses[*one].to_string(), link.address_for_second.to_string().into());
                 }
             }
             let mut config = config(&[]);
             config["name"] = format!("n{i}").into();
             config["ops"] = free_address().to_string().into();
-            config["mesh"] = json!({"listen": places[i].to_string(), "routes": routes,
-                "seeds": [places[0].to_string(), places[1].to_string()], "keys": [{"id": 1, "file": file}]});
+            config["mesh"] = json!({"listen": addresses[i].to_string(), "routes": routes,
+                "seeds": [addresses[0].to_string(), addresses[1].to_string()], "keys": [{"id": 1, "file": file}]});
             config
         });
         let configs: Vec<Value> = configs.collect();
@@ -83,7 +83,7 @@
             .iter()
             .map(|config| Some(Program::start(config)))
             .collect();
-        Cluster {
+        MeshCluster {
             configs,
             programs,
             links,
@@ -97,16 +97,16 @@
             .expect("text")
             .parse()
             .expect("an address");
-        let answer = Client::connect(ops)
+        let response = Client::connect(ops)
             .ok()
             .and_then(|mut client| client.call("GET /mesh HTTP/1.1\r\nHost: ops\r\n\r\n"));
-        answer
-            .and_then(|answer| serde_json::from_str(&answer.body).ok())
+        response
+            .and_then(|response| serde_json::from_str(&response.body).ok())
             .unwrap_or_default()
     }
 
     /// The names of the limiters that limiter `i` considers alive.
-    fn alive(&self, i: usize) -> Vec<String> {
+    fn alive_names(&self, i: usize) -> Vec<String> {
         let status = self.status(i);
         let limiters = status["limiters"].as_array().cloned().unwrap_or_default();
         let alive = limiters.iter().filter(|one| one["alive"] == true);
@@ -117,17 +117,20 @@
         names
     }
 
-    /// Waits until each of `observers` considers exactly these alive.
+    /// Waits until each of `observers` considers exactly the limiters of `alive` alive.
     fn wait_until_alive(&self, observers: &[usize], alive: &[usize]) {
         let names: Vec<String> = alive.iter().map(|i| format!("n{i}")).collect();
         let reached = (0..600).any(|_| {
             thread::sleep(Duration::from_millis(50));
-            observers.iter().all(|&i| self.alive(i) == names)
+            observers.iter().all(|&i| self.alive_names(i) == names)
         });
         assert!(
             reached,
             "{names:?} expected by {observers:?}, {:?}",
-            observers.iter().map(|&i| self.alive(i)).collect::<Vec<_>>()
+            observers
+                .iter()
+                .map(|&i| self.alive_names(i))
+                .collect::<Vec<_>>()
         );
     }
 
@@ -138,9 +141,11 @@
             .signal(name);
     }
 
-    fn partition(&self, sides: impl Fn(usize) -> usize, partitioned: bool) {
+    /// Starts or ends a partition between limiters on different sides. `side_of` returns the side of a limiter. All other
+    /// network faults of the links between the sides end.
+    fn partition(&self, side_of: impl Fn(usize) -> usize, partitioned: bool) {
         for ((i, j), link) in &self.links {
-            if sides(*i) != sides(*j) {
+            if side_of(*i) != side_of(*j) {
                 let conditions = NetworkConditions {
                     partitioned,
                     ..NetworkConditions::default()
@@ -152,13 +157,14 @@
     }
 }
 
-/// Five processes, one datagram in five lost and others repeated: they find one another; one that is killed is detected
-/// and comes back as a new incarnation, one that is stopped leaves at once, one that is stalled rejoins.
+/// Guards against processes that do not find one another, or whose failure goes unnoticed, while one datagram in five is
+/// lost and others are duplicated. A killed process is detected and returns with a higher incarnation; a terminated one
+/// leaves; a suspended one rejoins.
 #[test]
-fn cluster_detects_killed_stalled_and_stopped_processes() {
-    let mut cluster = Cluster::start(5, 20);
+fn cluster_detects_killed_suspended_and_terminated_processes() {
+    let mut cluster = MeshCluster::start(5, 20);
     cluster.wait_until_alive(&[0, 1, 2, 3, 4], &[0, 1, 2, 3, 4]);
-    let incarnation = |cluster: &Cluster| {
+    let incarnation = |cluster: &MeshCluster| {
         let limiters = cluster.status(0)["limiters"]
             .as_array()
             .cloned()
@@ -178,7 +184,7 @@
     cluster.wait_until_alive(&[0, 1, 2, 3, 4], &[0, 1, 2, 3, 4]);
     assert!(
         incarnation(&cluster).is_some_and(|now| now > before),
-        "the same incarnation"
+        "the incarnation did not increase"
     );
     cluster.signal(3, "-TERM");
     cluster.wait_until_alive(&[0, 1, 2, 4], &[0, 1, 2, 4]);
@@ -189,10 +195,11 @@
     );
 }
 
-/// In a lasting network partition each side continues with its members; both sides merge once it heals.
+/// Guards against a mesh that fails in a lasting network partition, or stays split after it: each side continues with its
+/// own members, and both merge once the partition ends.
 #[test]
 fn partitioned_cluster_continues_and_merges_after_healing() {
-    let cluster = Cluster::start(4, 0);
+    let cluster = MeshCluster::start(4, 0);
     cluster.wait_until_alive(&[0, 1, 2, 3], &[0, 1, 2, 3]);
     cluster.partition(|i| i / 2, true);
     cluster.wait_until_alive(&[0, 1], &[0, 1]);
@@ -201,15 +208,16 @@
     cluster.wait_until_alive(&[0, 1, 2, 3], &[0, 1, 2, 3]);
 }
 
-/// Datagrams with another key, random bytes and oversized datagrams change nothing and are counted by reason; a new key
-/// is distributed, then signs, then the old one is removed, and no member is lost meanwhile. A file that can't be read
-/// leaves the keys as they are.
+/// Guards against datagrams that change the membership without the key: those signed with another key, random bytes and
+/// oversized datagrams are dropped and counted by reason. Also guards against members that are lost during a key rotation:
+/// the new key is distributed, then signs, then the old one is removed. A key file that can't be read leaves the keys as
+/// they are.
 #[test]
 fn datagrams_without_the_key_change_nothing_and_keys_rotate() {
-    let mut cluster = Cluster::start(3, 0);
+    let mut cluster = MeshCluster::start(3, 0);
     cluster.wait_until_alive(&[0, 1, 2], &[0, 1, 2]);
     let first = cluster.configs[0]["mesh"]["keys"][0]["file"].clone();
-    let second = cluster.keys.write("second", SECOND);
+    let second = cluster.keys.write("second", SECOND_KEY);
     let mut outsider = cluster.configs[2].clone();
     (outsider["listen"], outsider["ops"]) = (
         free_address().to_string().into(),
@@ -237,11 +245,11 @@
         let dropped = &cluster.status(0)["dropped"];
         ["forged", "malformed", "oversized", "other_form"]
             .iter()
-            .all(|why| dropped[*why].as_u64() > Some(0))
+            .all(|reason| dropped[*reason].as_u64() > Some(0))
     });
     assert!(counted, "{}", cluster.status(0)["dropped"]);
     drop(outsider);
-    assert_eq!(cluster.alive(0), ["n0", "n1", "n2"]);
+    assert_eq!(cluster.alive_names(0), ["n0", "n1", "n2"]);
     let both = json!([{"id": 1, "file": first}, {"id": 2, "file": second}]);
     let missing = json!([{"id": 3, "file": "/nowhere/key"}]);
     for (keys, signing_id) in [
@@ -261,8 +269,8 @@
         thread::sleep(Duration::from_millis(700));
     }
     cluster.wait_until_alive(&[0, 1, 2], &[0, 1, 2]);
-    let dropped = |cluster: &Cluster| cluster.status(0)["dropped"]["unknown_key"].as_u64();
-    // All sign with the second key by now: a limiter with the first key alone is an outsider.
+    let dropped = |cluster: &MeshCluster| cluster.status(0)["dropped"]["unknown_key"].as_u64();
+    // All limiters sign with the second key now: one that has only the first key is an outsider.
     let before = dropped(&cluster);
     cluster.programs[2] = None;
     cluster.configs[2]["mesh"]["keys"] = json!([{"id": 1, "file": first}]);
@@ -272,30 +280,30 @@
     assert!(dropped(&cluster) > before);
 }
 
-/// Without the section the admin endpoint answers that there is no mesh.
+/// Without a `mesh` section, the admin endpoint responds to `/mesh` with status 404.
 #[test]
 fn mesh_status_without_section_is_not_found() {
     let mut config = config(&[]);
     let ops = free_address();
     config["ops"] = ops.to_string().into();
     let _program = Program::start(&config);
-    let answer = Client::connect(ops)
+    let response = Client::connect(ops)
         .expect("the admin endpoint")
         .call("GET /mesh HTTP/1.1\r\nHost: ops\r\n\r\n");
-    assert_eq!(answer.map(|answer| answer.status()), Some(404));
+    assert_eq!(response.map(|response| response.status()), Some(404));
 }
 
 #[test]
-fn unreadable_key_file_ends_the_start_with_its_name() {
+fn unreadable_key_file_fails_the_start_and_is_named() {
     let mut config = config(&[]);
     config["mesh"] =
         json!({"listen": free_address().to_string(), "keys": [{"id": 1, "file": "/nowhere/key"}]});
     let ExitReport {
         status,
-        stderr: complaint,
+        stderr: error_output,
     } = Program::run_to_exit(&config);
     assert!(
-        !status.success() && complaint.contains("mesh.keys: /nowhere/key"),
-        "{complaint}"
+        !status.success() && error_output.contains("mesh.keys: /nowhere/key"),
+        "{error_output}"
     );
 }
--- a/crates/merlinreel/tests/sockets/pipelining.rs
+++ b/crates/merlinreel/tests/sockets/pipelining.rs
@@ -1,4 +1,4 @@
-//! Pipelined requests: sent one behind another without waiting for responses.
+//! Pipelined requests: a client sends several on a connection without waiting for responses.
 
 use merlinreel_testkit::*;
 use std::io::Write;
@@ -6,8 +6,8 @@
 use std::time::{Duration, Instant};
 use test_case::test_case;
 
-/// A server that responses at once, and the program in front of it; no customer reaches its quota.
-fn started() -> (ScriptedServer, Program) {
+/// Starts a server that responds at once, and a limiter in front of it with quotas that no customer reaches.
+fn start_server_and_limiter() -> (ScriptedServer, Program) {
     let server = ScriptedServer::start(|_| ok_response());
     let mut config = config(&[instance("s-1", server.address, "up")]);
     config["settings"]["packages"][0]["unitsPerS"] = 1e6.into();
@@ -16,18 +16,19 @@
     (server, program)
 }
 
+/// The text of this many requests, each of another customer.
 fn requests(count: usize) -> String {
     (0..count)
         .map(|customer| request("look", customer as u32, 1, "3000m"))
         .collect()
 }
 
-/// All that a client sends at once is answered in order: far more than the limiter reads ahead of the request in flight,
-/// and more than the kernel holds.
+/// Guards against pipelined requests without a response: the client sends far more at once than the limiter reads ahead of
+/// the request in flight, and more than the kernel buffers.
 #[test_case(200 ; "hundreds")]
 #[test_case(2000 ; "thousands")]
 fn pipelined_requests_are_each_answered_in_order(count: usize) {
-    let (server, program) = started();
+    let (server, program) = start_server_and_limiter();
     let mut client = program.client();
     let text = requests(count);
     let mut writer = client.writer().expect("a second handle");
@@ -37,7 +38,7 @@
         .map(|response| response.status())
         .collect();
     assert_eq!(responses.len(), count);
-    // On a busy machine the last ones may be past their latency objective, and are rejected.
+    // On a busy machine, the last requests may exceed their latency objective and be rejected.
     let served = responses.iter().filter(|&&status| status == 200).count();
     assert_eq!(
         served + responses.iter().filter(|&&status| status == 429).count(),
@@ -45,11 +46,14 @@
     );
     assert_eq!(server.requests.try_iter().count(), served);
     assert!(served > 100, "{served} served");
-    writing.join().expect("a writer").expect("all is written");
+    writing
+        .join()
+        .expect("the writer does not panic")
+        .expect("all requests are written");
 }
 
-/// A shutdown begins while hundreds of requests are there: each that was read is answered, and the last response announces
-/// the close.
+/// Guards against pipelined requests that are lost in a shutdown: it begins while hundreds of them are in the connection.
+/// Each must be answered, and only the last response announces the close.
 #[test]
 fn pipelined_requests_are_answered_across_a_shutdown() {
     const COUNT: usize = 200;
@@ -65,20 +69,23 @@
     server.next_request();
     program.signal("-TERM");
     let responses: Vec<Message> = (0..COUNT).map_while(|_| client.receive()).collect();
-    let closing = |response: &Message| response.header("connection") == Some("close");
+    let announces_close = |response: &Message| response.header("connection") == Some("close");
     assert_eq!(responses.len(), COUNT);
-    assert!(responses.last().is_some_and(closing) && !responses[..COUNT - 1].iter().any(closing));
+    assert!(
+        responses.last().is_some_and(announces_close)
+            && !responses[..COUNT - 1].iter().any(announces_close)
+    );
     assert!(program.wait().success());
 }
 
-/// The second request waits for the first one's response: its server gets the time that its client has left by then, with
-/// 0.15 s of slack, and the client has its response in time.
+/// Guards against a pipelined request that is forwarded with outdated remaining time: it waits for the response to the first
+/// one, and its server must be given only what its client has left by then, with a tolerance of 0.15 s.
 #[test]
 fn pipelined_request_is_forwarded_with_its_remaining_time() {
-    const HELD: Duration = Duration::from_millis(600);
+    const HOLD_TIME: Duration = Duration::from_millis(600);
     let server = ScriptedServer::start(|message| {
         if message.first.contains("key=0000000000000001") {
-            thread::sleep(HELD);
+            thread::sleep(HOLD_TIME);
         }
         ok_response()
     });
@@ -101,11 +108,11 @@
     }));
 }
 
-/// A client sends a request and half of the next, and stays: the half is ended in the time of any incomplete request, however
-/// many requests came before.
+/// Guards against a client that holds its connection with part of a pipelined request: it is ended within the time of any
+/// incomplete request, however many requests came before.
 #[test]
 fn incomplete_pipelined_request_is_ended_in_time() {
-    let (_server, program) = started();
+    let (_server, program) = start_server_and_limiter();
     let mut client = program.client();
     assert!((0..3).all(|customer| client.request("look", customer, 1).status() == 200));
     let started_at = Instant::now();
@@ -124,22 +131,22 @@
     );
 }
 
-/// Half of the next request came with one that is in flight as the shutdown begins; the rest comes once idle connections are
-/// closed. It is served like any other.
+/// Guards against a request that is lost in a shutdown because only its first part has arrived, together with a request that
+/// is in flight. The rest arrives when idle connections are already being closed.
 #[test]
 fn incomplete_pipelined_request_is_answered_across_a_shutdown() {
     let (server, release) = holding_server();
     let mut program = Program::start(&config(&[instance("s-1", server.address, "up")]));
     let mut client = program.client();
-    let (held, next) = (
+    let (held_request, next_request) = (
         request("pay", 1, 1, "3000m"),
         request("look", 2, 1, "3000m"),
     );
-    let (half, rest) = next.split_at(40);
-    client.send(&(held + half));
+    let (first_part, rest) = next_request.split_at(40);
+    client.send(&(held_request + first_part));
     server.next_request();
     program.signal("-TERM");
-    release.send(()).expect("a server that holds it");
+    release.send(()).expect("the server holds the request");
     assert_eq!(
         client.receive().map(|response| response.status()),
         Some(200)
@@ -153,25 +160,26 @@
     assert!(program.wait().success());
 }
 
-/// No more requests can be in flight: each of those that a client sent at once gets the busy response, not only the first.
+/// Guards against pipelined requests without a response when all served connections are in use: each gets status 503, not
+/// only the first.
 #[test]
-fn pipelined_requests_over_the_limit_are_each_rejected_as_busy() {
-    const BEHIND: usize = 3;
-    let (_server, program, holders) = super::busy_limiter();
-    // Until all connections are busy, such requests wait at the server for their time.
+fn pipelined_requests_over_the_limit_are_each_rejected_with_503() {
+    const PIPELINED_COUNT: usize = 3;
+    let (_server, program, waiting_clients) = super::busy_limiter();
+    // Until all served connections are in use, these requests wait at the server until their deadline.
     let rejected = (0..100).find_map(|_| {
         let mut client = program.client();
         client.send(
-            &(0..BEHIND)
+            &(0..PIPELINED_COUNT)
                 .map(|n| request("pay", 100 + n as u32, 1, "200m"))
                 .collect::<String>(),
         );
-        let statuses: Vec<u16> = (0..BEHIND)
+        let statuses: Vec<u16> = (0..PIPELINED_COUNT)
             .map_while(|_| client.receive())
             .map(|response| response.status())
             .collect();
         statuses.contains(&503).then_some(statuses)
     });
-    drop(holders);
-    assert_eq!(rejected.expect("one that is rejected"), [503; BEHIND]);
+    drop(waiting_clients);
+    assert_eq!(rejected.expect("rejected requests"), [503; PIPELINED_COUNT]);
 }
--- a/crates/merlinreel/tests/sockets/slow_clients.rs
+++ b/crates/merlinreel/tests/sockets/slow_clients.rs
@@ -1,27 +1,30 @@
-//! Clients that send slowly, or have little time left, and are served like others.
+//! Clients that send slowly or have little time left.
 
 use merlinreel_testkit::*;
 use std::thread;
 use std::time::{Duration, Instant};
 use test_case::test_case;
 
-/// A head takes 1.9 s, and its body of 64 KiB another 1.1 s, a piece at a time: as slow as a client may be.
+/// Guards against a client that is cut off although it is as fast as required: it sends its head in 1.9 s, and its body of
+/// 64 KiB in small pieces over another 1.1 s.
 #[test]
-fn slow_request_of_two_seconds_for_its_head_and_64_kb_per_second_is_served() {
-    const LENGTH: usize = 64 * 1024;
-    const PIECES: usize = 22;
+fn slowest_allowed_request_is_served() {
+    const BODY_BYTES: usize = 64 * 1024;
+    const PIECE_COUNT: usize = 22;
     let server = ScriptedServer::start(|_| ok_response());
     let program = Program::start(&config(&[instance("s-1", server.address, "up")]));
-    let text = request("pay", 7, 1, "3000m")
-        .replace("Content-Length: 6", &format!("Content-Length: {LENGTH}"));
+    let text = request("pay", 7, 1, "3000m").replace(
+        "Content-Length: 6",
+        &format!("Content-Length: {BODY_BYTES}"),
+    );
     let head = text.strip_suffix("a body").expect("a body");
     let (first, rest) = head.split_at(40);
     let mut client = program.client();
     client.send(first);
     thread::sleep(Duration::from_millis(1900));
     client.send(rest);
-    let body = "x".repeat(LENGTH);
-    for piece in body.as_bytes().chunks(LENGTH.div_ceil(PIECES)) {
+    let body = "x".repeat(BODY_BYTES);
+    for piece in body.as_bytes().chunks(BODY_BYTES.div_ceil(PIECE_COUNT)) {
         thread::sleep(Duration::from_millis(50));
         client.send(&String::from_utf8_lossy(piece));
     }
@@ -29,19 +32,20 @@
         client.receive().map(|response| response.status()),
         Some(200)
     );
-    assert_eq!(server.next_request().body.len(), LENGTH);
+    assert_eq!(server.next_request().body.len(), BODY_BYTES);
 }
 
-/// A body that stalls is ended within 3 s of its connection, however slow its head was.
+/// Guards against a client that holds its connection with a stalled body: the request is ended within 3 s of the
+/// connection's start, however slow its head was.
 #[test_case(100 ; "after a fast head")]
 #[test_case(1900 ; "after a slow head")]
-fn stalled_body_is_ended_in_time(head_takes: u64) {
+fn stalled_body_is_ended_in_time(head_ms: u64) {
     let program = Program::start(&config(&[]));
     let text = request("pay", 7, 1, "3000m").replace("Content-Length: 6", "Content-Length: 60000");
     let (first, rest) = text.split_at(40);
     let (started_at, mut client) = (Instant::now(), program.client());
     client.send(first);
-    thread::sleep(Duration::from_millis(head_takes));
+    thread::sleep(Duration::from_millis(head_ms));
     client.send(rest);
     assert!(
         client
@@ -55,12 +59,13 @@
     );
 }
 
-/// Little time is left: the client has its one response soon, and the next request with enough time is served.
+/// Guards against a request with little remaining time that gets no response, or a late one, or makes its connection
+/// unusable: the next request with enough time must be served.
 #[test_case("0m")]
 #[test_case("1u")]
 #[test_case("4m")]
 #[test_case("6m")]
-fn request_with_little_remaining_time_is_answered_at_once(remaining: &str) {
+fn request_with_little_remaining_time_is_answered_soon(remaining: &str) {
     let server = ScriptedServer::start(|_| ok_response());
     let program = Program::start(&config(&[instance("s-1", server.address, "up")]));
     let mut client = program.client();
--- a/crates/merlinreel/tests/sockets/startup.rs
+++ b/crates/merlinreel/tests/sockets/startup.rs
@@ -1,4 +1,4 @@
-//! Limiters that start or restart while discovery is down or their descriptors are in use.
+//! Limiters that start or restart while discovery is down or clients use most file descriptors.
 
 use super::limited_process::LimitedProcess;
 use merlinreel_testkit::*;
@@ -13,12 +13,13 @@
 use std::time::{Duration, Instant};
 use test_case::test_case;
 
-/// A process must be ready within this of its start.
-const READY_WITHIN: Duration = Duration::from_secs(10);
-/// Descriptors that the system allows a process where they are short.
-const DESCRIPTORS: u32 = 256;
+/// A process must be ready within this time of its start.
+const MAX_STARTUP_TIME: Duration = Duration::from_secs(10);
+/// The operating system's limit on the file descriptors of a process.
+const MAX_DESCRIPTORS: u32 = 256;
 
-/// A discovery stub that accepts calls and is silent until it is given a list; then each call gets that.
+/// A discovery stub that accepts calls and sends no response until a list is published. From then on each call that does not
+/// have version 2 yet gets the list.
 struct SilentDiscovery {
     stub: ScriptedServer,
     list: Arc<Mutex<Option<String>>>,
@@ -36,59 +37,60 @@
         SilentDiscovery { stub, list }
     }
 
-    fn speak(&self, list: &Value) {
+    /// Responds to later calls with this list, which must have version 2.
+    fn publish(&self, list: &Value) {
         *self.list.lock().expect("not poisoned") = Some(list.to_string());
     }
 }
 
-/// Clients that connect and stay, so many at a time, with a new one for each that the limiter closes: one in two sends a
-/// request, the others send nothing.
+/// Clients that keep `size` connections to a limiter, of which the oldest is replaced again and again. Every other client
+/// sends a request, the rest send nothing.
 struct ClientBurst {
-    over: Arc<AtomicBool>,
-    coming: Option<JoinHandle<()>>,
+    stop: Arc<AtomicBool>,
+    thread: Option<JoinHandle<()>>,
 }
 
 impl ClientBurst {
     fn start(address: SocketAddr, size: usize) -> ClientBurst {
-        let over: Arc<AtomicBool> = Arc::default();
-        let ends = over.clone();
-        let coming = thread::spawn(move || {
-            let mut here = VecDeque::new();
-            for one in 10_000.. {
-                if ends.load(Ordering::Relaxed) {
+        let stop: Arc<AtomicBool> = Arc::default();
+        let should_stop = stop.clone();
+        let handle = thread::spawn(move || {
+            let mut clients = VecDeque::new();
+            for customer in 10_000.. {
+                if should_stop.load(Ordering::Relaxed) {
                     return;
                 }
                 let Ok(mut client) = Client::connect(address) else {
                     continue;
                 };
-                if one % 2 == 0 {
-                    client.send(&request("look", one, 1, "3000m"));
+                if customer % 2 == 0 {
+                    client.send(&request("look", customer, 1, "3000m"));
                 }
-                here.push_back(client);
-                if here.len() > size {
-                    // The oldest: closed long ago.
-                    here.pop_front();
-                    // A pause between two that connect, for other processes of this machine.
+                clients.push_back(client);
+                if clients.len() > size {
+                    // The oldest connection; the limiter closed it long ago.
+                    clients.pop_front();
+                    // Leaves processor time to the other processes of the machine.
                     thread::sleep(Duration::from_millis(1));
                 }
             }
         });
         ClientBurst {
-            over,
-            coming: Some(coming),
+            stop,
+            thread: Some(handle),
         }
     }
 }
 
 impl Drop for ClientBurst {
     fn drop(&mut self) {
-        self.over.store(true, Ordering::Relaxed);
-        let _ = self.coming.take().map(JoinHandle::join);
+        self.stop.store(true, Ordering::Relaxed);
+        let _ = self.thread.take().map(JoinHandle::join);
     }
 }
 
-/// Whether a request at a server is of one of these customers.
-fn is_of(customers: &Range<u64>, call: &Message) -> bool {
+/// Whether a request that a server received is from one of these customers.
+fn is_from(customers: &Range<u64>, call: &Message) -> bool {
     let key = call
         .first
         .split("key=")
@@ -98,8 +100,8 @@
         .is_some_and(|key| customers.contains(&key))
 }
 
-/// Each of these customers connects for the first time and is served. One that is delayed between its connection and its
-/// request may be evicted as idle: it connects again, as clients do.
+/// Asserts that each of these customers is served on a new connection. A client that is delayed between connecting and
+/// sending its request may be evicted as idle; it connects again, as clients do.
 fn assert_served(process: &LimitedProcess, customers: Range<u64>) {
     for customer in customers {
         let connect = |_| {
@@ -108,15 +110,16 @@
                 .call(&request("look", customer as u32, 1, "3000m"))
         };
         assert_eq!(
-            (0..50).find_map(connect).map(|answer| answer.status()),
+            (0..50).find_map(connect).map(|response| response.status()),
             Some(200),
             "{customer}"
         );
     }
 }
 
-/// Discovery is down, and clients that stay use all descriptors that clients may: a new client is served by the list of the
-/// configuration, and once discovery is back its list is applied. The calls to discovery never lack a descriptor.
+/// Guards against an endpoint list that can't be fetched, and clients that can't be served, because a burst of clients holds
+/// all descriptors available to clients while discovery is down. A new client must be served from the configured list, and
+/// the list must be applied once discovery is back: calls to discovery always have a descriptor.
 #[test]
 fn burst_of_clients_does_not_keep_the_endpoint_list_out() {
     let (old, new) = (
@@ -126,89 +129,91 @@
     let discovery = SilentDiscovery::start();
     let mut config = config(&[instance("s-1", old.address, "up")]);
     config["discovery"] = discovery.stub.address.to_string().into();
-    config["limits"]["sockets"] = DESCRIPTORS.into();
-    let process = LimitedProcess::start(&config, DESCRIPTORS);
-    assert!(process.is_ready_by(Instant::now() + READY_WITHIN));
+    config["limits"]["sockets"] = MAX_DESCRIPTORS.into();
+    let process = LimitedProcess::start(&config, MAX_DESCRIPTORS);
+    assert!(process.is_ready_by(Instant::now() + MAX_STARTUP_TIME));
     let burst = ClientBurst::start(process.address, 400);
     let until = Instant::now() + TEST_TIMEOUT;
-    let most =
-        std::iter::repeat_with(|| process.descriptors()).take_while(|_| Instant::now() < until);
+    let open_counts = std::iter::repeat_with(|| process.open_descriptors())
+        .take_while(|_| Instant::now() < until);
     assert!(
-        { most }.any(|open| open > DESCRIPTORS as usize / 2),
-        "never full"
+        { open_counts }.any(|count| count > MAX_DESCRIPTORS as usize / 2),
+        "the burst never used more than half of the descriptors"
     );
-    assert!(process.is_ready_by(Instant::now() + READY_WITHIN));
+    assert!(process.is_ready_by(Instant::now() + MAX_STARTUP_TIME));
     assert_served(&process, 1..11);
     assert_eq!(
         old.requests
             .try_iter()
-            .filter(|call| is_of(&(1..11), call))
+            .filter(|call| is_from(&(1..11), call))
             .count(),
         10
     );
-    discovery.speak(&full_list(
+    discovery.publish(&full_list(
         2,
         &[
             instance("s-1", old.address, "draining"),
             instance("s-2", new.address, "up"),
         ],
     ));
-    // The call after the list's: the list is in the event loop's queue by then.
+    // Once the next call arrives, the list is in the event loop's queue.
     while !discovery.stub.next_request().first.contains("after=2&") {}
     assert_served(&process, 11..21);
     drop(burst);
     assert_eq!(
         old.requests
             .try_iter()
-            .filter(|call| is_of(&(11..21), call))
+            .filter(|call| is_from(&(11..21), call))
             .count(),
         0,
-        "it drains"
+        "requests to the draining server"
     );
     assert_eq!(
         new.requests
             .try_iter()
-            .filter(|call| is_of(&(11..21), call))
+            .filter(|call| is_from(&(11..21), call))
             .count(),
         10
     );
 }
 
-/// What discovery does while the fleet starts again.
+/// How discovery fails while the fleet restarts.
 #[derive(Clone, Copy)]
 enum Outage {
     Silent,
     Refusing,
 }
 
-/// Ten processes killed at once and restarted: nine of them are ready in time, whatever discovery does, and serve.
+/// Guards against a fleet that can't start while discovery is down: ten processes are killed and restarted at once, nine of
+/// them must be ready in time, and all must then serve.
 #[test_case(Outage::Silent ; "discovery is silent")]
 #[test_case(Outage::Refusing ; "discovery refuses")]
 fn fleet_killed_during_an_outage_is_ready_in_time(outage: Outage) {
     let server = ScriptedServer::start(|_| ok_response());
     let discovery = ScriptedServer::start(|_| Reaction::Hang);
-    let at = match outage {
+    let discovery_address = match outage {
         Outage::Silent => discovery.address,
         Outage::Refusing => free_address(),
     };
     let start = |_| {
         let mut config = config(&[instance("s-1", server.address, "up")]);
-        config["discovery"] = at.to_string().into();
-        LimitedProcess::start(&config, DESCRIPTORS)
+        config["discovery"] = discovery_address.to_string().into();
+        LimitedProcess::start(&config, MAX_DESCRIPTORS)
     };
     let mut fleet: Vec<LimitedProcess> = (0..10).map(start).collect();
     let until = Instant::now() + TEST_TIMEOUT;
     assert!(fleet.iter().all(|process| process.is_ready_by(until)));
     fleet.iter_mut().for_each(LimitedProcess::kill);
-    let until = Instant::now() + READY_WITHIN;
-    fleet.iter_mut().for_each(LimitedProcess::start_again);
+    let until = Instant::now() + MAX_STARTUP_TIME;
+    fleet.iter_mut().for_each(LimitedProcess::restart);
     let ready = thread::scope(|scope| {
-        let each: Vec<_> = fleet
+        let checks: Vec<_> = fleet
             .iter()
             .map(|process| scope.spawn(move || process.is_ready_by(until)))
             .collect();
-        each.into_iter()
-            .filter_map(|one| one.join().ok())
+        checks
+            .into_iter()
+            .filter_map(|check| check.join().ok())
             .filter(|ready| *ready)
             .count()
     });
@@ -218,48 +223,51 @@
     }
 }
 
-/// A discovery stub whose responses come in small pieces, each once another call has come.
+/// A discovery stub that sends each response in small pieces, the next one whenever a further call arrives.
 struct TricklingDiscovery {
     address: SocketAddr,
-    steps: Arc<(Mutex<usize>, Condvar)>,
-    complete: Arc<AtomicUsize>,
+    call_count: Arc<(Mutex<usize>, Condvar)>,
+    completed_responses: Arc<AtomicUsize>,
 }
 
 impl TricklingDiscovery {
     fn start(list: &Value, pieces: usize) -> TricklingDiscovery {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
-        let address = listener.local_addr().expect("bound");
-        let steps: Arc<(Mutex<usize>, Condvar)> = Arc::default();
-        let complete: Arc<AtomicUsize> = Arc::default();
+        let address = listener.local_addr().expect("a local address");
+        let call_count: Arc<(Mutex<usize>, Condvar)> = Arc::default();
+        let completed_responses: Arc<AtomicUsize> = Arc::default();
         let text = list.to_string();
-        let (serving, finished) = (steps.clone(), complete.clone());
+        let (current_count, completed) = (call_count.clone(), completed_responses.clone());
         thread::spawn(move || {
             for mut stream in listener.incoming().flatten() {
-                let (steps, finished, text) = (serving.clone(), finished.clone(), text.clone());
-                *steps.0.lock().expect("not poisoned") += 1;
-                steps.1.notify_all();
-                thread::spawn(move || trickle(&mut stream, &text, pieces, &steps, &finished));
+                let (call_count, completed, text) =
+                    (current_count.clone(), completed.clone(), text.clone());
+                *call_count.0.lock().expect("not poisoned") += 1;
+                call_count.1.notify_all();
+                thread::spawn(move || {
+                    respond_in_pieces(&mut stream, &text, pieces, &call_count, &completed)
+                });
             }
         });
         TricklingDiscovery {
             address,
-            steps,
-            complete,
+            call_count,
+            completed_responses,
         }
     }
 
     fn calls(&self) -> usize {
-        *self.steps.0.lock().expect("not poisoned")
+        *self.call_count.0.lock().expect("not poisoned")
     }
 }
 
-/// Answers one call, with a piece at each further call.
-fn trickle(
+/// Responds to one call: sends the head and the first piece, and then a piece whenever a further call arrives.
+fn respond_in_pieces(
     stream: &mut TcpStream,
     text: &str,
     pieces: usize,
-    steps: &(Mutex<usize>, Condvar),
-    finished: &AtomicUsize,
+    call_count: &(Mutex<usize>, Condvar),
+    completed: &AtomicUsize,
 ) -> std::io::Result<()> {
     let mut head = [0; 1024];
     let _ = stream.read(&mut head)?;
@@ -270,16 +278,17 @@
     )?;
     for piece in text.as_bytes().chunks(text.len().div_ceil(pieces)) {
         stream.write_all(piece)?;
-        let seen = steps.0.lock().expect("not poisoned");
-        let before = *seen;
-        drop(steps.1.wait_while(seen, |now| *now == before));
+        let current = call_count.0.lock().expect("not poisoned");
+        let before = *current;
+        drop(call_count.1.wait_while(current, |now| *now == before));
     }
-    finished.fetch_add(1, Ordering::SeqCst);
+    completed.fetch_add(1, Ordering::SeqCst);
     Ok(())
 }
 
-/// Discovery's first list takes far longer than a start may wait for it, and longer than it takes to make as many calls as
-/// may be open at once: the start is in time with the list of the configuration, and the trickling one is applied later.
+/// Guards against a start that waits for a slow first list, and against such a list that is never applied. The list takes
+/// far longer than a start may wait for it, and longer than it takes to make as many calls as may be open at once. The start
+/// must be in time with the configured list, and the slow one is applied later.
 #[test]
 fn trickling_first_list_delays_no_start_and_is_applied_later() {
     const PIECES: usize = 8;
@@ -297,12 +306,12 @@
     let discovery = TricklingDiscovery::start(&list, PIECES);
     let mut config = config(&[instance("s-1", old.address, "up")]);
     config["discovery"] = discovery.address.to_string().into();
-    let process = LimitedProcess::start(&config, DESCRIPTORS);
-    assert!(process.is_ready_by(Instant::now() + READY_WITHIN));
+    let process = LimitedProcess::start(&config, MAX_DESCRIPTORS);
+    assert!(process.is_ready_by(Instant::now() + MAX_STARTUP_TIME));
     assert_eq!(
-        discovery.complete.load(Ordering::SeqCst),
+        discovery.completed_responses.load(Ordering::SeqCst),
         0,
-        "it started with its own list"
+        "the first list was complete before the process was ready"
     );
     assert_eq!(process.client().request("look", 1, 1).status(), 200);
     assert_eq!(
@@ -310,18 +319,18 @@
         "GET /look?key=0000000000000001 HTTP/1.1"
     );
     let until = Instant::now() + TEST_TIMEOUT;
-    let taken = (2..=u32::MAX).find(|&customer| {
+    let first_customer = (2..=u32::MAX).find(|&customer| {
         assert_eq!(process.client().request("look", customer, 1).status(), 200);
         new.requests.try_iter().count() > 0 || Instant::now() >= until
     });
     assert!(
         Instant::now() < until,
-        "not applied after {} calls",
+        "the list was not applied after {} calls",
         discovery.calls()
     );
-    // Once it is known to drain it gets no more requests.
+    // The limiter now knows that the old server drains, and must send it no more requests.
     let _ = old.requests.try_iter().count();
-    for customer in taken.unwrap_or(0) + 1..taken.unwrap_or(0) + 6 {
+    for customer in first_customer.unwrap_or(0) + 1..first_customer.unwrap_or(0) + 6 {
         assert_eq!(process.client().request("look", customer, 1).status(), 200);
     }
     assert_eq!(
@@ -333,33 +342,36 @@
     );
 }
 
-/// A process that is shut down before it ever served, while it waits for silent discovery: clients that connected meanwhile
-/// are answered all the same.
+/// Guards against clients without a response when a process is shut down while it still waits for a silent discovery:
+/// clients that have connected must be answered.
 #[test]
 fn shutdown_during_startup_answers_connected_clients() {
     let server = ScriptedServer::start(|_| ok_response());
     let discovery = ScriptedServer::start(|_| Reaction::Hang);
     let mut config = config(&[instance("s-1", server.address, "up")]);
     config["discovery"] = discovery.address.to_string().into();
-    let mut process = LimitedProcess::start(&config, DESCRIPTORS);
+    let mut process = LimitedProcess::start(&config, MAX_DESCRIPTORS);
     let until = Instant::now() + TEST_TIMEOUT;
     let mut client = std::iter::repeat_with(|| Client::connect(process.address).ok())
         .take_while(|_| Instant::now() < until)
         .flatten()
         .next()
-        .expect("a socket");
+        .expect("a connection");
     client.send(&request("pay", 1, 1, "3000m"));
     process.signal("-TERM");
-    assert_eq!(client.receive().map(|answer| answer.status()), Some(200));
-    assert!(process.end().success());
+    assert_eq!(
+        client.receive().map(|response| response.status()),
+        Some(200)
+    );
+    assert!(process.wait().success());
 }
 
-/// A process that is paused for a moment, as one whose accept fails is: all clients that connect meanwhile wait on its socket,
-/// and are answered. The kernel drops what does not fit into a listener's backlog, and its client tries again only after a
-/// second.
+/// Guards against clients that are lost while a process accepts no connections, because it is suspended or accept fails. All
+/// clients that connect meanwhile must fit into the listener's backlog and be answered: the kernel drops further connection
+/// attempts, which clients repeat only after a second.
 #[test]
-fn clients_that_connect_to_a_paused_process_are_answered() {
-    const CLIENTS: usize = 500;
+fn clients_that_connect_to_a_suspended_process_are_answered() {
+    const CLIENT_COUNT: usize = 500;
     let mut config = config(&[]);
     config["limits"]["sockets"] = 1024.into();
     let program = Program::start(&config);
@@ -370,12 +382,12 @@
         client.send("GET /up HTTP/1.1\r\nHost: svc\r\n\r\n");
         Some(client)
     };
-    let mut waiting: Vec<Client> = (0..CLIENTS).map_while(connect).collect();
+    let mut waiting_clients: Vec<Client> = (0..CLIENT_COUNT).map_while(connect).collect();
     program.signal("-CONT");
-    assert_eq!(waiting.len(), CLIENTS);
-    assert!(waiting.iter_mut().all(|client| {
+    assert_eq!(waiting_clients.len(), CLIENT_COUNT);
+    assert!(waiting_clients.iter_mut().all(|client| {
         client
             .receive()
-            .is_some_and(|answer| answer.status() == 200)
+            .is_some_and(|response| response.status() == 200)
     }));
 }
--- a/crates/merlinreel/tests/sockets/suspended_limiter.rs
+++ b/crates/merlinreel/tests/sockets/suspended_limiter.rs
@@ -1,23 +1,24 @@
-//! A limiter that is held up, and what arrived at its sockets meanwhile: its lateness is not its clients' or servers'.
+//! A suspended limiter, and what arrived in its sockets meanwhile: a stall of the limiter must not count against clients or
+//! servers.
 
 use merlinreel_testkit::*;
 use std::thread;
 use std::time::Duration;
 use test_case::test_case;
 
-/// By then a body whose head came first is due.
+/// After this time an incomplete body whose head arrived at once has timed out.
 const BODY_TIMEOUT: Duration = Duration::from_millis(2200);
-/// Long enough for bytes on loopback to arrive, and for a running limiter to read them.
+/// Long enough for bytes to arrive over loopback and to be read by a running limiter.
 const ARRIVAL_TIME: Duration = Duration::from_millis(100);
 
-/// A limiter before a server that answers everything.
-fn started() -> (ScriptedServer, Program) {
+/// Starts a server that responds with status 200 to every request, and a limiter in front of it.
+fn start_server_and_limiter() -> (ScriptedServer, Program) {
     let server = ScriptedServer::start(|_| ok_response());
     let program = Program::start(&config(&[instance("s-1", server.address, "up")]));
     (server, program)
 }
 
-/// Runs `during` while the limiter is suspended, for this long at least.
+/// Suspends the limiter, runs `during`, and continues the limiter `at_least` later.
 fn suspend(program: &Program, at_least: Duration, during: impl FnOnce()) {
     program.signal("-STOP");
     during();
@@ -25,27 +26,28 @@
     program.signal("-CONT");
 }
 
-/// A request's head up to its body, framed as `framing` says.
+/// The head of a request, with these framing headers.
 fn head(class: &str, framing: &str) -> String {
     request(class, 7, 1, "4000m")
         .replace("Content-Length: 6\r\n", framing)
         .replace("a body", "")
 }
 
-/// A body of so many chunks of a byte, and its end.
-fn chunks_of_a_byte(count: usize) -> String {
+/// The encoded end of a chunked body: this many one-byte chunks and the last chunk.
+fn one_byte_chunks(count: usize) -> String {
     "1\r\nx\r\n".repeat(count) + "0\r\n\r\n"
 }
 
-/// Guards against 408 for a body that lay in the socket at its deadline, because the limiter was late.
-#[test_case("Transfer-Encoding: chunked\r\n", "1\r\nx\r\n", &chunks_of_a_byte(999) ; "chunked")]
-#[test_case("Content-Length: 30000\r\n", "x", &"x".repeat(29_999) ; "of announced length")]
+/// Guards against status 408 for a body that arrived in time: the limiter was suspended past the body's deadline and had not
+/// read it from the socket buffer yet.
+#[test_case("Transfer-Encoding: chunked\r\n", "1\r\nx\r\n", &one_byte_chunks(999) ; "chunked")]
+#[test_case("Content-Length: 30000\r\n", "x", &"x".repeat(29_999) ; "content length")]
 fn body_that_arrived_in_time_is_served_after_a_suspension_past_its_deadline(
     framing: &str,
     first_part: &str,
     rest: &str,
 ) {
-    let (server, program) = started();
+    let (server, program) = start_server_and_limiter();
     let mut client = program.client();
     client.send(&(head("pay", framing) + first_part));
     thread::sleep(ARRIVAL_TIME);
@@ -58,18 +60,18 @@
     assert!(body.len() >= 1000 && body.bytes().all(|byte| byte == b'x'));
 }
 
-/// Guards against a second term for every client of a limiter that was held up: a body that stays incomplete is ended
-/// soon after the suspension.
+/// Guards against a suspension that gives every client the full timeout again: a body that stays incomplete is ended soon
+/// after the suspension.
 #[test]
 fn incomplete_body_is_ended_soon_after_a_suspension_past_its_deadline() {
-    let (server, program) = started();
+    let (server, program) = start_server_and_limiter();
     let mut client = program.client();
     client.send(&(head("pay", "Transfer-Encoding: chunked\r\n") + "1\r\nx\r\n"));
     thread::sleep(ARRIVAL_TIME);
     suspend(&program, BODY_TIMEOUT, || client.send("1\r\nx\r\n"));
     client
         .set_read_timeout(Duration::from_secs(1))
-        .expect("a time-out");
+        .expect("the read timeout is set");
     assert_eq!(
         client.receive().map(|response| response.status()),
         Some(408)
@@ -77,19 +79,19 @@
     assert!(server.requests.try_recv().is_err());
 }
 
-/// Guards against a connection that is evicted with no response, its request unread, because the limiter was late and a
-/// crowd wants its place.
+/// Guards against a connection that is evicted without a response although its complete request is unread data in the socket
+/// buffer: the limiter was suspended, and many new clients need connection slots.
 #[test]
 fn request_that_arrived_in_time_is_not_evicted_after_a_suspension() {
-    const CROWD: usize = 200;
-    let (_server, program) = started();
+    const NEW_CLIENT_COUNT: usize = 200;
+    let (_server, program) = start_server_and_limiter();
     let mut client = program.client();
     client.send(&(head("pay", "Transfer-Encoding: chunked\r\n") + "1\r\nx\r\n"));
     thread::sleep(ARRIVAL_TIME);
-    let mut crowd = Vec::new();
+    let mut new_clients = Vec::new();
     suspend(&program, Duration::from_millis(500), || {
-        client.send(&chunks_of_a_byte(60_000));
-        crowd.extend((0..CROWD).map_while(|_| {
+        client.send(&one_byte_chunks(60_000));
+        new_clients.extend((0..NEW_CLIENT_COUNT).map_while(|_| {
             Client::connect_within(program.address, Duration::from_millis(100)).ok()
         }));
     });
@@ -99,20 +101,20 @@
     );
 }
 
-/// Guards against a response that is thrown away, and its server blamed, because the attempt's deadline passed while the
-/// limiter was held up: it lay in the socket in time.
+/// Guards against a response that is discarded, and counted as a failure of its server, because the attempt's deadline
+/// passed while the limiter was suspended: the response had arrived in the socket buffer in time.
 #[test_case("look")]
 #[test_case("pay")]
-fn response_that_arrived_in_time_is_passed_on_after_a_suspension_past_the_attempt_s_deadline(
+fn response_that_arrived_in_time_is_forwarded_after_a_suspension_past_the_attempt_deadline(
     class: &str,
 ) {
-    const PIECES: usize = 4;
+    const PIECE_COUNT: usize = 4;
     let server = ScriptedServer::start(|_| {
         Reaction::Trickle(Trickle {
-            head: format!("HTTP/1.1 200 OK\r\nContent-Length: {PIECES}\r\n\r\n"),
+            head: format!("HTTP/1.1 200 OK\r\nContent-Length: {PIECE_COUNT}\r\n\r\n"),
             piece: "x",
             every: Duration::from_millis(50),
-            pieces: PIECES,
+            pieces: PIECE_COUNT,
         })
     });
     let program = Program::start(&config(&[instance("s-1", server.address, "up")]));
@@ -122,5 +124,5 @@
     suspend(&program, Duration::from_millis(1200), || {});
     let response = client.receive().expect("a response");
     assert_eq!(response.status(), 200);
-    assert_eq!(response.body, "x".repeat(PIECES));
+    assert_eq!(response.body, "x".repeat(PIECE_COUNT));
 }
--- a/crates/merlinreel/tests/sockets/system_call_failures.rs
+++ b/crates/merlinreel/tests/sockets/system_call_failures.rs
@@ -1,4 +1,4 @@
-//! System calls of the program that fail for a while, as the kernel really fails them.
+//! System calls of the program that fail for a while with real errors from the kernel.
 
 use super::limited_process::LimitedProcess;
 use merlinreel_testkit::*;
@@ -6,10 +6,11 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Descriptors that the system allows the process; its configuration says more.
-const DESCRIPTORS: u32 = 40;
-const READY_WITHIN: Duration = Duration::from_secs(10);
-const HALF_A_HEAD: &str = "GET /look?key=7 HTTP/1.1\r\nHost:";
+/// The operating system's limit on the file descriptors of the process; its configuration allows more.
+const MAX_DESCRIPTORS: u32 = 40;
+/// A process must be ready within this time of its start.
+const MAX_STARTUP_TIME: Duration = Duration::from_secs(10);
+const PARTIAL_HEAD: &str = "GET /look?key=7 HTTP/1.1\r\nHost:";
 
 fn wait_until(condition: impl Fn() -> bool) {
     let end = Instant::now() + TEST_TIMEOUT;
@@ -19,67 +20,71 @@
     }
 }
 
-fn started(server: SocketAddr) -> LimitedProcess {
-    let process = LimitedProcess::start(&config(&[instance("s-1", server, "up")]), DESCRIPTORS);
-    assert!(process.is_ready_by(Instant::now() + READY_WITHIN));
+fn start_limited_process(server: SocketAddr) -> LimitedProcess {
+    let process = LimitedProcess::start(&config(&[instance("s-1", server, "up")]), MAX_DESCRIPTORS);
+    assert!(process.is_ready_by(Instant::now() + MAX_STARTUP_TIME));
     process
 }
 
-/// Clients that use all descriptors that are left: each has sent half a request.
-fn with_all_descriptors_taken(process: &LimitedProcess) -> Vec<Client> {
+/// Opens client connections, each with a partial request, until the process has no descriptor left.
+fn use_all_descriptors(process: &LimitedProcess) -> Vec<Client> {
     let connect = |_| {
         let mut client = process.client();
-        client.send(HALF_A_HEAD);
+        client.send(PARTIAL_HEAD);
         client
     };
-    let partial_clients = (0..DESCRIPTORS).map(connect).collect();
-    wait_until(|| process.descriptors() >= DESCRIPTORS as usize);
+    let partial_clients = (0..MAX_DESCRIPTORS).map(connect).collect();
+    wait_until(|| process.open_descriptors() >= MAX_DESCRIPTORS as usize);
     partial_clients
 }
 
-/// Clients whose connections can't be accepted as the shutdown begins, for want of descriptors: they are accepted once they
-/// can be, and answered. The listener is not closed at accept's first error.
+/// Guards against clients that are lost because the listener closes at the first error of accept: no descriptors are
+/// available when the shutdown begins. Pending connections must be accepted as soon as possible, and answered.
 #[test]
 fn connections_pending_while_accept_fails_at_shutdown_are_answered() {
     let server = ScriptedServer::start(|_| ok_response());
-    let mut process = started(server.address);
-    let partial_clients = with_all_descriptors_taken(&process);
-    let waiting: Vec<_> = (0..8)
+    let mut process = start_limited_process(server.address);
+    let partial_clients = use_all_descriptors(&process);
+    let waiting_clients: Vec<_> = (0..8)
         .map(|customer| {
             let mut client = process.client();
             client.send(&request("look", customer, 1, "3000m"));
-            thread::spawn(move || client.receive().map(|answer| answer.status()))
+            thread::spawn(move || client.receive().map(|response| response.status()))
         })
         .collect();
     process.signal("-TERM");
-    let answers: Vec<Option<u16>> = waiting
+    let statuses: Vec<Option<u16>> = waiting_clients
         .into_iter()
         .map(|client| client.join().expect("a client"))
         .collect();
-    assert_eq!(answers, [Some(200); 8]);
-    assert!(process.end().success());
+    assert_eq!(statuses, [Some(200); 8]);
+    assert!(process.wait().success());
     drop(partial_clients);
 }
 
-/// No socket for a connection to the server is available for half a second: the request of that time waits and is served, and
-/// the server is afterwards neither avoided nor in slow start.
+/// Guards against a server that is blamed for a shortage of sockets on the limiter's machine: for half a second no socket is
+/// available for a connection to it. The request waits and is served, and the server is afterwards neither excluded nor in
+/// slow start.
 #[test]
-fn socket_shortage_of_this_machine_does_not_count_against_a_server() {
+fn local_socket_shortage_does_not_count_against_a_server() {
     let server = ScriptedServer::start(|_| ok_response());
-    let process = started(server.address);
+    let process = start_limited_process(server.address);
     let mut client = process.client();
     assert_eq!(
         client
             .call("GET /up HTTP/1.1\r\nHost: svc\r\n\r\n")
-            .map(|answer| answer.status()),
+            .map(|response| response.status()),
         Some(200)
     );
-    let partial_clients = with_all_descriptors_taken(&process);
+    let partial_clients = use_all_descriptors(&process);
     let started_at = Instant::now();
     client.send(&request("look", 1, 1, "3000m"));
     thread::sleep(Duration::from_millis(500).saturating_sub(started_at.elapsed()));
     drop(partial_clients);
-    assert_eq!(client.receive().map(|answer| answer.status()), Some(200));
+    assert_eq!(
+        client.receive().map(|response| response.status()),
+        Some(200)
+    );
     let started_at = Instant::now();
     for customer in 2..22 {
         assert_eq!(
@@ -88,7 +93,7 @@
             "{customer}"
         );
     }
-    // A server in slow start gets about one request a second here.
+    // In slow start, the server would get about one request a second here.
     assert!(
         started_at.elapsed() < Duration::from_secs(5),
         "{:?}",
@@ -96,17 +101,17 @@
     );
 }
 
-/// The address is in use as the program starts, and free a moment later.
+/// Guards against a start that fails because its address is still in use: the address is free a moment later.
 #[test]
 fn start_waits_for_its_address_to_be_free() {
     let config = config(&[]);
     let address: SocketAddr = config["listen"]
         .as_str()
         .and_then(|text| text.parse().ok())
-        .expect("an address");
-    let holder = TcpListener::bind(address).expect("free");
-    let process = LimitedProcess::start(&config, DESCRIPTORS);
+        .expect("`listen` is a socket address");
+    let holder = TcpListener::bind(address).expect("a free address");
+    let process = LimitedProcess::start(&config, MAX_DESCRIPTORS);
     thread::sleep(Duration::from_millis(300));
     drop(holder);
-    assert!(process.is_ready_by(Instant::now() + READY_WITHIN));
+    assert!(process.is_ready_by(Instant::now() + MAX_STARTUP_TIME));
 }
--- a/crates/merlinreel/tests/sockets/truncated_responses.rs
+++ b/crates/merlinreel/tests/sockets/truncated_responses.rs
@@ -1,23 +1,27 @@
-//! Servers whose responses are truncated at each step, for each class. A response is forwarded once it is complete or once
-//! more than [`BUFFERED_BYTES`] of its body have arrived: truncated before that, it is a failed attempt that may have run; after
-//! that, the client can tell that it is truncated.
+//! Responses that servers truncate at each point, for each class. The limiter forwards a response once it is complete, or
+//! once more than [`BUFFERED_BYTES`] of its body have arrived. Truncated before that, it is a failed attempt that may have
+//! run; truncated later, the client must be able to tell that it is truncated.
 
 use merlinreel_testkit::*;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
 use test_case::{test_case, test_matrix};
 
+/// Maximum length of a body that the limiter buffers before it forwards the response.
 const BUFFERED_BYTES: usize = 64 << 10;
-/// More than that, with a margin for what the last read of a truncated response leaves behind.
-const LONG_PART: usize = 128 << 10;
-const LONG: usize = 300 << 10;
-const CHUNK: usize = 4096;
-/// A request's remaining time, and the latency objective of its class.
-const TIME: Duration = Duration::from_secs(15);
-const COMPLETE: &str = "the complete response";
-const TRUNCATED: &str = "one that breaks off";
+/// Length of the part that is sent of a truncated long body: above [`BUFFERED_BYTES`], with a margin for bytes that the last
+/// read before the truncation does not deliver.
+const LONG_PART_BYTES: usize = 128 << 10;
+/// Length of a long body.
+const LONG_BYTES: usize = 300 << 10;
+/// Length of a chunk.
+const CHUNK_BYTES: usize = 4096;
+/// Remaining time of each request, and the latency objective of its class.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(15);
+const COMPLETE_BODY: &str = "the complete response";
+const TRUNCATED_BODY: &str = "one that breaks off";
 
-/// How the end of a response is framed.
+/// How the end of a response's body is determined.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Framing {
     Length,
@@ -26,7 +30,7 @@
 }
 
 impl Framing {
-    /// A successful response's head for a body of this length.
+    /// The head of a successful response with a body of this length.
     fn head(self, length: usize) -> String {
         let header = match self {
             Framing::Length => format!("Content-Length: {length}\r\n"),
@@ -36,7 +40,7 @@
         format!("HTTP/1.1 200 OK\r\nX-Kind: blue\r\n{header}\r\n")
     }
 
-    /// A successful response, complete but for the connection's close.
+    /// A complete successful response, except for the close of its connection.
     fn response(self, body: &str) -> String {
         let head = self.head(body.len());
         match self {
@@ -45,24 +49,28 @@
         }
     }
 
-    /// Its head and the beginning of its body, at least `part` bytes without what frames them.
-    fn part(self, body: &str, part: usize) -> String {
+    /// The head and the first `part_bytes` bytes of the body, encoded.
+    fn partial_response(self, body: &str, part_bytes: usize) -> String {
         let head = self.head(body.len());
         match self {
-            Framing::Length | Framing::UntilClose => head + &body[..part],
-            Framing::Chunked => head + &chunks(&body[..part]),
+            Framing::Length | Framing::UntilClose => head + &body[..part_bytes],
+            Framing::Chunked => head + &chunks(&body[..part_bytes]),
         }
     }
 }
 
+/// Encodes a body as chunks, without the last chunk.
 fn chunks(body: &str) -> String {
-    let chunks = body.as_bytes().chunks(CHUNK).map(String::from_utf8_lossy);
+    let chunks = body
+        .as_bytes()
+        .chunks(CHUNK_BYTES)
+        .map(String::from_utf8_lossy);
     chunks
         .map(|chunk| format!("{:x}\r\n{chunk}\r\n", chunk.len()))
         .collect()
 }
 
-/// No two of its parts are alike, so that one lost or doubled is seen.
+/// A body without repetitions, so that a lost or duplicated part is detected.
 fn long_body(length: usize) -> String {
     let mut body: String = (0..=length / 8)
         .map(|number| format!("{number:07} "))
@@ -82,30 +90,30 @@
     LengthHead,
     LengthHalf,
     LengthAllButLast,
-    /// Only a reset truncates a response that the close ends.
+    /// Only a reset can truncate a response that is delimited by the close.
     UntilClose,
 }
 
 impl BreakPoint {
-    /// What is sent before it.
-    fn text(self) -> String {
-        let head = |framing: Framing| framing.head(TRUNCATED.len());
+    /// The part of the response that is sent.
+    fn sent_text(self) -> String {
+        let head = |framing: Framing| framing.head(TRUNCATED_BODY.len());
         let (chunked, length) = (head(Framing::Chunked), head(Framing::Length));
         match self {
             BreakPoint::ChunkedHead => chunked,
             BreakPoint::ChunkSize => chunked + "1",
             BreakPoint::WithinChunk => chunked + "13\r\none that",
-            BreakPoint::BetweenChunks => chunked + &chunks(TRUNCATED),
-            BreakPoint::WithinLastChunk => chunked + &chunks(TRUNCATED) + "0\r\n",
+            BreakPoint::BetweenChunks => chunked + &chunks(TRUNCATED_BODY),
+            BreakPoint::WithinLastChunk => chunked + &chunks(TRUNCATED_BODY) + "0\r\n",
             BreakPoint::LengthHead => length,
-            BreakPoint::LengthHalf => length + &TRUNCATED[..TRUNCATED.len() / 2],
-            BreakPoint::LengthAllButLast => length + &TRUNCATED[..TRUNCATED.len() - 1],
-            BreakPoint::UntilClose => head(Framing::UntilClose) + TRUNCATED,
+            BreakPoint::LengthHalf => length + &TRUNCATED_BODY[..TRUNCATED_BODY.len() / 2],
+            BreakPoint::LengthAllButLast => length + &TRUNCATED_BODY[..TRUNCATED_BODY.len() - 1],
+            BreakPoint::UntilClose => head(Framing::UntilClose) + TRUNCATED_BODY,
         }
     }
 }
 
-/// The classes of [`config`], by the idempotency of their requests.
+/// The request classes of [`config`], by idempotency.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Class {
     Idempotent,
@@ -122,7 +130,7 @@
         }
     }
 
-    /// The outcome of a request whose first attempt may have run.
+    /// The expected outcome if the first attempt's response is truncated before it is forwarded.
     fn after_truncated_attempt(self) -> Outcome {
         match self {
             Class::Idempotent | Class::IdempotencyKey => Outcome {
@@ -137,66 +145,75 @@
     }
 }
 
-/// The client's response, and how many attempts reached the servers.
+/// The status of the client's response, and the number of attempts that reached the server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Outcome {
     status: u16,
     attempts: usize,
 }
 
-/// Reacts to the first request as given, and responds completely to later ones.
-fn react_to_first(first: impl Fn() -> Reaction + Send + Sync + 'static) -> ScriptedServer {
+/// Starts a server that reacts to the first request with `first_reaction`, and to later ones with complete responses.
+fn react_to_first(first_reaction: impl Fn() -> Reaction + Send + Sync + 'static) -> ScriptedServer {
     let answered = AtomicBool::new(false);
     ScriptedServer::start(move |_| {
         if answered.swap(true, Ordering::SeqCst) {
-            response("200 OK", "", COMPLETE)
+            response("200 OK", "", COMPLETE_BODY)
         } else {
-            first()
+            first_reaction()
         }
     })
 }
 
+/// Starts a server that truncates its first response and completes later ones.
 fn truncate_first(text: String, when: CloseTiming, end: ConnectionEnd) -> ScriptedServer {
     let truncated = TruncatedResponse { text, when, end };
     react_to_first(move || Reaction::Truncate(truncated.clone()))
 }
 
-/// Classes with so much time, and keys with such lifetimes, that a busy machine costs a request no attempt.
+/// A configuration with such long deadlines and key lifetimes that a busy machine prevents no attempt.
 fn patient_config(server: &ScriptedServer) -> serde_json::Value {
     let mut config = config(&[instance("s-1", server.address, "up")]);
     for class in config["settings"]["classes"]
         .as_array_mut()
         .expect("classes")
     {
-        (class["promiseS"], class["hardLimitS"]) =
-            (TIME.as_secs().into(), (TIME.as_secs() * 2).into());
+        (class["promiseS"], class["hardLimitS"]) = (
+            REQUEST_TIMEOUT.as_secs().into(),
+            (REQUEST_TIMEOUT.as_secs() * 2).into(),
+        );
     }
-    config["settings"]["classes"][1]["keyTtlS"] = TIME.as_secs().into();
+    config["settings"]["classes"][1]["keyTtlS"] = REQUEST_TIMEOUT.as_secs().into();
     config
 }
 
-fn limiter(server: &ScriptedServer) -> Program {
+fn start_limiter(server: &ScriptedServer) -> Program {
     Program::start(&patient_config(server))
 }
 
-fn request_of(class: Class, customer: u32) -> String {
-    request(class.name(), customer, 1, &format!("{}m", TIME.as_millis()))
+fn request_text(class: Class, customer: u32) -> String {
+    request(
+        class.name(),
+        customer,
+        1,
+        &format!("{}m", REQUEST_TIMEOUT.as_millis()),
+    )
 }
 
-/// Sends one request: its outcome, one response, and a connection that serves a further request.
+/// Sends one request and returns its outcome and the response's body. Asserts that there is exactly one response, and that
+/// the connection serves a further request.
 fn send_once(program: &Program, server: &ScriptedServer, class: Class) -> (Outcome, String) {
     let mut client = program.client();
-    client.send(&request_of(class, 7));
-    let first = complete(client.receive_or_error());
+    client.send(&request_text(class, 7));
+    let first = expect_complete(client.receive_or_error());
     let outcome = Outcome {
         status: first.status(),
         attempts: server.requests.try_iter().count(),
     };
-    client.send(&request_of(Class::Idempotent, 8));
-    let further = complete(client.receive_or_error());
+    client.send(&request_text(Class::Idempotent, 8));
+    let further = expect_complete(client.receive_or_error());
     assert_eq!(
         (further.status(), further.body.as_str()),
-        (200, COMPLETE),
+        (200, COMPLETE_BODY),
         "the further request, after {first:?}"
     );
     assert_eq!(
@@ -208,7 +225,7 @@
     (outcome, first.body)
 }
 
-/// Nothing follows the last response but the connection's end.
+/// Asserts that nothing but the end of the connection follows the last response.
 fn assert_no_further_response(client: &mut Client) {
     client.finish_sending();
     let next = client.receive_or_error();
@@ -224,11 +241,11 @@
     when: CloseTiming,
     end: ConnectionEnd,
 ) {
-    let server = truncate_first(point.text(), when, end);
-    let (outcome, body) = send_once(&limiter(&server), &server, class);
+    let server = truncate_first(point.sent_text(), when, end);
+    let (outcome, body) = send_once(&start_limiter(&server), &server, class);
     assert_eq!(outcome, class.after_truncated_attempt(), "{body:?}");
     if outcome.status == 200 {
-        assert_eq!(body, COMPLETE);
+        assert_eq!(body, COMPLETE_BODY);
     }
 }
 
@@ -263,7 +280,8 @@
     );
 }
 
-/// No more of the body has arrived than is buffered: it is not forwarded yet.
+/// Guards against a response that is forwarded too early: exactly as much of its body has arrived as is buffered, so the
+/// truncated response is still a failed attempt.
 #[test_matrix(
     [Class::Idempotent, Class::NonIdempotent],
     [Framing::Length, Framing::Chunked],
@@ -274,18 +292,19 @@
     framing: Framing,
     end: ConnectionEnd,
 ) {
-    let text = framing.part(&long_body(LONG), BUFFERED_BYTES);
+    let text = framing.partial_response(&long_body(LONG_BYTES), BUFFERED_BYTES);
     let server = truncate_first(text, CloseTiming::Read, end);
-    let (outcome, _) = send_once(&limiter(&server), &server, class);
+    let (outcome, _) = send_once(&start_limiter(&server), &server, class);
     assert_eq!(outcome, class.after_truncated_attempt());
 }
 
-/// Servers may have dropped the key: a retry could run a second time.
+/// Guards against a request that runs twice: its attempt fails after the lifetime of its idempotency key, when servers may
+/// have forgotten the key.
 #[test_matrix(["all", "zone"], [ConnectionEnd::Reset, ConnectionEnd::Orderly])]
 fn request_is_not_retried_after_the_lifetime_of_its_key(group: &str, end: ConnectionEnd) {
     const KEY_LIFETIME: Duration = Duration::from_millis(200);
     let server = truncate_first(
-        BreakPoint::LengthHalf.text(),
+        BreakPoint::LengthHalf.sent_text(),
         CloseTiming::Delayed(KEY_LIFETIME * 2),
         end,
     );
@@ -305,17 +324,17 @@
 #[test_matrix(
     [Class::Idempotent, Class::IdempotencyKey, Class::NonIdempotent],
     [Framing::Length, Framing::Chunked, Framing::UntilClose],
-    [0, 1, BUFFERED_BYTES, BUFFERED_BYTES + 1, LONG]
+    [0, 1, BUFFERED_BYTES, BUFFERED_BYTES + 1, LONG_BYTES]
 )]
 fn complete_responses_arrive_unchanged(class: Class, framing: Framing, length: usize) {
     let body = long_body(length);
-    // The close, which ends one of the framings, may follow a response in each.
+    // The server closes the connection after each response: one framing requires it, the others allow it.
     let server = truncate_first(
         framing.response(&body),
         CloseTiming::Written,
         ConnectionEnd::Orderly,
     );
-    let (outcome, arrived) = send_once(&limiter(&server), &server, class);
+    let (outcome, received_body) = send_once(&start_limiter(&server), &server, class);
     assert_eq!(
         outcome,
         Outcome {
@@ -323,10 +342,15 @@
             attempts: 1
         }
     );
-    assert!(arrived == body, "{} of {length} bytes", arrived.len());
+    assert!(
+        received_body == body,
+        "{} of {length} bytes",
+        received_body.len()
+    );
 }
 
-/// Part of it may have reached the client: no other response can follow, and this one must not pass for complete.
+/// Guards against a truncated response that the client takes for complete: part of it may have been forwarded, so no other
+/// response can follow.
 #[test_case(Framing::Length, CloseTiming::Read, ConnectionEnd::Reset ; "content length, reset")]
 #[test_case(Framing::Length, CloseTiming::Read, ConnectionEnd::Orderly ; "content length, orderly end")]
 #[test_case(Framing::Length, CloseTiming::Written, ConnectionEnd::Orderly ; "content length, orderly end at once")]
@@ -334,24 +358,24 @@
 #[test_case(Framing::Chunked, CloseTiming::Read, ConnectionEnd::Orderly ; "chunked, orderly end")]
 #[test_case(Framing::Chunked, CloseTiming::Written, ConnectionEnd::Orderly ; "chunked, orderly end at once")]
 #[test_case(Framing::UntilClose, CloseTiming::Read, ConnectionEnd::Reset ; "until the close, reset")]
-fn long_truncated_response_is_seen_to_be_truncated(
+fn long_truncated_response_is_recognizable_as_truncated(
     framing: Framing,
     when: CloseTiming,
     end: ConnectionEnd,
 ) {
-    let body = long_body(LONG);
+    let body = long_body(LONG_BYTES);
     for class in [
         Class::Idempotent,
         Class::IdempotencyKey,
         Class::NonIdempotent,
     ] {
-        let server = truncate_first(framing.part(&body, LONG_PART), when, end);
-        let program = limiter(&server);
+        let server = truncate_first(framing.partial_response(&body, LONG_PART_BYTES), when, end);
+        let program = start_limiter(&server);
         let mut client = program.client();
-        client.send(&request_of(class, 7));
+        client.send(&request_text(class, 7));
         let truncated = match client.receive_or_error() {
             Err(ReadError::Incomplete(truncated)) => truncated,
-            other => panic!("{class:?}: {:?}", shown(&other)),
+            other => panic!("{class:?}: {:?}", description(&other)),
         };
         assert_eq!(
             (truncated.status(), truncated.header("x-kind")),
@@ -367,15 +391,16 @@
     }
 }
 
-fn complete(received: Result<Option<Message>, ReadError>) -> Message {
+/// Returns the response; panics unless it is complete.
+fn expect_complete(received: Result<Option<Message>, ReadError>) -> Message {
     match received {
         Ok(Some(message)) => message,
-        other => panic!("expected a complete response: {}", shown(&other)),
+        other => panic!("expected a complete response: {}", description(&other)),
     }
 }
 
-/// What was received, without its long body.
-fn shown(received: &Result<Option<Message>, ReadError>) -> String {
+/// Describes what was received, without its body.
+fn description(received: &Result<Option<Message>, ReadError>) -> String {
     match received {
         Ok(Some(message)) => format!(
             "`{}` complete with {} bytes",
@@ -387,32 +412,33 @@
     }
 }
 
-/// The attempt's deadline bounds a response that arrives byte by byte: the client has its own in time, and the connection to
-/// the server is closed while the trickle goes on, which lasts longer than the client waits.
+/// Guards against a server that delays a response beyond the attempt's deadline by sending it byte by byte: the client must
+/// get its own response in time, and the connection to the server must be closed although the server goes on sending for
+/// longer than the client waits.
 #[test_case(Framing::Length, "x" ; "content length")]
 #[test_case(Framing::Chunked, "1\r\nx\r\n" ; "chunked")]
 #[test_case(Framing::UntilClose, "x" ; "until the close")]
 fn trickled_response_is_bounded_by_the_attempt_deadline(framing: Framing, piece: &'static str) {
     const INTERVAL: Duration = Duration::from_millis(50);
-    const PIECES: usize = 100;
-    let head = framing.head(PIECES * 2);
+    const PIECE_COUNT: usize = 100;
+    let head = framing.head(PIECE_COUNT * 2);
     let trickle = Trickle {
         head,
         piece,
         every: INTERVAL,
-        pieces: PIECES,
+        pieces: PIECE_COUNT,
     };
     let server = react_to_first(move || Reaction::Trickle(trickle.clone()));
     let program = Program::start(&config(&[instance("s-1", server.address, "up")]));
     let mut client = program.client();
     client.send(&request("pay", 7, 1, "1200m"));
-    let answer = client.receive_or_error();
+    let response = client.receive_or_error();
     assert!(
-        matches!(&answer, Ok(Some(answer)) if answer.status() == 502),
+        matches!(&response, Ok(Some(response)) if response.status() == 502),
         "{}",
-        shown(&answer)
+        description(&response)
     );
     assert_eq!(server.closed.recv_timeout(TEST_TIMEOUT), Ok(0));
     assert_eq!(server.requests.try_iter().count(), 1);
-    assert_eq!(client.request("look", 8, 1).body, COMPLETE);
+    assert_eq!(client.request("look", 8, 1).body, COMPLETE_BODY);
 }
