--- a/crates/merlinreel/examples/campaign.rs
+++ b/crates/merlinreel/examples/campaign.rs
@@ -1,15 +1,15 @@
-//! A fault campaign: injects random faults into a cluster, seed after seed, and prints a results table of the requests
-//! sent, served, rejected, failed and unanswered, and of the rules that were violated.
+//! A fault campaign: runs a cluster with random faults for each seed, and prints a table of the requests sent, served,
+//! rejected, failed and unanswered, and of the rules violated.
 //!
 //!     cargo run --release --example campaign -- FIRST_SEED LAST_SEED LIMITERS SERVERS SECONDS FAULTS [wide]
 //!
-//! With `wide`, faults of several parts and further clients are added: see `FaultPlan::generate_wide`.
+//! `wide` adds compound faults and further clients, see `FaultPlan::generate_wide` and `Cluster::run_wide`.
 
 use merlinreel_testkit::{Cluster, Event, FaultPlan, LogEntry, Tolerances, find_violations};
 use std::process::ExitCode;
 use std::time::Duration;
 
-/// The command's arguments.
+/// The command-line arguments. `duration` and `faults` apply to the run of each seed.
 struct Arguments {
     first_seed: u64,
     last_seed: u64,
@@ -21,11 +21,11 @@
 }
 
 impl Arguments {
-    /// None where the arguments are not six numbers, with `wide` behind them or not.
+    /// Returns `None` unless the arguments are six numbers, optionally followed by `wide`.
     fn parse() -> Option<Arguments> {
-        let mut texts: Vec<String> = std::env::args().skip(1).collect();
-        let is_wide = texts.pop_if(|last| last == "wide").is_some();
-        let numbers: Option<Vec<u64>> = texts.iter().map(|text| text.parse().ok()).collect();
+        let mut words: Vec<String> = std::env::args().skip(1).collect();
+        let is_wide = words.pop_if(|last| last == "wide").is_some();
+        let numbers: Option<Vec<u64>> = words.iter().map(|text| text.parse().ok()).collect();
         let [first_seed, last_seed, limiters, servers, seconds, faults] =
             <[u64; 6]>::try_from(numbers?).ok()?;
         Some(Arguments {
@@ -43,7 +43,7 @@
 fn main() -> ExitCode {
     let Some(arguments) = Arguments::parse() else {
         eprintln!(
-            "campaign: six numbers: FIRST_SEED LAST_SEED LIMITERS SERVERS SECONDS FAULTS [wide]"
+            "campaign: expected six numbers: FIRST_SEED LAST_SEED LIMITERS SERVERS SECONDS FAULTS [wide]"
         );
         return ExitCode::FAILURE;
     };
@@ -58,7 +58,7 @@
     outcome
 }
 
-/// Runs one cluster and prints its row of the table; whether no rule was violated.
+/// Runs one cluster and prints its row of the table. Returns whether no rule was violated.
 fn run_and_print(seed: u64, arguments: &Arguments) -> bool {
     let Arguments {
         limiters,
@@ -82,7 +82,10 @@
         .map(ToString::to_string)
         .collect();
     if !violations.is_empty() {
-        eprintln!("seed {seed} under {:?}", plan.faults);
+        eprintln!(
+            "campaign: seed {seed} violated rules under the faults {:?}",
+            plan.faults
+        );
     }
     println!(
         "| {seed} | {} | {} | {} | {} | {} | {} |",
--- a/examples/toy_server.rs
+++ b/examples/toy_server.rs
@@ -1,7 +1,7 @@
-//! A stub server to try the program with: it responds to every request after a short time, beside a stub discovery that
-//! lists this one server. Plain HTTP/1.1 with a thread for each connection; not for production.
+//! A stub server for trying the program: it responds to every request after a short delay. A stub discovery beside it lists
+//! this one server. Both speak plain HTTP/1.1 with a thread per connection; not for production.
 //!
-//!     cargo run --example toy_server -- [SERVER DISCOVERY]     (127.0.0.1:9101 127.0.0.1:9102)
+//!     cargo run --example toy_server -- [SERVER DISCOVERY]     (default: 127.0.0.1:9101 127.0.0.1:9102)
 
 use std::io::{self, BufRead, BufReader, Write};
 use std::net::{TcpListener, TcpStream};
@@ -9,16 +9,16 @@
 use std::time::Duration;
 
 const SERVICE_TIME: Duration = Duration::from_millis(30);
-/// How long a watch for changes waits that never happen.
-const WATCH_TIME: Duration = Duration::from_secs(20);
+/// Time after which a watch gets a response; the list never changes.
+const WATCH_DURATION: Duration = Duration::from_secs(20);
 
 struct Request {
     request_line: String,
     body: Vec<u8>,
 }
 
-/// The next request; none at the end of the connection.
-fn read(reader: &mut impl BufRead) -> io::Result<Option<Request>> {
+/// Reads the next request; `None` at the end of the connection.
+fn read_request(reader: &mut impl BufRead) -> io::Result<Option<Request>> {
     let mut request_line = String::new();
     if reader.read_line(&mut request_line)? == 0 {
         return Ok(None);
@@ -41,7 +41,7 @@
 
 fn serve(mut stream: TcpStream, respond: impl Fn(&Request) -> String) -> io::Result<()> {
     let mut reader = BufReader::new(stream.try_clone()?);
-    while let Some(request) = read(&mut reader)? {
+    while let Some(request) = read_request(&mut reader)? {
         let text = respond(&request);
         write!(
             stream,
@@ -72,7 +72,7 @@
     let discovery = arguments
         .next()
         .unwrap_or_else(|| "127.0.0.1:9102".to_owned());
-    println!("a server at {server}, listed by a discovery at {discovery}");
+    println!("toy_server: serving at {server}; discovery at {discovery} lists it");
     let list = format!(
         r#"{{"generation":1,"reset":true,"instances":[{{"instanceId":"toy","hostPort":"{server}","zone":"here",
         "cell":0,"lifecycle":"up","weight":1.0,"startedAtMs":0}}]}}"#
@@ -80,7 +80,7 @@
     thread::spawn(move || {
         listen(&discovery, move |request| {
             if request.request_line.contains("after=1") {
-                thread::sleep(WATCH_TIME);
+                thread::sleep(WATCH_DURATION);
             }
             list.clone()
         })
