--- a/crates/merlinreel-testkit/src/http.rs
+++ b/crates/merlinreel-testkit/src/http.rs
@@ -13,7 +13,7 @@
 #[derive(Clone, Debug)]
 pub struct Message {
     /// The request line or the status line, without CRLF.
-    pub first: String,
+    pub start_line: String,
     /// Names, in their original case, and trimmed values, in the order of the message. Without trailers.
     pub headers: Vec<(String, String)>,
     /// The decoded body, with invalid UTF-8 replaced. Empty if there is none.
@@ -32,9 +32,9 @@
             .map(|(_, value)| value.as_str())
     }
 
-    /// The status code; 0 if the first line has none.
+    /// The status code; 0 if the start line has none.
     pub fn status(&self) -> u16 {
-        self.first
+        self.start_line
             .split(' ')
             .nth(1)
             .and_then(|code| code.parse().ok())
@@ -51,7 +51,7 @@
 #[derive(Debug, Error)]
 pub enum ReadError {
     /// The connection ended within the body. The message's body holds the part that was read.
-    #[error("`{}` was truncated after {} bytes of its body", .0.first, .0.body.len())]
+    #[error("`{}` was truncated after {} bytes of its body", .0.start_line, .0.body.len())]
     Incomplete(Message),
     /// The connection ended within the head, a read failed or timed out, or the message is malformed.
     #[error(transparent)]
@@ -91,7 +91,7 @@
                 .parse()
                 .map(Framing::Length)
                 .map_err(|_| malformed("`Content-Length` is not a valid number")),
-            None if message.first.starts_with(STATUS_LINE) && !message.is_without_body() => {
+            None if message.start_line.starts_with(STATUS_LINE) && !message.is_without_body() => {
                 Ok(Framing::UntilClose)
             }
             None => Ok(Framing::Length(0)),
@@ -114,10 +114,10 @@
     if has_ended(from)? {
         return Ok(None);
     }
-    let first = read_line(from)?;
+    let start_line = read_line(from)?;
     let headers = read_headers(from)?;
     let mut message = Message {
-        first,
+        start_line,
         headers,
         body: String::new(),
         connection,
--- a/crates/merlinreel-testkit/src/scripted_server.rs
+++ b/crates/merlinreel-testkit/src/scripted_server.rs
@@ -230,7 +230,7 @@
     let (release, released) = channel::<()>();
     let released = Mutex::new(released);
     let server = ScriptedServer::start(move |message| {
-        if message.first.starts_with("POST") {
+        if message.start_line.starts_with("POST") {
             let _ = released.lock().expect("a lock that is not poisoned").recv();
         }
         ok_response()
--- a/crates/merlinreel-testkit/src/stub_discovery.rs
+++ b/crates/merlinreel-testkit/src/stub_discovery.rs
@@ -164,7 +164,7 @@
     log: &EventLog,
 ) -> String {
     let parameter = |name: &str| -> Option<u64> {
-        let digits = request.first.split(name).nth(1)?;
+        let digits = request.start_line.split(name).nth(1)?;
         digits.split(['&', ' ']).next()?.parse().ok()
     };
     let known_generation = parameter("after=");
--- a/crates/merlinreel-testkit/src/stub_server.rs
+++ b/crates/merlinreel-testkit/src/stub_server.rs
@@ -135,7 +135,7 @@
     }
 
     fn handle_health_check(message: &Message, stream: &mut TcpStream) -> io::Result<()> {
-        let status = if message.first.starts_with("GET /alive") {
+        let status = if message.start_line.starts_with("GET /alive") {
             "200 OK"
         } else {
             "404 Not Found"
--- a/crates/merlinreel/tests/sockets/graceful_shutdown.rs
+++ b/crates/merlinreel/tests/sockets/graceful_shutdown.rs
@@ -242,7 +242,7 @@
     assert!(
         discovery
             .next_request()
-            .first
+            .start_line
             .contains("after=1&wait_ms=10 ")
     );
     // Long enough for an attempt to reach the old server, if one were made.
--- a/crates/merlinreel/tests/sockets/main.rs
+++ b/crates/merlinreel/tests/sockets/main.rs
@@ -45,7 +45,7 @@
         assert_eq!(response.header("x-kind"), Some("blue"));
         let forwarded = server.next_request();
         assert_eq!(
-            (forwarded.first.as_str(), forwarded.body.as_str()),
+            (forwarded.start_line.as_str(), forwarded.body.as_str()),
             ("POST /put?key=0000000000000007 HTTP/1.1", "a body")
         );
         let id = forwarded.header("x-txn").expect("a request id");
@@ -75,7 +75,7 @@
         Some(200)
     );
     assert_eq!(
-        server.next_request().first,
+        server.next_request().start_line,
         "GET /look?key=0000000000000007 HTTP/1.1"
     );
 }
@@ -329,8 +329,13 @@
     let mut config = config(&[instance("s-1", old.address, "up")]);
     config["discovery"] = discovery.address.to_string().into();
     let program = Program::start(&config);
-    assert!(discovery.next_request().first.contains("after=1&wait_ms="));
-    (0..3).for_each(|_| assert!(discovery.next_request().first.contains("after=2&")));
+    assert!(
+        discovery
+            .next_request()
+            .start_line
+            .contains("after=1&wait_ms=")
+    );
+    (0..3).for_each(|_| assert!(discovery.next_request().start_line.contains("after=2&")));
     let mut client = program.client();
     (2..6).for_each(|customer| assert_eq!(client.request("look", customer, 1).status(), 200));
     assert_eq!(
@@ -358,8 +363,18 @@
     let mut config = config(&[]);
     config["discovery"] = discovery.address.to_string().into();
     let program = Program::start(&config);
-    assert!(discovery.next_request().first.contains("after=1&wait_ms="));
-    assert!(discovery.next_request().first.contains("after=1&wait_ms="));
+    assert!(
+        discovery
+            .next_request()
+            .start_line
+            .contains("after=1&wait_ms=")
+    );
+    assert!(
+        discovery
+            .next_request()
+            .start_line
+            .contains("after=1&wait_ms=")
+    );
     discovery.next_request();
     assert_eq!(program.client().request("look", 1, 1).status(), 200);
 }
@@ -379,7 +394,12 @@
     let mut slow_client = program.client();
     slow_client.send(&request("pay", 1, 1, "3000m"));
     old.next_request();
-    assert!(silent_discovery.next_request().first.contains("after=1&"));
+    assert!(
+        silent_discovery
+            .next_request()
+            .start_line
+            .contains("after=1&")
+    );
     program.reload("{}");
     let (sender, messages) = channel();
     let discovery = discovery(messages);
@@ -391,13 +411,13 @@
     program.reload(&config.to_string());
     assert_eq!(silent_discovery.closed.recv_timeout(TEST_TIMEOUT), Ok(0));
     assert_eq!(
-        discovery.next_request().first,
+        discovery.next_request().start_line,
         "GET /discovery/hosts HTTP/1.1"
     );
-    assert!(discovery.next_request().first.contains("after=0&"));
+    assert!(discovery.next_request().start_line.contains("after=0&"));
     assert_eq!(program.client().request("look", 2, 1).status(), 200);
     assert_eq!(
-        new.next_request().first,
+        new.next_request().start_line,
         "GET /look?key=0000000000000002 HTTP/1.1"
     );
     // The request in flight still gets its response.
--- a/crates/merlinreel/tests/sockets/pipelining.rs
+++ b/crates/merlinreel/tests/sockets/pipelining.rs
@@ -84,7 +84,7 @@
 fn pipelined_request_is_forwarded_with_its_remaining_time() {
     const HOLD_TIME: Duration = Duration::from_millis(600);
     let server = ScriptedServer::start(|message| {
-        if message.first.contains("key=0000000000000001") {
+        if message.start_line.contains("key=0000000000000001") {
             thread::sleep(HOLD_TIME);
         }
         ok_response()
--- a/crates/merlinreel/tests/sockets/startup.rs
+++ b/crates/merlinreel/tests/sockets/startup.rs
@@ -31,7 +31,7 @@
         let current = list.clone();
         let stub =
             ScriptedServer::start(move |call| match &*current.lock().expect("not poisoned") {
-                Some(text) if !call.first.contains("after=2&") => response("200 OK", "", text),
+                Some(text) if !call.start_line.contains("after=2&") => response("200 OK", "", text),
                 _ => Reaction::Hang,
             });
         SilentDiscovery { stub, list }
@@ -92,7 +92,7 @@
 /// Whether a request that a server received is from one of these customers.
 fn is_from(customers: &Range<u64>, call: &Message) -> bool {
     let key = call
-        .first
+        .start_line
         .split("key=")
         .nth(1)
         .and_then(|rest| rest.get(..16));
@@ -157,7 +157,12 @@
         ],
     ));
     // Once the next call arrives, the list is in the event loop's queue.
-    while !discovery.stub.next_request().first.contains("after=2&") {}
+    while !discovery
+        .stub
+        .next_request()
+        .start_line
+        .contains("after=2&")
+    {}
     assert_served(&process, 11..21);
     drop(burst);
     assert_eq!(
@@ -315,7 +320,7 @@
     );
     assert_eq!(process.client().request("look", 1, 1).status(), 200);
     assert_eq!(
-        old.next_request().first,
+        old.next_request().start_line,
         "GET /look?key=0000000000000001 HTTP/1.1"
     );
     let until = Instant::now() + TEST_TIMEOUT;
--- a/crates/merlinreel/tests/sockets/truncated_responses.rs
+++ b/crates/merlinreel/tests/sockets/truncated_responses.rs
@@ -404,7 +404,7 @@
     match received {
         Ok(Some(message)) => format!(
             "`{}` complete with {} bytes",
-            message.first,
+            message.start_line,
             message.body.len()
         ),
         Ok(None) => "no response".to_owned(),
