--- a/crates/merlinreel-testkit/src/scripted_server.rs
+++ b/crates/merlinreel-testkit/src/scripted_server.rs
@@ -71,7 +71,7 @@
     /// The text that is sent as each piece.
     pub piece: &'static str,
     /// The pause before each piece.
-    pub every: Duration,
+    pub interval: Duration,
     /// The number of pieces.
     pub pieces: usize,
 }
@@ -215,7 +215,7 @@
     stream.set_nodelay(true)?;
     stream.write_all(trickle.head.as_bytes())?;
     for _ in 0..trickle.pieces {
-        thread::sleep(trickle.every);
+        thread::sleep(trickle.interval);
         stream.write_all(trickle.piece.as_bytes())?;
     }
     Ok(())
--- a/crates/merlinreel-testkit/src/scripted_server/tests.rs
+++ b/crates/merlinreel-testkit/src/scripted_server/tests.rs
@@ -73,7 +73,7 @@
     let trickle = Trickle {
         head: String::new(),
         piece: "x",
-        every: Duration::from_millis(1),
+        interval: Duration::from_millis(1),
         pieces: usize::MAX,
     };
     let server = ScriptedServer::start(move |_| Reaction::Trickle(trickle.clone()));
--- a/crates/merlinreel/tests/sockets/suspended_limiter.rs
+++ b/crates/merlinreel/tests/sockets/suspended_limiter.rs
@@ -113,7 +113,7 @@
         Reaction::Trickle(Trickle {
             head: format!("HTTP/1.1 200 OK\r\nContent-Length: {PIECE_COUNT}\r\n\r\n"),
             piece: "x",
-            every: Duration::from_millis(50),
+            interval: Duration::from_millis(50),
             pieces: PIECE_COUNT,
         })
     });
--- a/crates/merlinreel/tests/sockets/truncated_responses.rs
+++ b/crates/merlinreel/tests/sockets/truncated_responses.rs
@@ -425,7 +425,7 @@
     let trickle = Trickle {
         head,
         piece,
-        every: INTERVAL,
+        interval: INTERVAL,
         pieces: PIECE_COUNT,
     };
     let server = react_to_first(move || Reaction::Trickle(trickle.clone()));
