--- a/crates/merlinreel-testkit/src/cluster.rs
+++ b/crates/merlinreel-testkit/src/cluster.rs
@@ -29,9 +29,9 @@
 const BURST_CONNECT_TIMEOUT: Duration = Duration::from_millis(100);
 /// Clients per limiter in [`Cluster::run`]: one sequential, one pipelining, one that disconnects during requests.
 const CLIENTS_PER_LIMITER: usize = 3;
-/// Clients per limiter in [`Cluster::run_wide`]: those of [`Cluster::run`], one that pauses within requests, and one that
-/// uploads in small chunks.
-const WIDE_CLIENTS_PER_LIMITER: usize = 5;
+/// Clients per limiter in [`Cluster::run_with_extra_clients`]: those of [`Cluster::run`], one that pauses within requests,
+/// and one that uploads in small chunks.
+const CLIENTS_PER_LIMITER_WITH_EXTRA: usize = 5;
 /// Pause between the two halves of a request.
 const MID_REQUEST_PAUSE: Duration = Duration::from_millis(60);
 /// Number of one-byte chunks in each upload.
@@ -145,8 +145,12 @@
     ///
     /// # Panics
     /// A client's thread panicked, or a limiter does not start again.
-    pub fn run_wide(&mut self, plan: &FaultPlan, duration: Duration) -> Vec<LogEntry> {
-        self.run_with_clients(plan, duration, WIDE_CLIENTS_PER_LIMITER)
+    pub fn run_with_extra_clients(
+        &mut self,
+        plan: &FaultPlan,
+        duration: Duration,
+    ) -> Vec<LogEntry> {
+        self.run_with_clients(plan, duration, CLIENTS_PER_LIMITER_WITH_EXTRA)
     }
 
     /// Runs the plan with this many clients per limiter, see [`Cluster::run`].
--- a/crates/merlinreel-testkit/src/fault_plan.rs
+++ b/crates/merlinreel-testkit/src/fault_plan.rs
@@ -129,7 +129,7 @@
 
     /// Draws `fault_count` single faults like [`FaultPlan::generate`], and as many compound faults, which combine several
     /// (`fault_plan/wide.rs`). Links to server 0 may be slow.
-    pub fn generate_wide(
+    pub fn generate_with_compound_faults(
         seed: u64,
         fault_count: usize,
         limiters: usize,
--- a/crates/merlinreel/examples/campaign.rs
+++ b/crates/merlinreel/examples/campaign.rs
@@ -3,7 +3,8 @@
 //!
 //!     cargo run --release --example campaign -- FIRST_SEED LAST_SEED LIMITERS SERVERS SECONDS FAULTS [wide]
 //!
-//! `wide` adds compound faults and further clients, see `FaultPlan::generate_wide` and `Cluster::run_wide`.
+//! `wide` adds compound faults and further clients, see `FaultPlan::generate_with_compound_faults` and
+//! `Cluster::run_with_extra_clients`.
 
 use merlinreel_testkit::{Cluster, Event, FaultPlan, LogEntry, Tolerances, find_violations};
 use std::process::ExitCode;
@@ -17,14 +18,14 @@
     servers: usize,
     duration: Duration,
     faults: usize,
-    is_wide: bool,
+    has_compound_faults: bool,
 }
 
 impl Arguments {
     /// Returns `None` unless the arguments are six numbers, optionally followed by `wide`.
     fn parse() -> Option<Arguments> {
         let mut words: Vec<String> = std::env::args().skip(1).collect();
-        let is_wide = words.pop_if(|last| last == "wide").is_some();
+        let has_compound_faults = words.pop_if(|last| last == "wide").is_some();
         let numbers: Option<Vec<u64>> = words.iter().map(|text| text.parse().ok()).collect();
         let [first_seed, last_seed, limiters, servers, seconds, faults] =
             <[u64; 6]>::try_from(numbers?).ok()?;
@@ -35,7 +36,7 @@
             servers: servers as usize,
             duration: Duration::from_secs(seconds),
             faults: faults as usize,
-            is_wide,
+            has_compound_faults,
         })
     }
 }
@@ -68,9 +69,10 @@
         ..
     } = *arguments;
     let mut cluster = Cluster::start(seed, limiters, servers);
-    let (plan, entries) = if arguments.is_wide {
-        let plan = FaultPlan::generate_wide(seed, faults, limiters, servers, duration);
-        let entries = cluster.run_wide(&plan, duration);
+    let (plan, entries) = if arguments.has_compound_faults {
+        let plan =
+            FaultPlan::generate_with_compound_faults(seed, faults, limiters, servers, duration);
+        let entries = cluster.run_with_extra_clients(&plan, duration);
         (plan, entries)
     } else {
         let plan = FaultPlan::generate(seed, faults, limiters, servers, duration);
--- a/crates/merlinreel/tests/sockets/fault_campaign.rs
+++ b/crates/merlinreel/tests/sockets/fault_campaign.rs
@@ -50,8 +50,8 @@
 fn faults_of_several_parts_violate_no_rule(seed: u64) {
     let duration = Duration::from_secs(8);
     let mut cluster = Cluster::start(seed, LIMITERS, SERVERS);
-    let plan = FaultPlan::generate_wide(seed, 4, LIMITERS, SERVERS, duration);
-    let entries = cluster.run_wide(&plan, duration);
+    let plan = FaultPlan::generate_with_compound_faults(seed, 4, LIMITERS, SERVERS, duration);
+    let entries = cluster.run_with_extra_clients(&plan, duration);
     let violations = find_violations(&entries, &Tolerances::default());
     let first_violations: Vec<String> =
         violations.iter().take(5).map(ToString::to_string).collect();
