--- a/crates/merlinreel/tests/sockets/mesh.rs
+++ b/crates/merlinreel/tests/sockets/mesh.rs
@@ -229,7 +229,9 @@
     outsider["mesh"]["keys"] = json!([{"id": 1, "file": second}]);
     let outsider = Program::start(&outsider);
     let socket = UdpSocket::bind("127.0.0.1:0").expect("a free port");
-    let target = cluster.configs[0]["mesh"]["listen"].as_str().expect("text");
+    let target = cluster.configs[0]["mesh"]["listen"]
+        .as_str()
+        .expect("an address");
     for datagram in [
         &[1, 1, 2, 3][..],
         &[9; 60],
--- a/crates/merlinreel/tests/sockets/startup.rs
+++ b/crates/merlinreel/tests/sockets/startup.rs
@@ -44,7 +44,7 @@
 }
 
 /// Clients that keep `size` connections to a limiter, of which the oldest is replaced again and again. Every other client
-/// sends a request, the rest send nothing.
+/// sends a request; the rest send nothing.
 struct ClientBurst {
     stop: Arc<AtomicBool>,
     thread: Option<JoinHandle<()>>,
@@ -189,8 +189,8 @@
     Refusing,
 }
 
-/// Guards against a fleet that can't start while discovery is down: ten processes are killed and restarted at once, nine of
-/// them must be ready in time, and all must then serve.
+/// Guards against a fleet that can't start while discovery is down: ten processes are killed and restarted at once, at least
+/// nine of them must be ready in time, and all must then serve.
 #[test_case(Outage::Silent ; "discovery is silent")]
 #[test_case(Outage::Refusing ; "discovery refuses")]
 fn fleet_killed_during_an_outage_is_ready_in_time(outage: Outage) {
--- a/crates/merlinreel/tests/sockets/system_call_failures.rs
+++ b/crates/merlinreel/tests/sockets/system_call_failures.rs
@@ -62,9 +62,9 @@
     drop(partial_clients);
 }
 
-/// Guards against a server that is blamed for a shortage of sockets on the limiter's machine: for half a second no socket is
-/// available for a connection to it. The request waits and is served, and the server is afterwards neither excluded nor in
-/// slow start.
+/// Guards against a shortage of sockets on the limiter's machine that counts as a failure of the server: for half a second
+/// no socket is available for a connection to it. The request waits and is served, and the server is afterwards neither
+/// excluded nor in slow start.
 #[test]
 fn local_socket_shortage_does_not_count_against_a_server() {
     let server = ScriptedServer::start(|_| ok_response());
