--- a/crates/merlinreel-policy/src/expiry.rs
+++ b/crates/merlinreel-policy/src/expiry.rs
@@ -15,9 +15,9 @@
 
 /// Time between two checks for expiry.
 pub const CHECK_INTERVAL: Duration = Duration::from_secs(1);
-/// An idle account is kept for longer than the two windows that it counts use in...
+/// An idle account is kept for longer than the two windows in which it counts usage.
 const ACCOUNT_WINDOWS: f64 = 2.0;
-/// ...and for longer than this many checks, as many customers return.
+/// An idle account is kept for longer than this many checks, as many customers return.
 const MIN_ACCOUNT_CHECKS: f64 = 30.0;
 /// A removed server is kept for this many checks.
 const REMOVED_SERVER_CHECKS: u32 = 30;
@@ -46,8 +46,9 @@
     }
 }
 
-/// Counts a check in which the account is idle. It is expired after enough of them if it has no counter call in flight,
-/// nothing to report and no subscribers, and its bucket is as full as that of a new account.
+/// Counts a check of an account that no request in progress refers to. After enough checks since the last call of
+/// [`QuotaTable::mark_dirty`] for it, the account is expired if it has no counter call in flight, nothing to report and
+/// no subscribers, and its bucket is as full as that of a new account.
 fn is_account_expired(now: Duration, account: &mut Account, plan: &Plan) -> bool {
     account.idle_checks += 1;
     let min_checks = (ACCOUNT_WINDOWS * window_seconds(plan)).max(MIN_ACCOUNT_CHECKS);
@@ -62,7 +63,7 @@
     account.remaining(now, plan) >= plan.burst
 }
 
-/// Counts consecutive checks in which the server was removed from the endpoint list; it is expired after enough of
+/// Counts the checks of a server since it was removed from the endpoint list; the server is expired after enough of
 /// them.
 fn is_server_expired(server: &mut Server) -> bool {
     server.removed_checks = if server.endpoint.state == EndpointState::Removed {
--- a/crates/merlinreel-policy/src/limiter.rs
+++ b/crates/merlinreel-policy/src/limiter.rs
@@ -20,7 +20,7 @@
 use crate::request_table::RequestTable;
 use crate::server::attempt_results::{self, ObservedResult};
 use crate::server::endpoint_updates;
-use crate::server::fleet_latency::FleetLatency;
+use crate::server::fleet_latency::PoolLatency;
 use crate::server::overdue_attempts::detect_overdue_attempts;
 use crate::server::pool::{EndpointCounts, ServerPool};
 use crate::server::subscription::EndpointSubscription;
@@ -30,12 +30,13 @@
 
 /// Initial budget of calls to the counter service per tick, over all limiters: a light load for such a service.
 const INITIAL_COUNTER_CALLS_PER_TICK: f64 = 20.0;
-/// Until responses arrive, their latency is assumed to be the shortest latency objective divided by this...
+/// Until responses arrive, their latency is assumed to be the shortest latency objective divided by this.
 const EXPECTED_LATENCY_DIVISOR: f64 = 5.0;
-/// ...but at most this.
+/// Upper bound of the latency that is assumed until responses arrive.
 const MAX_EXPECTED_LATENCY_SECONDS: f64 = 1.0;
 const MIN_WAKEUP_DELAY: Duration = Duration::from_millis(1);
-/// A tick later than this indicates an event loop stall: results may have arrived that have not been read yet.
+/// A tick that is late by more than this indicates an event loop stall: results may have arrived that have not been
+/// read yet.
 const MAX_TICK_DELAY: Duration = Duration::from_millis(100);
 
 /// When work is due that no event triggers, on the limiter's clock.
@@ -51,7 +52,7 @@
     pub(crate) config: LimiterConfig,
     pub(crate) quotas: QuotaTable,
     pub(crate) servers: ServerPool,
-    pub(crate) latency: FleetLatency,
+    pub(crate) latency: PoolLatency,
     pub(crate) requests: RequestTable,
     remaining_times: Vec<RemainingTimeHistogram>,
     pub(crate) peers: PeerLinks,
@@ -73,7 +74,7 @@
         Limiter {
             quotas: QuotaTable::new(DEMAND_WINDOW),
             servers: ServerPool::default(),
-            latency: FleetLatency::new(expected_seconds),
+            latency: PoolLatency::new(expected_seconds),
             requests: RequestTable::default(),
             remaining_times: config
                 .classes
@@ -271,7 +272,8 @@
         );
     }
 
-    /// Number of servers that are not removed, and of those that are sent nothing now, for the operators' metrics.
+    /// Number of servers that are not removed, and number of those among them that are draining or ejected, for the
+    /// operators' metrics.
     pub fn endpoint_counts(&self, now: Duration) -> EndpointCounts {
         self.servers.counts(now)
     }
--- a/crates/merlinreel-policy/src/model/attempt.rs
+++ b/crates/merlinreel-policy/src/model/attempt.rs
@@ -46,7 +46,7 @@
     pub in_flight: Option<f64>,
     /// Requests queued at the server.
     pub queued: Option<f64>,
-    /// Share of its cores that is busy, from 0 to 1.
+    /// Fraction of its cores that is busy, from 0 to 1.
     pub utilization: Option<f64>,
     /// Time that it takes to serve a request, in milliseconds.
     pub service_time_ms: Option<f64>,
@@ -73,7 +73,7 @@
     pub request_completed: bool,
     /// Actual cost of the request in units; `None` if the response does not report it.
     pub units: Option<f64>,
-    /// The customer's metered use as a share of its quota; `None` if the response does not report it.
+    /// The customer's metered usage as a fraction of its quota; `None` if the response does not report it.
     pub metered_usage: Option<f64>,
     /// The server's load as reported in the response.
     pub load: LoadReport,
--- a/crates/merlinreel-policy/src/model/endpoint.rs
+++ b/crates/merlinreel-policy/src/model/endpoint.rs
@@ -13,11 +13,11 @@
     pub drain_grace: Duration,
     /// Minimum fraction of its capacity that a server has when it starts.
     pub slow_start_fraction: f64,
-    /// Time after its start when a server has its full capacity.
+    /// Time from the start of a server until it has its full capacity.
     pub slow_start_duration: Duration,
-    /// A starting server fails if it is sent more than this multiple of its capacity...
+    /// A starting server fails if it is sent more than this multiple of its capacity for the overload window.
     pub overload_factor: f64,
-    /// ...for this long.
+    /// Time for which a starting server has to be sent too much before it fails.
     pub overload_window: Duration,
     /// Discovery does not push the endpoint list: the limiter has to request it.
     pub endpoint_polling: bool,
--- a/crates/merlinreel-policy/src/model/fleet.rs
+++ b/crates/merlinreel-policy/src/model/fleet.rs
@@ -1,6 +1,6 @@
-//! The limiters that share the quotas, and the means by which they report use to each other.
+//! The limiters that share the quotas, and the means by which they report usage to each other.
 
-/// The limiters that share the quotas, and this limiter's index among them.
+/// The limiters that share the quotas, this limiter's index among them, and how they exchange usage.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct FleetConfig {
     /// Number of limiters, this one included.
--- a/crates/merlinreel-policy/src/model/limiter_config.rs
+++ b/crates/merlinreel-policy/src/model/limiter_config.rs
@@ -13,10 +13,10 @@
     pub plans: Vec<Plan>,
     /// The request classes; a request has the index of its class here.
     pub classes: Vec<RequestClass>,
-    /// The limiters that share the quotas.
+    /// The limiters that share the quotas, this limiter's index among them, and how they exchange usage.
     pub fleet: FleetConfig,
     /// Settings for the endpoint list, and for servers that are draining or starting.
     pub endpoints: EndpointConfig,
-    /// Limits for each request.
+    /// Limits on attempts and on requests in progress, and permissions that apply to each request.
     pub request_limits: RequestLimits,
 }
--- a/crates/merlinreel-policy/src/model/plan.rs
+++ b/crates/merlinreel-policy/src/model/plan.rs
@@ -17,8 +17,8 @@
     pub ceiling_slack: f64,
     /// Factor on the priority weight of each request of the plan.
     pub plan_weight: f64,
-    /// Cost of serving a request as overage (beyond the quota), as a share of its priority weight.
+    /// Cost of serving a request as overage (beyond the quota), as a fraction of its priority weight.
     pub overage_cost: f64,
-    /// Value of serving a request as overage, as a share of its priority weight.
+    /// Value of serving a request as overage, as a fraction of its priority weight.
     pub overage_value: f64,
 }
--- a/crates/merlinreel-policy/src/model/request.rs
+++ b/crates/merlinreel-policy/src/model/request.rs
@@ -3,7 +3,7 @@
 use crate::model::index::RequestIndex;
 use std::time::Duration;
 
-/// Limits and permissions for each request.
+/// Limits on attempts and on requests in progress, and permissions that apply to each request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RequestLimits {
     /// Maximum number of attempts, the first one included.
--- a/crates/merlinreel-policy/src/model/request_class.rs
+++ b/crates/merlinreel-policy/src/model/request_class.rs
@@ -34,7 +34,7 @@
     pub deadline: Duration,
     /// Value of a response within the latency objective, relative to other classes.
     pub priority_weight: f64,
-    /// Value of a response after the latency objective, as a share of the priority weight; 0 means none.
+    /// Value of a response after the latency objective, as a fraction of the priority weight; 0 means none.
     pub late_weight: f64,
     /// Whether a request of the class may run again after an attempt that may have run it.
     pub idempotency: Idempotency,
--- a/crates/merlinreel-policy/src/peer_batch.rs
+++ b/crates/merlinreel-policy/src/peer_batch.rs
@@ -18,9 +18,13 @@
 /// Units are encoded in steps of 1/8.
 const STEPS_PER_UNIT: f64 = 8.0;
 
+/// Bit of a row's kind: the row holds the remaining units.
 const REMAINING_FLAG: u64 = 1 << 2;
+/// Bit of a row's kind: the row holds the demand.
 const DEMAND_FLAG: u64 = 1 << 3;
+/// Bits of a row's kind that hold the lowest bits of the window number.
 const WINDOW_MASK: u64 = 3;
+/// Number of bits of a row's kind below those that hold the plan.
 const PLAN_SHIFT: u32 = 4;
 
 /// One customer's counter in a peer message.
@@ -33,9 +37,10 @@
     /// Number of the window. Only its lowest two bits are sent, as receivers do not use older windows.
     pub window: u64,
     /// Units admitted in that window so far: by the sender, or by the receiver as far as the sender knows in a row with
-    /// an estimate. 0 in a relayed estimate.
+    /// an estimate. Not sent in a relayed estimate, where the receiver reads 0.
     pub total: f64,
-    /// Units requested: since the sender's last row, or per second in a row that has `remaining`.
+    /// Units requested: since the sender's last row, or per second in a row that has `remaining`. `None` in reports
+    /// that do not go through an aggregator.
     pub demand: Option<f64>,
     /// Estimated units left of the customer's quota; `None` in a row without an estimate.
     pub remaining: Option<f64>,
--- a/crates/merlinreel-policy/src/quota/account.rs
+++ b/crates/merlinreel-policy/src/quota/account.rs
@@ -32,7 +32,7 @@
     /// Admitted requests in progress at this limiter.
     pub in_progress: u32,
     /// Time, on the limiter's clock, until which a new customer's quota is split over its limiters. Reset to zero,
-    /// which ends the split, when usage at other limiters or an estimate is received.
+    /// which ends the split, when usage at other limiters or an estimate by the aggregator itself is received.
     pub split_until: Duration,
     /// Changes that have not been reported yet.
     pub replication: ReplicationState,
@@ -79,8 +79,8 @@
         self.bucket.elsewhere.units(age)
     }
 
-    /// Begins the window that contains `now`, if it is later than the current one. Usage of a window that has just
-    /// ended, here or at other limiters, makes one more update of that window due.
+    /// Begins the window that contains `now`, if it is later than the current one. One more update of a window that has
+    /// just ended is due if one was due already, or if units were used in it at this limiter or at others.
     pub fn advance(&mut self, now: Duration, plan: &Plan) {
         let change = self.bucket.advance(now, plan);
         if change == WindowChange::Same {
--- a/crates/merlinreel-policy/src/quota/admission.rs
+++ b/crates/merlinreel-policy/src/quota/admission.rs
@@ -10,8 +10,11 @@
 
 /// Multiple of a request's units to wait for, as requests rejected by other limiters wait for the same refill.
 const REFILL_FACTOR: f64 = 2.0;
+/// Lower bound of the time to wait for a refill.
 const MIN_REFILL_WAIT_SECONDS: f64 = 0.05;
+/// Lower bound of a plan's rate, by which missing units are divided.
 const MIN_UNITS_PER_SECOND: f64 = 0.001;
+/// Lower bound of the observed time, by which usage is divided.
 const MIN_OBSERVED_SECONDS: f64 = 0.1;
 /// Requests at other limiters come in bursts, so this multiple of their mean rate is expected.
 const BURST_FACTOR: f64 = 2.0;
--- a/crates/merlinreel-policy/src/quota/aggregation.rs
+++ b/crates/merlinreel-policy/src/quota/aggregation.rs
@@ -1,4 +1,4 @@
-//! Decisions in a fleet too large for limiters to report to each other: which of a customer's limiters aggregates the
+//! Decides, in a fleet too large for limiters to report to each other, which of a customer's limiters aggregates the
 //! reports, when the aggregator publishes an estimate, and how an estimate affects admission.
 
 use super::account::Account;
@@ -28,6 +28,7 @@
 const MIN_PUBLISHED_CHANGE_FRACTION: f64 = 0.35;
 /// Multiplier of a multiplicative hash, with well-mixed bits, which spreads customers evenly over their limiters.
 const HASH_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
+/// Keeps the highest 24 bits of the product, which are the best mixed.
 const HASH_SHIFT: u32 = 40;
 
 /// Probability of admitting a request, which falls as the bucket empties and as demand rises. Under high demand, usage
@@ -48,7 +49,7 @@
 
 impl Account {
     /// Index of the limiter that aggregates this customer's reports: a limiter of the set chosen by the customer's
-    /// hash, or the next one in the set that is not considered down. This limiter if all of them are.
+    /// hash, or the next one in the set that is not considered down. If all of them are, it is this limiter.
     pub fn aggregator(&self, fleet: &FleetConfig, links: &[PeerLink]) -> u32 {
         let set_size = u64::from(self.limiters.divisor());
         let start = self.customer.wrapping_mul(HASH_MULTIPLIER) >> HASH_SHIFT;
--- a/crates/merlinreel-policy/src/quota/counter.rs
+++ b/crates/merlinreel-policy/src/quota/counter.rs
@@ -16,7 +16,9 @@
 const MIN_CALL_BURST: f64 = 4.0;
 /// Time for which the counter service is considered overloaded after a call had to wait.
 const OVERLOAD_DURATION: Duration = Duration::from_secs(1);
+/// Number of windows for which the counter service keeps a counter after an increment.
 const COUNTER_LIFETIME_WINDOWS: f64 = 3.0;
+/// Upper bound of the time for which the counter service keeps a counter.
 const MAX_COUNTER_LIFETIME_SECONDS: f64 = 60.0;
 /// Factor on the call rate after a reply. With [`RATE_DECREASE_FACTOR`], one call in twenty may fail before the rate
 /// falls.
@@ -27,8 +29,8 @@
 const MIN_CALLS_PER_TICK: f64 = 0.01;
 const MAX_CALLS_PER_TICK: f64 = 64.0;
 
-/// Adds the units of accounts that have an update due to the counter service, in the order given, until the call budget
-/// is used up.
+/// Sends the counter service the units of the accounts that have an update due, in the order given, until the call
+/// budget is used up.
 pub fn send_updates(
     now: Duration,
     plans: &[Plan],
@@ -62,8 +64,8 @@
             account.replication.update_due[age] = false;
             account.replication.unreported_units = 0.0;
             let lifetime_seconds = window_seconds(&plans[account.plan]) * COUNTER_LIFETIME_WINDOWS;
-            let keep = time::from_seconds(lifetime_seconds.min(MAX_COUNTER_LIFETIME_SECONDS));
-            actions.increment_counter(account.customer, window.0, amount, keep);
+            let lifetime = time::from_seconds(lifetime_seconds.min(MAX_COUNTER_LIFETIME_SECONDS));
+            actions.increment_counter(account.customer, window.0, amount, lifetime);
         }
     }
 }
--- a/crates/merlinreel-policy/src/quota/intervals.rs
+++ b/crates/merlinreel-policy/src/quota/intervals.rs
@@ -10,7 +10,8 @@
 /// Shorter than [`MAX_TICK_INTERVAL`], as a counter service replies within a few milliseconds.
 const MAX_TICK_INTERVAL_WITH_COUNTER: Duration = Duration::from_millis(20);
 const MAX_TICK_INTERVAL: Duration = Duration::from_millis(100);
-/// With a longer message interval, most reports would be older than the duration of a burst.
+/// Longest message interval with which limiters report to each other directly: with a longer one, most reports would be
+/// older than a burst lasts.
 const MAX_DIRECT_INTERVAL: Duration = Duration::from_millis(600);
 
 /// Time between two messages of this limiter to the same peer: the shortest that cannot overload the peers' inboxes.
--- a/crates/merlinreel-policy/src/quota/peer_links.rs
+++ b/crates/merlinreel-policy/src/quota/peer_links.rs
@@ -6,7 +6,7 @@
 use crate::rolling_window::RollingWindow;
 use std::time::Duration;
 
-/// Inbox limits of peers are rates per second.
+/// Window over which received estimates are counted: inbox limits are rates per second.
 const INBOX_WINDOW: Duration = Duration::from_secs(1);
 
 /// State of the message exchange with one other limiter.
@@ -14,9 +14,9 @@
 pub struct PeerLink {
     /// Incarnation of the sender in its last message; 0 before the first.
     pub incarnation: u64,
-    /// Sequence number of that message; 0 before the first.
+    /// Sequence number of the sender's last message; 0 before the first.
     pub sequence: u64,
-    /// Messages with reports sent to it, as an aggregator, since its last message.
+    /// Messages with reports that were sent to the other limiter, as an aggregator, since its last message arrived.
     pub unanswered: u32,
     /// Time of the last message to it, where reports go through aggregators; zero before the first.
     pub sent_at: Duration,
--- a/crates/merlinreel-policy/src/quota/peer_reports.rs
+++ b/crates/merlinreel-policy/src/quota/peer_reports.rs
@@ -1,4 +1,5 @@
-//! Applies messages from other limiters. Malformed, outdated and duplicate messages change nothing.
+//! Decides how messages from other limiters change the accounts. Malformed, outdated and duplicate messages change
+//! nothing.
 
 use super::account::Account;
 use super::account_parts::Subscriber;
@@ -112,7 +113,8 @@
     WindowNumber(current.saturating_sub(windows_ago))
 }
 
-/// Applies another limiter's total and, if the row holds its demand, subscribes it to this limiter's estimates.
+/// Applies another limiter's total. If the row holds a demand, counts the demand and subscribes that limiter to this
+/// limiter's estimates.
 fn apply_report(
     now: Duration,
     from: u32,
--- a/crates/merlinreel-policy/src/quota/replication.rs
+++ b/crates/merlinreel-policy/src/quota/replication.rs
@@ -65,15 +65,15 @@
         let is_dirty = replication.dirty;
         if is_dirty {
             order.push(DirtyAccount {
-                remaining_share: account.remaining(now, plan) / plan.burst.max(1.0),
+                remaining_fraction: account.remaining(now, plan) / plan.burst.max(1.0),
                 account: index,
             });
         }
         is_dirty
     });
     order.sort_by(|one, other| {
-        one.remaining_share
-            .partial_cmp(&other.remaining_share)
+        one.remaining_fraction
+            .partial_cmp(&other.remaining_fraction)
             .map_or(Ordering::Equal, |order| {
                 order.then(one.account.cmp(&other.account))
             })
--- a/crates/merlinreel-policy/src/quota/table.rs
+++ b/crates/merlinreel-policy/src/quota/table.rs
@@ -14,7 +14,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct DirtyAccount {
     /// Fraction of its token bucket's capacity that is left; negative where the bucket is overdrawn.
-    pub remaining_share: f64,
+    pub remaining_fraction: f64,
     /// Index of the account.
     pub account: AccountIndex,
 }
--- a/crates/merlinreel-policy/src/quota/token_bucket.rs
+++ b/crates/merlinreel-policy/src/quota/token_bucket.rs
@@ -217,8 +217,8 @@
         }
     }
 
-    /// Resets the totals of a limiter that has restarted, as it counts from zero again. Its usage so far is subtracted
-    /// from the units carried over.
+    /// Resets the totals of a limiter that has restarted, as it counts from zero again. Its usage in the current window
+    /// is subtracted from the units carried over instead; its usage in the previous window already was.
     pub fn forget_totals_of(&mut self, limiter: u32) {
         self.carried_over -= self.elsewhere.reported_by(limiter, WindowAge::Current);
         for age in WindowAge::NEWEST_FIRST {
--- a/crates/merlinreel-policy/src/request/admission.rs
+++ b/crates/merlinreel-policy/src/request/admission.rs
@@ -153,9 +153,9 @@
     account.aggregation.demand.add(now, request.units);
 }
 
-/// Number of requests that the report of this one represents; 0 if it is not reported. Only a random sample of requests
-/// that are small for the plan is reported: otherwise a customer with high demand would fill its aggregator's inbox,
-/// and its demand would seem low.
+/// Number of requests that the report of this one represents; 0 if it is not reported. While an aggregator's estimate
+/// is valid, only a random sample of requests that are small for the plan is reported: otherwise a customer with high
+/// demand would fill its aggregator's inbox, and its demand would seem low.
 fn sampling_factor(
     now: Duration,
     request: &Request,
--- a/crates/merlinreel-policy/src/request/completion.rs
+++ b/crates/merlinreel-policy/src/request/completion.rs
@@ -69,7 +69,8 @@
     quotas.mark_dirty(pending.account);
 }
 
-/// Handles the start of a streamed response: the server counts as responding, and the attempt is no longer cancelled.
+/// Handles the start of a streamed response: the server counts as responding, and the attempt must not be
+/// cancelled any more.
 pub fn response_started(
     now: Duration,
     request: RequestIndex,
--- a/crates/merlinreel-policy/src/request/queue.rs
+++ b/crates/merlinreel-policy/src/request/queue.rs
@@ -7,7 +7,7 @@
 use crate::model::limiter_config::LimiterConfig;
 use crate::quota::table::QuotaTable;
 use crate::request_table::{PendingAttempt, PendingRequest, RequestTable};
-use crate::server::fleet_latency::FleetLatency;
+use crate::server::fleet_latency::PoolLatency;
 use crate::server::pool::ServerPool;
 use crate::server::selection::Selection;
 use crate::time;
@@ -15,7 +15,9 @@
 use std::cmp::Reverse;
 use std::time::Duration;
 
+/// Lower bound of a latency objective, by which a request's value is divided.
 const MIN_OBJECTIVE_SECONDS: f64 = 0.001;
+/// Lower bound of a request's value, by which the highest value in the queue is divided.
 const MIN_VALUE: f64 = 1e-9;
 /// A request is sent only if this many typical latencies remain until its latency objective and its deadline.
 const NEEDED_TYPICAL_LATENCIES: f64 = 1.5;
@@ -32,7 +34,7 @@
     /// The servers that attempts are sent to.
     pub servers: &'a mut ServerPool,
     /// Latency and error rates over all servers.
-    pub latency: &'a mut FleetLatency,
+    pub latency: &'a mut PoolLatency,
     /// The requests in progress and the queue.
     pub requests: &'a mut RequestTable,
     /// The limiter's random number generator.
@@ -71,7 +73,7 @@
     }
 
     /// Sorts the queue by value, highest first, in bands that each span a factor of two below the highest value. Within
-    /// a band the newest request is first: under overload the newest are answered in time, while oldest first would
+    /// a band the newest request is first: under overload the newest get a response in time, while oldest first would
     /// make all late.
     fn sorted(&self, now: Duration, mut queue: Vec<RequestIndex>) -> Vec<RequestIndex> {
         let max_value = queue
@@ -97,8 +99,9 @@
         class.priority_weight * plan.plan_weight / objective_seconds.max(MIN_OBJECTIVE_SECONDS)
     }
 
-    /// Whether a response would probably come too late. While no recent response is known, no time is required: a
-    /// limiter whose requests all have little time left would otherwise never learn how fast its servers are.
+    /// Whether a response would probably come after the latency objective or the deadline. While no recent response is
+    /// known, no time is required: a limiter whose requests all have little time left would otherwise never learn how
+    /// fast its servers are.
     fn cannot_meet_deadline(
         &self,
         now: Duration,
--- a/crates/merlinreel-policy/src/request/remaining_time.rs
+++ b/crates/merlinreel-policy/src/request/remaining_time.rs
@@ -4,19 +4,19 @@
 /// network delay.
 const BINS: usize = 128;
 
-/// Histogram of a class's requests by the share of the deadline that remained when they arrived.
+/// Histogram of a class's requests by the fraction of the deadline that remained when they arrived.
 pub struct RemainingTimeHistogram {
     /// Requests by bin, with an empty bin at either end so that each bin has two neighbours.
     counts: Vec<f64>,
-    /// Share of recent requests that are first attempts, 0 to 1: an exponential moving average.
-    pub first_attempt_share: f64,
+    /// Fraction of recent requests that are first attempts, 0 to 1: an exponential moving average.
+    pub first_attempt_fraction: f64,
 }
 
 impl Default for RemainingTimeHistogram {
     fn default() -> RemainingTimeHistogram {
         RemainingTimeHistogram {
             counts: vec![0.0; BINS + 2],
-            first_attempt_share: 1.0,
+            first_attempt_fraction: 1.0,
         }
     }
 }
@@ -26,9 +26,9 @@
 pub struct Bin(usize);
 
 impl Bin {
-    /// The bin of a share of the deadline; a share of 1 or more is in the last one.
-    pub fn of(share: f64) -> Bin {
-        let bin = (share * BINS as f64) as usize;
+    /// The bin of a fraction of the deadline; a fraction of 1 or more is in the last one.
+    pub fn of(fraction: f64) -> Bin {
+        let bin = (fraction * BINS as f64) as usize;
         Bin(1 + bin.min(BINS - 1))
     }
 }
--- a/crates/merlinreel-policy/src/request/tests/time_spent.rs
+++ b/crates/merlinreel-policy/src/request/tests/time_spent.rs
@@ -14,9 +14,9 @@
 #[test_case(1.4, 1.0, 0.0 ; "common remaining time is a first attempt")]
 #[test_case(0.5, 1.0, 1.5 ; "rare remaining time is a retry")]
 #[test_case(0.5, 0.1, 0.0 ; "rare remaining time says nothing with few first attempts")]
-fn rare_remaining_time_shows_the_time_spent(remaining: f64, first_share: f64, spent: f64) {
+fn rare_remaining_time_shows_the_time_spent(remaining: f64, first_fraction: f64, spent: f64) {
     let mut histogram = histogram(50);
-    histogram.first_attempt_share = first_share;
+    histogram.first_attempt_fraction = first_fraction;
     assert_eq!(
         time_already_spent(at(remaining), at(2.0), &mut histogram),
         at(spent)
--- a/crates/merlinreel-policy/src/request/time_spent.rs
+++ b/crates/merlinreel-policy/src/request/time_spent.rs
@@ -4,17 +4,20 @@
 use crate::time;
 use std::time::Duration;
 
+/// Lower bound of a deadline, by which the remaining time is divided.
 const MIN_DEADLINE_SECONDS: f64 = 0.001;
 /// With fewer requests, every remaining time counts as common.
 const MIN_REQUESTS: f64 = 30.0;
-/// Share of all requests from which on a remaining time is common. Even in a retry storm, first attempts make up more.
-const COMMON_SHARE: f64 = 0.1;
+/// Fraction of all requests from which on a remaining time is common. Even in a retry storm, first attempts make up
+/// more.
+const COMMON_FRACTION: f64 = 0.1;
 /// Counts are halved above this number, so that a new common remaining time is recognized within some dozens of
 /// requests.
 const MAX_COUNTED_REQUESTS: f64 = 400.0;
-const FIRST_ATTEMPT_SHARE_GAIN: f64 = 0.02;
-/// With a lower share of first attempts, a rare remaining time does not indicate a retry.
-const MIN_FIRST_ATTEMPT_SHARE: f64 = 0.15;
+/// Weight of one request in the moving average of the fraction of first attempts.
+const FIRST_ATTEMPT_FRACTION_GAIN: f64 = 0.02;
+/// With a lower fraction of first attempts, a rare remaining time does not indicate a retry.
+const MIN_FIRST_ATTEMPT_FRACTION: f64 = 0.15;
 
 /// How long the client has already waited for earlier attempts of its own; zero for a first attempt.
 ///
@@ -30,14 +33,14 @@
     let bin = Bin::of(time::seconds(remaining) / deadline_seconds);
     let total = histogram.total();
     histogram.add(bin);
-    let is_common = total < MIN_REQUESTS || histogram.count_near(bin) >= COMMON_SHARE * total;
+    let is_common = total < MIN_REQUESTS || histogram.count_near(bin) >= COMMON_FRACTION * total;
     if total > MAX_COUNTED_REQUESTS {
         histogram.halve();
     }
     let is_first = if is_common { 1.0 } else { 0.0 };
-    histogram.first_attempt_share +=
-        (is_first - histogram.first_attempt_share) * FIRST_ATTEMPT_SHARE_GAIN;
-    if is_common || histogram.first_attempt_share < MIN_FIRST_ATTEMPT_SHARE {
+    histogram.first_attempt_fraction +=
+        (is_first - histogram.first_attempt_fraction) * FIRST_ATTEMPT_FRACTION_GAIN;
+    if is_common || histogram.first_attempt_fraction < MIN_FIRST_ATTEMPT_FRACTION {
         Duration::ZERO
     } else {
         deadline.saturating_sub(remaining)
--- a/crates/merlinreel-policy/src/request_table.rs
+++ b/crates/merlinreel-policy/src/request_table.rs
@@ -22,7 +22,7 @@
     pub overdue: bool,
 }
 
-/// The first attempt that may have run the request, after which running it again needs care.
+/// The first attempt to end that may have run the request; running the request again needs care from then on.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct FirstRun {
     /// Server that it was sent to.
@@ -47,7 +47,8 @@
     pub attempts: Vec<PendingAttempt>,
     /// The window to which its units were charged; `None` if they were not.
     pub window: Option<WindowNumber>,
-    /// Number of requests that its charge represents; 0 if a sample of requests is charged and it is not in it.
+    /// Number of requests that its charge represents; 0 if only a sample of requests is charged,
+    /// without this one.
     pub sampling_factor: f64,
     /// The client has the final response or has disconnected.
     pub completed: bool,
--- a/crates/merlinreel-policy/src/server/attempt_results.rs
+++ b/crates/merlinreel-policy/src/server/attempt_results.rs
@@ -1,7 +1,7 @@
 //! Updates what is known of a server, and of all servers together, from the result of an attempt.
 
 use super::concurrency_limit::{min_limit, next_limit_multiplier, slow_threshold_seconds};
-use super::fleet_latency::FleetLatency;
+use super::fleet_latency::PoolLatency;
 use super::overdue_attempts::is_latency_sample;
 use super::pool::ServerPool;
 use super::server_state::Server;
@@ -13,7 +13,7 @@
 /// Successful responses that a bucket needs before its mean latency can become the baseline.
 const MIN_BASELINE_RESPONSES: f64 = 20.0;
 /// Weight of one attempt in the moving average of the latency ratio of all servers.
-const FLEET_LATENCY_RATIO_GAIN: f64 = 0.03;
+const POOL_LATENCY_RATIO_GAIN: f64 = 0.03;
 /// An attempt that the client's deadline ended would have taken longer: it counts with at least this multiple of the
 /// slow threshold.
 const ABANDONED_LATENCY_FACTOR: f64 = 3.0;
@@ -67,7 +67,7 @@
     now: Duration,
     observed: &ObservedResult,
     pool: &mut ServerPool,
-    latency: &mut FleetLatency,
+    latency: &mut PoolLatency,
 ) {
     let outcome = observed.result.outcome;
     if outcome == AttemptOutcome::Success {
@@ -93,7 +93,7 @@
 
 /// Sets the baseline to the lowest mean latency of the window's buckets with enough responses: under load, all
 /// responses of a bucket are slow.
-fn update_baseline(now: Duration, latency_seconds: f64, latency: &mut FleetLatency) {
+fn update_baseline(now: Duration, latency_seconds: f64, latency: &mut PoolLatency) {
     latency.successes.add(now, 1.0);
     latency.success_seconds.add(now, latency_seconds);
     let lowest_mean = latency
@@ -108,7 +108,7 @@
     now: Duration,
     observed: &ObservedResult,
     server: &mut Server,
-    latency: &mut FleetLatency,
+    latency: &mut PoolLatency,
 ) {
     let seconds = observed.latency_seconds();
     let threshold = slow_threshold_seconds(observed.objective_seconds, latency.baseline_seconds);
@@ -126,7 +126,7 @@
         seconds
     };
     latency.latency_ratio +=
-        (counted_seconds / threshold - latency.latency_ratio) * FLEET_LATENCY_RATIO_GAIN;
+        (counted_seconds / threshold - latency.latency_ratio) * POOL_LATENCY_RATIO_GAIN;
     latency.limit_multiplier = next_limit_multiplier(
         latency.limit_multiplier,
         latency.latency_ratio,
@@ -139,7 +139,7 @@
     now: Duration,
     observed: &ObservedResult,
     server: &mut Server,
-    latency: &mut FleetLatency,
+    latency: &mut PoolLatency,
     all_unreachable_at: Option<Duration>,
 ) {
     match observed.result.outcome {
@@ -159,7 +159,7 @@
     }
 }
 
-fn record_latency(observed: &ObservedResult, server: &mut Server, latency: &mut FleetLatency) {
+fn record_latency(observed: &ObservedResult, server: &mut Server, latency: &mut PoolLatency) {
     let seconds = observed.latency_seconds();
     let gain = if server.latency_seconds > 0.0 {
         SERVER_LATENCY_GAIN
--- a/crates/merlinreel-policy/src/server/concurrency_limit.rs
+++ b/crates/merlinreel-policy/src/server/concurrency_limit.rs
@@ -52,9 +52,9 @@
 }
 
 impl Server {
-    /// Adjusts the limit by the latency ratio of an attempt, answered or not: reduces the limit while the moving
-    /// average of the ratio is high, and raises it while the average is low and requests wait. Limiters do not see the
-    /// queue at a server, and a response that comes too late is wasted work.
+    /// Adjusts the limit by the latency ratio of an attempt, with or without a response: reduces the limit while
+    /// the moving average of the ratio is high, and raises it while the average is low and requests wait. Limiters do
+    /// not see the queue at a server, and a response that comes too late is wasted work.
     pub fn adjust_limit(
         &mut self,
         now: Duration,
--- a/crates/merlinreel-policy/src/server/fleet_latency.rs
+++ b/crates/merlinreel-policy/src/server/fleet_latency.rs
@@ -7,7 +7,7 @@
 const SUCCESS_WINDOW: Duration = Duration::from_secs(32);
 
 /// Latency and error statistics over the attempts at all servers.
-pub struct FleetLatency {
+pub struct PoolLatency {
     /// Moving average of the time of successful responses to latency samples, in seconds.
     pub typical_seconds: f64,
     /// Time of a response while servers have little load, in seconds: the lowest bucket mean of the window.
@@ -16,7 +16,7 @@
     pub latency_ratio: f64,
     /// Multiplies the concurrency limits of all servers, 1 at least.
     pub limit_multiplier: f64,
-    /// Moving average of the fraction of attempts that end with an error, 0 to 1.
+    /// Moving average of the fraction of attempts that end with an error or a lost connection, 0 to 1.
     pub error_rate: f64,
     /// Moving average of the fraction of latency samples that are overdue, 0 to 1.
     pub loss_rate: f64,
@@ -26,11 +26,11 @@
     pub success_seconds: RollingWindow,
 }
 
-impl FleetLatency {
+impl PoolLatency {
     /// Statistics before the first response; `expected_seconds` stands for typical and baseline latency until there are
     /// measurements.
-    pub fn new(expected_seconds: f64) -> FleetLatency {
-        FleetLatency {
+    pub fn new(expected_seconds: f64) -> PoolLatency {
+        PoolLatency {
             typical_seconds: expected_seconds,
             baseline_seconds: expected_seconds,
             latency_ratio: 0.0,
--- a/crates/merlinreel-policy/src/server/outlier_ejection.rs
+++ b/crates/merlinreel-policy/src/server/outlier_ejection.rs
@@ -1,15 +1,15 @@
 //! Ejects servers after failures, and decides which of them have probably restarted.
 
-use super::fleet_latency::FleetLatency;
+use super::fleet_latency::PoolLatency;
 use super::pool::ServerPool;
 use super::server_state::Server;
 use crate::time;
 use std::time::Duration;
 
-/// Doubled with each consecutive failure, up to [`MAX_DOUBLINGS`] times: from 0.25 s, the time of several responses, to
-/// 4 s, a considerable part of a short outage.
+/// Ejection time before it is doubled with each consecutive failure, up to [`MAX_DOUBLINGS`] times: from 0.25 s, the
+/// time of several responses, to 4 s, a considerable part of a short outage.
 const BASE_EJECTION_SECONDS: f64 = 0.125;
-/// Further consecutive failures do not prolong the ejection.
+/// Consecutive failures beyond this number do not prolong the ejection.
 const MAX_DOUBLINGS: u32 = 5;
 /// Time for which a server is sent nothing after it rejected an attempt.
 const REJECTION_PAUSE: Duration = Duration::from_millis(100);
@@ -18,9 +18,9 @@
 /// Multiplies a server's error rate at each success.
 const ERROR_RATE_DECAY: f64 = 0.9;
 /// Weight of one error in the moving average of the error rate of all servers.
-const FLEET_ERROR_RATE_GAIN: f64 = 0.01;
+const POOL_ERROR_RATE_GAIN: f64 = 0.01;
 /// Multiplies the error rate of all servers at each success.
-const FLEET_ERROR_RATE_DECAY: f64 = 0.99;
+const POOL_ERROR_RATE_DECAY: f64 = 0.99;
 /// A server whose error rate exceeds that of all servers by more than this is failing.
 const MAX_EXCESS_ERROR_RATE: f64 = 0.3;
 /// Lost connections without a response between them that are attributed to the server; fewer are attributed to the
@@ -45,22 +45,22 @@
 
     /// Whether the server's error rate is far above that of all servers; errors that all servers have in common are not
     /// attributed to one.
-    pub fn is_failing(&self, fleet_error_rate: f64) -> bool {
-        self.health.error_rate > MAX_EXCESS_ERROR_RATE + fleet_error_rate
+    pub fn is_failing(&self, pool_error_rate: f64) -> bool {
+        self.health.error_rate > MAX_EXCESS_ERROR_RATE + pool_error_rate
     }
 
-    /// Records a successful response, and begins a slow start if the failures before it indicate a restart. If all
-    /// servers were unreachable at some time since this one became unreachable, the limiter's own network is taken for
-    /// the cause, and no slow start begins.
+    /// Records a successful response, and begins a slow start if the failures before it indicate a restart. If the
+    /// whole subset was unreachable at some time since this server became unreachable, the limiter's own network is
+    /// taken for the cause, and no slow start begins.
     pub fn record_success(
         &mut self,
         now: Duration,
-        latency: &mut FleetLatency,
+        latency: &mut PoolLatency,
         all_unreachable_at: Option<Duration>,
     ) {
         let health = &mut self.health;
         health.error_rate *= ERROR_RATE_DECAY;
-        latency.error_rate *= FLEET_ERROR_RATE_DECAY;
+        latency.error_rate *= POOL_ERROR_RATE_DECAY;
         health.consecutive_failures = 0;
         health.lost_connections = 0;
         let unreachable_since = health.unreachable_since.take();
@@ -72,17 +72,17 @@
     }
 
     /// Records a connection that broke before the response was complete.
-    pub fn record_lost_connection(&mut self, now: Duration, latency: &mut FleetLatency) {
+    pub fn record_lost_connection(&mut self, now: Duration, latency: &mut PoolLatency) {
         self.health.lost_connections += 1;
         self.record_error(now, latency);
     }
 
     /// Records an error response or a lost connection. Ejects the server if its error rate is far above that of all
     /// servers, or if the lost connections since its last response are hardly due to chance.
-    pub fn record_error(&mut self, now: Duration, latency: &mut FleetLatency) {
+    pub fn record_error(&mut self, now: Duration, latency: &mut PoolLatency) {
         let health = &mut self.health;
         health.error_rate += (1.0 - health.error_rate) * ERROR_RATE_GAIN;
-        latency.error_rate += (1.0 - latency.error_rate) * FLEET_ERROR_RATE_GAIN;
+        latency.error_rate += (1.0 - latency.error_rate) * POOL_ERROR_RATE_GAIN;
         let losses = health.lost_connections;
         let losses_by_server = losses >= MIN_LOST_CONNECTIONS
             && latency.error_rate.powi(losses as i32) < MAX_CHANCE_LOSS_PROBABILITY;
--- a/crates/merlinreel-policy/src/server/overdue_attempts.rs
+++ b/crates/merlinreel-policy/src/server/overdue_attempts.rs
@@ -1,6 +1,6 @@
 //! Detects overdue attempts, and decides which servers have failed and which attempts are cancelled because of them.
 
-use super::fleet_latency::FleetLatency;
+use super::fleet_latency::PoolLatency;
 use super::pool::ServerPool;
 use crate::actions::Actions;
 use crate::model::index::RequestIndex;
@@ -46,13 +46,13 @@
 
 /// Marks attempts as overdue, which covers servers that hang as well as responses that are lost on the network. An
 /// overdue attempt no longer counts against the server's concurrency limit, as a server that is alive has finished the
-/// work by then. A failure is recorded for a server that has answered nothing since the attempt was sent. The attempt
-/// is cancelled if its request may be retried.
+/// work by then. A failure is recorded for a server from which no response was received since the attempt was sent and
+/// for at least the overdue time without shortening. The attempt is cancelled if its request may be retried.
 pub fn detect_overdue_attempts(
     now: Duration,
     config: &LimiterConfig,
     servers: &mut ServerPool,
-    latency: &mut FleetLatency,
+    latency: &mut PoolLatency,
     requests: &mut RequestTable,
     actions: &mut dyn Actions,
 ) {
--- a/crates/merlinreel-policy/src/server/selection.rs
+++ b/crates/merlinreel-policy/src/server/selection.rs
@@ -1,6 +1,6 @@
 //! Selects the server for an attempt.
 
-use super::fleet_latency::FleetLatency;
+use super::fleet_latency::PoolLatency;
 use super::pool::ServerPool;
 use super::server_state::Server;
 use crate::model::endpoint::{Endpoint, EndpointConfig};
@@ -45,7 +45,7 @@
     /// This limiter's zone, and the settings of the slow start and the overload window.
     pub config: &'a EndpointConfig,
     /// Latency, error rate and limit multiplier over all servers.
-    pub latency: &'a FleetLatency,
+    pub latency: &'a PoolLatency,
     /// The request that needs an attempt, with its earlier attempts.
     pub request: &'a PendingRequest,
     /// Idempotency of the request's class, which may restrict where the request is retried.
@@ -102,8 +102,9 @@
         best.map(|best| best.server)
     }
 
-    /// Whether the sum of all concurrency limits allows another attempt; the sum counts as 1 at least. Where limiters
-    /// are many, the limit of a single server is a fraction of an attempt.
+    /// Whether the sum of the concurrency limits, scaled from the subset to all servers, allows another attempt; the
+    /// sum counts as 1 at least. The limits are also checked together because, where limiters are many, the limit of a
+    /// single server is a fraction of an attempt.
     fn total_limit_allows_attempt(&self, pool: &mut ServerPool) -> bool {
         let mut limit = 0.0;
         let mut in_flight = 0.0;
--- a/crates/merlinreel-policy/src/server/server_state.rs
+++ b/crates/merlinreel-policy/src/server/server_state.rs
@@ -19,7 +19,7 @@
 /// Health of a server according to the results of its attempts.
 #[derive(Debug, Default)]
 pub struct ServerHealth {
-    /// Moving average of the fraction of attempts that end with an error, 0 to 1.
+    /// Moving average of the fraction of attempts that end with an error or a lost connection, 0 to 1.
     pub error_rate: f64,
     /// Failures (see [`Server::record_failure`]) since the last successful response.
     pub consecutive_failures: u32,
@@ -34,8 +34,8 @@
     /// Failures since the last successful response indicate a restart: the next successful response begins a slow start
     /// (see [`Server::record_success`]).
     pub restart_suspected: bool,
-    /// First failure to open a connection since the last successful response or refused connection; `None` without such
-    /// a failure.
+    /// Time, by the limiter's clock, of the first failure to open a connection since the last successful response or
+    /// refused connection; `None` without such a failure.
     pub unreachable_since: Option<Duration>,
 }
 
--- a/crates/merlinreel-policy/src/server/tests/overdue_attempts.rs
+++ b/crates/merlinreel-policy/src/server/tests/overdue_attempts.rs
@@ -33,11 +33,11 @@
     assert!((crate::time::seconds(overdue_after(0.1, loss_rate)) - seconds).abs() < 0.001);
 }
 
-#[test_case(0.5 => (0, 1) ; "a server that answered nothing since has failed")]
-#[test_case(2.0 => (0, 0) ; "a server that answered other attempts has not failed")]
-fn overdue_attempt_no_longer_counts(last_answer_at: f64) -> (u32, u32) {
+#[test_case(0.5 => (0, 1) ; "a server that has not responded since has failed")]
+#[test_case(2.0 => (0, 0) ; "a server that responded to other attempts has not failed")]
+fn overdue_attempt_no_longer_counts(last_response_at: f64) -> (u32, u32) {
     let mut limiter = with_attempt(Idempotency::NonIdempotent);
-    server_mut(&mut limiter, 0).health.unanswered_since = at(last_answer_at);
+    server_mut(&mut limiter, 0).health.unanswered_since = at(last_response_at);
     detect(&mut limiter, 4.0);
     let server = server_mut(&mut limiter, 0);
     (server.limit.in_flight, server.health.consecutive_failures)
--- a/crates/merlinreel-policy/src/server/tests/starting_server.rs
+++ b/crates/merlinreel-policy/src/server/tests/starting_server.rs
@@ -29,11 +29,11 @@
 const WORK_SECONDS: f64 = 0.04;
 /// Simulated time between two batches of each limiter.
 const STEP_SECONDS: f64 = 0.005;
-/// Begin of a run in simulated time; the other servers have full capacity from then on.
+/// Begin of a run, in seconds of simulated time; the other servers have full capacity from then on.
 const BEGIN: f64 = 1.0;
-/// Simulated time at which the last server starts and the burst begins.
+/// Start of the last server and begin of the burst, in seconds of simulated time.
 const STARTED_AT: f64 = 6.0;
-/// End of a run in simulated time.
+/// End of a run, in seconds of simulated time.
 const END: f64 = 16.0;
 /// Requested work over the capacity of all servers, before the burst.
 const NORMAL_LOAD: f64 = 0.5;
@@ -164,10 +164,10 @@
 /// All limiters and all servers of a run.
 struct Fleet {
     nodes: Vec<Node>,
-    /// Simulated time from which each core of each server is free.
+    /// Simulated time in seconds from which each core of each server is free.
     cores: Vec<[f64; CORES]>,
     random: WyRand,
-    /// Simulated times of the attempts sent to the starting server since its start.
+    /// Simulated times in seconds of the attempts sent to the starting server since its start.
     sent_to_starting: Vec<f64>,
 }
 
--- a/crates/merlinreel-policy/src/tests/helpers.rs
+++ b/crates/merlinreel-policy/src/tests/helpers.rs
@@ -113,7 +113,7 @@
     time::from_seconds(seconds)
 }
 
-/// Two units per second and a bucket of eight units, so windows last four seconds.
+/// A plan of two units per second and a bucket of eight units, so that windows last four seconds.
 pub fn plan() -> Plan {
     Plan {
         rate: 2.0,
@@ -135,7 +135,7 @@
     }
 }
 
-/// Too many limiters to report to each other in time.
+/// A fleet with too many limiters to report to each other in time.
 pub fn large_fleet() -> FleetConfig {
     FleetConfig {
         limiters: 90,
@@ -215,7 +215,7 @@
     )
 }
 
-/// Servers 0 and 1 in zones 0 and 1, ready and with full capacity, two attempts each.
+/// Servers 0 and 1 in zones 0 and 1, ready, with full capacity and a concurrency limit of two attempts each.
 pub fn with_servers(mut limiter: Limiter) -> Limiter {
     limiter.servers.servers = (0..2).map(|index| server(index, 2)).collect();
     limiter
--- a/crates/merlinreel-policy/src/time.rs
+++ b/crates/merlinreel-policy/src/time.rs
@@ -1,4 +1,4 @@
-//! Conversion between `Duration` and seconds as floating-point numbers, which rates and shares are calculated with.
+//! Conversion between `Duration` and seconds as floating-point numbers, which rates and fractions are calculated with.
 
 use std::time::Duration;
 
