--- a/crates/merlinreel-policy/src/limiter.rs
+++ b/crates/merlinreel-policy/src/limiter.rs
@@ -39,7 +39,7 @@
 /// read yet.
 const MAX_TICK_DELAY: Duration = Duration::from_millis(100);
 
-/// When work is due that no event triggers, on the limiter's clock.
+/// When work that no event triggers is due or was last done, on the limiter's clock.
 #[derive(Debug, Default)]
 struct Schedule {
     next_tick: Duration,
--- a/crates/merlinreel-policy/src/quota/account_parts.rs
+++ b/crates/merlinreel-policy/src/quota/account_parts.rs
@@ -37,7 +37,8 @@
     pub update_due: CurrentAndPrevious<bool>,
     /// The account is in [`super::table::QuotaTable::dirty`].
     pub dirty: bool,
-    /// Units admitted at this limiter since its last broadcast or counter call, unknown to other limiters.
+    /// Units admitted at this limiter since its last broadcast or counter call, unknown to other limiters. Reports to an
+    /// aggregator do not reset them.
     pub unreported_units: f64,
 }
 
--- a/crates/merlinreel-policy/src/request/admission.rs
+++ b/crates/merlinreel-policy/src/request/admission.rs
@@ -20,7 +20,7 @@
 use nanorand::{Rng, WyRand};
 use std::time::Duration;
 
-/// Network delay of a peer message or a call to the counter service.
+/// Assumed network delay of a peer message or a call to the counter service.
 const NETWORK_DELAY_SECONDS: f64 = 0.03;
 /// A late arrival is admitted only while the bucket has more than its capacity divided by this.
 const LATE_BUCKET_DIVISOR: f64 = 2.0;
--- a/crates/merlinreel-policy/src/request/completion.rs
+++ b/crates/merlinreel-policy/src/request/completion.rs
@@ -69,8 +69,8 @@
     quotas.mark_dirty(pending.account);
 }
 
-/// Handles the start of a streamed response: the server counts as responding, and the attempt must not be
-/// cancelled any more.
+/// Handles the start of a streamed response: the server counts as responding, and its attempts in
+/// flight must not be cancelled any more.
 pub fn response_started(
     now: Duration,
     request: RequestIndex,
--- a/crates/merlinreel-policy/src/request_table.rs
+++ b/crates/merlinreel-policy/src/request_table.rs
@@ -47,8 +47,7 @@
     pub attempts: Vec<PendingAttempt>,
     /// The window to which its units were charged; `None` if they were not.
     pub window: Option<WindowNumber>,
-    /// Number of requests that its charge represents; 0 if only a sample of requests is charged,
-    /// without this one.
+    /// Number of requests that its charge represents; 0 if only a sample of requests is charged, without this one.
     pub sampling_factor: f64,
     /// The client has the final response or has disconnected.
     pub completed: bool,
--- a/crates/merlinreel-policy/src/server/fleet_latency.rs
+++ b/crates/merlinreel-policy/src/server/fleet_latency.rs
@@ -8,7 +8,8 @@
 
 /// Latency and error statistics over the attempts at all servers.
 pub struct PoolLatency {
-    /// Moving average of the time of successful responses to latency samples, in seconds.
+    /// Moving average of the time of successful responses to latency samples (see
+    /// [`super::overdue_attempts::is_latency_sample`]), in seconds.
     pub typical_seconds: f64,
     /// Time of a response while servers have little load, in seconds: the lowest bucket mean of the window.
     pub baseline_seconds: f64,
