--- a/crates/merlinreel-policy/src/server/pool.rs
+++ b/crates/merlinreel-policy/src/server/pool.rs
@@ -12,7 +12,7 @@
 pub struct EndpointCounts {
     /// Servers that are not removed; `limiter.servers_known`.
     pub known: usize,
-    /// Those of the known servers that are sent no new requests because they are draining or ejected;
+    /// Known servers that are sent no new requests because they are draining or ejected;
     /// `limiter.servers_excluded`.
     pub avoided: usize,
 }
--- a/crates/merlinreel-policy/src/server/subset.rs
+++ b/crates/merlinreel-policy/src/server/subset.rs
@@ -16,7 +16,8 @@
 
 impl ServerPool {
     /// Chooses the subset: consecutive servers on the hash ring from this limiter's own starting point, until their
-    /// capacity reaches the size of the subset. A starting server counts with its capacity fraction, and an ejected one with 0.
+    /// capacity reaches the size of the subset. A starting server counts with its capacity fraction, and an
+    /// ejected one with 0.
     ///
     /// Without subsets, each of many limiters would open a connection for each attempt, and would see too few responses
     /// from a server to distinguish good servers from bad ones.
