--- a/crates/merlinreel/src/client/listener.rs
+++ b/crates/merlinreel/src/client/listener.rs
@@ -3,8 +3,8 @@
 use super::connection::ClientConnection;
 use crate::admission::AdmissionPermits;
 use crate::config::limits::Limits;
-use crate::hold_up::HoldUpMonitor;
 use crate::messages::{ActiveSettings, Queue};
+use crate::stall::StallMonitor;
 use crate::telemetry::metrics::Metrics;
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering};
@@ -32,7 +32,7 @@
     pub(super) permits: AdmissionPermits,
     pub(super) client_connections: Mutex<HashMap<u64, Arc<ClientConnection>>>,
     pub(super) metrics: Arc<Metrics>,
-    pub(super) stall_monitor: Arc<HoldUpMonitor>,
+    pub(super) stall_monitor: Arc<StallMonitor>,
 }
 
 impl ClientListener {
@@ -42,7 +42,7 @@
         active_settings: watch::Receiver<Arc<ActiveSettings>>,
         queue: Queue,
         metrics: Arc<Metrics>,
-        stall_monitor: Arc<HoldUpMonitor>,
+        stall_monitor: Arc<StallMonitor>,
     ) -> Arc<ClientListener> {
         Arc::new(ClientListener {
             metrics,
--- a/crates/merlinreel/src/client/stream.rs
+++ b/crates/merlinreel/src/client/stream.rs
@@ -11,8 +11,8 @@
 use super::framing::HeadScanner;
 use crate::admission::AdmissionPermits;
 use crate::config::limits::Limits;
-use crate::hold_up::HoldUpMonitor;
 use crate::net::observed_stream::{IoObserver, ObservedStream};
+use crate::stall::StallMonitor;
 use bytes::{Buf, Bytes, BytesMut};
 use std::io::{self, IoSlice};
 use std::pin::Pin;
@@ -47,7 +47,7 @@
     /// Number of bytes at the start of `buffer` that were received in reads of the HTTP library. The rest was read ahead.
     requested: usize,
     arrival_times: ArrivalTimes,
-    stall_monitor: Arc<HoldUpMonitor>,
+    stall_monitor: Arc<StallMonitor>,
     /// Maximum number of bytes read ahead.
     max_read_ahead: usize,
     /// Number of bytes read ahead that need no reservation in the memory for request bodies.
@@ -70,7 +70,7 @@
         client_connection: Arc<ClientConnection>,
         limits: &Limits,
         permits: AdmissionPermits,
-        stall_monitor: Arc<HoldUpMonitor>,
+        stall_monitor: Arc<StallMonitor>,
     ) -> ClientStream {
         ClientStream {
             stream: ObservedStream::new(stream, client_connection.clone()),
--- a/crates/merlinreel/src/client/tests.rs
+++ b/crates/merlinreel/src/client/tests.rs
@@ -7,8 +7,8 @@
 use super::ClientListener;
 use super::connection::{ClientConnection, ConnectionTimes};
 use crate::config::limits::Limits;
-use crate::hold_up::HoldUpMonitor;
 use crate::messages::{ActiveSettings, Event};
+use crate::stall::StallMonitor;
 use crate::sync::lock;
 use crate::telemetry::metrics::Metrics;
 use hyper::body::Bytes;
@@ -95,7 +95,7 @@
     let (queue, events) = mpsc::channel(64);
     let active_settings = watch::channel(Arc::new(ActiveSettings::first(settings))).1;
     let metrics = Metrics::new(&[]);
-    let stall_monitor = HoldUpMonitor::new(metrics.clone());
+    let stall_monitor = StallMonitor::new(metrics.clone());
     let client_listener =
         ClientListener::new(limits, active_settings, queue, metrics, stall_monitor);
     (client_listener, events)
--- a/crates/merlinreel/src/client/tests/reading.rs
+++ b/crates/merlinreel/src/client/tests/reading.rs
@@ -83,7 +83,7 @@
         client_connection.clone(),
         &limits(),
         AdmissionPermits::new(&limits()),
-        HoldUpMonitor::new(Metrics::new(&[])),
+        StallMonitor::new(Metrics::new(&[])),
     );
     let mut into = [0; 8192];
     for (section, content_length) in [(FIRST, true), (SECOND, false), (THIRD, false)] {
@@ -125,7 +125,7 @@
         client_connection.clone(),
         &limits,
         AdmissionPermits::new(&limits),
-        HoldUpMonitor::new(Metrics::new(&[])),
+        StallMonitor::new(Metrics::new(&[])),
     );
     let length = client_stream.read(&mut [0; 8192]).await.expect("read");
     assert_eq!(length, 2);
--- a/crates/merlinreel/src/event_loop.rs
+++ b/crates/merlinreel/src/event_loop.rs
@@ -9,10 +9,10 @@
 
 pub use clock::Clock;
 
-use crate::hold_up::HoldUpMonitor;
 use crate::log;
 use crate::messages::{ActiveSettings, ClientResponse, Event, IncomingRequest};
 use crate::peers::PeerSocket;
+use crate::stall::StallMonitor;
 use crate::telemetry::metrics::Metrics;
 use crate::upstream::UpstreamPool;
 use action_executor::ActionExecutor;
@@ -31,7 +31,7 @@
 pub struct EventLoop {
     limiter: Limiter,
     metrics: Arc<Metrics>,
-    stall_monitor: Arc<HoldUpMonitor>,
+    stall_monitor: Arc<StallMonitor>,
     /// Sends reloaded settings to the client listener; without it, only the policy and the metrics get them.
     settings_sender: Option<watch::Sender<Arc<ActiveSettings>>>,
     executor: ActionExecutor,
@@ -49,7 +49,7 @@
         peer_socket: Option<PeerSocket>,
         clock: Clock,
         metrics: Arc<Metrics>,
-        stall_monitor: Arc<HoldUpMonitor>,
+        stall_monitor: Arc<StallMonitor>,
     ) -> EventLoop {
         let limits = upstreams.limits().event_loop.clone();
         EventLoop {
--- a/crates/merlinreel/src/event_loop/tests.rs
+++ b/crates/merlinreel/src/event_loop/tests.rs
@@ -39,7 +39,7 @@
             None,
             Clock::start(),
             metrics.clone(),
-            HoldUpMonitor::new(metrics),
+            StallMonitor::new(metrics),
         ),
         queue,
         events,
--- a/crates/merlinreel/src/lib.rs
+++ b/crates/merlinreel/src/lib.rs
@@ -9,11 +9,11 @@
 pub mod config;
 pub mod endpoints;
 pub mod event_loop;
-pub mod hold_up;
 pub mod mesh;
 pub mod messages;
 pub mod net;
 pub mod peers;
+pub mod stall;
 pub mod startup;
 mod sync;
 pub mod telemetry;
@@ -24,10 +24,10 @@
 use client::ClientListener;
 use config::GatewayConfig;
 use event_loop::{Clock, EventLoop};
-use hold_up::HoldUpMonitor;
 use mesh::MeshTasks;
 use messages::{ActiveSettings, Queue};
 use net::late_deadline::timeout_caught_up;
+use stall::StallMonitor;
 use startup::admin_status::GatewayStatus;
 use startup::background_tasks::BackgroundTasks;
 use startup::sockets::Sockets;
@@ -61,7 +61,7 @@
     let (settings_sender, active_settings) = ActiveSettings::channel(&config.settings);
     let cached_endpoints = config.cached_endpoints.take();
     let cached_version = cached_endpoints.as_ref().map(|update| update.version);
-    let stall_monitor = HoldUpMonitor::new(metrics.clone());
+    let stall_monitor = StallMonitor::new(metrics.clone());
     let event_loop = new_event_loop(&config, &sockets, clock, &queue, &metrics, &stall_monitor)
         .with_settings_sender(settings_sender);
     let mut event_loop = tokio::spawn(event_loop.run(cached_endpoints, events));
@@ -105,7 +105,7 @@
     clock: Clock,
     queue: &Queue,
     metrics: &Arc<Metrics>,
-    stall_monitor: &Arc<HoldUpMonitor>,
+    stall_monitor: &Arc<StallMonitor>,
 ) -> EventLoop {
     let upstreams = UpstreamPool::new(
         config.limits.clone(),
--- a/crates/merlinreel/src/hold_up.rs
+++ b/crates/merlinreel/src/stall.rs
@@ -37,7 +37,7 @@
 
 /// Determines since when data that is read now may have been in the socket receive buffer. One per process, shared by the
 /// event loop and the client connections.
-pub struct HoldUpMonitor {
+pub struct StallMonitor {
     schedule: Mutex<Schedule>,
     metrics: Arc<Metrics>,
 }
@@ -64,10 +64,10 @@
     }
 }
 
-impl HoldUpMonitor {
+impl StallMonitor {
     /// Creates a monitor with no run due yet, which counts stalls in `metrics`.
-    pub fn new(metrics: Arc<Metrics>) -> Arc<HoldUpMonitor> {
-        Arc::new(HoldUpMonitor {
+    pub fn new(metrics: Arc<Metrics>) -> Arc<StallMonitor> {
+        Arc::new(StallMonitor {
             schedule: Mutex::new(Schedule {
                 last_run: Instant::now(),
                 next_due: None,
--- a/crates/merlinreel/src/hold_up/tests.rs
+++ b/crates/merlinreel/src/stall/tests.rs
@@ -4,8 +4,8 @@
 const TICK: Duration = Duration::from_millis(100);
 
 /// A monitor, and the time at which its event loop ran; the next run is due a tick later.
-fn monitor() -> (Arc<HoldUpMonitor>, Instant) {
-    let monitor = HoldUpMonitor::new(Metrics::new(&[]));
+fn monitor() -> (Arc<StallMonitor>, Instant) {
+    let monitor = StallMonitor::new(Metrics::new(&[]));
     let start = Instant::now();
     monitor.record_run(start);
     monitor.set_next_due(Some(start + TICK));
@@ -53,7 +53,7 @@
 #[test]
 fn stalls_are_counted() {
     let metrics = Metrics::new(&[]);
-    let monitor = HoldUpMonitor::new(metrics.clone());
+    let monitor = StallMonitor::new(metrics.clone());
     let start = Instant::now();
     for (due, run) in [(10, 405), (500, 505)] {
         monitor.set_next_due(Some(start + Duration::from_millis(due)));
--- a/crates/merlinreel/tests/sockets/advertised_time.rs
+++ b/crates/merlinreel/tests/sockets/advertised_time.rs
@@ -136,7 +136,7 @@
     }
 }
 
-/// Guards against a hold-up that is counted for requests that come after it.
+/// Guards against a stall that is counted for requests that arrive after it.
 #[test]
 fn suspension_is_not_counted_for_later_requests() {
     let (server, program) = started();
--- a/crates/merlinreel/tests/sockets/suspended_limiter.rs
+++ b/crates/merlinreel/tests/sockets/suspended_limiter.rs
@@ -1,4 +1,5 @@
-//! A limiter that is held up, and what arrived at its sockets meanwhile: its lateness is not its clients' or servers'.
+//! A stalled limiter must not blame its clients or servers for its own delay: data that arrived before its
+//! deadline counts, although the limiter read it after its stall.
 
 use merlinreel_testkit::*;
 use std::thread;
@@ -58,7 +59,7 @@
     assert!(body.len() >= 1000 && body.bytes().all(|byte| byte == b'x'));
 }
 
-/// Guards against a second term for every client of a limiter that was held up: a body that stays incomplete is ended
+/// Guards against another full timeout for every client of a limiter that stalled: a body that stays incomplete is ended
 /// soon after the suspension.
 #[test]
 fn incomplete_body_is_ended_soon_after_a_suspension_past_its_deadline() {
@@ -99,8 +100,8 @@
     );
 }
 
-/// Guards against a response that is thrown away, and its server blamed, because the attempt's deadline passed while the
-/// limiter was held up: it lay in the socket in time.
+/// Guards against a response that is discarded, and its server blamed, because the attempt's deadline passed while the
+/// limiter stalled: the response had arrived in the socket receive buffer in time.
 #[test_case("look")]
 #[test_case("pay")]
 fn response_that_arrived_in_time_is_passed_on_after_a_suspension_past_the_attempt_s_deadline(
