--- a/crates/merlinreel/src/lib.rs
+++ b/crates/merlinreel/src/lib.rs
@@ -68,7 +68,7 @@
 
     let mut tasks = BackgroundTasks::default();
     let first_list = tasks.watch_endpoints(&config, reloads.discovery, cached_version, &queue);
-    tasks.receive_peer_messages(&sockets.peer_sender, &queue);
+    tasks.receive_peer_messages(&sockets.peer_socket, &queue);
     tasks.forward_settings(reloads.settings, &queue);
     sockets.log_address(&config);
     let limits = config.limits.clone();
@@ -114,11 +114,11 @@
         metrics.clone(),
     );
     let limiter = config.settings.limiter(config.seed);
-    let peer_sender = sockets.peer_sender.clone();
+    let peer_socket = sockets.peer_socket.clone();
     EventLoop::new(
         limiter,
         upstreams,
-        peer_sender,
+        peer_socket,
         clock,
         metrics.clone(),
         stall_monitor.clone(),
--- a/crates/merlinreel/src/startup/background_tasks.rs
+++ b/crates/merlinreel/src/startup/background_tasks.rs
@@ -42,10 +42,10 @@
     }
 
     /// Passes received peer messages on to the event loop.
-    pub fn receive_peer_messages(&mut self, peer_sender: &Option<PeerSocket>, queue: &Queue) {
-        if let Some(peer_sender) = peer_sender.clone() {
+    pub fn receive_peer_messages(&mut self, peer_socket: &Option<PeerSocket>, queue: &Queue) {
+        if let Some(peer_socket) = peer_socket.clone() {
             self.0
-                .push(tokio::spawn(peer_sender.receive(queue.clone())));
+                .push(tokio::spawn(peer_socket.receive(queue.clone())));
         }
     }
 
--- a/crates/merlinreel/src/startup/sockets.rs
+++ b/crates/merlinreel/src/startup/sockets.rs
@@ -18,7 +18,7 @@
     /// Whether the listening socket was bound or inherited.
     pub origin: ListenerOrigin,
     /// The socket for peer messages; `None` if this limiter exchanges none.
-    pub peer_sender: Option<PeerSocket>,
+    pub peer_socket: Option<PeerSocket>,
 }
 
 impl Sockets {
@@ -37,7 +37,7 @@
         } else {
             ListenerOrigin::Bound
         };
-        let peer_sender = bind_peers(config, origin).await?;
+        let peer_socket = bind_peers(config, origin).await?;
         let listener = match inherited {
             Some(listener) => TcpListener::from_std(listener)
                 .map_err(|error| with_address("PROXY_LISTEN_FD", config.listen, error))?,
@@ -46,7 +46,7 @@
         Ok(Sockets {
             listener,
             origin,
-            peer_sender,
+            peer_socket,
         })
     }
 
