--- a/crates/merlinreel/src/net/system_errors.rs
+++ b/crates/merlinreel/src/net/system_errors.rs
@@ -29,7 +29,7 @@
 /// descriptor, memory, address or port is available, the network is down or has no route, a local rule forbids the
 /// connection, or a signal interrupted the call. Not among these are a connection refused, reset or timed out and an
 /// unreachable host, which do concern the remote end.
-pub fn is_of_this_machine(error: &io::Error) -> bool {
+pub fn is_local_error(error: &io::Error) -> bool {
     matches!(
         error.raw_os_error(),
         Some(
--- a/crates/merlinreel/src/net/system_errors/tests.rs
+++ b/crates/merlinreel/src/net/system_errors/tests.rs
@@ -27,5 +27,5 @@
 #[test_case(libc::EHOSTUNREACH => false ; "unreachable host")]
 #[test_case(libc::ECONNRESET => false ; "reset by the peer")]
 fn connect_error_is_caused_by_this_machine(number: i32) -> bool {
-    is_of_this_machine(&io::Error::from_raw_os_error(number))
+    is_local_error(&io::Error::from_raw_os_error(number))
 }
--- a/crates/merlinreel/src/startup/sockets.rs
+++ b/crates/merlinreel/src/startup/sockets.rs
@@ -4,7 +4,7 @@
 use crate::config::GatewayConfig;
 use crate::log;
 use crate::net::backoff::Backoff;
-use crate::net::system_errors::is_of_this_machine;
+use crate::net::system_errors::is_local_error;
 use crate::peers::{PeerSocket, PortSharing};
 use std::io;
 use std::net::SocketAddr;
@@ -119,7 +119,7 @@
     let mut backoff = Backoff::default();
     loop {
         match bind().await {
-            Err(error) if is_of_this_machine(&error) && started.elapsed() < within => {
+            Err(error) if is_local_error(&error) && started.elapsed() < within => {
                 backoff.pause().await;
             }
             result => return result,
--- a/crates/merlinreel/src/upstream/open_connection.rs
+++ b/crates/merlinreel/src/upstream/open_connection.rs
@@ -6,7 +6,7 @@
 use crate::net::backoff::Backoff;
 use crate::net::late_deadline::timeout_caught_up;
 use crate::net::observed_stream::{IoObserver, ObservedStream};
-use crate::net::system_errors::is_of_this_machine;
+use crate::net::system_errors::is_local_error;
 use http_body_util::Full;
 use hyper::body::Bytes;
 use hyper::client::conn::http1::{Builder, Connection, SendRequest};
@@ -117,7 +117,7 @@
     let mut backoff = Backoff::default();
     loop {
         match TcpStream::connect(address).await {
-            Err(error) if is_of_this_machine(&error) => {
+            Err(error) if is_local_error(&error) => {
                 log!("server at {address}: connection failed on this machine: {error}; retrying");
                 backoff.pause().await;
             }
