--- a/crates/merlinreel/src/client/body.rs
+++ b/crates/merlinreel/src/client/body.rs
@@ -5,7 +5,7 @@
 use crate::admission::AdmissionPermits;
 use crate::config::limits::Limits;
 use crate::log;
-use crate::net::late_deadline::POLLER_TURN;
+use crate::net::late_deadline::EXTRA_POLL_TIME;
 use crate::net::text_response::text_response;
 use crate::sync::lock;
 use http_body_util::Full;
@@ -134,7 +134,9 @@
         ready!(timer.as_mut().poll(cx));
         if !self.is_overdue {
             self.is_overdue = true;
-            timer.as_mut().reset((Instant::now() + POLLER_TURN).into());
+            timer
+                .as_mut()
+                .reset((Instant::now() + EXTRA_POLL_TIME).into());
             ready!(timer.poll(cx));
         }
         Poll::Ready(Err(BodyError::Incomplete))
--- a/crates/merlinreel/src/client/serving.rs
+++ b/crates/merlinreel/src/client/serving.rs
@@ -7,7 +7,7 @@
 use super::stream::ClientStream;
 use crate::log;
 use crate::messages::streaming_body::ResponseBody;
-use crate::net::late_deadline::POLLER_TURN;
+use crate::net::late_deadline::EXTRA_POLL_TIME;
 use crate::sync::lock;
 use crate::telemetry::metrics::{ResponseOutcome, class_of};
 use http_body_util::Either;
@@ -78,7 +78,7 @@
         tokio::pin!(close_timer, idle_timer);
         let mut is_closing = false;
         // A connection is polled once more before it is closed, as a request may have arrived and not been read.
-        let poll_end = || tokio::time::Instant::now() + POLLER_TURN;
+        let poll_end = || tokio::time::Instant::now() + EXTRA_POLL_TIME;
         loop {
             tokio::select! {
                 biased;
--- a/crates/merlinreel/src/net/late_deadline.rs
+++ b/crates/merlinreel/src/net/late_deadline.rs
@@ -10,8 +10,8 @@
 use tokio::time::error::Elapsed;
 use tokio::time::{sleep, sleep_until, timeout_at};
 
-/// Time for one more iteration of the runtime, which queries the poller again.
-pub const POLLER_TURN: Duration = Duration::from_millis(1);
+/// Time that lets the runtime query the poller once more before a deadline counts or a connection is closed.
+pub const EXTRA_POLL_TIME: Duration = Duration::from_millis(1);
 /// A timer that fires later than this after its deadline shows that the limiter stalled.
 const MAX_TIMER_DELAY: Duration = Duration::from_millis(5);
 /// Time to read the unread data in the socket receive buffer after a stall.
@@ -22,7 +22,7 @@
     if deadline.elapsed() > MAX_TIMER_DELAY {
         CATCH_UP_TIME
     } else {
-        POLLER_TURN
+        EXTRA_POLL_TIME
     }
 }
 
