--- a/crates/merlinreel/src/client/tests.rs
+++ b/crates/merlinreel/src/client/tests.rs
@@ -93,7 +93,7 @@
     settings: Settings,
 ) -> (Arc<ClientListener>, mpsc::Receiver<Event>) {
     let (queue, events) = mpsc::channel(64);
-    let active_settings = watch::channel(Arc::new(ActiveSettings::first(settings))).1;
+    let active_settings = watch::channel(Arc::new(ActiveSettings::initial(settings))).1;
     let metrics = Metrics::new(&[]);
     let stall_monitor = StallMonitor::new(metrics.clone());
     let client_listener =
--- a/crates/merlinreel/src/messages.rs
+++ b/crates/merlinreel/src/messages.rs
@@ -130,7 +130,7 @@
 
 impl ActiveSettings {
     /// The settings at the start: the index of each class is its position.
-    pub fn first(settings: Settings) -> ActiveSettings {
+    pub fn initial(settings: Settings) -> ActiveSettings {
         ActiveSettings {
             indices: (0..settings.classes.len()).collect(),
             settings,
@@ -144,6 +144,6 @@
         watch::Sender<Arc<ActiveSettings>>,
         watch::Receiver<Arc<ActiveSettings>>,
     ) {
-        watch::channel(Arc::new(ActiveSettings::first(settings.clone())))
+        watch::channel(Arc::new(ActiveSettings::initial(settings.clone())))
     }
 }
