--- a/crates/merlinreel-policy/src/rolling_window.rs
+++ b/crates/merlinreel-policy/src/rolling_window.rs
@@ -46,7 +46,7 @@
 
     /// The lowest mean amount of a bucket, over the buckets that hold at least `min_count` in `counts`; `None` if there
     /// is no such bucket.
-    pub fn least_mean(&self, counts: &RollingWindow, min_count: f64) -> Option<f64> {
+    pub fn min_mean(&self, counts: &RollingWindow, min_count: f64) -> Option<f64> {
         self.sums
             .iter()
             .zip(&counts.sums)
--- a/crates/merlinreel-policy/src/server/attempt_results.rs
+++ b/crates/merlinreel-policy/src/server/attempt_results.rs
@@ -98,7 +98,7 @@
     latency.success_seconds.add(now, latency_seconds);
     let lowest_mean = latency
         .success_seconds
-        .least_mean(&latency.successes, MIN_BASELINE_RESPONSES);
+        .min_mean(&latency.successes, MIN_BASELINE_RESPONSES);
     if let Some(seconds) = lowest_mean {
         latency.baseline_seconds = seconds;
     }
