--- a/crates/merlinreel-policy/src/quota/account.rs
+++ b/crates/merlinreel-policy/src/quota/account.rs
@@ -147,7 +147,7 @@
             published.demand_rate = Some(snapshot.demand_rate);
             published.at = at;
             let estimated = published.remaining_at(now, plan);
-            self.bucket.overflowed += self.remaining(now, plan) - estimated;
+            self.bucket.correction += self.remaining(now, plan) - estimated;
         }
     }
 
--- a/crates/merlinreel-policy/src/quota/peer_reports.rs
+++ b/crates/merlinreel-policy/src/quota/peer_reports.rs
@@ -153,7 +153,7 @@
         WindowAge::Previous => own.current + own.previous,
     };
     let estimated = remaining - own_units + row.total;
-    account.bucket.overflowed += account.remaining(now, plan) - estimated;
+    account.bucket.correction += account.remaining(now, plan) - estimated;
     let published = &mut account.aggregation.published;
     published.remaining = estimated;
     published.demand_rate = row.demand;
--- a/crates/merlinreel-policy/src/quota/token_bucket.rs
+++ b/crates/merlinreel-policy/src/quota/token_bucket.rs
@@ -94,10 +94,10 @@
     pub window: WindowNumber,
     /// Units in the bucket at the start of the current window, less later charges to windows before it.
     pub carried_over: f64,
-    /// Correction subtracted from the bucket in the current window: refill beyond its capacity, and the difference
-    /// where an estimate replaces its own count. Usage beyond the debt limit is added back, so the correction may be
+    /// Units subtracted from the bucket in the current window in addition to usage: refill beyond its capacity, and the
+    /// difference where an estimate replaces its own count. Usage beyond the debt limit is added back, so this may be
     /// negative.
-    pub overflowed: f64,
+    pub correction: f64,
     /// Units that this limiter admitted and charged.
     pub own: CurrentAndPrevious<f64>,
     /// Units that other limiters admitted.
@@ -119,7 +119,7 @@
     /// Units left in the bucket; negative where more was admitted than the quota allows.
     pub fn remaining(&self, now: Duration, plan: &Plan) -> f64 {
         let refill_seconds = time::seconds(now) - self.window.start_seconds(plan);
-        self.carried_over - self.overflowed + plan.rate * refill_seconds
+        self.carried_over - self.correction + plan.rate * refill_seconds
             - self.own.current
             - self.elsewhere.units(WindowAge::Current)
     }
@@ -130,7 +130,7 @@
         let change = self.begin_window(WindowNumber::at(now, plan), plan);
         let excess = self.remaining(now, plan) - plan.burst;
         if excess > 0.0 {
-            self.overflowed += excess;
+            self.correction += excess;
         }
         change
     }
@@ -150,7 +150,7 @@
         };
         self.own.advance(change);
         self.elsewhere.advance(change);
-        self.overflowed = 0.0;
+        self.correction = 0.0;
         self.window = window;
         change
     }
@@ -213,7 +213,7 @@
         self.deduct(age, units);
         let remaining = self.remaining(now, plan);
         if units > 0.0 && remaining < -debt_limit {
-            self.overflowed -= (-debt_limit - remaining).min(units);
+            self.correction -= (-debt_limit - remaining).min(units);
         }
     }
 
