--- a/crates/merlinreel/src/client/accept.rs
+++ b/crates/merlinreel/src/client/accept.rs
@@ -47,7 +47,7 @@
                     self.spawn_connection(stream, slot);
                 }
                 Err(error) => {
-                    log!("clients: a connection could not be accepted: {error}; trying again");
+                    log!("clients: cannot accept a connection: {error}; trying again");
                     if !concerns_one_connection(&error) {
                         backoff.pause().await;
                     }
--- a/crates/merlinreel/src/client/shutdown.rs
+++ b/crates/merlinreel/src/client/shutdown.rs
@@ -78,7 +78,7 @@
     /// Shuts down with an inherited socket. Accepts no further connections, as the next process accepts and serves them.
     async fn shut_down_inherited(&self, listener: TcpListener) {
         log!(
-            "shutdown requested: leaving the listening socket to the next process, completing the requests in flight"
+            "clients: shutdown requested; leaving the listening socket to the next process, then completing the requests in flight"
         );
         drop(listener);
         self.announcing_close.store(true, Ordering::Relaxed);
@@ -93,7 +93,7 @@
         requested_at: Instant,
     ) {
         log!(
-            "shutdown requested: accepting connections for a short time, then completing the requests in flight"
+            "clients: shutdown requested; accepting connections for a short time, then completing the requests in flight"
         );
         tokio::select! {
             () = self.accept(&listener, connection_permits) => {}
--- a/crates/merlinreel/src/config/reload.rs
+++ b/crates/merlinreel/src/config/reload.rs
@@ -15,9 +15,7 @@
     let new = match load(variable) {
         Ok(new) => new,
         Err(error) => {
-            log!(
-                "configuration: reload rejected: {error}; the current configuration stays in force"
-            );
+            log!("configuration: reload rejected: {error}; the current configuration stays in use");
             return ReloadOutcome::Failed;
         }
     };
--- a/crates/merlinreel/src/mesh/tasks.rs
+++ b/crates/merlinreel/src/mesh/tasks.rs
@@ -32,7 +32,7 @@
     ///
     /// # Errors
     ///
-    /// If the keys can't be read or the socket can't be bound.
+    /// The keys can't be read, or the socket can't be bound.
     pub async fn start(
         config: &MeshConfig,
         name: String,
@@ -96,7 +96,7 @@
         };
         let published = mesh.publish(LIMITER_KIND, &record, LIMITER_TTL, Urgency::Routine);
         if let Err(error) = published {
-            log!("mesh: this limiter's record was not published and will be tried again: {error}");
+            log!("mesh: this limiter's record was not published: {error}; trying again");
         }
         sleep(PUBLISH_INTERVAL).await;
     }
--- a/crates/merlinreel/src/upstream/exchange.rs
+++ b/crates/merlinreel/src/upstream/exchange.rs
@@ -145,9 +145,13 @@
                     *ended = true;
                 }
                 response = &mut response => return response.map_err(|error| {
-                    let stage = if observer.bytes_written() < range.end { "before" } else { "after" };
+                    let consequence = if observer.bytes_written() < range.end {
+                        "the request's last byte was not written, so the server did not run it"
+                    } else {
+                        "the request's last byte was written, so the server may have run it"
+                    };
                     log!(
-                        "server at {}: attempt failed {stage} its last byte was written (servers run complete requests only): {error}",
+                        "server at {}: attempt failed: {error}; {consequence}",
                         self.address
                     );
                     AttemptOutcome::ConnectionLost
--- a/crates/merlinreel/src/upstream/open_connection.rs
+++ b/crates/merlinreel/src/upstream/open_connection.rs
@@ -96,7 +96,7 @@
     match timeout_caught_up(within, connect_with_retry(address)).await {
         Ok(Ok(stream)) => Ok(stream),
         Ok(Err(error)) => {
-            log!("server at {address}: connection failed: {error}");
+            log!("server at {address}: connection failed: {error}; the attempt was not sent");
             Err(match error.kind() {
                 // The server accepted the connection and then reset it, so it is not down.
                 ErrorKind::ConnectionReset => AttemptOutcome::Rejected,
@@ -105,7 +105,9 @@
             })
         }
         Err(_) => {
-            log!("server at {address}: connection not established within {within:?}");
+            log!(
+                "server at {address}: connection not established within {within:?}; the attempt was not sent"
+            );
             Err(AttemptOutcome::Unreachable)
         }
     }
