--- a/crates/merlinreel/src/admin.rs
+++ b/crates/merlinreel/src/admin.rs
@@ -3,7 +3,7 @@
 //! return 404, other methods 405.
 //!
 //! Each connection has its own task. The head of its call must be complete within [`AdminLimits::call_timeout`], and the
-//! connection ends after twice that time, so that a stalled caller delays no other. At most
+//! connection ends after twice that time, so that a slow caller delays no other. At most
 //! [`AdminLimits::max_connections`] are open; a further one closes the oldest.
 //!
 //! [`AdminLimits::call_timeout`]: crate::config::limits::AdminLimits::call_timeout
--- a/crates/merlinreel/src/client/body.rs
+++ b/crates/merlinreel/src/client/body.rs
@@ -104,12 +104,12 @@
     permits: &'a AdmissionPermits,
     deadline: BodyDeadline,
     client_connection: &'a ClientConnection,
-    // Data is copied out of each frame, as keeping the frames would keep the connection's read buffers alive.
+    /// The data received so far, copied out of its frames: keeping these would keep the connection's read buffers alive.
     bytes: Vec<u8>,
     reserved: OwnedSemaphorePermit,
     /// When the next frame is due.
     due: Instant,
-    /// The due time has passed and the poller gets one more turn to report data.
+    /// The due time has passed, and the poller is queried once more.
     is_overdue: bool,
 }
 
--- a/crates/merlinreel/src/client/connection.rs
+++ b/crates/merlinreel/src/client/connection.rs
@@ -196,7 +196,7 @@
         times.body_due.map_or(due, |body_due| due.max(body_due))
     }
 
-    /// Whether the rest of a partial request may be unread in the socket buffer because the limiter is late. While a
+    /// Whether the rest of a partial request may be unread in the socket receive buffer because the limiter is late. While a
     /// response waits for the client to read it, the client is late.
     fn may_have_unread_rest(&self, times: &ConnectionTimes) -> bool {
         times.partial_since.is_some()
--- a/crates/merlinreel/src/client/listener.rs
+++ b/crates/merlinreel/src/client/listener.rs
@@ -16,7 +16,7 @@
 /// `request_reader`, `body`, `eviction` and `shutdown` beside this one.
 pub struct ClientListener {
     pub(super) limits: Limits,
-    /// The settings in force, and the policy's index of each class.
+    /// The active settings, and the policy's index of each class.
     pub(super) active_settings: watch::Receiver<Arc<ActiveSettings>>,
     /// The event loop's queue.
     pub(super) queue: Queue,
--- a/crates/merlinreel/src/client/request_reader.rs
+++ b/crates/merlinreel/src/client/request_reader.rs
@@ -106,7 +106,7 @@
         client_connection: &ClientConnection,
     ) -> Result<CompleteRequest, Response<Full<Bytes>>> {
         let (head, body) = request.into_parts();
-        // A request keeps the settings in force when its head was read, even if others are loaded later.
+        // A request keeps the settings that were active when its head was read, even if others are loaded later.
         let active_settings = self.active_settings.borrow().clone();
         let mut request = decode(&head, &active_settings.settings)
             .map_err(|error| text_response(StatusCode::BAD_REQUEST, format!("{error}\n")))?;
--- a/crates/merlinreel/src/client/stream.rs
+++ b/crates/merlinreel/src/client/stream.rs
@@ -30,7 +30,7 @@
 
 /// A lingering close: the limiter's side is shut down and the client's side is not closed yet.
 struct LingeringClose {
-    /// Ends the wait if there is no unread data in the socket buffer.
+    /// Ends the wait if there is no unread data in the socket receive buffer.
     timeout: Pin<Box<Sleep>>,
     /// Ends the wait in any case.
     timeout_with_unread: Pin<Box<Sleep>>,
@@ -56,9 +56,9 @@
     reserved: Option<OwnedSemaphorePermit>,
     /// Set once more data arrived than may be read ahead. The excess is dropped, and the HTTP library gets nothing after it.
     overflowed: bool,
-    /// How long a close waits for the client to close its side if there is no unread data in the socket buffer.
+    /// How long a close waits for the client to close its side if there is no unread data in the socket receive buffer.
     linger_timeout: Duration,
-    /// How long a close waits for the client if there is unread data in the socket buffer.
+    /// How long a close waits for the client if there is unread data in the socket receive buffer.
     linger_timeout_with_unread: Duration,
     lingering: Option<LingeringClose>,
 }
--- a/crates/merlinreel/src/config/limits.rs
+++ b/crates/merlinreel/src/config/limits.rs
@@ -125,7 +125,7 @@
     pub watch_timeout: Duration,
     /// `watch_timeout` of a watch whose response is needed at once: for the first list, or after a failed call.
     pub immediate_timeout: Duration,
-    /// A call without a response for this long after its wait counts as unresponsive; another one is started in parallel.
+    /// A call without a response for this long after its wait counts as silent; another one is started in parallel.
     pub response_grace: Duration,
     /// Maximum number of calls that are open at once.
     pub max_open_calls: usize,
@@ -144,7 +144,7 @@
     pub queue_length: usize,
     /// Maximum number of events processed in one batch.
     pub batch_size: usize,
-    /// Attempts end this long before the client gives up, so that the response reaches the client in time.
+    /// Attempts end this long before the client stops waiting, so that the response reaches the client in time.
     pub response_margin: Duration,
 }
 
@@ -198,8 +198,8 @@
 const POOLED_IDLE_FRACTION: f64 = 0.6;
 /// Time after the longest deadline within which the last request of a shutdown is answered.
 const SHUTDOWN_MARGIN: Duration = Duration::from_millis(300);
-/// Upper bound of the longest deadline in a shutdown: the process is killed no sooner than 0.7 s after that deadline, of
-/// which at most this counts.
+/// Cap of the longest class deadline in a shutdown: the process is killed no sooner than 0.7 s after the longest deadline,
+/// capped at this.
 const MAX_SHUTDOWN_DEADLINE: Duration = Duration::from_secs(3);
 
 /// Numbers of connections and sizes of buffers (in KiB), derived from the configured descriptors and memory.
@@ -333,7 +333,7 @@
 impl EndpointWatchLimits {
     fn new(memory_mb: u32, settings: &Settings) -> EndpointWatchLimits {
         let memory_bytes = (memory_mb as usize) << 20;
-        // The grace period of a drain starts at the end of a discovery outage, so an unresponsive call must be replaced
+        // The grace period of a drain starts at the end of a discovery outage, so a silent call must be replaced
         // within half of it.
         let half_grace = settings.endpoints.drain_grace / 2;
         EndpointWatchLimits {
@@ -390,7 +390,7 @@
     }
 }
 
-/// Time from the shutdown signal until the last request is answered, for the classes in force. This is before the process is
+/// Time from the shutdown signal until the last request is answered, for the active classes. This is before the process is
 /// killed, which happens no sooner than the longest deadline (of which at most 3 s count) plus 0.7 s.
 pub fn shutdown_deadline(classes: &[RequestClass]) -> Duration {
     let longest = classes.iter().map(|class| class.deadline).max();
--- a/crates/merlinreel/src/messages.rs
+++ b/crates/merlinreel/src/messages.rs
@@ -69,8 +69,8 @@
     pub request_id: u64,
     /// The request as the policy sees it; the event loop fills in its index and its remaining time.
     pub request: Request,
-    /// When the client gives up. Decisions and attempts use the same deadline: otherwise an attempt could be decided, found
-    /// to be too late and decided again at once.
+    /// When the client stops waiting for a response. Decisions and attempts use the same deadline: otherwise an attempt
+    /// could be decided, found to be too late and decided again at once.
     pub deadline: Instant,
     /// The request to be sent to a server.
     pub upstream_request: UpstreamRequest,
@@ -119,10 +119,10 @@
 /// The sending side of the event loop's queue.
 pub type Queue = mpsc::Sender<Event>;
 
-/// The settings in force for client requests, with the policy's index of each of their classes.
+/// The active settings for client requests, with the policy's index of each of their classes.
 #[derive(Debug)]
 pub struct ActiveSettings {
-    /// The settings in force.
+    /// The settings by which new client requests are decoded.
     pub settings: Settings,
     /// The policy's index of each class, by the position of the class in `settings.classes`.
     pub indices: Vec<usize>,
--- a/crates/merlinreel/src/telemetry/metrics.rs
+++ b/crates/merlinreel/src/telemetry/metrics.rs
@@ -4,7 +4,7 @@
 //! Format of `/stats`, one metric per line, as in statsd (`|c` is a count since start, `|g` a current value):
 //!
 //! ```text
-//! limiter.requests.C.served:812|c      (also refused, failed, attempts; C a class of the settings in force)
+//! limiter.requests.C.served:812|c      (also refused, failed, attempts; C a class of the active settings)
 //! limiter.attempts:900|c               (attempts completely written to servers)
 //! limiter.rejected.quota:3|c           (also late_arrival, no_server_in_time, attempts_failed, too_many_in_flight, too_many_connections)
 //! limiter.in_flight:14|g               (requests in flight)
@@ -52,9 +52,9 @@
 /// Outcome of a reload of the configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReloadOutcome {
-    /// The new configuration is in force.
+    /// The new configuration is in use.
     Applied,
-    /// The new configuration was unreadable or invalid, and the previous one stays in force.
+    /// The new configuration was unreadable or invalid, and the previous one stays in use.
     Failed,
 }
 
@@ -67,18 +67,18 @@
     attempts: AtomicU64,
 }
 
-/// The classes that have counts: those in force, and earlier ones, which keep their counts.
+/// The classes that have counts: the active ones, and earlier ones, which keep their counts.
 #[derive(Default)]
 struct Classes {
     counts: BTreeMap<String, Arc<ClassCounts>>,
-    /// Names of the classes in force; requests of other classes are not counted.
+    /// Names of the active classes; requests of other classes are not counted.
     current: Vec<String>,
 }
 
 /// All metrics of the process.
 #[derive(Default)]
 pub struct Metrics {
-    /// One lock for the counts and the names in force, taken once per response or attempt.
+    /// One lock for the counts and the names of the active classes, taken once per response or attempt.
     classes: Mutex<Classes>,
     attempts: AtomicU64,
     /// Servers listed and not removed.
@@ -131,14 +131,14 @@
 }
 
 impl Metrics {
-    /// Creates metrics with all counts at 0 and these classes in force.
+    /// Creates metrics with all counts at 0 and these classes active.
     pub fn new(classes: &[String]) -> Arc<Metrics> {
         let metrics = Arc::new(Metrics::default());
         metrics.set_classes(classes);
         metrics
     }
 
-    /// Sets the names of the classes in force. Counts of other classes are kept.
+    /// Sets the names of the active classes. Counts of other classes are kept.
     pub fn set_classes(&self, names: &[String]) {
         let mut classes = lock(&self.classes);
         for name in names {
@@ -147,7 +147,7 @@
         classes.current = names.to_vec();
     }
 
-    /// The counts of a class; `None` if it is not in force.
+    /// The counts of a class; `None` if it is not active.
     fn class_counts(&self, class: &str) -> Option<Arc<ClassCounts>> {
         let classes = lock(&self.classes);
         classes
@@ -158,7 +158,7 @@
             .flatten()
     }
 
-    /// Counts a response to a request of `class`, if the class is in force.
+    /// Counts a response to a request of `class`, if the class is active.
     pub fn count_response(&self, class: &str, outcome: ResponseOutcome) {
         let Some(counts) = self.class_counts(class) else {
             return;
@@ -171,7 +171,7 @@
         count.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Counts an attempt whose last byte was written to its server, in total and for `class` if it is in force.
+    /// Counts an attempt whose last byte was written to its server, in total and for `class` if it is active.
     pub fn count_attempt(&self, class: &str) {
         self.attempts.fetch_add(1, Ordering::Relaxed);
         if let Some(counts) = self.class_counts(class) {
