--- a/crates/merlinreel-policy/src/lib.rs
+++ b/crates/merlinreel-policy/src/lib.rs
@@ -13,12 +13,14 @@
 //! `limiter.rs` processes one batch from beginning to end. `model`, `events` and `actions` define the types of the
 //! interface. The decisions are in three modules, each of which also has the state that they need: `quota` (one account
 //! per customer, and how limiters share the counts), `server` (limits, health, slow start and selection of servers) and
-//! `request` (admission, queue, retries and the final response). [`peer_batch`] encodes the messages between limiters.
+//! `request` (admission, queue, retries and the final response). `expiry` decides when unused accounts and servers are
+//! dropped. [`peer_batch`] encodes the messages between limiters.
 //!
 //! # Files that make decisions
 //!
 //! The files listed under `policy` in `deploy/balancer.toml` make the decisions. Their module comments begin with
-//! "Decides", except for that of `limiter.rs`, which combines them. All other files hold state, count and convert.
+//! "Decides" or "Decisions", except those of `limiter.rs`, which combines them, and `quota/peer_reports.rs`, which
+//! applies the messages of other limiters. All other files hold state, count and convert.
 
 #![warn(missing_docs)]
 
--- a/crates/merlinreel-policy/src/server/attempt_results.rs
+++ b/crates/merlinreel-policy/src/server/attempt_results.rs
@@ -1,4 +1,4 @@
-//! Updates what is known of a server, and of all servers together, from the result of an attempt.
+//! Decides how the result of an attempt changes what is known of its server and of all servers together.
 
 use super::concurrency_limit::{min_limit, next_limit_multiplier, slow_threshold_seconds};
 use super::fleet_latency::FleetLatency;
--- a/crates/merlinreel-policy/src/server/concurrency_limit.rs
+++ b/crates/merlinreel-policy/src/server/concurrency_limit.rs
@@ -1,5 +1,5 @@
-//! Adjusts the concurrency limit of each server, and the multiplier of all limits, by response latency and by the load
-//! that servers report.
+//! Decides how many attempts a server may have in flight: adjusts the concurrency limit of each server, and the
+//! multiplier of all limits, by response latency and by the load that servers report.
 
 use super::server_state::Server;
 use crate::model::attempt::LoadReport;
--- a/crates/merlinreel-policy/src/server/endpoint_updates.rs
+++ b/crates/merlinreel-policy/src/server/endpoint_updates.rs
@@ -1,4 +1,4 @@
-//! Applies updates of the endpoint list, and renews the subscription to it.
+//! Decides how updates of the endpoint list change the servers, and when the subscription to the list is renewed.
 
 use super::concurrency_limit::initial_limit;
 use super::pool::ServerPool;
--- a/crates/merlinreel-policy/src/server/outlier_ejection.rs
+++ b/crates/merlinreel-policy/src/server/outlier_ejection.rs
@@ -1,4 +1,4 @@
-//! Ejects servers after failures, and decides which of them have probably restarted.
+//! Decides which servers are ejected after failures, and which of them have probably restarted.
 
 use super::fleet_latency::FleetLatency;
 use super::pool::ServerPool;
--- a/crates/merlinreel-policy/src/server/overdue_attempts.rs
+++ b/crates/merlinreel-policy/src/server/overdue_attempts.rs
@@ -1,4 +1,4 @@
-//! Detects overdue attempts, and decides which servers have failed and which attempts are cancelled because of them.
+//! Decides which attempts are overdue, and which servers have failed and which attempts are cancelled because of that.
 
 use super::fleet_latency::FleetLatency;
 use super::pool::ServerPool;
--- a/crates/merlinreel-policy/src/server/selection.rs
+++ b/crates/merlinreel-policy/src/server/selection.rs
@@ -1,4 +1,4 @@
-//! Selects the server for an attempt.
+//! Decides which server an attempt is sent to.
 
 use super::fleet_latency::FleetLatency;
 use super::pool::ServerPool;
--- a/crates/merlinreel-policy/src/server/slow_start.rs
+++ b/crates/merlinreel-policy/src/server/slow_start.rs
@@ -1,4 +1,4 @@
-//! Slow start: estimates which fraction of its full capacity a recently started server has.
+//! Decides which fraction of its full capacity a recently started server is assumed to have (slow start).
 
 use super::pool::ServerPool;
 use super::server_state::Server;
--- a/crates/merlinreel-policy/src/server/start_clock.rs
+++ b/crates/merlinreel-policy/src/server/start_clock.rs
@@ -1,4 +1,4 @@
-//! Estimates how long ago servers started, even where this limiter's own wall clock is wrong.
+//! Decides how long ago servers are assumed to have started, even where this limiter's own wall clock is wrong.
 
 use std::time::Duration;
 
--- a/crates/merlinreel-policy/src/server/subset.rs
+++ b/crates/merlinreel-policy/src/server/subset.rs
@@ -1,4 +1,4 @@
-//! Deterministic subsetting: chooses the servers that this limiter regularly sends to, where limiters are many.
+//! Decides which servers this limiter regularly sends to, where limiters are many (deterministic subsetting).
 
 use super::pool::ServerPool;
 use super::server_state::Server;
