--- a/crates/merlinreel/src/upstream/exchange.rs
+++ b/crates/merlinreel/src/upstream/exchange.rs
@@ -145,13 +145,9 @@
                     *ended = true;
                 }
                 response = &mut response => return response.map_err(|error| {
-                    let consequence = if observer.bytes_written() < range.end {
-                        "the request's last byte was not written, so the server did not run it"
-                    } else {
-                        "the request's last byte was written, so the server may have run it"
-                    };
+                    let stage = if observer.bytes_written() < range.end { "before" } else { "after" };
                     log!(
-                        "server at {}: attempt failed: {error}; {consequence}",
+                        "server at {}: attempt failed {stage} its last byte was written: {error}; servers run only complete requests",
                         self.address
                     );
                     AttemptOutcome::ConnectionLost
