--- a/crates/merlinreel-policy/src/server/attempt_results.rs
+++ b/crates/merlinreel-policy/src/server/attempt_results.rs
@@ -1,4 +1,4 @@
-//! Updates what is known of a server, and of all servers together, from the result of an attempt.
+//! Decides how the result of an attempt changes what is known of its server and of all servers together.
 
 use super::concurrency_limit::{min_limit, next_limit_multiplier, slow_threshold_seconds};
 use super::fleet_latency::PoolLatency;
@@ -98,7 +98,7 @@
     latency.success_seconds.add(now, latency_seconds);
     let lowest_mean = latency
         .success_seconds
-        .least_mean(&latency.successes, MIN_BASELINE_RESPONSES);
+        .min_mean(&latency.successes, MIN_BASELINE_RESPONSES);
     if let Some(seconds) = lowest_mean {
         latency.baseline_seconds = seconds;
     }
