--- a/crates/merlinreel/src/startup/sockets.rs
+++ b/crates/merlinreel/src/startup/sockets.rs
@@ -1,11 +1,11 @@
-//! The sockets that a limiter listens at.
+//! Binds the sockets for clients, peers and the admin endpoint.
 
 use crate::client::ListenerOrigin;
 use crate::config::GatewayConfig;
 use crate::log;
 use crate::net::backoff::Backoff;
-use crate::net::system_errors::is_of_this_machine;
-use crate::peers::{PeerSender, PortSharing};
+use crate::net::system_errors::is_local_error;
+use crate::peers::{PeerSocket, PortSharing};
 use std::io;
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -13,20 +13,21 @@
 
 /// The sockets for clients and peers.
 pub struct Sockets {
-    /// Where clients connect.
+    /// The listening socket for clients.
     pub listener: TcpListener,
-    /// Where the listener comes from.
+    /// Whether the listening socket was bound or inherited.
     pub origin: ListenerOrigin,
-    /// Where peer messages arrive; none where limiters exchange none.
-    pub peer_sender: Option<PeerSender>,
+    /// The socket for peer messages; `None` if this limiter exchanges none.
+    pub peer_socket: Option<PeerSocket>,
 }
 
 impl Sockets {
-    /// Binds the configured addresses. Clients connect to `inherited` where the platform passes a listener on.
+    /// Binds the configured addresses. If the platform passes a listening socket on, `inherited` replaces the one for
+    /// clients.
     ///
     /// # Errors
     ///
-    /// A socket can't be bound; the error's text begins with the key of its address.
+    /// A socket can't be bound. The error's text begins with the key of its address.
     pub async fn bind(
         config: &GatewayConfig,
         inherited: Option<std::net::TcpListener>,
@@ -36,7 +37,7 @@
         } else {
             ListenerOrigin::Bound
         };
-        let peer_sender = bind_peers(config, origin).await?;
+        let peer_socket = bind_peers(config, origin).await?;
         let listener = match inherited {
             Some(listener) => TcpListener::from_std(listener)
                 .map_err(|error| with_address("PROXY_LISTEN_FD", config.listen, error))?,
@@ -45,28 +46,31 @@
         Ok(Sockets {
             listener,
             origin,
-            peer_sender,
+            peer_socket,
         })
     }
 
-    /// Logs where clients connect.
+    /// Logs the address at which clients connect.
     pub fn log_address(&self, config: &GatewayConfig) {
         let address = self
             .listener
             .local_addr()
             .map_or_else(|_| config.listen.to_string(), |address| address.to_string());
         let origin = match self.origin {
-            ListenerOrigin::Inherited => ", on the inherited socket",
+            ListenerOrigin::Inherited => " (inherited socket)",
             ListenerOrigin::Bound => "",
         };
-        log!("{} accepts requests at {address}{origin}", config.name);
+        log!(
+            "clients: limiter {} accepts connections at {address}{origin}",
+            config.name
+        );
     }
 }
 
 async fn bind_peers(
     config: &GatewayConfig,
     origin: ListenerOrigin,
-) -> io::Result<Option<PeerSender>> {
+) -> io::Result<Option<PeerSocket>> {
     let Some(address) = config
         .peer_listen
         .filter(|_| config.settings.fleet.peer_messages)
@@ -78,7 +82,7 @@
         ListenerOrigin::Bound => PortSharing::Exclusive,
     };
     bind_with_retry(config.limits.listener.bind_timeout, async || {
-        PeerSender::open(address, &config.peers, sharing).await
+        PeerSocket::open(address, &config.peers, sharing).await
     })
     .await
     .map(Some)
@@ -105,8 +109,8 @@
         .map_err(|error| with_address("ops", address, error))
 }
 
-/// Binds a socket, and tries again for a while where the fault is this machine's and may be over in a moment, as with an
-/// address that the process before still holds.
+/// Binds a socket. For the time `within`, retries errors of this machine that may be temporary, such as an address that the
+/// previous process still uses.
 async fn bind_with_retry<T>(
     within: Duration,
     bind: impl AsyncFn() -> io::Result<T>,
@@ -115,7 +119,7 @@
     let mut backoff = Backoff::default();
     loop {
         match bind().await {
-            Err(error) if is_of_this_machine(&error) && started.elapsed() < within => {
+            Err(error) if is_local_error(&error) && started.elapsed() < within => {
                 backoff.pause().await;
             }
             result => return result,
@@ -123,7 +127,7 @@
     }
 }
 
-/// Listens at an address that a process before may have released just now, with at most `backlog` connections waiting.
+/// Listens at an address that a previous process may just have released, with an accept queue of `backlog` connections.
 fn listen(address: SocketAddr, backlog: u32) -> io::Result<TcpListener> {
     let socket = TcpSocket::new_v4()?;
     socket.set_reuseaddr(true)?;
@@ -132,5 +136,8 @@
 }
 
 fn with_address(key: &str, address: SocketAddr, error: io::Error) -> io::Error {
-    io::Error::new(error.kind(), format!("{key}: {address}: {error}"))
+    io::Error::new(
+        error.kind(),
+        format!("{key}: cannot listen at {address}: {error}"),
+    )
 }
