--- a/crates/merlinreel-testkit/src/link/tcp.rs
+++ b/crates/merlinreel-testkit/src/link/tcp.rs
@@ -34,9 +34,7 @@
     /// There is no free port.
     pub fn to(target: SocketAddr, seed: u64) -> TcpLink {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
-        let address = listener
-            .local_addr()
-            .expect("the listener has a local address");
+        let address = listener.local_addr().expect("bound");
         let relay = Relay {
             target,
             forward: LinkDirection::new(seed),
