--- a/crates/merlinreel-testkit/src/checker/fault_timeline.rs
+++ b/crates/merlinreel-testkit/src/checker/fault_timeline.rs
@@ -148,7 +148,7 @@
     }
 }
 
-/// Ends all intervals that have not ended before.
+/// Ends at `at` all intervals that have not ended by then.
 fn end_open_intervals(intervals: Option<&mut Vec<Interval>>, at: Duration) {
     for interval in intervals.into_iter().flatten() {
         interval.end = interval.end.min(at);
--- a/crates/merlinreel-testkit/src/checker/violation.rs
+++ b/crates/merlinreel-testkit/src/checker/violation.rs
@@ -11,7 +11,7 @@
     pub id: RequestId,
     /// Index of the limiter that made the attempt.
     pub limiter: usize,
-    /// When the client began to write the request.
+    /// When the client began to write the request, or its second part if it was sent in two.
     pub sent_at: Duration,
     /// When the client had written the last byte of the request; `None` if it had not by the end of the log.
     pub written_at: Option<Duration>,
--- a/crates/merlinreel-testkit/src/cluster.rs
+++ b/crates/merlinreel-testkit/src/cluster.rs
@@ -106,7 +106,7 @@
     }
 }
 
-/// Running limiters, stub servers, and the links between them. Limiters and servers are identified by their indexes, from
+/// Running limiters, stub servers, and the links between them. Limiters and servers are identified by their indices, from
 /// 0.
 #[derive(Debug)]
 pub struct Cluster {
--- a/crates/merlinreel-testkit/src/event_log.rs
+++ b/crates/merlinreel-testkit/src/event_log.rs
@@ -15,10 +15,10 @@
     pub server: usize,
 }
 
-/// An observed event. Limiters and servers are identified by their indexes in the cluster, from 0.
+/// An observed event. Limiters and servers are identified by their indices in the cluster, from 0.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// A client is about to write a complete request to a limiter.
+    /// A client is about to write a request to a limiter, or the second part of a request that it sends in two.
     RequestSent {
         /// Unique id of the new request.
         id: RequestId,
@@ -96,7 +96,7 @@
         /// Index of the limiter.
         limiter: usize,
     },
-    /// The limiter's process is sent SIGTERM. If it doesn't exit in time, [`Event::LimiterKilled`] follows.
+    /// The limiter's process is about to be sent SIGTERM. If it doesn't exit in time, [`Event::LimiterKilled`] follows.
     LimiterTerminated {
         /// Index of the limiter.
         limiter: usize,
@@ -106,12 +106,12 @@
         /// Index of the limiter.
         limiter: usize,
     },
-    /// The connections of the burst were closed.
+    /// The connections opened since [`Event::BurstStarted`] to occupy the limiter's connection slots were closed.
     BurstEnded {
         /// Index of the limiter.
         limiter: usize,
     },
-    /// The limiter's process is sent SIGSTOP.
+    /// The limiter's process is about to be sent SIGSTOP.
     LimiterSuspended {
         /// Index of the limiter.
         limiter: usize,
--- a/crates/merlinreel-testkit/src/fault_plan.rs
+++ b/crates/merlinreel-testkit/src/fault_plan.rs
@@ -11,7 +11,7 @@
 /// the old process no longer runs by then.
 const RESTART_DELAY_AFTER_SIGTERM: Duration = Duration::from_millis(2500);
 
-/// A fault, or the recovery from one. Limiters and servers are identified by their indexes in the cluster, from 0.
+/// A fault, or the recovery from one. Limiters and servers are identified by their indices in the cluster, from 0.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
     /// A fault of a limiter's process, its configuration, its clients or its discovery.
@@ -58,7 +58,7 @@
     Reload,
     /// Occupies all connection slots with connections that never send a complete request.
     StartConnectionBurst,
-    /// Closes the connections of the burst.
+    /// Closes the connections that [`LimiterFault::StartConnectionBurst`] opened.
     EndConnectionBurst,
     /// Makes the limiter's discovery stop responding. Connections to it stay open.
     SilenceDiscovery,
--- a/crates/merlinreel-testkit/src/fault_plan/wide.rs
+++ b/crates/merlinreel-testkit/src/fault_plan/wide.rs
@@ -71,6 +71,8 @@
         self.process_faulty_until[limiter] = restarted_at;
     }
 
+    /// Reloads the limiter's configuration three times. With more than three servers, the last server begins to drain
+    /// before the first reload.
     fn reload_during_drain(&mut self, limiter: usize, start: Duration) {
         let server = self.servers - 1;
         if server > 2 {
--- a/crates/merlinreel-testkit/src/load_client.rs
+++ b/crates/merlinreel-testkit/src/load_client.rs
@@ -63,7 +63,7 @@
     /// One request at a time, in two parts with this pause between them. [`Event::RequestSent`] is recorded at the second
     /// part.
     PausingMidRequest(Duration),
-    /// One request at a time, with a body of this many one-byte chunks.
+    /// One request at a time, always non-idempotent, with a body of this many one-byte chunks.
     Chunked(usize),
 }
 
@@ -87,8 +87,9 @@
 }
 
 impl LoadClient {
-    /// Sends requests of each class in turn until `stop` is set. The connection is kept as long as it stays open. After that
-    /// the client reconnects only while `accepts_connections` is set, as through a load balancer in front of the limiter.
+    /// Sends requests until `stop` is set: of each class in turn, or only uploads with [`RequestPattern::Chunked`]. The
+    /// connection is kept as long as it stays open. After that the client reconnects only while `accepts_connections` is
+    /// set, as through a load balancer in front of the limiter.
     pub fn run(&self, log: &EventLog, stop: &AtomicBool, accepts_connections: &AtomicBool) {
         let mut open: Option<Client> = None;
         let mut sequence = self.customer as usize;
--- a/crates/merlinreel-testkit/src/scale/configuration.rs
+++ b/crates/merlinreel-testkit/src/scale/configuration.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 /// Default numbers of routes, each of which is a request class. The settings allow 4,096; above that, reading fails.
-/// 110,000 is the full size.
+/// 110,000 is the number of a deployment of full size.
 pub const DEFAULT_SIZES: &[u64] = &[100, 1_000, 4_000, 4_096, 4_097, 10_000, 110_000];
 /// Default numbers of plans.
 pub const PLAN_SIZES: &[u64] = DEFAULT_SIZES;
@@ -41,7 +41,7 @@
 /// Varies the number of routes. Each is a request class with limits of its own.
 ///
 /// # Errors
-/// A size exceeds the memory bound, or a measurement fails.
+/// A size exceeds the memory limit, or a measurement fails.
 pub fn measure(request: &MeasureRequest, emit: Emit) -> Result<(), ScaleError> {
     // Kept until the end: the next size would reuse freed memory, and its own use of memory would not show.
     let mut limiters = Vec::new();
@@ -63,7 +63,7 @@
 /// Varies the number of plans.
 ///
 /// # Errors
-/// A size exceeds the memory bound, or a measurement fails.
+/// A size exceeds the memory limit, or a measurement fails.
 pub fn measure_plans(request: &MeasureRequest, emit: Emit) -> Result<(), ScaleError> {
     let mut files = Vec::new();
     for &size in &request.sizes {
--- a/crates/merlinreel-testkit/src/scale/configuration/decision_module.rs
+++ b/crates/merlinreel-testkit/src/scale/configuration/decision_module.rs
@@ -25,7 +25,7 @@
 /// Varies the number of reloads of the settings, each with one changed class.
 ///
 /// # Errors
-/// A size exceeds the memory bound, or a measurement fails.
+/// A size exceeds the memory limit, or a measurement fails.
 pub fn measure_reloads(request: &MeasureRequest, emit: Emit) -> Result<(), ScaleError> {
     // Kept until the end: the next size would reuse freed memory, and its own use of memory would not show.
     let mut limiters = Vec::new();
--- a/crates/merlinreel-testkit/src/scale/configuration/file.rs
+++ b/crates/merlinreel-testkit/src/scale/configuration/file.rs
@@ -6,8 +6,8 @@
 use merlinreel_settings::{Settings, SettingsTree};
 use serde_json::Value;
 
-/// Entries that are read at least in one run. Reading is repeated as often as the size needs, as the kernel counts
-/// processor time in steps of some milliseconds.
+/// Minimum number of entries read in one run. Smaller files are read repeatedly, as the kernel counts processor time
+/// in steps of some milliseconds.
 const ENTRIES_PER_RUN: u64 = 50_000;
 
 /// Everything that is held in memory while a file is read.
--- a/crates/merlinreel-testkit/src/scale/latency.rs
+++ b/crates/merlinreel-testkit/src/scale/latency.rs
@@ -119,7 +119,7 @@
 /// Varies the request rate.
 ///
 /// # Errors
-/// A size exceeds the memory bound, a request does not get the expected response, or a data point can't be written.
+/// A size exceeds the memory limit, a request does not get the expected response, or a data point can't be written.
 pub fn measure_rate(request: &MeasureRequest, emit: Emit) -> Result<(), ScaleError> {
     let setting = |size| LatencySetting {
         requests_per_second: size,
@@ -131,7 +131,7 @@
 /// Varies the number of servers listed.
 ///
 /// # Errors
-/// A size exceeds the memory bound, a request does not get the expected response, or a data point can't be written.
+/// A size exceeds the memory limit, a request does not get the expected response, or a data point can't be written.
 pub fn measure_servers(request: &MeasureRequest, emit: Emit) -> Result<(), ScaleError> {
     let setting = |size| LatencySetting {
         servers: size,
@@ -143,7 +143,7 @@
 /// Varies the length of response bodies.
 ///
 /// # Errors
-/// A size exceeds the memory bound, a request does not get the expected response, or a data point can't be written.
+/// A size exceeds the memory limit, a request does not get the expected response, or a data point can't be written.
 pub fn measure_response_sizes(request: &MeasureRequest, emit: Emit) -> Result<(), ScaleError> {
     let setting = |size| LatencySetting {
         response_bytes: size,
--- a/crates/merlinreel-testkit/src/scale/membership.rs
+++ b/crates/merlinreel-testkit/src/scale/membership.rs
@@ -44,14 +44,14 @@
     role: "membership_restart_of_one",
     name: "limiters",
 };
-/// Simulated time after convergence in which the limiters still relay what they learnt about each other.
+/// Simulated time after convergence in which the limiters still relay what they learned about each other.
 const SETTLE: Duration = Duration::from_secs(10);
 /// Timeout for convergence after the restart of one limiter, in simulated time.
 const RESTART_OF_ONE_TIMEOUT: Duration = Duration::from_secs(1200);
 /// How long a restarting limiter is down.
 const DOWNTIME: Duration = Duration::from_secs(2);
 /// Upper estimate of the memory in which one limiter holds its information about another. Only checked against the
-/// memory bound.
+/// memory limit.
 const BYTES_PER_PAIR: u64 = 1600;
 /// Conditions of all measurements, as part of a data point's `setting` text.
 const CONDITIONS: &str = "1 % loss, 1 to 3 ms on the way, one record of its own each";
@@ -108,7 +108,7 @@
 /// propagation of urgent and routine records.
 ///
 /// # Errors
-/// A size exceeds the memory bound, or a measurement fails.
+/// A size exceeds the memory limit, or a measurement fails.
 pub fn measure(request: &MeasureRequest, emit: Emit) -> Result<(), ScaleError> {
     for &size in &request.sizes {
         check_memory(request, size)?;
@@ -132,7 +132,7 @@
 /// Varies the rate at which random limiters in a fleet of [`FIXED_LIMITERS`] publish urgent records.
 ///
 /// # Errors
-/// The fleet exceeds the memory bound, or a measurement fails.
+/// The fleet exceeds the memory limit, or a measurement fails.
 pub fn measure_changes(request: &MeasureRequest, emit: Emit) -> Result<(), ScaleError> {
     check_memory(request, FIXED_LIMITERS as u64)?;
     let mut fleet = start_settled_fleet(FIXED_LIMITERS, request.seed)?;
@@ -148,7 +148,7 @@
 /// Varies how many of [`FIXED_LIMITERS`] restart at once, without their earlier state.
 ///
 /// # Errors
-/// The fleet exceeds the memory bound, or a measurement fails.
+/// The fleet exceeds the memory limit, or a measurement fails.
 pub fn measure_restarts(request: &MeasureRequest, emit: Emit) -> Result<(), ScaleError> {
     check_memory(request, FIXED_LIMITERS as u64)?;
     for &size in &request.sizes {
@@ -168,7 +168,7 @@
 /// Varies the number of limiters, one of which restarts without its earlier state while the fleet is idle.
 ///
 /// # Errors
-/// A size exceeds the memory bound, or a measurement fails.
+/// A size exceeds the memory limit, or a measurement fails.
 pub fn measure_restart_of_one(request: &MeasureRequest, emit: Emit) -> Result<(), ScaleError> {
     for &size in &request.sizes {
         check_memory(request, size)?;
--- a/crates/merlinreel-testkit/src/scale/membership/convergence.rs
+++ b/crates/merlinreel-testkit/src/scale/membership/convergence.rs
@@ -4,7 +4,7 @@
 use crate::scale::{Meter, Report, ScaleError, Traffic, Unit};
 use std::time::Duration;
 
-/// Simulated time between two checks whether each limiter knows nearly all others.
+/// Simulated time between two checks of whether each limiter knows nearly all others.
 const NEARLY_CONVERGED_CHECK_INTERVAL: Duration = Duration::from_secs(2);
 
 /// Runs the fleet until it has converged or the timeout has passed. Reports the time and traffic that this took, and
--- a/crates/merlinreel-testkit/src/scale/membership/fleet.rs
+++ b/crates/merlinreel-testkit/src/scale/membership/fleet.rs
@@ -26,7 +26,7 @@
 const PORT: u16 = 7946;
 /// Limiters start at random times within this duration, so that their timers are not synchronized.
 const START_SPREAD: Duration = Duration::from_secs(1);
-/// Simulated time between two checks whether the fleet has converged.
+/// Simulated time between two checks of whether the fleet has converged.
 const CONVERGENCE_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
 /// The configuration of a fleet.
--- a/crates/merlinreel-testkit/src/scale/membership/fleet/knowledge.rs
+++ b/crates/merlinreel-testkit/src/scale/membership/fleet/knowledge.rs
@@ -3,7 +3,7 @@
 use super::{Fleet, LIMITER_KIND, limiter_at};
 use merlinreel_mesh::Member;
 
-/// Share of the other limiters, and of their records, that each limiter knows in a nearly converged fleet.
+/// A fleet has nearly converged if each limiter knows at least this share of the other limiters and of their records.
 const NEARLY_COMPLETE_FRACTION: f64 = 0.99;
 
 /// Shares of the other limiters and their records that the limiters know, from 0 to 1. A limiter that is down knows
@@ -21,7 +21,7 @@
 }
 
 impl Knowledge {
-    /// Whether each limiter knows 99 % of the others and of their records.
+    /// Whether each limiter knows at least 99 % of the others and of their records.
     pub fn is_nearly_complete(&self) -> bool {
         self.least_members >= NEARLY_COMPLETE_FRACTION
             && self.least_records >= NEARLY_COMPLETE_FRACTION
--- a/crates/merlinreel-testkit/src/scale/membership/propagation.rs
+++ b/crates/merlinreel-testkit/src/scale/membership/propagation.rs
@@ -6,9 +6,11 @@
 use merlinreel_mesh::PublishError;
 use std::time::Duration;
 
-/// Simulated time between two checks whether all limiters hold the watched records.
+/// Simulated time between two checks of whether all limiters hold the watched records.
 const WATCH_CHECK_INTERVAL: Duration = Duration::from_millis(500);
+/// Number of urgent records whose propagation is measured, each published by a random limiter.
 const URGENT_RECORDS: usize = 3;
+/// Number of routine records whose propagation is measured, each published by a random limiter.
 const ROUTINE_RECORDS: usize = 8;
 /// Times after publication at which the share of limiters that hold a routine record is reported, with the metric.
 /// Times after the end of the watch are left out.
@@ -19,7 +21,8 @@
 ];
 /// A change of configuration must have reached all limiters within this time.
 const MAX_URGENT_PROPAGATION: Duration = Duration::from_secs(4);
-/// Simulated time for which changes are published at a rate.
+/// Simulated duration of each of the two phases in which changes are published: one to measure their cost,
+/// one to measure their propagation.
 const CHANGES_DURATION: Duration = Duration::from_secs(20);
 const SECONDS_PER_DAY: u64 = 86_400;
 /// Simulated time between a routine record and an urgent one of the same limiter.
@@ -40,8 +43,8 @@
     seconds_until_last: "routine_seconds_until_last",
 };
 
-/// Publishes urgent and routine records at the same time, and reports which share of the limiters holds them after some
-/// times, and when all do.
+/// Publishes urgent and routine records at the same time, and reports the share of the limiters that hold them at given
+/// times after publication, and when all do.
 pub fn report_records(
     fleet: &mut Fleet,
     report: &mut Report,
--- a/crates/merlinreel-testkit/src/scale/membership/record_watch.rs
+++ b/crates/merlinreel-testkit/src/scale/membership/record_watch.rs
@@ -11,7 +11,7 @@
 #[derive(Clone, Debug)]
 pub struct RecordWatch {
     owner: SocketAddrV4,
-    /// Number in the body of the record.
+    /// The record's number, which is also its body, as decimal digits. Records published later have higher numbers.
     number: u64,
     /// Simulated time of the publication.
     published_at: Duration,
--- a/crates/merlinreel-testkit/src/scale/quotas.rs
+++ b/crates/merlinreel-testkit/src/scale/quotas.rs
@@ -1,4 +1,4 @@
-//! Measures the cost of quotas and how well they are enforced by peer messages and aggregators. Varied are the number of
+//! Measures the cost of quotas and how well they are enforced by peer messages and aggregators. Varies the number of
 //! limiters, the size of customers' limiter sets, the customers per limiter, the share of customers whose demand exceeds
 //! their quota, and the number of limiters that restart. Also measures the memory of one limiter's tables by the number
 //! of tenants.
--- a/crates/merlinreel-testkit/src/scale/quotas/counts.rs
+++ b/crates/merlinreel-testkit/src/scale/quotas/counts.rs
@@ -1,5 +1,5 @@
-//! Counts how well a fleet enforces quotas, and its peer messages and their bytes. Counts are the same in each run with
-//! the same seed.
+//! Determines how well a fleet enforces quotas, and counts its peer messages and their bytes. All results are the same
+//! in each run with the same seed.
 
 use super::{Fleet, FleetSetting, OVERLOADED_PLAN, TRACED_RATE, Usage};
 use crate::scale::{InvalidSettings, Traffic};
--- a/crates/merlinreel-testkit/src/scale/quotas/fleet.rs
+++ b/crates/merlinreel-testkit/src/scale/quotas/fleet.rs
@@ -128,7 +128,7 @@
 
     /// Adds a customer that does not send requests yet; returns its index.
     fn add_customer(&mut self, plan: usize, set_first: u32) -> usize {
-        // Takes as many bytes in a message as the hash of a customer's name.
+        // The number takes as many bytes in a message as the hash of a customer's name.
         let number = self.random.random::<u64>() >> 2;
         let set = LimiterSet {
             first: set_first,
--- a/crates/merlinreel-testkit/src/scale/quotas/tenant_tables.rs
+++ b/crates/merlinreel-testkit/src/scale/quotas/tenant_tables.rs
@@ -34,7 +34,9 @@
 const ACCOUNT_BYTES: u64 = 1_024;
 /// Memory of one peer's count of one tenant in one window.
 const REPORT_BYTES: u64 = 8;
+/// Simulated time of the ticks without requests in one run.
 const IDLE: Duration = Duration::from_secs(5);
+/// Interval of the decision module's ticks.
 const TICK: Duration = Duration::from_millis(100);
 /// Tenants reported in one message, few enough to fit into a datagram.
 const TENANTS_PER_MESSAGE: usize = 8;
--- a/crates/merlinreel-testkit/src/scale/report.rs
+++ b/crates/merlinreel-testkit/src/scale/report.rs
@@ -5,7 +5,7 @@
 /// Callback that receives each data point as soon as it is measured.
 pub type Emit<'a> = &'a mut dyn FnMut(DataPoint) -> Result<(), ScaleError>;
 
-/// The quantity of a role that is varied, by its names in data points.
+/// The names, in data points, of a measured role and of the quantity that is varied.
 #[derive(Clone, Copy, Debug)]
 pub struct Variable {
     /// Measured part of the program, as in [`DataPoint::role`].
--- a/crates/merlinreel-testkit/src/scale/server_list.rs
+++ b/crates/merlinreel-testkit/src/scale/server_list.rs
@@ -42,7 +42,7 @@
 /// Varies the number of servers in the list of one limiter.
 ///
 /// # Errors
-/// A size exceeds the memory bound, or a measurement fails.
+/// A size exceeds the memory limit, or a measurement fails.
 pub fn measure(request: &MeasureRequest, emit: Emit) -> Result<(), ScaleError> {
     for &size in &request.sizes {
         request.check_memory(&format!("a list of {size} servers"), needed_mb(size))?;
--- a/crates/merlinreel-testkit/src/scale/server_list/list_consumer.rs
+++ b/crates/merlinreel-testkit/src/scale/server_list/list_consumer.rs
@@ -7,12 +7,12 @@
 
 /// Applies lists and counts its own steps.
 pub trait ListConsumer {
-    /// Applies an update. Returns the number of steps: entries passed on, and comparisons or look-ups if they can be
+    /// Applies an update. Returns the number of steps: entries passed on, and comparisons or lookups if they can be
     /// counted.
     fn apply(&mut self, update: DiscoveryUpdate) -> u64;
 }
 
-/// The program's table. Look-ups in its maps can't be counted from outside, so its steps are the entries that it passes
+/// The program's table. Lookups in its maps can't be counted from outside, so its steps are the entries that it passes
 /// to the decision module and the indices that it has assigned.
 #[derive(Default)]
 pub struct EndpointTableConsumer(EndpointTable);
--- a/crates/merlinreel-testkit/src/scale/server_list/list_source.rs
+++ b/crates/merlinreel-testkit/src/scale/server_list/list_source.rs
@@ -81,7 +81,8 @@
     pool: ServerPool,
     generation: u64,
     format: Format,
-    /// Bytes of all messages so far.
+    /// Bytes of all messages generated so far, and of the responses that
+    /// [`count_more_responses`](ListSource::count_more_responses) added.
     pub bytes_sent: u64,
 }
 
--- a/crates/merlinreel-testkit/src/scale/server_list/restart.rs
+++ b/crates/merlinreel-testkit/src/scale/server_list/restart.rs
@@ -13,7 +13,7 @@
 /// machine of its own.
 ///
 /// # Errors
-/// The list exceeds the memory bound, or a measurement fails.
+/// The list exceeds the memory limit, or a measurement fails.
 pub fn measure_limiters_restarting(
     request: &MeasureRequest,
     servers: u64,
--- a/crates/merlinreel-testkit/src/scale/server_list/simulated_limiter.rs
+++ b/crates/merlinreel-testkit/src/scale/server_list/simulated_limiter.rs
@@ -16,7 +16,9 @@
 const START: Duration = Duration::from_secs(1_800_000_000);
 /// Time after which the decision module changes the distribution of concurrency limits among the limiters.
 const SELECTION_INTERVAL: Duration = Duration::from_millis(500);
+/// Latency of each attempt, as reported to the limiter.
 const RESPONSE_TIME: Duration = Duration::from_millis(10);
+/// Number of the customer of all requests.
 const CUSTOMER: u64 = 5;
 
 /// Numbers of the decision module's actions.
@@ -35,9 +37,9 @@
 #[derive(Default)]
 struct CountingObserver {
     counts: ActionCounts,
-    /// Server of the attempt that was started for the present request; `None` if none was started.
+    /// Server of the attempt that was started for the current request; `None` if none was started.
     attempt_server: Option<ServerIndex>,
-    /// Servers that were released in the present event batch.
+    /// Servers that were released in the current event batch.
     released: Vec<ServerIndex>,
     /// Time until the next wakeup, from the event batch that scheduled it.
     wakeup_after: Duration,
--- a/crates/merlinreel-testkit/src/stub_discovery.rs
+++ b/crates/merlinreel-testkit/src/stub_discovery.rs
@@ -35,8 +35,8 @@
 }
 
 impl State {
-    /// The complete list as a discovery message. Removed servers are left out, and all that are not ready are listed as
-    /// draining.
+    /// The complete list as a discovery message. Removed servers are left out; all others that are not ready are listed
+    /// as draining.
     fn message(&self) -> Value {
         let instances: Vec<Value> = self
             .servers
--- a/crates/merlinreel-testkit/src/stub_server.rs
+++ b/crates/merlinreel-testkit/src/stub_server.rs
@@ -180,7 +180,7 @@
         self.running.load(Ordering::Relaxed)
     }
 
-    /// The time that a request takes which begins now, at the current load and stage of the slow start.
+    /// How long a request that begins now takes, at the current load and stage of the slow start.
     fn service_time(&self) -> Duration {
         let slow_start = self.config.slow_start_duration.as_secs_f64().max(0.001);
         let progress = self.started.elapsed().as_secs_f64() / slow_start;
--- a/crates/merlinreel-testkit/tests/scale_server_list.rs
+++ b/crates/merlinreel-testkit/tests/scale_server_list.rs
@@ -197,7 +197,7 @@
 }
 
 #[test]
-fn size_over_the_memory_bound_is_rejected_before_any_is_measured() {
+fn size_over_the_memory_limit_is_rejected_before_any_is_measured() {
     let request = request(&[100, 1_000_000], 7);
     let mut emitted = 0;
     let rejected = measure(&request, &mut |_| {
