--- a/crates/merlinreel-testkit/src/scale/tenants/simulated_limiter.rs
+++ b/crates/merlinreel-testkit/src/scale/tenants/simulated_limiter.rs
@@ -22,8 +22,8 @@
 pub const WINDOW_SECONDS: u64 = 4;
 /// Units of an ordinary request.
 const UNITS: f64 = 1.0;
-/// Units of a request that exceeds the ceiling's slack, so that it is admitted only if the account has existed for some
-/// seconds.
+/// Units of a request that exceeds the slack of a new account's ceiling, 1 unit at each limiter, so that it is admitted
+/// only if the account has existed for some seconds.
 const KEPT_ACCOUNT_UNITS: f64 = 2.0;
 /// Servers in the endpoint list.
 const SERVERS: u32 = 8;
@@ -339,7 +339,8 @@
 }
 
 /// Settings with one plan of two units per second. At each limiter, its ceiling refills by one unit per second, and the
-/// slack admits an ordinary request of a new account but not one of [`KEPT_ACCOUNT_UNITS`].
+/// slack, of which a limiter uses half its share, admits an ordinary request of a new account but not one of
+/// [`KEPT_ACCOUNT_UNITS`].
 fn settings(fleet: FleetSetting, own_index: u32) -> serde_json::Value {
     let set_size = f64::from(fleet.set_size);
     json!({
