--- a/crates/merlinreel-testkit/src/http.rs
+++ b/crates/merlinreel-testkit/src/http.rs
@@ -87,9 +87,10 @@
             return Ok(Framing::Chunked);
         }
         match message.header("content-length") {
-            Some(text) => text.parse().map(Framing::Length).map_err(|_| {
-                malformed(&format!("`Content-Length` is not a valid number: {text:?}"))
-            }),
+            Some(text) => text
+                .parse()
+                .map(Framing::Length)
+                .map_err(|_| malformed("`Content-Length` is not a valid number")),
             None if message.start_line.starts_with(STATUS_LINE) && !message.is_without_body() => {
                 Ok(Framing::UntilClose)
             }
@@ -151,7 +152,7 @@
         }
         let (name, value) = line
             .split_once(':')
-            .ok_or_else(|| malformed(&format!("header line without a colon: {line:?}")))?;
+            .ok_or_else(|| malformed("header line without a colon"))?;
         headers.push((name.to_owned(), value.trim().to_owned()));
     }
 }
@@ -177,11 +178,8 @@
     loop {
         let line = read_line(from)?;
         let digits = line.split(';').next().unwrap_or_default();
-        let size = u64::from_str_radix(digits, HEXADECIMAL).map_err(|_| {
-            malformed(&format!(
-                "chunk size is not a hexadecimal number: {digits:?}"
-            ))
-        })?;
+        let size = u64::from_str_radix(digits, HEXADECIMAL)
+            .map_err(|_| malformed("chunk size is not a hexadecimal number"))?;
         if size == 0 {
             break;
         }
@@ -201,9 +199,7 @@
     from.read_line(&mut line)?;
     match line.strip_suffix("\r\n") {
         Some(content) => Ok(content.to_owned()),
-        None if line.ends_with('\n') => Err(malformed(&format!(
-            "line ends with LF instead of CRLF: {line:?}"
-        ))),
+        None if line.ends_with('\n') => Err(malformed("line ends with LF instead of CRLF")),
         None => Err(ErrorKind::UnexpectedEof.into()),
     }
 }
