--- a/crates/merlinreel/tests/sockets/advertised_time.rs
+++ b/crates/merlinreel/tests/sockets/advertised_time.rs
@@ -1,5 +1,6 @@
-//! The remaining time that the limiter advertises to servers in `X-Remaining`: it never exceeds the time that the client has
-//! left, even if the request was unread data in the socket buffer for a while.
+//! The remaining time that the limiter advertises to servers in `X-Remaining`: it never exceeds the time that the client
+//! has left (by more than a tolerance), even if the request was unread data in the socket buffer for a while.
+//! Time in which no request waited is not deducted.
 
 use merlinreel_testkit::*;
 use std::thread;
@@ -7,7 +8,7 @@
 
 /// Remaining time of a request when the client sends it.
 const CLIENT_TIMEOUT: Duration = Duration::from_millis(1500);
-/// How long a suspension lasts at least.
+/// Minimum duration of a suspension.
 const SUSPENSION: Duration = Duration::from_millis(800);
 /// Tolerance by which the advertised time may exceed the time that the client has left.
 const MAX_EXCESS: Duration = Duration::from_millis(150);
@@ -55,10 +56,10 @@
     );
 }
 
-/// Guards against a remaining time that is counted from the moment when a suspended limiter read the request. Here the
-/// request arrives on an open connection during the suspension.
+/// A request that arrives on an open connection while the limiter is suspended is forwarded with its remaining time less
+/// the suspension. The time must not be counted only from the moment when the limiter reads the request.
 #[test]
-fn time_unread_on_an_open_connection_is_counted() {
+fn time_spent_unread_on_an_open_connection_is_counted() {
     let (server, program) = start_server_and_limiter();
     let mut client = program.client();
     assert_eq!(client.request("look", 7, 1).status(), 200);
@@ -67,10 +68,10 @@
     assert_suspension_is_counted(&mut client, &server);
 }
 
-/// Guards against a remaining time that is counted from the moment when a suspended limiter accepted the connection. Here
-/// the client connects and sends its request during the suspension.
+/// A request whose client connects and sends it while the limiter is suspended is forwarded with its remaining time less
+/// the suspension. The time must not be counted only from the moment when the limiter accepts the connection.
 #[test]
-fn time_unread_on_a_new_connection_is_counted() {
+fn time_spent_unread_on_a_new_connection_is_counted() {
     let (server, program) = start_server_and_limiter();
     let mut client = suspend(&program, || {
         let mut client = program.client();
@@ -80,9 +81,10 @@
     assert_suspension_is_counted(&mut client, &server);
 }
 
-/// Guards against a remaining time that omits the suspension where several requests are pipelined on a connection.
+/// A request that arrives during a suspension is forwarded with its remaining time less the suspension, although another
+/// request is pipelined behind it. Only the first request's time is checked.
 #[test]
-fn time_unread_is_counted_for_pipelined_requests() {
+fn time_spent_unread_is_counted_for_pipelined_requests() {
     let (server, program) = start_server_and_limiter();
     let mut client = program.client();
     suspend(&program, || client.send(&request_text()));
@@ -97,8 +99,8 @@
     );
 }
 
-/// Guards against an attempt for a request whose time ran out while the limiter was suspended: the request is rejected
-/// without any effect.
+/// A request whose time runs out while it is unread data in the socket buffer of a suspended limiter is rejected without
+/// any effect: there must be no attempt with no time left.
 #[test]
 fn request_that_expires_unread_is_rejected_without_an_attempt() {
     let (server, program) = start_server_and_limiter();
@@ -109,16 +111,16 @@
     assert!(server.requests.try_recv().is_err());
 }
 
-/// Guards against a remaining time that is counted from the moment when the connection was accepted, although the connection
-/// had to wait because the connection limit was reached.
+/// The remaining time counts from when the client sends its request, although its connection has to wait because the
+/// connection limit is reached. It must not be counted only from the moment when the connection is accepted.
 #[test]
 fn time_in_which_a_connection_waited_for_a_place_is_counted() {
-    const PARTIAL_CLIENT_COUNT: usize = 420;
+    const PARTIAL_REQUEST_COUNT: usize = 420;
     let server = ScriptedServer::start(|_| ok_response());
     let mut config = config(&[instance("s-1", server.address, "up")]);
     config["limits"]["sockets"] = 256.into();
     let program = Program::start(&config);
-    let partial_clients: Vec<Client> = (0..PARTIAL_CLIENT_COUNT)
+    let partial_request_clients: Vec<Client> = (0..PARTIAL_REQUEST_COUNT)
         .map(|_| {
             let mut client = program.client();
             client.send("GET /look?key=7 HTTP/1.1\r\nHost:");
@@ -134,11 +136,11 @@
         advertised_time + waited <= CLIENT_TIMEOUT + MAX_EXCESS,
         "{advertised_time:?} {waited:?}"
     );
-    drop(partial_clients);
+    drop(partial_request_clients);
 }
 
-/// Guards against idle time that is deducted as if the request had waited: a limiter that is not suspended advertises nearly
-/// all the time that the client has left.
+/// A limiter that is not suspended advertises nearly all the time that the client has left. The time for which a connection
+/// is idle before and between requests must not be deducted as if a request had waited.
 #[test]
 fn idle_time_before_and_between_requests_is_not_counted() {
     let (server, program) = start_server_and_limiter();
@@ -156,7 +158,8 @@
     }
 }
 
-/// Guards against a stall that is also deducted from the time of requests that arrive after it.
+/// A request that arrives after a suspension is forwarded with nearly all of its remaining time: the suspension must be
+/// deducted only from the time of requests that arrived during it.
 #[test]
 fn suspension_is_not_counted_for_later_requests() {
     let (server, program) = start_server_and_limiter();
--- a/crates/merlinreel/tests/sockets/client_disconnects.rs
+++ b/crates/merlinreel/tests/sockets/client_disconnects.rs
@@ -8,8 +8,8 @@
 use std::time::{Duration, Instant};
 use test_case::test_case;
 
-/// Returns a listener and the connection that fills its backlog of one. Further connections to it are established only after
-/// that one has been accepted.
+/// Returns a listener and the connection that fills its backlog of one. Further connections to the listener are established
+/// only after that connection has been accepted.
 pub fn listener_with_full_backlog() -> (TcpListener, TcpStream) {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
     socket
@@ -24,16 +24,16 @@
     )
 }
 
-/// Waits until a connection to `address` is being established, other than the one with source address `known`, and returns
-/// its source address. Its SYN was dropped because the backlog is full; the kernel retransmits each SYN a second after the
-/// first.
-pub fn wait_for_pending_connection(address: SocketAddr, known: Option<&str>) -> String {
+/// Waits until a connection to `address` is being established, other than the one with source address `excluded_source`,
+/// and returns its source address, in the form of `/proc/net/tcp`. Its SYN was dropped because the listener's backlog is
+/// full; the kernel retransmits a SYN one second after it was first sent.
+pub fn wait_for_pending_connection(address: SocketAddr, excluded_source: Option<&str>) -> String {
     const SYN_SENT: &str = "02";
     let port = format!(":{:04X}", address.port());
     let pending_source = |line: &str| {
         let columns: Vec<&str> = line.split_whitespace().collect();
         let is_pending = columns.len() > 3 && columns[2].ends_with(&port) && columns[3] == SYN_SENT;
-        (is_pending && Some(columns[1]) != known).then(|| columns[1].to_owned())
+        (is_pending && Some(columns[1]) != excluded_source).then(|| columns[1].to_owned())
     };
     let started_at = Instant::now();
     while started_at.elapsed() < TEST_TIMEOUT {
@@ -58,10 +58,9 @@
     }
 }
 
-/// Guards against an attempt that is sent although its client has disconnected: the client disconnects while the connection
-/// is still being established, and nothing may be written to it later. This must not depend on whether the settings allow
-/// attempts to be cancelled. The abandoned connection would be established before that of the second client, which was
-/// opened later.
+/// An attempt is not sent if its client disconnects while the attempt's connection is still being established, whether or
+/// not the settings allow attempts to be cancelled. Otherwise the request would be written once the connection is
+/// established, which here would happen before the connection for the second client's attempt: that one was opened later.
 #[test_case(true ; "attempts may be cancelled")]
 #[test_case(false ; "attempts may not be cancelled")]
 fn attempt_of_a_disconnected_client_is_not_sent(may_cancel: bool) {
@@ -73,12 +72,12 @@
     let program = Program::start(&config);
     let mut disconnecting = program.client();
     disconnecting.send(&request("pay", 1, 1, "4000m"));
-    let abandoned = wait_for_pending_connection(address, None);
+    let abandoned_source = wait_for_pending_connection(address, None);
     drop(disconnecting);
     let mut waiting = program.client();
     let text = request("pay", 2, 1, "4000m");
     waiting.send(&text);
-    wait_for_pending_connection(address, Some(&abandoned));
+    wait_for_pending_connection(address, Some(&abandoned_source));
     drop(backlog_holder);
     let id = next_request_id(&listener);
     assert!(
--- a/crates/merlinreel/tests/sockets/endpoint_draining.rs
+++ b/crates/merlinreel/tests/sockets/endpoint_draining.rs
@@ -4,8 +4,9 @@
 use merlinreel_testkit::*;
 use std::sync::mpsc::channel;
 
-/// Guards against an attempt that is sent to a draining server because its connection was still being established when the
-/// drain began: the attempt must move to another server, as the connection may be established after the drain grace period.
+/// An attempt whose connection is still being established when its server begins to drain moves to another server.
+/// Otherwise it could be sent to the draining server long after the drain grace period, whenever its connection is
+/// established.
 #[test]
 fn unstarted_attempt_leaves_a_draining_server() {
     let (listener, _backlog_holder) = listener_with_full_backlog();
--- a/crates/merlinreel/tests/sockets/fault_campaign.rs
+++ b/crates/merlinreel/tests/sockets/fault_campaign.rs
@@ -1,4 +1,5 @@
-//! Clusters of several limiters with generated faults. The event log is checked against the five rules of the protocol.
+//! Clusters of several limiters with faults of processes and links. The event log is checked against the five rules of the
+//! protocol.
 
 use merlinreel_testkit::link::NetworkConditions;
 use merlinreel_testkit::*;
@@ -8,9 +9,11 @@
 const LIMITERS: usize = 3;
 const SERVERS: usize = 4;
 
-/// Guards against violations of the rules under randomly drawn faults of limiters, servers and links ([`Fault`] lists them),
-/// while clients pipeline four requests or disconnect and a fifth of the peer messages is lost. More than half of the
-/// requests must be served.
+/// No rule is violated under randomly drawn faults ([`Fault`] describes each), and more than half of the requests are
+/// served. Limiters are killed, terminated by repeated signals and killed as early as possible, suspended, restarted and
+/// reloaded; servers pause and drain, links are partitioned in one direction or both, connections are closed, discoveries
+/// fall silent, connection bursts arrive. Meanwhile clients pipeline four requests or disconnect, and a fifth of the peer
+/// messages is lost.
 #[test_case(1)]
 #[test_case(2)]
 #[test_case(3)]
@@ -42,9 +45,9 @@
     assert!(cluster.servers[0].completed_requests() > 0);
 }
 
-/// Guards against violations of the rules under compound faults: short suspensions in a row, slow links, a restart while
-/// discovery is silent, a shutdown during a connection burst, reloads during a drain. Further clients pause in the middle of
-/// a request or upload in thousands of chunks.
+/// No rule is violated under compound faults: short suspensions in a row, slow links, a restart while discovery is silent,
+/// a shutdown during a connection burst, reloads during a drain. Further clients pause in the middle of a request or upload
+/// in thousands of chunks. More than 300 requests are served.
 #[test_case(1)]
 #[test_case(2)]
 fn faults_of_several_parts_violate_no_rule(seed: u64) {
@@ -67,7 +70,8 @@
     assert!(served > 300, "{served} served");
 }
 
-/// Guards against responses that are truncated or lost when all links are slow and split responses into small pieces.
+/// No response is truncated or lost, and no other rule violated, when all links are slow and split responses into small
+/// pieces.
 #[test]
 fn trickled_responses_violate_no_rule() {
     let mut cluster = Cluster::start(9, LIMITERS, SERVERS);
--- a/crates/merlinreel/tests/sockets/graceful_shutdown.rs
+++ b/crates/merlinreel/tests/sockets/graceful_shutdown.rs
@@ -1,5 +1,5 @@
-//! Graceful shutdown while clients keep sending requests, the start of a process whose cached endpoint list is outdated, and
-//! watches of the endpoint list that fail.
+//! Graceful shutdown while clients keep sending requests, the start of a process while its cached endpoint list is outdated
+//! or discovery is silent, and watches of the endpoint list that fail.
 
 use merlinreel_testkit::*;
 use serde_json::Value;
@@ -74,8 +74,9 @@
     counts
 }
 
-/// Guards against requests that are lost during a shutdown because their connection is closed as they arrive. Clients send
-/// on every connection that stays open, and on new ones up to the end: fewer than one request in 200 may go unanswered.
+/// Clients that send on every connection that stays open, and on new ones up to the end, are answered throughout a
+/// shutdown. A connection may be closed just as a request arrives on it: fewer than one request in 200 may go unanswered
+/// for that reason.
 #[test]
 fn busy_clients_are_answered_throughout_a_shutdown() {
     let server = ScriptedServer::start(|_| ok_response());
@@ -94,7 +95,7 @@
                 (program.address, stop.clone(), started_clients.clone());
             thread::spawn(move || {
                 started_clients.fetch_add(1, Ordering::Relaxed);
-                // Connections are idle between requests for different times, depending on the client.
+                // Clients pause for 0 to 105 ms between requests, so that connections are idle for different times.
                 send_until_stopped(
                     address,
                     customer,
@@ -129,8 +130,8 @@
     );
 }
 
-/// Guards against a request that is lost because only its first part has arrived when the shutdown begins; the rest arrives
-/// when idle connections are already being closed.
+/// A request of which only the first part has arrived when the shutdown begins is answered, although the rest arrives when
+/// idle connections are already being closed. If its connection were closed with them, the request would be lost.
 #[test]
 fn partial_request_at_shutdown_is_answered() {
     let server = ScriptedServer::start(|_| ok_response());
@@ -150,8 +151,8 @@
     assert!(program.wait().success());
 }
 
-/// Guards against a response that is truncated by the shutdown because its client reads nothing until all other connections
-/// have been closed.
+/// A client that reads nothing until the shutdown has closed all other connections still gets its complete response. The
+/// shutdown must not truncate it.
 #[test]
 fn slow_reader_at_shutdown_gets_its_complete_response() {
     const BODY_BYTES: usize = 24 << 20;
@@ -225,8 +226,8 @@
     status
 }
 
-/// Guards against requests to a draining server after a restart, because the cached endpoint list does not contain the
-/// drain: clients are not served before the first list from discovery is applied, or its timeout has passed.
+/// A new process serves clients only after the first list from discovery is applied, or its timeout has passed. The cached
+/// endpoint list may lack a drain that discovery knows of, so that requests would go to a draining server after a restart.
 #[test]
 fn new_process_waits_for_the_first_endpoint_list() {
     let (old, new) = (
@@ -265,7 +266,8 @@
     );
 }
 
-/// Guards against a start that waits for a silent discovery forever: after the timeout the cached list is used.
+/// A start waits for a silent discovery only until a timeout, and then uses the cached list. Otherwise it would wait
+/// forever.
 #[test]
 fn silent_discovery_delays_the_start_for_a_limited_time() {
     let server = ScriptedServer::start(|_| ok_response());
@@ -279,8 +281,8 @@
     );
 }
 
-/// Guards against a watch that is not repeated after several failures in a row: no response, a response that stops within
-/// its body, a closed connection. The next call is answered.
+/// A watch is repeated after several failures in a row, each of another kind: no response, a response that stops within its
+/// body, a closed connection. The next call is answered and its list applied.
 #[test]
 fn failed_watches_are_repeated_until_one_is_answered() {
     let (old, new) = (
@@ -320,9 +322,9 @@
     );
 }
 
-/// Guards against a shutdown that uses the deadlines from before a reload: the process may be killed 0.7 s after the longest
-/// deadline in force, counted from SIGTERM. A request that arrives late in the shutdown, at a server that hangs, must be
-/// answered before that.
+/// A shutdown uses the deadlines in force, not those from before a reload. The process may be killed the longest of them
+/// plus 0.7 s after SIGTERM, and a request that arrives late in the shutdown, at a server that hangs, must be answered
+/// before that.
 #[test]
 fn shutdown_uses_the_reloaded_deadlines() {
     let server = ScriptedServer::start(|_| Reaction::Hang);
@@ -354,8 +356,8 @@
     assert!(program.wait().success());
 }
 
-/// Guards against a limiter that stops or blocks because writing its log fails: the read end of its standard error is
-/// closed.
+/// A limiter whose log can't be written, because the read end of its standard error is closed, continues to serve, reload
+/// and shut down. The failed writes must neither stop nor block it.
 #[test]
 fn unwritable_log_is_ignored() {
     let server = ScriptedServer::start(|_| ok_response());
@@ -376,8 +378,8 @@
     assert!(program.wait().success());
 }
 
-/// Guards against repeated signals that restart or abort a shutdown: SIGTERM is sent three times, with SIGHUP before each.
-/// Requests in flight, at a server that hangs, must be answered before the process may be killed.
+/// Repeated signals neither restart nor abort a shutdown: SIGTERM is sent three times, with SIGHUP before each. Requests in
+/// flight, at a server that hangs, must be answered before the process may be killed.
 #[test]
 fn repeated_signals_cause_one_shutdown() {
     let server = ScriptedServer::start(|_| Reaction::Hang);
--- a/crates/merlinreel/tests/sockets/limited_process.rs
+++ b/crates/merlinreel/tests/sockets/limited_process.rs
@@ -21,7 +21,7 @@
 }
 
 impl LimitedProcess {
-    /// Starts the program with at most this many file descriptors, whatever its configuration says.
+    /// Starts the program with at most `max_descriptors` file descriptors, whatever its configuration says.
     pub fn start(config: &Value, max_descriptors: u32) -> LimitedProcess {
         let address: SocketAddr = config["listen"]
             .as_str()
--- a/crates/merlinreel/tests/sockets/main.rs
+++ b/crates/merlinreel/tests/sockets/main.rs
@@ -178,8 +178,8 @@
     assert!(server.requests.try_recv().is_err());
 }
 
-/// Guards against request smuggling: if a head contains both `Content-Length` and `Transfer-Encoding`, two readers may
-/// disagree on where the body ends, so that it can hide another request.
+/// A head with both `Content-Length` and `Transfer-Encoding` is rejected, and nothing after it is read. Two readers may
+/// disagree on where its body ends, so that the body can hide another request (request smuggling).
 #[test_case("Content-Length: 4\r\nTransfer-Encoding: chunked\r\n" ; "length first")]
 #[test_case("Transfer-Encoding: chunked\r\nContent-Length: 4\r\n" ; "chunked first")]
 fn request_hidden_in_a_body_is_not_forwarded(lengths: &str) {
@@ -200,8 +200,9 @@
     assert!(server.requests.try_recv().is_err());
 }
 
-/// Guards against clients that hold a connection and never complete a request: their connection must be closed within 3 s,
-/// whatever `X-Remaining` says. An idle connection that has carried two requests stays open.
+/// A connection that never carries a complete request is ended, within 3 s by the protocol, whatever `X-Remaining` says.
+/// Otherwise such clients could hold connections. The 3 s are not measured here; the test checks that an idle connection
+/// that has carried two requests is still open afterwards.
 #[test_case("" => None ; "no bytes")]
 #[test_case("POST /pay?key=7 HTTP/1.1\r\nHost:" => None ; "partial head")]
 #[test_case("POST /pay?key=7 HTTP/1.1\r\nHost: svc\r\nX-Txn: 1\r\nX-Plan: team\r\nX-Remaining: 9000000m\r\n\
@@ -216,8 +217,8 @@
     response.map(|response| response.status())
 }
 
-/// Guards against many clients that send one request and then hold their connections. The connection of a client that has
-/// sent several requests stays open for longer.
+/// A connection that stays idle after its first request is closed, and one that has carried several requests stays open for
+/// longer. Otherwise many clients that send one request each could hold all connections.
 #[test]
 fn connection_idle_after_one_request_is_closed() {
     let server = ScriptedServer::start(|_| ok_response());
@@ -229,8 +230,8 @@
     assert_eq!(returning_client.request("look", 4, 1).status(), 200);
 }
 
-/// Guards against connection slots held by clients that send nothing, never complete a request, or stay idle after one: once
-/// the connection limit is reached, a new client must still be served.
+/// A new client is served although the connection limit has been reached by clients that send nothing, never complete a
+/// request, or stay idle after one. Otherwise they would hold the connection slots that others need.
 #[test_case("", 0 ; "no bytes")]
 #[test_case("GET /look?key=7 HTTP/1.1\r\nHost:", 0 ; "partial head")]
 #[test_case("POST /pay?key=7 HTTP/1.1\r\nHost: svc\r\nX-Txn: 1\r\nX-Plan: team\r\nX-Remaining: 9000m\r\n\
@@ -252,7 +253,7 @@
             client
         })
         .collect();
-    // None of the idle connections has reached its timeout of 2.2 s yet: the slot has to come from an eviction.
+    // None of the idle connections has reached its timeout of 2.2 s yet: the connection slot has to come from an eviction.
     assert_eq!(
         program
             .client()
@@ -321,8 +322,8 @@
     sender
         .send(list_changes(2, &changes).to_string())
         .expect("sent");
-    // Neither a malformed message nor a closed connection changes the list: the next call asks for changes after the last
-    // version.
+    // Neither a malformed message nor a closed connection changes the list: the limiter's next call asks for changes after
+    // version 2.
     sender.send("{}".to_owned()).expect("sent");
     sender.send("break".to_owned()).expect("sent");
     let discovery = discovery(messages);
@@ -347,8 +348,8 @@
     );
 }
 
-/// Guards against endpoint changes that stay unknown because a watch gets no response: the limiter repeats the watch on
-/// another connection.
+/// A watch that gets no response is repeated on another connection. Otherwise endpoint changes would stay unknown while it
+/// is silent.
 #[test]
 fn silent_watch_is_repeated_on_another_connection() {
     let server = ScriptedServer::start(|_| ok_response());
@@ -379,8 +380,8 @@
     assert_eq!(program.client().request("look", 1, 1).status(), 200);
 }
 
-/// Guards against a SIGHUP that ends the program, loses a request in flight, or leaves the watch at the old discovery
-/// address.
+/// A SIGHUP moves the watch to the new discovery address. It must not end the program, lose a request in flight, or leave
+/// the watch at the old address.
 #[test]
 fn reload_moves_the_watch_and_loses_no_request() {
     let (old, new) = (
@@ -403,7 +404,7 @@
     program.reload("{}");
     let (sender, messages) = channel();
     let discovery = discovery(messages);
-    // The version is lower than the last one received: each discovery numbers its versions independently.
+    // Version 0 is lower than version 1 of the cached list: each discovery numbers its versions independently.
     sender
         .send(full_list(0, &[instance("s-2", new.address, "up")]).to_string())
         .expect("sent");
@@ -505,8 +506,8 @@
     );
 }
 
-/// Starts a limiter whose served connections are all in use, or will be soon: each of the returned clients waits for a
-/// response from a server that hangs.
+/// Starts a limiter that has reached its limit of served connections, or will soon: each of the returned clients waits for
+/// the response to a request at a server that hangs.
 fn busy_limiter() -> (ScriptedServer, Program, Vec<Client>) {
     let server = ScriptedServer::start(|_| Reaction::Hang);
     let mut config = config(&[instance("s-1", server.address, "up")]);
@@ -530,8 +531,8 @@
 #[test]
 fn request_over_the_limit_of_served_connections_is_rejected_with_503() {
     let (_server, program, waiting_clients) = busy_limiter();
-    // The order in which the limiter reads connections is undefined, so requests are repeated until all served connections
-    // are in use.
+    // The order in which the limiter reads connections is undefined, so requests are repeated until the limit of served
+    // connections is reached.
     let rejected = (0..100).find_map(|_| {
         let response = program.client().call(&request("pay", 100, 1, "200m"))?;
         (response.status() == 503).then_some(response)
--- a/crates/merlinreel/tests/sockets/mesh.rs
+++ b/crates/merlinreel/tests/sockets/mesh.rs
@@ -157,9 +157,9 @@
     }
 }
 
-/// Guards against processes that do not find one another, or whose failure goes unnoticed, while one datagram in five is
-/// lost and others are duplicated. A killed process is detected and returns with a higher incarnation; a terminated one
-/// leaves; a suspended one rejoins.
+/// Processes find one another and notice the failure of one, while one datagram in five is lost and others are duplicated
+/// or reordered. A killed process is detected and returns with a higher incarnation; a terminated one leaves; a suspended
+/// one is detected and rejoins. Repeated datagrams are dropped and counted.
 #[test]
 fn cluster_detects_killed_suspended_and_terminated_processes() {
     let mut cluster = MeshCluster::start(5, 20);
@@ -195,8 +195,8 @@
     );
 }
 
-/// Guards against a mesh that fails in a lasting network partition, or stays split after it: each side continues with its
-/// own members, and both merge once the partition ends.
+/// In a lasting network partition each side of the mesh continues with its own members. Both sides merge once the partition
+/// ends; the mesh must not stay split.
 #[test]
 fn partitioned_cluster_continues_and_merges_after_healing() {
     let cluster = MeshCluster::start(4, 0);
@@ -208,10 +208,10 @@
     cluster.wait_until_alive(&[0, 1, 2, 3], &[0, 1, 2, 3]);
 }
 
-/// Guards against datagrams that change the membership without the key: those signed with another key, random bytes and
-/// oversized datagrams are dropped and counted by reason. Also guards against members that are lost during a key rotation:
-/// the new key is distributed, then signs, then the old one is removed. A key file that can't be read leaves the keys as
-/// they are.
+/// Datagrams signed with another key, random bytes and oversized datagrams do not change the membership; they are dropped
+/// and counted by reason. A key rotation loses no member: the new key is distributed, then signs, then the old one is
+/// removed, and a limiter that has only the old one is an outsider. A key file that can't be read leaves the keys as they
+/// are.
 #[test]
 fn datagrams_without_the_key_change_nothing_and_keys_rotate() {
     let mut cluster = MeshCluster::start(3, 0);
@@ -272,7 +272,7 @@
     }
     cluster.wait_until_alive(&[0, 1, 2], &[0, 1, 2]);
     let dropped = |cluster: &MeshCluster| cluster.status(0)["dropped"]["unknown_key"].as_u64();
-    // All limiters sign with the second key now: one that has only the first key is an outsider.
+    // All limiters have only the second key now: one that has only the first is an outsider.
     let before = dropped(&cluster);
     cluster.programs[2] = None;
     cluster.configs[2]["mesh"]["keys"] = json!([{"id": 1, "file": first}]);
--- a/crates/merlinreel/tests/sockets/operations.rs
+++ b/crates/merlinreel/tests/sockets/operations.rs
@@ -4,9 +4,8 @@
 use std::thread;
 use std::time::Duration;
 
-/// Guards against requests that are lost in an upgrade: the new process starts beside the old one on the listener that the
-/// platform holds, and shares the port for peer messages. The old process ends on SIGTERM after it has answered its requests
-/// in flight.
+/// An upgrade loses no request: the new process starts beside the old one on the listener that the platform holds, and
+/// shares the port for peer messages. The old process ends on SIGTERM after it has answered its requests in flight.
 #[test]
 fn upgrade_on_an_inherited_socket_loses_no_request() {
     let (server, release) = holding_server();
@@ -44,8 +43,8 @@
     assert_eq!(new_process.client().request("look", 9, 1).status(), 200);
 }
 
-/// Guards against a response that is cut off while its server pauses: it is larger than any response that is buffered, and
-/// the pause is longer than a client connection may be idle after its first request.
+/// A response that is larger than any that is buffered reaches the client complete, although its server pauses for longer
+/// than a client connection may be idle after its first request. The response must not be cut off during the pause.
 #[test]
 fn streaming_response_that_pauses_arrives_complete() {
     use std::io::{BufRead, BufReader, Write};
@@ -89,8 +88,8 @@
     response.body
 }
 
-/// Guards against wrong statistics, and against a caller that never completes its call and delays others. Responses are
-/// counted as clients read them; an invalid file at SIGHUP is rejected and counted.
+/// `/stats` counts responses as clients read them, and counts an invalid file that is rejected at SIGHUP. A caller that
+/// never completes its call must not delay other callers.
 #[test]
 fn admin_endpoint_reports_stats_beside_a_stalled_caller() {
     use std::io::Write;
@@ -153,8 +152,8 @@
     assert_eq!(client.request("look", 8, 1).status(), 200);
 }
 
-/// Guards against a streaming response that is not counted as served although the client received all of it: where its
-/// length is known, the body is possibly not polled for its end.
+/// A streaming response counts as served once the client has received all of it. Where its length is known, its body may
+/// never be polled for the end, so the count must not depend on that.
 #[test]
 fn complete_streaming_response_counts_as_served() {
     const BODY_BYTES: usize = 300 << 10;
@@ -174,8 +173,8 @@
     );
 }
 
-/// Guards against a reload that ignores a new class, and against an invalid file that is partly applied: a file with
-/// `sendCap` 0, which allows no attempts, is rejected and changes nothing.
+/// A class that a reload adds is served. An invalid file, here one with a new class and `sendCap` 0, which allows no
+/// attempts, is rejected as a whole: no part of it may be applied.
 #[test]
 fn reload_adds_a_class_and_an_invalid_file_changes_nothing() {
     let server = ScriptedServer::start(|_| ok_response());
--- a/crates/merlinreel/tests/sockets/pipelining.rs
+++ b/crates/merlinreel/tests/sockets/pipelining.rs
@@ -16,15 +16,15 @@
     (server, program)
 }
 
-/// The text of this many requests, each of another customer.
+/// The text of `count` requests, each from a different customer.
 fn requests(count: usize) -> String {
     (0..count)
         .map(|customer| request("look", customer as u32, 1, "3000m"))
         .collect()
 }
 
-/// Guards against pipelined requests without a response: the client sends far more at once than the limiter reads ahead of
-/// the request in flight, and more than the kernel buffers.
+/// Each of many pipelined requests gets its response, in order. The client sends far more at once than the limiter reads
+/// ahead of the request in flight, and more than the kernel buffers.
 #[test_case(200 ; "hundreds")]
 #[test_case(2000 ; "thousands")]
 fn pipelined_requests_are_each_answered_in_order(count: usize) {
@@ -52,8 +52,8 @@
         .expect("all requests are written");
 }
 
-/// Guards against pipelined requests that are lost in a shutdown: it begins while hundreds of them are in the connection.
-/// Each must be answered, and only the last response announces the close.
+/// Each of hundreds of pipelined requests is answered although a shutdown begins while they are in the connection, and only
+/// the last response announces the close. Requests behind an earlier announcement would be lost.
 #[test]
 fn pipelined_requests_are_answered_across_a_shutdown() {
     const COUNT: usize = 200;
@@ -78,8 +78,9 @@
     assert!(program.wait().success());
 }
 
-/// Guards against a pipelined request that is forwarded with outdated remaining time: it waits for the response to the first
-/// one, and its server must be given only what its client has left by then, with a tolerance of 0.15 s.
+/// A pipelined request that waits for the response to the first one is forwarded with the time that its client has left by
+/// then, with a tolerance of 0.15 s. Both responses have status 200. The remaining time must not be that from before the
+/// wait.
 #[test]
 fn pipelined_request_is_forwarded_with_its_remaining_time() {
     const HOLD_TIME: Duration = Duration::from_millis(600);
@@ -108,8 +109,8 @@
     }));
 }
 
-/// Guards against a client that holds its connection with part of a pipelined request: it is ended within the time of any
-/// incomplete request, however many requests came before.
+/// A pipelined request that stays incomplete is ended within the time of any incomplete request, however many requests came
+/// before. Otherwise its client could hold the connection.
 #[test]
 fn incomplete_pipelined_request_is_ended_in_time() {
     let (_server, program) = start_server_and_limiter();
@@ -131,8 +132,9 @@
     );
 }
 
-/// Guards against a request that is lost in a shutdown because only its first part has arrived, together with a request that
-/// is in flight. The rest arrives when idle connections are already being closed.
+/// A request of which only the first part arrives before a shutdown, together with a request that is in flight, is
+/// answered, although the rest arrives when idle connections are already being closed. If its connection were closed with
+/// them, the request would be lost.
 #[test]
 fn incomplete_pipelined_request_is_answered_across_a_shutdown() {
     let (server, release) = holding_server();
@@ -160,13 +162,14 @@
     assert!(program.wait().success());
 }
 
-/// Guards against pipelined requests without a response when all served connections are in use: each gets status 503, not
-/// only the first.
+/// When the limit of served connections is reached, each of the requests that a client pipelines gets status 503.
+/// Those behind the first must not go without a response.
 #[test]
 fn pipelined_requests_over_the_limit_are_each_rejected_with_503() {
     const PIPELINED_COUNT: usize = 3;
     let (_server, program, waiting_clients) = super::busy_limiter();
-    // Until all served connections are in use, these requests wait at the server until their deadline.
+    // Before the limit of served connections is reached, requests are forwarded, wait at the hanging server until their
+    // deadline, and are then sent again on another connection.
     let rejected = (0..100).find_map(|_| {
         let mut client = program.client();
         client.send(
--- a/crates/merlinreel/tests/sockets/request_bodies.rs
+++ b/crates/merlinreel/tests/sockets/request_bodies.rs
@@ -1,4 +1,4 @@
-//! Request bodies in all framings that HTTP/1.1 allows and in invalid ones, written as raw bytes.
+//! Request bodies in the framings that HTTP/1.1 allows and in invalid ones, written as raw bytes.
 
 use merlinreel_testkit::*;
 use std::io::{BufRead, BufReader, Read, Write};
@@ -73,7 +73,7 @@
     }
 }
 
-/// The text of a request with these framing headers and this body, both sent as given.
+/// The text of a request with the headers of `framing` and with `body`, both as given.
 fn framed_request(class: &str, customer: u32, framing: &str, body: &str) -> String {
     let text = request(class, customer, 1, REMAINING_TIME);
     let (head, _) = text.split_once("\r\n\r\n").expect("a head");
@@ -97,7 +97,8 @@
     (server, program)
 }
 
-/// Asserts that the server received this complete body, framed by `Content-Length` alone.
+/// Asserts that the server received exactly `body`, framed by `Content-Length` alone or, if empty, without a framing
+/// header.
 fn assert_body(received: &Message, body: &str) {
     let lengths: Vec<&str> = received
         .headers
@@ -122,8 +123,8 @@
     assert_eq!(received.body, body);
 }
 
-/// Guards against valid chunk encodings that are decoded incorrectly or break the next request on their connection, for both
-/// kinds of class with a body.
+/// All valid chunk encodings are decoded correctly and leave the connection usable for the next request, for both kinds of
+/// class with a body.
 #[test_case("6\r\na body\r\n0\r\n\r\n", "a body" ; "one chunk")]
 #[test_case("1\r\na\r\n1\r\n \r\n4\r\nbody\r\n0\r\n\r\n", "a body" ; "several chunks")]
 #[test_case("0006\r\na body\r\n000\r\n\r\n", "a body" ; "leading zeros in the sizes")]
@@ -164,8 +165,8 @@
     }
 }
 
-/// Guards against decoding that depends on where the bytes are split: the request is split in two at each position, on one
-/// connection.
+/// A chunked request is decoded correctly wherever its bytes are split: it is sent in two parts, split at each position in
+/// turn, on one connection.
 #[test]
 fn chunked_request_split_anywhere_is_served() {
     let (server, program) = start_server_and_limiter();
@@ -237,8 +238,8 @@
     assert!(server.requests.try_recv().is_err());
 }
 
-/// Guards against a partial body that is forwarded: the client shuts down its sending direction within the body, and then
-/// gets status 400 or the connection is closed.
+/// A partial body is not forwarded: the client shuts down its sending direction within the body, and then gets status 400
+/// or the connection is closed.
 #[test]
 fn truncated_chunked_body_is_not_forwarded() {
     let (server, program) = start_server_and_limiter();
@@ -271,9 +272,9 @@
     assert!(server.requests.try_recv().is_err());
 }
 
-/// Guards against request smuggling: where the framing is ambiguous, two readers may disagree on where the body ends, so
-/// that it can hide another request. The limiter must reject the request and read nothing after it. The bodies fit either
-/// reading, as the two end at different positions.
+/// A request with ambiguous framing is rejected, and nothing after it is read. Two readers may disagree on where its body
+/// ends, so that it can hide another request (request smuggling). As the two readings end at different positions, each
+/// framing is sent with a body for each reading, and with a hidden request as a chunk.
 #[test_case("Content-Length: 6\r\nTransfer-Encoding: chunked\r\n" ; "length first")]
 #[test_case("Transfer-Encoding: chunked\r\nContent-Length: 6\r\n" ; "chunked first")]
 #[test_case("tRANSFER-eNCODING: cHUNKED\r\ncONTENT-lENGTH:6\r\n" ; "mixed case")]
@@ -331,7 +332,7 @@
     assert!(server.requests.try_recv().is_err());
 }
 
-/// Guards against a readiness call (`/up`) that bypasses the framing check.
+/// Ambiguous framing is rejected in a readiness call (`/up`) too: the call must not bypass the framing check.
 #[test_case("Content-Length: 6\r\nTransfer-Encoding: chunked\r\n" ; "length first")]
 #[test_case("Transfer-Encoding: chunked\r\nContent-Length: 6\r\n" ; "chunked first")]
 #[test_case("Transfer-Encoding: gzip, chunked\r\n" ; "another coding before chunked")]
@@ -361,7 +362,7 @@
     assert!(server.requests.try_recv().is_err());
 }
 
-/// Guards against a pipelined request that is framed by the head of another: consecutive heads differ in length and coding,
+/// Each pipelined request is framed by its own head, not by that of another. Consecutive heads differ in length and coding,
 /// and some bodies and trailers contain a `Content-Length` line.
 #[test]
 fn pipelined_requests_are_each_framed_by_their_own_head() {
@@ -402,7 +403,7 @@
     }
 }
 
-/// Guards against ambiguous framing that goes undetected behind valid pipelined requests, or that makes these fail.
+/// Ambiguous framing is detected behind valid pipelined requests, and these are served.
 #[test]
 fn ambiguous_framing_after_valid_requests_is_rejected() {
     let (server, program) = start_server_and_limiter();
@@ -432,8 +433,9 @@
     assert_eq!(server.requests.try_iter().count(), 2);
 }
 
-/// The framing check counts the part of a `Content-Length` body after its last blank line as part of the next head. If that
-/// part looks like a length, a chunked request behind it is rejected although it is valid; the client may send it again.
+/// A valid chunked request is rejected if the `Content-Length` body before it ends in what looks like a `Content-Length`
+/// header: the framing check counts the part of such a body after its last blank line as part of the next head. The client
+/// may send the request again.
 #[test]
 fn chunked_request_after_a_body_that_looks_like_a_length_is_rejected() {
     let (server, program) = start_server_and_limiter();
@@ -470,7 +472,7 @@
     status
 }
 
-/// Guards against a client that waits in vain for `100 Continue` before it sends its chunked body.
+/// A client that expects `100 Continue` before it sends its chunked body gets it. Otherwise it would wait in vain.
 #[test]
 fn chunked_body_with_expect_continue_is_served() {
     let (server, program) = start_server_and_limiter();
--- a/crates/merlinreel/tests/sockets/slow_clients.rs
+++ b/crates/merlinreel/tests/sockets/slow_clients.rs
@@ -5,8 +5,8 @@
 use std::time::{Duration, Instant};
 use test_case::test_case;
 
-/// Guards against a client that is cut off although it is as fast as required: it sends its head in 1.9 s, and its body of
-/// 64 KiB in small pieces over another 1.1 s.
+/// A client that is just as fast as required is served, not cut off: it sends its head in 1.9 s, and its body of 64 KiB in
+/// small pieces over another 1.1 s.
 #[test]
 fn slowest_allowed_request_is_served() {
     const BODY_BYTES: usize = 64 * 1024;
@@ -35,8 +35,8 @@
     assert_eq!(server.next_request().body.len(), BODY_BYTES);
 }
 
-/// Guards against a client that holds its connection with a stalled body: the request is ended within 3 s of the
-/// connection's start, however slow its head was.
+/// A request whose body stops arriving is ended within 3 s of the connection's start, however slow its head was. Otherwise
+/// its client could hold the connection.
 #[test_case(100 ; "after a fast head")]
 #[test_case(1900 ; "after a slow head")]
 fn stalled_body_is_ended_in_time(head_ms: u64) {
@@ -59,8 +59,8 @@
     );
 }
 
-/// Guards against a request with little remaining time that gets no response, or a late one, or makes its connection
-/// unusable: the next request with enough time must be served.
+/// A request with little remaining time gets a response soon. Its connection stays usable: the next request with enough
+/// time is served.
 #[test_case("0m")]
 #[test_case("1u")]
 #[test_case("4m")]
--- a/crates/merlinreel/tests/sockets/startup.rs
+++ b/crates/merlinreel/tests/sockets/startup.rs
@@ -13,13 +13,13 @@
 use std::time::{Duration, Instant};
 use test_case::test_case;
 
-/// A process must be ready within this time of its start.
+/// Maximum time from the start of a process until it is ready.
 const MAX_STARTUP_TIME: Duration = Duration::from_secs(10);
 /// The operating system's limit on the file descriptors of a process.
 const MAX_DESCRIPTORS: u32 = 256;
 
-/// A discovery stub that accepts calls and sends no response until a list is published. From then on each call that does not
-/// have version 2 yet gets the list.
+/// A discovery stub that accepts calls and sends no response until a list is published. From then on each call gets the
+/// list unless it asks for changes after version 2.
 struct SilentDiscovery {
     stub: ScriptedServer,
     list: Arc<Mutex<Option<String>>>,
@@ -43,8 +43,8 @@
     }
 }
 
-/// Clients that keep `size` connections to a limiter, of which the oldest is replaced again and again. Every other client
-/// sends a request; the rest send nothing.
+/// A thread that keeps `size` connections to a limiter open and replaces the oldest again and again. A request is sent on
+/// each connection of a customer with an even number, and nothing on the others.
 struct ClientBurst {
     stop: Arc<AtomicBool>,
     thread: Option<JoinHandle<()>>,
@@ -68,7 +68,7 @@
                 }
                 clients.push_back(client);
                 if clients.len() > size {
-                    // The oldest connection; the limiter closed it long ago.
+                    // Drops the oldest connection, which the limiter closed long ago.
                     clients.pop_front();
                     // Leaves processor time to the other processes of the machine.
                     thread::sleep(Duration::from_millis(1));
@@ -89,7 +89,7 @@
     }
 }
 
-/// Whether a request that a server received is from one of these customers.
+/// Whether `call`, a request that a server received, is from one of `customers`.
 fn is_from(customers: &Range<u64>, call: &Message) -> bool {
     let key = call
         .start_line
@@ -117,9 +117,9 @@
     }
 }
 
-/// Guards against an endpoint list that can't be fetched, and clients that can't be served, because a burst of clients holds
-/// all descriptors available to clients while discovery is down. A new client must be served from the configured list, and
-/// the list must be applied once discovery is back: calls to discovery always have a descriptor.
+/// A burst of clients holds all descriptors available to clients while discovery is down. A new client is served from the
+/// cached list all the same, and the endpoint list is applied once discovery is back: calls to discovery always have a
+/// descriptor.
 #[test]
 fn burst_of_clients_does_not_keep_the_endpoint_list_out() {
     let (old, new) = (
@@ -133,9 +133,9 @@
     let process = LimitedProcess::start(&config, MAX_DESCRIPTORS);
     assert!(process.is_ready_by(Instant::now() + MAX_STARTUP_TIME));
     let burst = ClientBurst::start(process.address, 400);
-    let until = Instant::now() + TEST_TIMEOUT;
+    let deadline = Instant::now() + TEST_TIMEOUT;
     let open_counts = std::iter::repeat_with(|| process.open_descriptors())
-        .take_while(|_| Instant::now() < until);
+        .take_while(|_| Instant::now() < deadline);
     assert!(
         { open_counts }.any(|count| count > MAX_DESCRIPTORS as usize / 2),
         "the burst never used more than half of the descriptors"
@@ -189,10 +189,10 @@
     Refusing,
 }
 
-/// Guards against a fleet that can't start while discovery is down: ten processes are killed and restarted at once, at least
-/// nine of them must be ready in time, and all must then serve.
+/// A fleet starts although discovery is down: ten processes are killed and restarted at once, at least nine of them are
+/// ready in time, and all then serve.
 #[test_case(Outage::Silent ; "discovery is silent")]
-#[test_case(Outage::Refusing ; "discovery refuses")]
+#[test_case(Outage::Refusing ; "discovery refuses connections")]
 fn fleet_killed_during_an_outage_is_ready_in_time(outage: Outage) {
     let server = ScriptedServer::start(|_| ok_response());
     let discovery = ScriptedServer::start(|_| Reaction::Hang);
@@ -206,15 +206,15 @@
         LimitedProcess::start(&config, MAX_DESCRIPTORS)
     };
     let mut fleet: Vec<LimitedProcess> = (0..10).map(start).collect();
-    let until = Instant::now() + TEST_TIMEOUT;
-    assert!(fleet.iter().all(|process| process.is_ready_by(until)));
+    let deadline = Instant::now() + TEST_TIMEOUT;
+    assert!(fleet.iter().all(|process| process.is_ready_by(deadline)));
     fleet.iter_mut().for_each(LimitedProcess::kill);
-    let until = Instant::now() + MAX_STARTUP_TIME;
+    let deadline = Instant::now() + MAX_STARTUP_TIME;
     fleet.iter_mut().for_each(LimitedProcess::restart);
     let ready = thread::scope(|scope| {
         let checks: Vec<_> = fleet
             .iter()
-            .map(|process| scope.spawn(move || process.is_ready_by(until)))
+            .map(|process| scope.spawn(move || process.is_ready_by(deadline)))
             .collect();
         checks
             .into_iter()
@@ -236,7 +236,7 @@
 }
 
 impl TricklingDiscovery {
-    fn start(list: &Value, pieces: usize) -> TricklingDiscovery {
+    fn start(list: &Value, piece_count: usize) -> TricklingDiscovery {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
         let address = listener.local_addr().expect("a local address");
         let call_count: Arc<(Mutex<usize>, Condvar)> = Arc::default();
@@ -250,7 +250,7 @@
                 *call_count.0.lock().expect("not poisoned") += 1;
                 call_count.1.notify_all();
                 thread::spawn(move || {
-                    respond_in_pieces(&mut stream, &text, pieces, &call_count, &completed)
+                    respond_in_pieces(&mut stream, &text, piece_count, &call_count, &completed)
                 });
             }
         });
@@ -270,7 +270,7 @@
 fn respond_in_pieces(
     stream: &mut TcpStream,
     text: &str,
-    pieces: usize,
+    piece_count: usize,
     call_count: &(Mutex<usize>, Condvar),
     completed: &AtomicUsize,
 ) -> std::io::Result<()> {
@@ -281,7 +281,7 @@
         "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n",
         text.len()
     )?;
-    for piece in text.as_bytes().chunks(text.len().div_ceil(pieces)) {
+    for piece in text.as_bytes().chunks(text.len().div_ceil(piece_count)) {
         stream.write_all(piece)?;
         let current = call_count.0.lock().expect("not poisoned");
         let before = *current;
@@ -291,12 +291,12 @@
     Ok(())
 }
 
-/// Guards against a start that waits for a slow first list, and against such a list that is never applied. The list takes
-/// far longer than a start may wait for it, and longer than it takes to make as many calls as may be open at once. The start
-/// must be in time with the configured list, and the slow one is applied later.
+/// A slow first list does not delay a start: the process is ready in time with the cached list, and applies the slow one
+/// later. The slow list takes far longer than a start may wait for it, and longer than it takes to make as many calls as
+/// may be open at once.
 #[test]
 fn trickling_first_list_delays_no_start_and_is_applied_later() {
-    const PIECES: usize = 8;
+    const PIECE_COUNT: usize = 8;
     let (old, new) = (
         ScriptedServer::start(|_| ok_response()),
         ScriptedServer::start(|_| ok_response()),
@@ -308,7 +308,7 @@
             instance("s-2", new.address, "up"),
         ],
     );
-    let discovery = TricklingDiscovery::start(&list, PIECES);
+    let discovery = TricklingDiscovery::start(&list, PIECE_COUNT);
     let mut config = config(&[instance("s-1", old.address, "up")]);
     config["discovery"] = discovery.address.to_string().into();
     let process = LimitedProcess::start(&config, MAX_DESCRIPTORS);
@@ -323,17 +323,17 @@
         old.next_request().start_line,
         "GET /look?key=0000000000000001 HTTP/1.1"
     );
-    let until = Instant::now() + TEST_TIMEOUT;
+    let deadline = Instant::now() + TEST_TIMEOUT;
     let first_customer = (2..=u32::MAX).find(|&customer| {
         assert_eq!(process.client().request("look", customer, 1).status(), 200);
-        new.requests.try_iter().count() > 0 || Instant::now() >= until
+        new.requests.try_iter().count() > 0 || Instant::now() >= deadline
     });
     assert!(
-        Instant::now() < until,
+        Instant::now() < deadline,
         "the list was not applied after {} calls",
         discovery.calls()
     );
-    // The limiter now knows that the old server drains, and must send it no more requests.
+    // The limiter has now applied the list, in which the old server drains, and must send it no more requests.
     let _ = old.requests.try_iter().count();
     for customer in first_customer.unwrap_or(0) + 1..first_customer.unwrap_or(0) + 6 {
         assert_eq!(process.client().request("look", customer, 1).status(), 200);
@@ -347,8 +347,8 @@
     );
 }
 
-/// Guards against clients without a response when a process is shut down while it still waits for a silent discovery:
-/// clients that have connected must be answered.
+/// Clients that have connected are answered although their process is shut down while it still waits for a silent
+/// discovery.
 #[test]
 fn shutdown_during_startup_answers_connected_clients() {
     let server = ScriptedServer::start(|_| ok_response());
@@ -356,9 +356,9 @@
     let mut config = config(&[instance("s-1", server.address, "up")]);
     config["discovery"] = discovery.address.to_string().into();
     let mut process = LimitedProcess::start(&config, MAX_DESCRIPTORS);
-    let until = Instant::now() + TEST_TIMEOUT;
+    let deadline = Instant::now() + TEST_TIMEOUT;
     let mut client = std::iter::repeat_with(|| Client::connect(process.address).ok())
-        .take_while(|_| Instant::now() < until)
+        .take_while(|_| Instant::now() < deadline)
         .flatten()
         .next()
         .expect("a connection");
@@ -371,9 +371,9 @@
     assert!(process.wait().success());
 }
 
-/// Guards against clients that are lost while a process accepts no connections, because it is suspended or accept fails. All
-/// clients that connect meanwhile must fit into the listener's backlog and be answered: the kernel drops further connection
-/// attempts, which clients repeat only after a second.
+/// All clients that connect while a process accepts no connections, because it is suspended or accept fails, fit into the
+/// listener's backlog and are answered. The kernel drops connection attempts that do not fit, which clients repeat only
+/// after a second.
 #[test]
 fn clients_that_connect_to_a_suspended_process_are_answered() {
     const CLIENT_COUNT: usize = 500;
--- a/crates/merlinreel/tests/sockets/suspended_limiter.rs
+++ b/crates/merlinreel/tests/sockets/suspended_limiter.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 use test_case::test_case;
 
-/// After this time an incomplete body whose head arrived at once has timed out.
+/// Time after which an incomplete body has timed out, counted from the start of a connection whose head arrived at once.
 const BODY_TIMEOUT: Duration = Duration::from_millis(2200);
 /// Long enough for bytes to arrive over loopback and to be read by a running limiter.
 const ARRIVAL_TIME: Duration = Duration::from_millis(100);
@@ -26,20 +26,20 @@
     program.signal("-CONT");
 }
 
-/// The head of a request, with these framing headers.
+/// The head of a request, with `framing` in place of its `Content-Length` header.
 fn head(class: &str, framing: &str) -> String {
     request(class, 7, 1, "4000m")
         .replace("Content-Length: 6\r\n", framing)
         .replace("a body", "")
 }
 
-/// The encoded end of a chunked body: this many one-byte chunks and the last chunk.
+/// The encoded end of a chunked body: `count` chunks of one byte each, and the last chunk.
 fn one_byte_chunks(count: usize) -> String {
     "1\r\nx\r\n".repeat(count) + "0\r\n\r\n"
 }
 
-/// Guards against status 408 for a body that arrived in time: the limiter was suspended past the body's deadline and had not
-/// read it from the socket buffer yet.
+/// A body that arrived in time is served, although the limiter was suspended past the body's deadline and reads it from the
+/// socket buffer only then. Otherwise the client would get status 408 for the limiter's stall.
 #[test_case("Transfer-Encoding: chunked\r\n", "1\r\nx\r\n", &one_byte_chunks(999) ; "chunked")]
 #[test_case("Content-Length: 30000\r\n", "x", &"x".repeat(29_999) ; "content length")]
 fn body_that_arrived_in_time_is_served_after_a_suspension_past_its_deadline(
@@ -60,8 +60,8 @@
     assert!(body.len() >= 1000 && body.bytes().all(|byte| byte == b'x'));
 }
 
-/// Guards against a suspension that gives every client the full timeout again: a body that stays incomplete is ended soon
-/// after the suspension.
+/// A body that stays incomplete is ended soon after a suspension past its deadline: the suspension must not give every
+/// client the full timeout again.
 #[test]
 fn incomplete_body_is_ended_soon_after_a_suspension_past_its_deadline() {
     let (server, program) = start_server_and_limiter();
@@ -79,8 +79,8 @@
     assert!(server.requests.try_recv().is_err());
 }
 
-/// Guards against a connection that is evicted without a response although its complete request is unread data in the socket
-/// buffer: the limiter was suspended, and many new clients need connection slots.
+/// A connection whose complete request is unread data in the socket buffer gets its response and is not evicted, although
+/// the limiter was suspended and many new clients need connection slots.
 #[test]
 fn request_that_arrived_in_time_is_not_evicted_after_a_suspension() {
     const NEW_CLIENT_COUNT: usize = 200;
@@ -101,8 +101,8 @@
     );
 }
 
-/// Guards against a response that is discarded, and counted as a failure of its server, because the attempt's deadline
-/// passed while the limiter was suspended: the response had arrived in the socket buffer in time.
+/// A response that arrived in the socket buffer in time is forwarded, although the attempt's deadline passed while the
+/// limiter was suspended. Otherwise it would be discarded and counted as a failure of its server.
 #[test_case("look")]
 #[test_case("pay")]
 fn response_that_arrived_in_time_is_forwarded_after_a_suspension_past_the_attempt_deadline(
--- a/crates/merlinreel/tests/sockets/system_call_failures.rs
+++ b/crates/merlinreel/tests/sockets/system_call_failures.rs
@@ -8,14 +8,14 @@
 
 /// The operating system's limit on the file descriptors of the process; its configuration allows more.
 const MAX_DESCRIPTORS: u32 = 40;
-/// A process must be ready within this time of its start.
+/// Maximum time from the start of a process until it is ready.
 const MAX_STARTUP_TIME: Duration = Duration::from_secs(10);
 const PARTIAL_HEAD: &str = "GET /look?key=7 HTTP/1.1\r\nHost:";
 
 fn wait_until(condition: impl Fn() -> bool) {
-    let end = Instant::now() + TEST_TIMEOUT;
+    let deadline = Instant::now() + TEST_TIMEOUT;
     while !condition() {
-        assert!(Instant::now() < end, "the condition never held");
+        assert!(Instant::now() < deadline, "the condition never held");
         thread::sleep(Duration::from_millis(2));
     }
 }
@@ -26,25 +26,26 @@
     process
 }
 
-/// Opens client connections, each with a partial request, until the process has no descriptor left.
+/// Opens [`MAX_DESCRIPTORS`] client connections, each with a partial request, and waits until the process has no descriptor
+/// left.
 fn use_all_descriptors(process: &LimitedProcess) -> Vec<Client> {
     let connect = |_| {
         let mut client = process.client();
         client.send(PARTIAL_HEAD);
         client
     };
-    let partial_clients = (0..MAX_DESCRIPTORS).map(connect).collect();
+    let partial_request_clients = (0..MAX_DESCRIPTORS).map(connect).collect();
     wait_until(|| process.open_descriptors() >= MAX_DESCRIPTORS as usize);
-    partial_clients
+    partial_request_clients
 }
 
-/// Guards against clients that are lost because the listener closes at the first error of accept: no descriptors are
-/// available when the shutdown begins. Pending connections must be accepted as soon as possible, and answered.
+/// Connections that are pending when a shutdown begins, while accept fails because no descriptor is available, are accepted
+/// as soon as possible and answered. A listener that closed at the first error of accept would lose them.
 #[test]
 fn connections_pending_while_accept_fails_at_shutdown_are_answered() {
     let server = ScriptedServer::start(|_| ok_response());
     let mut process = start_limited_process(server.address);
-    let partial_clients = use_all_descriptors(&process);
+    let partial_request_clients = use_all_descriptors(&process);
     let waiting_clients: Vec<_> = (0..8)
         .map(|customer| {
             let mut client = process.client();
@@ -59,12 +60,12 @@
         .collect();
     assert_eq!(statuses, [Some(200); 8]);
     assert!(process.wait().success());
-    drop(partial_clients);
+    drop(partial_request_clients);
 }
 
-/// Guards against a shortage of sockets on the limiter's machine that counts as a failure of the server: for half a second
-/// no socket is available for a connection to it. The request waits and is served, and the server is afterwards neither
-/// excluded nor in slow start.
+/// A shortage of sockets on the limiter's machine does not count as a failure of the server: for half a second no socket is
+/// available for a connection to it. The request waits and is served, and the server is afterwards neither excluded nor in
+/// slow start.
 #[test]
 fn local_socket_shortage_does_not_count_against_a_server() {
     let server = ScriptedServer::start(|_| ok_response());
@@ -76,11 +77,11 @@
             .map(|response| response.status()),
         Some(200)
     );
-    let partial_clients = use_all_descriptors(&process);
+    let partial_request_clients = use_all_descriptors(&process);
     let started_at = Instant::now();
     client.send(&request("look", 1, 1, "3000m"));
     thread::sleep(Duration::from_millis(500).saturating_sub(started_at.elapsed()));
-    drop(partial_clients);
+    drop(partial_request_clients);
     assert_eq!(
         client.receive().map(|response| response.status()),
         Some(200)
@@ -101,7 +102,7 @@
     );
 }
 
-/// Guards against a start that fails because its address is still in use: the address is free a moment later.
+/// A start whose address is still in use waits until the address is free a moment later, and does not fail.
 #[test]
 fn start_waits_for_its_address_to_be_free() {
     let config = config(&[]);
--- a/crates/merlinreel/tests/sockets/truncated_responses.rs
+++ b/crates/merlinreel/tests/sockets/truncated_responses.rs
@@ -59,7 +59,7 @@
     }
 }
 
-/// Encodes a body as chunks, without the last chunk.
+/// Encodes a body as chunks, without the last chunk, which has size 0.
 fn chunks(body: &str) -> String {
     let chunks = body
         .as_bytes()
@@ -79,7 +79,7 @@
     body
 }
 
-/// Where a short response is truncated.
+/// The position, by framing, at which a short response is truncated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum BreakPoint {
     ChunkedHead,
@@ -164,8 +164,9 @@
     })
 }
 
-/// Starts a server that truncates its first response and completes later ones.
-fn truncate_first(text: String, when: CloseTiming, end: ConnectionEnd) -> ScriptedServer {
+/// Starts a server whose first response is `text`, after which the connection ends as given by `when` and `end`. Later
+/// responses are complete.
+fn close_after_first(text: String, when: CloseTiming, end: ConnectionEnd) -> ScriptedServer {
     let truncated = TruncatedResponse { text, when, end };
     react_to_first(move || Reaction::Truncate(truncated.clone()))
 }
@@ -241,7 +242,7 @@
     when: CloseTiming,
     end: ConnectionEnd,
 ) {
-    let server = truncate_first(point.sent_text(), when, end);
+    let server = close_after_first(point.sent_text(), when, end);
     let (outcome, body) = send_once(&start_limiter(&server), &server, class);
     assert_eq!(outcome, class.after_truncated_attempt(), "{body:?}");
     if outcome.status == 200 {
@@ -271,7 +272,7 @@
     [Class::Idempotent, Class::IdempotencyKey, Class::NonIdempotent],
     [CloseTiming::Written, CloseTiming::Read]
 )]
-fn reset_does_not_complete_a_response_until_the_close(class: Class, when: CloseTiming) {
+fn reset_does_not_complete_a_response_delimited_by_the_close(class: Class, when: CloseTiming) {
     assert_retried_where_its_class_allows(
         class,
         BreakPoint::UntilClose,
@@ -280,8 +281,8 @@
     );
 }
 
-/// Guards against a response that is forwarded too early: exactly as much of its body has arrived as is buffered, so the
-/// truncated response is still a failed attempt.
+/// A response is not forwarded yet when exactly as much of its body has arrived as is buffered: truncated there, it is
+/// still a failed attempt.
 #[test_matrix(
     [Class::Idempotent, Class::NonIdempotent],
     [Framing::Length, Framing::Chunked],
@@ -293,17 +294,17 @@
     end: ConnectionEnd,
 ) {
     let text = framing.partial_response(&long_body(LONG_BYTES), BUFFERED_BYTES);
-    let server = truncate_first(text, CloseTiming::Read, end);
+    let server = close_after_first(text, CloseTiming::Read, end);
     let (outcome, _) = send_once(&start_limiter(&server), &server, class);
     assert_eq!(outcome, class.after_truncated_attempt());
 }
 
-/// Guards against a request that runs twice: its attempt fails after the lifetime of its idempotency key, when servers may
-/// have forgotten the key.
+/// A request whose attempt fails after the lifetime of its idempotency key is not retried. Servers may have forgotten the
+/// key, so that a retry could run the request twice.
 #[test_matrix(["all", "zone"], [ConnectionEnd::Reset, ConnectionEnd::Orderly])]
 fn request_is_not_retried_after_the_lifetime_of_its_key(group: &str, end: ConnectionEnd) {
     const KEY_LIFETIME: Duration = Duration::from_millis(200);
-    let server = truncate_first(
+    let server = close_after_first(
         BreakPoint::LengthHalf.sent_text(),
         CloseTiming::Delayed(KEY_LIFETIME * 2),
         end,
@@ -328,8 +329,8 @@
 )]
 fn complete_responses_arrive_unchanged(class: Class, framing: Framing, length: usize) {
     let body = long_body(length);
-    // The server closes the connection after each response: one framing requires it, the others allow it.
-    let server = truncate_first(
+    // The server closes the connection after its first response: one framing requires it, the others allow it.
+    let server = close_after_first(
         framing.response(&body),
         CloseTiming::Written,
         ConnectionEnd::Orderly,
@@ -349,8 +350,8 @@
     );
 }
 
-/// Guards against a truncated response that the client takes for complete: part of it may have been forwarded, so no other
-/// response can follow.
+/// The client can tell that a long truncated response is truncated and must not take it for complete. Part of it may have
+/// been forwarded, so no other response can follow.
 #[test_case(Framing::Length, CloseTiming::Read, ConnectionEnd::Reset ; "content length, reset")]
 #[test_case(Framing::Length, CloseTiming::Read, ConnectionEnd::Orderly ; "content length, orderly end")]
 #[test_case(Framing::Length, CloseTiming::Written, ConnectionEnd::Orderly ; "content length, orderly end at once")]
@@ -369,7 +370,7 @@
         Class::IdempotencyKey,
         Class::NonIdempotent,
     ] {
-        let server = truncate_first(framing.partial_response(&body, LONG_PART_BYTES), when, end);
+        let server = close_after_first(framing.partial_response(&body, LONG_PART_BYTES), when, end);
         let program = start_limiter(&server);
         let mut client = program.client();
         client.send(&request_text(class, 7));
@@ -412,9 +413,8 @@
     }
 }
 
-/// Guards against a server that delays a response beyond the attempt's deadline by sending it byte by byte: the client must
-/// get its own response in time, and the connection to the server must be closed although the server goes on sending for
-/// longer than the client waits.
+/// The attempt's deadline bounds a response that a server sends byte by byte: the client gets the limiter's own response in
+/// time, and the connection to the server is closed although the server goes on sending for longer than the client waits.
 #[test_case(Framing::Length, "x" ; "content length")]
 #[test_case(Framing::Chunked, "1\r\nx\r\n" ; "chunked")]
 #[test_case(Framing::UntilClose, "x" ; "until the close")]
