--- a/crates/merlinreel-policy/src/lib.rs
+++ b/crates/merlinreel-policy/src/lib.rs
@@ -19,8 +19,7 @@
 //! # Files that make decisions
 //!
 //! The files listed under `policy` in `deploy/balancer.toml` make the decisions. Their module comments begin with
-//! "Decides" or "Decisions", except those of `limiter.rs`, which combines them, and `quota/peer_reports.rs`, which
-//! applies the messages of other limiters. All other files hold state, count and convert.
+//! "Decides", except that of `limiter.rs`, which combines them. All other files hold state, count and convert.
 
 #![warn(missing_docs)]
 
