--- a/crates/merlinreel-policy/src/server/attempt_results.rs
+++ b/crates/merlinreel-policy/src/server/attempt_results.rs
@@ -1,9 +1,9 @@
 //! Decides how the result of an attempt changes what is known of its server and of all servers together.
 
 use super::concurrency_limit::{min_limit, next_limit_multiplier, slow_threshold_seconds};
-use super::fleet_latency::PoolLatency;
 use super::overdue_attempts::is_latency_sample;
 use super::pool::ServerPool;
+use super::pool_latency::PoolLatency;
 use super::server_state::Server;
 use crate::model::attempt::{AttemptOutcome, AttemptResult, LoadReport};
 use crate::request_table::EndedAttempt;
--- a/crates/merlinreel-policy/src/server/outlier_ejection.rs
+++ b/crates/merlinreel-policy/src/server/outlier_ejection.rs
@@ -1,7 +1,7 @@
 //! Decides which servers are ejected after failures, and which of them have probably restarted.
 
-use super::fleet_latency::PoolLatency;
 use super::pool::ServerPool;
+use super::pool_latency::PoolLatency;
 use super::server_state::Server;
 use crate::time;
 use std::time::Duration;
--- a/crates/merlinreel-policy/src/server/overdue_attempts.rs
+++ b/crates/merlinreel-policy/src/server/overdue_attempts.rs
@@ -1,7 +1,7 @@
 //! Decides which attempts are overdue, and which servers have failed and which attempts are cancelled because of that.
 
-use super::fleet_latency::PoolLatency;
 use super::pool::ServerPool;
+use super::pool_latency::PoolLatency;
 use crate::actions::Actions;
 use crate::model::index::RequestIndex;
 use crate::model::limiter_config::LimiterConfig;
--- a/crates/merlinreel-policy/src/server/selection.rs
+++ b/crates/merlinreel-policy/src/server/selection.rs
@@ -1,7 +1,7 @@
 //! Decides which server an attempt is sent to.
 
-use super::fleet_latency::PoolLatency;
 use super::pool::ServerPool;
+use super::pool_latency::PoolLatency;
 use super::server_state::Server;
 use crate::model::endpoint::{Endpoint, EndpointConfig};
 use crate::model::fleet::FleetConfig;
