--- a/crates/merlinreel-discovery/src/message.rs
+++ b/crates/merlinreel-discovery/src/message.rs
@@ -24,7 +24,9 @@
         given: String,
     },
     /// An instance's lifecycle must be `up`, `draining` or `removed`.
-    #[error("instances[{index}].lifecycle: unknown '{given}'; expected up, draining or removed")]
+    #[error(
+        "instances[{index}].lifecycle: unknown value '{given}'; expected up, draining or removed"
+    )]
     Lifecycle {
         /// Position of the instance in the message.
         index: usize,
@@ -74,7 +76,7 @@
     instances: Vec<Instance>,
 }
 
-/// A server in the agent's message. Error texts of serde contain the name of this type.
+/// An endpoint in the agent's message. Error texts of serde contain the name of this type.
 #[derive(Deserialize)]
 struct Instance {
     #[serde(rename = "instanceId")]
--- a/crates/merlinreel-discovery/src/message/tests.rs
+++ b/crates/merlinreel-discovery/src/message/tests.rs
@@ -117,7 +117,7 @@
     "instances[0].hostPort: 'here' is not an IP address and port" ; "invalid address")]
 #[test_case(r#"{"generation":1,"instances":[{"instanceId":"r","hostPort":"10.0.0.1:80","lifecycle":"up"},
     {"instanceId":"s","hostPort":"10.0.0.1:80","lifecycle":"odd"}]}"#,
-    "instances[1].lifecycle: unknown 'odd'; expected up, draining or removed" ; "unknown lifecycle")]
+    "instances[1].lifecycle: unknown value 'odd'; expected up, draining or removed" ; "unknown lifecycle")]
 fn malformed_message_is_described_in_the_error(text: &str, expected: &str) {
     let error = decode(text.as_bytes()).err().map(|error| error.to_string());
     assert_eq!(error.as_deref(), Some(expected));
--- a/crates/merlinreel-settings/src/error.rs
+++ b/crates/merlinreel-settings/src/error.rs
@@ -17,7 +17,7 @@
     /// The value must be a finite number, zero or greater.
     #[error("setting {path}: '{given}' is not a number of 0 or more")]
     NotANumber {
-        /// The setting.
+        /// Path of the setting.
         path: String,
         /// The text that was given.
         given: String,
@@ -25,7 +25,7 @@
     /// The value must be a finite number greater than zero, or be left out.
     #[error("setting {path}: '{given}' is not a positive number")]
     NotPositive {
-        /// The setting.
+        /// Path of the setting.
         path: String,
         /// The text that was given.
         given: String,
@@ -33,7 +33,7 @@
     /// The value must be a number of seconds that a [`Duration`](std::time::Duration) can hold.
     #[error("setting {path}: {seconds} seconds is too long for a duration")]
     NotADuration {
-        /// The setting.
+        /// Path of the setting.
         path: String,
         /// The number that was given.
         seconds: f64,
@@ -41,7 +41,7 @@
     /// The value must be `true`, `false`, `1` or `0`.
     #[error("setting {path}: '{given}' is neither true nor false")]
     NotABoolean {
-        /// The setting.
+        /// Path of the setting.
         path: String,
         /// The text that was given.
         given: String,
@@ -50,13 +50,13 @@
     /// class's `idempotency`; `all`, `zone` or `cell` for the `group` of a class with idempotency keys.
     #[error("setting {path}: unknown value '{given}'")]
     UnknownValue {
-        /// The setting.
+        /// Path of the setting.
         path: String,
         /// The text that was given.
         given: String,
     },
     /// A list of objects must not have more than 4096 items.
-    #[error("setting {path}: {count} is too many")]
+    #[error("setting {path}: {count} items, but a list has at most 4096")]
     ListTooLong {
         /// Path of the setting that holds the length, `.count` under the list's path.
         path: String,
@@ -66,7 +66,7 @@
     /// The fleet must not have more than 65536 limiters.
     #[error("setting {path}: {count} limiters, but a fleet has at most 65536")]
     FleetTooLarge {
-        /// The setting.
+        /// Path of the setting.
         path: &'static str,
         /// The number of limiters that was given.
         count: f64,
@@ -74,7 +74,7 @@
     /// This limiter's rank must be smaller than the number of limiters.
     #[error("setting {path}: {rank} is not less than the number of limiters, {limiters}")]
     RankOutOfRange {
-        /// The setting.
+        /// Path of the setting.
         path: &'static str,
         /// The rank that was given.
         rank: f64,
--- a/crates/merlinreel-settings/src/tests.rs
+++ b/crates/merlinreel-settings/src/tests.rs
@@ -51,7 +51,7 @@
 #[test_case(json!({"classes": [{"idempotency": "idempotency_key", "group": "hall"}]}), "setting classes.0.group: unknown value 'hall'" ; "unknown scope")]
 #[test_case(json!({"classes": [{}]}), "setting classes.0.idempotency: unknown value '-'" ; "absent idempotency")]
 #[test_case(json!({"rules": {"coldS": 2e19}}), "setting rules.coldS: 20000000000000000000 seconds is too long for a duration" ; "duration too long")]
-#[test_case(json!({"classes": {"count": 4097}}), "setting classes.count: 4097 is too many" ; "list too long")]
+#[test_case(json!({"classes": {"count": 4097}}), "setting classes.count: 4097 items, but a list has at most 4096" ; "list too long")]
 #[test_case(json!({"policyLimits": {"sendCap": 0}}), "setting policyLimits.sendCap: '0' is not a positive number" ; "attempt limit of 0")]
 #[test_case(json!({"policyLimits": {"sendCap": ""}}), "setting policyLimits.sendCap: '' is not a positive number" ; "empty attempt limit")]
 fn invalid_setting_is_named_in_the_error(value: Value, expected: &str) {
--- a/crates/merlinreel-testkit/tests/scale_configuration.rs
+++ b/crates/merlinreel-testkit/tests/scale_configuration.rs
@@ -91,7 +91,11 @@
             .map(|error| error.to_string())
     };
     assert_eq!((rejection(4_096, 1), rejection(1, 4_096)), (None, None));
-    let why = |list: &str| Some(format!("setting {list}.count: 4097 is too many"));
+    let why = |list: &str| {
+        Some(format!(
+            "setting {list}.count: 4097 items, but a list has at most 4096"
+        ))
+    };
     assert_eq!(rejection(4_097, 1), why("classes"));
     assert_eq!(rejection(1, 4_097), why("packages"));
 }
--- a/crates/merlinreel/src/config/reload.rs
+++ b/crates/merlinreel/src/config/reload.rs
@@ -6,8 +6,8 @@
 use crate::telemetry::metrics::ReloadOutcome;
 
 /// Loads the configuration file again and updates `current` with what a running limiter can apply: discovery's address, the
-/// settings (of which the policy applies classes and attempts) and the keys of the mesh. Other changes take effect at the
-/// next start. `variable` looks up an environment variable.
+/// settings (of which the policy applies the classes and the request limits) and the keys of the mesh. Other changes take
+/// effect at the next start. `variable` looks up an environment variable.
 pub fn reload(
     current: &mut GatewayConfig,
     variable: impl Fn(&str) -> Option<String>,
@@ -52,7 +52,7 @@
     }
     if new.settings != current.settings {
         log!(
-            "configuration: settings have changed; classes and attempts are applied now, the rest at the next start"
+            "configuration: settings have changed; classes and request limits are applied now, the rest at the next start"
         );
     }
 }
--- a/crates/merlinreel/src/endpoints/tests.rs
+++ b/crates/merlinreel/src/endpoints/tests.rs
@@ -152,7 +152,7 @@
 #[test_case(r#"{"generation":1,"instances":[{"instanceId":"s","hostPort":"x","lifecycle":"up"}]}"#,
     "instances[0].hostPort: 'x'" ; "no address")]
 #[test_case(r#"{"generation":1,"instances":[{"instanceId":"s","hostPort":"127.0.0.1:1","lifecycle":"odd"}]}"#,
-    "instances[0].lifecycle: unknown 'odd'" ; "unknown state")]
+    "instances[0].lifecycle: unknown value 'odd'" ; "unknown state")]
 #[test_case("{", "EOF" ; "cut short")]
 fn malformed_message_is_rejected(text: &str, begins: &str) {
     let error = decode(text.as_bytes()).expect_err("malformed").to_string();
@@ -231,7 +231,7 @@
     let (queue, mut events) = tokio::sync::mpsc::channel(4);
     let (first_list, _first) = oneshot::channel();
     let (_address_sender, address) = watch::channel(at);
-    // Long enough that no call counts as silent on a slow test machine.
+    // The grace is so long that no call counts as silent, even on a slow test machine.
     let limits = {
         let mut changed = limits();
         changed.endpoints.response_grace = Duration::from_secs(60);
@@ -370,17 +370,17 @@
 #[test_case(&[0, 0, 0, 0, 0] => 0 ; "all are silent")]
 #[test_case(&[9, 0, 3, 0, 0] => 1 ; "the oldest has received the most")]
 #[test_case(&[3, 0, 9, 0, 0] => 0 ; "another has received the most")]
-fn oldest_call_is_aborted_unless_it_has_received_the_most(reached: &[usize]) -> usize {
+fn oldest_call_is_aborted_unless_it_has_received_the_most(received: &[usize]) -> usize {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .build()
         .expect("a runtime");
     runtime.block_on(async {
         let mut open = OpenCalls::default();
-        let tasks: Vec<_> = reached
+        let tasks: Vec<_> = received
             .iter()
             .map(|_| tokio::spawn(std::future::pending::<()>()))
             .collect();
-        for (task, &bytes) in tasks.iter().zip(reached) {
+        for (task, &bytes) in tasks.iter().zip(received) {
             let progress = Progress::default();
             if bytes > 0 {
                 progress.record(bytes);
@@ -388,7 +388,7 @@
             open.add(
                 task.abort_handle(),
                 progress,
-                reached.len() - 1,
+                received.len() - 1,
                 Duration::from_secs(20),
             );
         }
--- a/crates/merlinreel/src/event_loop.rs
+++ b/crates/merlinreel/src/event_loop.rs
@@ -181,7 +181,7 @@
             .reconfigure(&settings.classes, settings.request_limits);
         self.metrics.set_classes(&settings.sockets.classes);
         log!(
-            "configuration: settings reloaded; classes {} and their request limits are now active",
+            "configuration: settings reloaded; classes {} and the request limits are now active",
             settings.sockets.classes.join(", ")
         );
         if let Some(settings_sender) = &self.settings_sender {
--- a/crates/merlinreel/src/upstream/open_connection.rs
+++ b/crates/merlinreel/src/upstream/open_connection.rs
@@ -120,7 +120,9 @@
     loop {
         match TcpStream::connect(address).await {
             Err(error) if is_local_error(&error) => {
-                log!("server at {address}: connection failed on this machine: {error}; retrying");
+                log!(
+                    "server at {address}: connection failed on this machine: {error}; trying again"
+                );
                 backoff.pause().await;
             }
             result => return result,
--- a/crates/merlinreel/src/upstream/response.rs
+++ b/crates/merlinreel/src/upstream/response.rs
@@ -15,7 +15,7 @@
     /// The connection failed.
     #[error("connection failed: {0}")]
     Connection(#[from] hyper::Error),
-    /// The body was not received completely, or there is no memory for it.
+    /// The body was not received completely, or is longer than the memory limit can count.
     #[error("{0}")]
     Body(#[from] BodyError),
     /// A 1xx status that the HTTP library returned as a response, such as 101 (Switching Protocols).
--- a/crates/merlinreel/src/upstream/response_memory.rs
+++ b/crates/merlinreel/src/upstream/response_memory.rs
@@ -25,7 +25,7 @@
     #[error("response body incomplete or malformed after {0} bytes")]
     Incomplete(usize),
     /// The body's length exceeds what the memory limit can count (`u32`).
-    #[error("response body exceeds the memory for responses; raise limits.memory_mb")]
+    #[error("response body exceeds 4294967295 bytes, the most that the memory limit can count")]
     NoMemory,
 }
 
