--- a/crates/merlinreel-mesh/src/authenticator/tests.rs
+++ b/crates/merlinreel-mesh/src/authenticator/tests.rs
@@ -58,7 +58,7 @@
 
 /// Pins the encoding of a datagram, on which all members of a fleet must agree.
 #[test]
-fn datagram_has_the_literal_byte_form() {
+fn datagram_has_the_pinned_encoding() {
     let mut sender = Authenticator::new(keys(&[1, 200], 200), MAX_SENDERS);
     sender.last_sequence = 299;
     let bytes = sender.sign(member(1), address(2), UNIX_TIME, b"content");
@@ -136,7 +136,7 @@
 #[test_case(member(3), 0 => DropReason::InvalidSignature ; "addressed to another receiver")]
 #[test_case(member(2), 61 => DropReason::ClockSkew ; "replayed a minute later")]
 #[test_case(member(1), 0 => DropReason::InvalidSignature ; "returned to its sender")]
-fn datagram_is_refused_at_another_receiver_or_time(own: Member, delay_s: u64) -> DropReason {
+fn datagram_is_dropped_at_another_receiver_or_time(own: Member, delay_s: u64) -> DropReason {
     let unix_time = UNIX_TIME + Duration::from_secs(delay_s);
     Authenticator::new(keys(&[1], 1), MAX_SENDERS)
         .verify(own, NOW, unix_time, &signed())
--- a/crates/merlinreel-mesh/src/wire/tests.rs
+++ b/crates/merlinreel-mesh/src/wire/tests.rs
@@ -107,7 +107,7 @@
 #[test_case(Message::Requests(vec![request()]), &[&[2, 1], &DIGEST[..12], &[0x81, 0x01]] ; "requests")]
 #[test_case(update(false), &[&[3, 0], DIGEST, RECORDS] ; "update")]
 #[test_case(update(true), &[&[3, 1], DIGEST, RECORDS] ; "urgent update")]
-fn message_has_the_literal_byte_form(message: Message, parts: &[&[u8]]) {
+fn message_has_the_pinned_encoding(message: Message, parts: &[&[u8]]) {
     let bytes = parts.concat();
     assert_eq!(encode(&message), bytes);
     assert_eq!(decode(&bytes), Ok(message));
--- a/crates/merlinreel/src/client/decode/tests.rs
+++ b/crates/merlinreel/src/client/decode/tests.rs
@@ -86,7 +86,7 @@
 #[test_case("/put?key=0000000200000000", ("", "") => "key: no customer's number" ; "customer out of range")]
 #[test_case(URI, ("x-remaining", "480") => "x-remaining: no number with m or u" ; "no unit")]
 #[test_case(URI, ("x-remaining", "-1m") => "x-remaining: no number with m or u" ; "negative time")]
-#[test_case(URI, ("x-quota", "units=nan,spread=1,first=0") => "x-quota: units is no number in range" ; "units")]
+#[test_case(URI, ("x-quota", "units=nan,spread=1,first=0") => "x-quota: units is no number in range" ; "units not a number")]
 #[test_case(URI, ("x-quota", "units=+2,spread=1,first=0") => "x-quota: units is no number in range" ; "signed units")]
 #[test_case(URI, ("x-quota", "units=9,spread=1,first=0") => "x-quota: units is no number in range" ; "too many units")]
 #[test_case(URI, ("x-quota", "units=1,units=1") => "x-quota: units stands there twice" ; "units twice")]
--- a/crates/merlinreel/src/client/stream.rs
+++ b/crates/merlinreel/src/client/stream.rs
@@ -36,7 +36,7 @@
     timeout_with_unread: Pin<Box<Sleep>>,
 }
 
-/// The stream that the HTTP library reads from and writes to.
+/// A client connection as the HTTP library reads and writes it; see the module documentation.
 pub struct ClientStream {
     stream: ObservedStream<ClientConnection>,
     client_connection: Arc<ClientConnection>,
@@ -146,7 +146,8 @@
         self.buffer.len() - self.requested
     }
 
-    /// Makes sure that memory is reserved for `bytes` bytes read ahead. Returns false if too little is free.
+    /// Makes sure that `bytes` bytes may be read ahead: memory is reserved for those beyond `unreserved_read_ahead`. Returns
+    /// false if too little is free.
     fn reserve_read_ahead(&mut self, bytes: usize) -> bool {
         let reserved = self
             .reserved
@@ -166,7 +167,8 @@
 
     /// Reads ahead while a request is in flight, to detect a disconnect: the HTTP library stops reading once data follows a
     /// request, and servers would process requests that no client waits for. Nothing is read while too little memory is
-    /// free. Data beyond `max_read_ahead` is dropped, and the response announces the close.
+    /// free. Data beyond `max_read_ahead`, which is longer than any client's pipelined requests, is dropped, and the response
+    /// announces the close.
     fn read_ahead(&mut self, cx: &mut Context) -> io::Result<()> {
         if !self.client_connection.busy.load(Ordering::Relaxed) {
             return Ok(());
@@ -312,7 +314,7 @@
                 timeout_with_unread: Box::pin(sleep(self.linger_timeout_with_unread)),
             });
         }
-        let client_ended = self.stream.poll_peer_closed(cx).is_ready();
+        let client_ended = self.stream.poll_remote_closed(cx).is_ready();
         let ClientStream {
             stream,
             lingering: Some(lingering),
--- a/crates/merlinreel/src/client/tests/closing.rs
+++ b/crates/merlinreel/src/client/tests/closing.rs
@@ -71,7 +71,7 @@
 /// The limiter closes a connection while the client is still sending: the client gets its complete response and then an
 /// orderly end, not a reset. Data that arrives after the limiter's side is shut down is not processed as a request.
 #[tokio::test]
-async fn close_over_bytes_in_transit_is_no_reset() -> std::io::Result<()> {
+async fn close_while_the_client_sends_is_no_reset() -> std::io::Result<()> {
     use std::io::{Read, Write};
     let (mut client, stream) = connect_client(UP_REQUEST_WITH_CLOSE)?;
     let (client_listener, mut events) = serving_listener(limits());
@@ -94,7 +94,7 @@
 /// Data that arrives after the limiter has shut down its side is not read, so the client may safely send a request in it
 /// again. The close ends as soon as the client closes its side, even with unread data in the socket buffer.
 #[tokio::test]
-async fn bytes_after_the_limiters_end_are_not_read() -> std::io::Result<()> {
+async fn data_after_the_limiters_side_is_shut_down_is_not_read() -> std::io::Result<()> {
     use std::io::{Read, Write};
     let (mut client, stream) = connect_client(UP_REQUEST_WITH_CLOSE)?;
     let stream = stream.into_std()?;
@@ -131,7 +131,7 @@
 #[test_case(true ; "evicted")]
 #[test_case(false ; "not evicted")]
 #[tokio::test]
-async fn close_ends_though_the_client_never_ends_its_side(evicts: bool) -> std::io::Result<()> {
+async fn close_ends_although_the_client_never_closes_its_side(evicts: bool) -> std::io::Result<()> {
     let (_client, stream) = connect_client(UP_REQUEST_WITH_CLOSE)?;
     let linger_timeout = Duration::from_secs(if evicts { 3600 } else { 0 });
     let (client_listener, _events) = serving_listener({
--- a/crates/merlinreel/src/client/tests/eviction.rs
+++ b/crates/merlinreel/src/client/tests/eviction.rs
@@ -7,7 +7,7 @@
 
 /// A connection is asked to close when its first request has arrived and is not yet read. The request is answered.
 #[tokio::test]
-async fn evicted_connection_answers_what_arrived_unseen() -> std::io::Result<()> {
+async fn evicted_connection_answers_a_request_that_was_not_read() -> std::io::Result<()> {
     use std::io::Read;
     let (mut client, stream) = connect_client(b"GET /up HTTP/1.1\r\n\r\n")?;
     let evicted = client_connection(0, 1.0, None);
--- a/crates/merlinreel/src/client/tests/reading.rs
+++ b/crates/merlinreel/src/client/tests/reading.rs
@@ -71,7 +71,7 @@
 /// Content-Length is not attributed to another request. Buffered data counts as unread, so that no connection is closed
 /// while it holds a request that was already read from the socket.
 #[tokio::test]
-async fn stream_gives_the_library_one_head_a_read() -> std::io::Result<()> {
+async fn stream_passes_one_head_per_read_to_the_library() -> std::io::Result<()> {
     use tokio::io::AsyncReadExt;
     const FIRST: &[u8] = b"POST /a HTTP/1.1\r\nContent-Length: 4\r\n\r\n";
     const SECOND: &[u8] = b"bodyPOST /b HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n";
--- a/crates/merlinreel/src/client/tests/response_heads.rs
+++ b/crates/merlinreel/src/client/tests/response_heads.rs
@@ -117,7 +117,10 @@
     "HTTP/1.1 502 Bad Gateway\r\ncontent-length: 7\r\n\
     date: Thu, 01 Jan 1970 00:00:00 GMT\r\n\r\nfailed\n" ; "failed")]
 #[tokio::test]
-async fn decided_response_has_its_literal_bytes(response: ClientResponse, expected: &str) {
+async fn response_of_the_event_loop_has_its_literal_bytes(
+    response: ClientResponse,
+    expected: &str,
+) {
     let request = request("GET /look?key=7", "8000m", "", "");
     let text = exchange(limits(), &request, Some(response), expected).await;
     assert_eq!(text, expected);
@@ -147,7 +150,7 @@
     "HTTP/1.1 408 Request Timeout\r\nconnection: close\r\ncontent-length: 0\r\n\
     date: Thu, 01 Jan 1970 00:00:00 GMT\r\n\r\n" ; "body incomplete in time")]
 #[tokio::test]
-async fn undecided_response_has_its_literal_bytes(
+async fn response_without_the_event_loop_has_its_literal_bytes(
     first: &str,
     framing: &str,
     body: &str,
@@ -179,7 +182,7 @@
 }
 
 #[tokio::test]
-async fn id_of_a_request_in_flight_is_a_conflict_with_literal_bytes() {
+async fn response_to_an_id_in_flight_has_its_literal_bytes() {
     const EXPECTED: &str = "HTTP/1.1 409 Conflict\r\nconnection: close\r\ncontent-length: 26\r\n\
         date: Thu, 01 Jan 1970 00:00:00 GMT\r\n\r\nx-txn: such a job is open\n";
     let text = request("GET /look?key=7", "8000m", "", "");
@@ -196,7 +199,7 @@
 }
 
 #[tokio::test]
-async fn up_before_the_start_is_unavailable_with_literal_bytes() {
+async fn response_to_up_before_the_start_has_its_literal_bytes() {
     const EXPECTED: &str = "HTTP/1.1 503 Service Unavailable\r\nconnection: close\r\ncontent-length: 0\r\n\
         date: Thu, 01 Jan 1970 00:00:00 GMT\r\n\r\n";
     let (client, stream) =
--- a/crates/merlinreel/src/client/tests/shutdown.rs
+++ b/crates/merlinreel/src/client/tests/shutdown.rs
@@ -4,7 +4,7 @@
 use test_case::test_case;
 
 /// The kernel resets connections that were not accepted when the listening socket is closed, so all pending connections
-/// must be accepted before.
+/// must be accepted first.
 #[tokio::test]
 async fn pending_connections_are_accepted_before_the_socket_closes() -> std::io::Result<()> {
     use std::io::{Read, Write};
--- a/crates/merlinreel/src/net/observed_stream.rs
+++ b/crates/merlinreel/src/net/observed_stream.rs
@@ -86,9 +86,9 @@
     }
 
     /// Waits until the remote end has closed its side or the connection has failed. Consumes no received data.
-    pub fn poll_peer_closed(&self, cx: &mut Context) -> Poll<()> {
+    pub fn poll_remote_closed(&self, cx: &mut Context) -> Poll<()> {
         loop {
-            if ready!(self.stream.poll_read_ready(cx)).is_err() || self.peer_has_closed() {
+            if ready!(self.stream.poll_read_ready(cx)).is_err() || self.remote_has_closed() {
                 return Poll::Ready(());
             }
             // There is unread data: clears the readiness, so that the poller reports the next event.
@@ -100,7 +100,7 @@
 
     /// Whether the remote end has closed its side. If unread data precedes the end of the stream, only the poller shows it;
     /// otherwise a peek at the socket receive buffer does too.
-    fn peer_has_closed(&self) -> bool {
+    fn remote_has_closed(&self) -> bool {
         let ready = pin!(self.stream.ready(Interest::READABLE))
             .poll(&mut Context::from_waker(Waker::noop()));
         match ready {
--- a/crates/merlinreel/src/net/system_errors/tests.rs
+++ b/crates/merlinreel/src/net/system_errors/tests.rs
@@ -25,7 +25,7 @@
 #[test_case(libc::ECONNREFUSED => false ; "refused")]
 #[test_case(libc::ETIMEDOUT => false ; "timed out")]
 #[test_case(libc::EHOSTUNREACH => false ; "unreachable host")]
-#[test_case(libc::ECONNRESET => false ; "reset by the peer")]
+#[test_case(libc::ECONNRESET => false ; "reset by the remote end")]
 fn connect_error_is_caused_by_this_machine(number: i32) -> bool {
     is_local_error(&io::Error::from_raw_os_error(number))
 }
