--- a/crates/merlinreel-discovery/src/lib.rs
+++ b/crates/merlinreel-discovery/src/lib.rs
@@ -1,4 +1,4 @@
-//! The server list that the discovery agent publishes.
+//! The endpoint list that the discovery agent publishes.
 //!
 //! [`decode`] checks a message of the agent and returns a [`DiscoveryUpdate`]; [`EndpointTable`] applies updates and assigns
 //! each endpoint the index that the policy uses for it. Neither performs I/O, reads a clock or makes decisions.
--- a/crates/merlinreel-mesh/src/error.rs
+++ b/crates/merlinreel-mesh/src/error.rs
@@ -59,9 +59,9 @@
     /// The record's body is too long.
     #[error("record body has {bytes} bytes, expected at most {max}; shorten it")]
     TooLong {
-        /// Length of the record's body.
+        /// Length of the record's body in bytes.
         bytes: usize,
-        /// Maximum length of a body.
+        /// Maximum length of a body in bytes.
         max: usize,
     },
     /// This process already has records of the maximum number of kinds, which is the value. Withdrawn records count.
--- a/crates/merlinreel-simulator-adapter/src/encoding.rs
+++ b/crates/merlinreel-simulator-adapter/src/encoding.rs
@@ -8,7 +8,7 @@
 pub struct CounterKey {
     /// Number of the customer whose use is counted.
     pub customer: u64,
-    /// Number of the quota window.
+    /// Number of the quota window; window 0 of each plan starts at simulated time 0.
     pub window: u64,
 }
 
--- a/crates/merlinreel/src/admin.rs
+++ b/crates/merlinreel/src/admin.rs
@@ -74,7 +74,7 @@
             Ok((stream, _)) => stream,
             Err(error) => {
                 log!("admin endpoint: cannot accept a connection: {error}; trying again");
-                // Otherwise this would be a busy loop while no descriptor is free.
+                // Without a pause this would be a busy loop while no descriptor is free.
                 backoff.pause().await;
                 continue;
             }
--- a/crates/merlinreel/src/config/limits.rs
+++ b/crates/merlinreel/src/config/limits.rs
@@ -159,9 +159,10 @@
     pub close_idle_after: Duration,
     /// A connection without its first request is closed after this time, counted from the start of the connection.
     pub first_request_timeout: Duration,
-    /// Longest time for which connections are still accepted, counted from the first announcement.
+    /// Longest time for which connections are still accepted, counted from when responses begin to announce that their
+    /// connection closes.
     pub accept_for: Duration,
-    /// The listener closes earlier if no connection has been open for this long.
+    /// The listening socket is closed before `accept_for` is over if no connection has been open for this long.
     pub quiet_period: Duration,
     /// Pipelined requests are still answered for this long after the deadline of the shutdown.
     pub response_grace: Duration,
@@ -200,7 +201,7 @@
 const SHUTDOWN_MARGIN: Duration = Duration::from_millis(300);
 /// Cap of the longest class deadline in a shutdown: the process is killed no sooner than 0.7 s after the longest deadline,
 /// capped at this.
-const MAX_SHUTDOWN_DEADLINE: Duration = Duration::from_secs(3);
+const MAX_CLASS_DEADLINE: Duration = Duration::from_secs(3);
 
 /// Numbers of connections and sizes of buffers (in KiB), derived from the configured descriptors and memory.
 struct Budget {
@@ -232,6 +233,7 @@
 }
 
 fn connections_by_memory(memory_mb: u32, buffered_kb: usize) -> Result<usize, CapacityError> {
+    // Buffered bodies and responses take 3/10 of the memory, so the program and its connections have 7/10 of it.
     let needed_kb = (PROGRAM_MB * 1024 + MIN_CONNECTIONS * CONNECTION_KB) * 10 / 7;
     let left_kb = (memory_mb as usize * 1024).checked_sub(PROGRAM_MB * 1024 + buffered_kb);
     left_kb
@@ -394,7 +396,7 @@
 /// killed, which happens no sooner than the longest deadline (of which at most 3 s count) plus 0.7 s.
 pub fn shutdown_deadline(classes: &[RequestClass]) -> Duration {
     let longest = classes.iter().map(|class| class.deadline).max();
-    longest.unwrap_or_default().min(MAX_SHUTDOWN_DEADLINE) + SHUTDOWN_MARGIN
+    longest.unwrap_or_default().min(MAX_CLASS_DEADLINE) + SHUTDOWN_MARGIN
 }
 
 #[cfg(test)]
--- a/crates/merlinreel/src/endpoints.rs
+++ b/crates/merlinreel/src/endpoints.rs
@@ -19,7 +19,7 @@
 /// Watches discovery until the future is dropped. `version` is that of the cached endpoint list, or `None` if there is
 /// no such list. When `address` changes, the open calls are dropped and the full list is fetched from the new address
 /// at once, as its version numbers may differ. Updates are sent to `queue`; `first_list` is notified after the first
-/// response, once its update is in the queue.
+/// response, once its update, if it has changes, is in the queue.
 pub async fn watch(
     mut address: watch::Receiver<SocketAddr>,
     mut version: Option<u64>,
--- a/crates/merlinreel/src/main.rs
+++ b/crates/merlinreel/src/main.rs
@@ -47,7 +47,7 @@
 }
 
 async fn run(inherited: Option<TcpListener>) -> Result<(), StartError> {
-    // First of all, as a signal without a handler ends the program.
+    // The handlers are installed first, as a signal without a handler ends the program.
     let mut terminate = listen_for(SignalKind::terminate())?;
     let hangup = listen_for(SignalKind::hangup())?;
     let config = config::load(variable)?;
--- a/crates/merlinreel/src/peers.rs
+++ b/crates/merlinreel/src/peers.rs
@@ -89,7 +89,7 @@
                     }
                 }
                 Ok(_) => {}
-                // The error may also report that a peer is down; the socket stays usable.
+                // The error may report that a peer is down; the socket stays usable.
                 Err(error) => {
                     log!("peer messages: receiving failed: {error}; trying again");
                     // A persistent error must not keep the processor busy.
--- a/crates/merlinreel/src/startup/background_tasks.rs
+++ b/crates/merlinreel/src/startup/background_tasks.rs
@@ -21,7 +21,7 @@
 
 impl BackgroundTasks {
     /// Watches the endpoint list at discovery. `version` is that of the cached list, `None` if there is none. The receiver is
-    /// notified once the first update is in the queue.
+    /// notified after the first response, once its update, if it has changes, is in the queue.
     pub fn watch_endpoints(
         &mut self,
         config: &GatewayConfig,
--- a/crates/merlinreel/src/startup/inherited_listener.rs
+++ b/crates/merlinreel/src/startup/inherited_listener.rs
@@ -6,13 +6,13 @@
 use std::process::Command;
 use thiserror::Error;
 
-/// Descriptor number of the listening socket for clients.
+/// Environment variable with the descriptor number of the listening socket for clients.
 const LISTEN_FD: &str = "PROXY_LISTEN_FD";
-/// Number of descriptors that systemd passes on.
+/// Environment variable with the number of descriptors that systemd passes on.
 const SYSTEMD_COUNT: &str = "LISTEN_FDS";
-/// Number of the first of these descriptors.
+/// Environment variable with the number of the first descriptor that is passed on.
 const SYSTEMD_FIRST: &str = "LISTEN_FDS_FIRST_FD";
-/// Id of the process that the descriptors are meant for.
+/// Environment variable with the id of the process that the descriptors are passed to.
 const SYSTEMD_PROCESS: &str = "LISTEN_PID";
 
 /// Why no socket could be inherited.
--- a/crates/merlinreel/src/upstream/connection.rs
+++ b/crates/merlinreel/src/upstream/connection.rs
@@ -10,7 +10,8 @@
 use std::sync::Arc;
 use tokio::sync::mpsc;
 
-/// One connection to a server, from before it is opened until its task ends.
+/// The state of a connection's task. The task has at most one connection to its server open at a time; if that has ended
+/// when the next attempt arrives, the task opens another one.
 pub struct UpstreamConnection {
     /// Commands of the event loop, which closes the connection by dropping the sender.
     pub commands: mpsc::Receiver<Command>,
--- a/crates/merlinreel/src/upstream/message.rs
+++ b/crates/merlinreel/src/upstream/message.rs
@@ -133,8 +133,8 @@
     }
 }
 
-/// Only the status and the header together prove that the server did not run the request; the header alone proves
-/// nothing.
+/// Only status 503 or 504 together with the header [`REJECTED`] proves that the server did not run the request; the
+/// header alone proves nothing.
 fn decode_outcome(head: &Parts) -> AttemptOutcome {
     let has_rejected_header = head.headers.get(REJECTED).is_some_and(|value| value == "1");
     match head.status {
--- a/crates/merlinreel/src/upstream/tests/idle_connections.rs
+++ b/crates/merlinreel/src/upstream/tests/idle_connections.rs
@@ -78,8 +78,8 @@
     );
 }
 
-/// A server that has sent unsolicited bytes may do so again, some milliseconds after a response. From then on an
-/// attempt that directly follows a response uses a new connection, whichever server it is for.
+/// Unsolicited bytes may arrive some milliseconds after a response. Once any server has sent some, an attempt that
+/// directly follows a response uses a new connection, whichever server it is for.
 #[test_case(false ; "together with the response")]
 #[test_case(true ; "when the connection is idle")]
 #[tokio::test]
