--- a/crates/merlinreel/src/client/arrival_times.rs
+++ b/crates/merlinreel/src/client/arrival_times.rs
@@ -7,7 +7,7 @@
 /// Bytes that arrive within this time of a mark's first bytes share its time, which bounds the number of marks.
 const RESOLUTION: Duration = Duration::from_millis(5);
 
-/// The time at which the bytes from the previous mark's position up to this one's arrived, to [`RESOLUTION`].
+/// The time at which the bytes between the previous mark's position and this one's arrived, accurate to [`RESOLUTION`].
 #[derive(Debug)]
 struct Mark {
     position: u64,
--- a/crates/merlinreel/src/client/tests.rs
+++ b/crates/merlinreel/src/client/tests.rs
@@ -20,8 +20,8 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::sleep;
 
-/// A connection with that many received requests, idle for `idle_s` seconds, and with a partial request for `partial_s`
-/// seconds, if given.
+/// A connection that has received `requests` requests, has been idle for `idle_s` seconds and, if `partial_s` is given, has
+/// had a partial request for that many seconds.
 fn client_connection(
     requests: usize,
     idle_s: f64,
--- a/crates/merlinreel/src/client/tests/closing.rs
+++ b/crates/merlinreel/src/client/tests/closing.rs
@@ -98,7 +98,7 @@
     use std::io::{Read, Write};
     let (mut client, stream) = connect_client(UP_REQUEST_WITH_CLOSE)?;
     let stream = stream.into_std()?;
-    let kernel = stream.try_clone()?;
+    let limiter_side = stream.try_clone()?;
     let limits = {
         let mut changed = limits();
         changed.client.linger_timeout = Duration::from_secs(3600);
@@ -108,15 +108,15 @@
     let (client_connection, serving) =
         spawn_serving(&client_listener, TcpStream::from_std(stream)?);
     wait_until_set(&client_connection.closing).await;
-    let crossing = tokio::task::spawn_blocking(move || {
+    let sending = tokio::task::spawn_blocking(move || {
         client.read_to_string(&mut String::new())?;
         client.write_all(LOOK_REQUEST)?;
         // Gives the limiter time to read the data, which it must not do.
         std::thread::sleep(Duration::from_millis(100));
         Ok::<_, std::io::Error>(client)
     });
-    let client = crossing.await.expect("written")?;
-    assert_eq!(kernel.peek(&mut [0; 1024])?, LOOK_REQUEST.len());
+    let client = sending.await.expect("written")?;
+    assert_eq!(limiter_side.peek(&mut [0; 1024])?, LOOK_REQUEST.len());
     drop(client);
     tokio::time::timeout(Duration::from_secs(20), serving)
         .await
--- a/crates/merlinreel/src/client/tests/shutdown.rs
+++ b/crates/merlinreel/src/client/tests/shutdown.rs
@@ -30,8 +30,9 @@
     Ok(())
 }
 
-/// A connection with that many received requests, idle for `idle_s` seconds, with a partial request for `partial_s` seconds,
-/// or `busy` with a request in flight. `close_idle` is set late in a shutdown, when every idle connection is closed.
+/// A connection has received `requests` requests and has been idle for `idle_s` seconds, has had a partial request for
+/// `partial_s` seconds, or is `busy` with a request in flight. `close_idle` is set late in a shutdown, when every idle
+/// connection is closed.
 #[test_case(2, 0.15, None, false, false => true ; "idle")]
 #[test_case(2, 0.05, None, false, false => false ; "just used")]
 #[test_case(2, 0.05, None, false, true => true ; "just used and every idle connection closes")]
--- a/crates/merlinreel/src/config/limits.rs
+++ b/crates/merlinreel/src/config/limits.rs
@@ -75,7 +75,8 @@
     pub max_idle_connections: usize,
     /// Maximum total size of the request bodies in memory.
     pub max_buffered_body_bytes: usize,
-    /// A connection is closed after this long without a request.
+    /// A connection that carried two or more requests is closed after this long without another one. A client that reads
+    /// nothing of a response for this long counts as disconnected.
     pub idle_timeout: Duration,
     /// Time in which a request must be complete, counted from the start of the connection for the first one. A connection
     /// that carried one request is closed after this time without a second one.
--- a/crates/merlinreel/src/telemetry/metrics.rs
+++ b/crates/merlinreel/src/telemetry/metrics.rs
@@ -30,9 +30,9 @@
 pub enum ResponseOutcome {
     /// 200.
     Success,
-    /// 429 or 503, whether the limiter or a server sent it.
+    /// 429 or 503, from the limiter itself: of servers' responses clients receive only those with status 200.
     Rejected,
-    /// Any other status.
+    /// Any other status, or a streaming response that was not completed.
     Failed,
 }
 
--- a/crates/merlinreel/src/upstream/connection.rs
+++ b/crates/merlinreel/src/upstream/connection.rs
@@ -15,7 +15,7 @@
 pub struct UpstreamConnection {
     /// Commands of the event loop, which closes the connection by dropping the sender.
     pub commands: mpsc::Receiver<Command>,
-    /// The server's address; a new connection is opened to it if the server has closed an idle one.
+    /// The server's address, to which the task opens its connections.
     pub address: SocketAddr,
     /// The limits that applied when the connection was opened.
     pub limits: Limits,
--- a/crates/merlinreel/src/upstream/connection_task.rs
+++ b/crates/merlinreel/src/upstream/connection_task.rs
@@ -45,8 +45,8 @@
             };
             let written_before = open.observer.bytes_written();
             let result = match self.exchange(&mut open, &attempt).await {
-                // The server closed the connection while it was idle, and none of this request was written: the attempt
-                // is made on a new connection.
+                // The server closed the connection while it was idle, or sent unsolicited bytes on it, and none of this
+                // request was written: the attempt is made on a new connection.
                 Err(AttemptOutcome::Rejected)
                     if written_before > 0 && open.observer.bytes_written() == written_before =>
                 {
--- a/crates/merlinreel/src/upstream/exchange.rs
+++ b/crates/merlinreel/src/upstream/exchange.rs
@@ -17,7 +17,7 @@
 use tokio::sync::oneshot;
 use tokio::time::sleep_until;
 
-/// The response to an attempt, and how its connection goes on.
+/// The response to an attempt, and whether its connection can be reused.
 pub enum Exchange {
     /// The response was received completely.
     Complete {
--- a/crates/merlinreel/src/upstream/tests.rs
+++ b/crates/merlinreel/src/upstream/tests.rs
@@ -309,7 +309,7 @@
 
 /// Where started attempts may not be cancelled, the server completes its work and the attempt succeeds.
 #[tokio::test]
-async fn attempt_that_has_started_goes_on_for_a_disconnected_client() {
+async fn attempt_that_has_started_continues_for_a_disconnected_client() {
     let (listener, address) = listener().await;
     let (mut pool, mut events) = pool(address, 4);
     let (connection, mut stream) = start_and_receive(&listener, &mut pool, 5).await;
