--- a/crates/merlinreel/src/upstream/pool.rs
+++ b/crates/merlinreel/src/upstream/pool.rs
@@ -180,8 +180,7 @@
         }
         if permit.is_none() {
             log!(
-                "servers: connection limit of {} reached; an attempt or health check was not made; raise limits.sockets or limits.memory_mb",
-                self.limits.upstream.max_connections
+                "servers: connection limit reached; an attempt or health check was not made; raise limits.sockets or limits.memory_mb"
             );
         }
         permit
