--- a/crates/merlinreel-testkit/src/fault_plan.rs
+++ b/crates/merlinreel-testkit/src/fault_plan.rs
@@ -5,7 +5,7 @@
 use rand_chacha::ChaCha8Rng;
 use std::time::Duration;
 
-mod wide;
+mod compound_faults;
 
 /// Time from SIGTERM to the restart of a limiter. It is longer than the time after which the cluster sends SIGKILL, so
 /// the old process no longer runs by then.
@@ -128,7 +128,7 @@
     }
 
     /// Draws `fault_count` single faults like [`FaultPlan::generate`], and as many compound faults, which combine several
-    /// (`fault_plan/wide.rs`). Links to server 0 may be slow.
+    /// (`fault_plan/compound_faults.rs`). Links to server 0 may be slow.
     pub fn generate_with_compound_faults(
         seed: u64,
         fault_count: usize,
