--- a/crates/merlinreel/src/lib.rs
+++ b/crates/merlinreel/src/lib.rs
@@ -135,7 +135,9 @@
     stop: impl Future<Output = ()>,
 ) {
     if first_list.await.is_err() {
-        log!("discovery: no response yet; starting with the cached endpoint list, if there is one");
+        log!(
+            "discovery: no endpoint list received yet; starting with the cached list, if there is one"
+        );
     }
     client_listener
         .serve(sockets.listener, sockets.origin, stop)
