--- a/crates/merlinreel-policy/src/peer_batch.rs
+++ b/crates/merlinreel-policy/src/peer_batch.rs
@@ -36,8 +36,8 @@
     pub plan: usize,
     /// Number of the window. Only its lowest two bits are sent, as receivers do not use older windows.
     pub window: u64,
-    /// Units admitted in that window so far: by the sender, or by the receiver as far as the sender knows in a row with
-    /// an estimate. Not sent in a relayed estimate, where the receiver reads 0.
+    /// Units admitted in that window so far: in a row with an estimate by the receiver, as far as the sender knows; in
+    /// other rows by the sender. Not sent in a relayed estimate, where the receiver reads 0.
     pub total: f64,
     /// Units requested: since the sender's last row, or per second in a row that has `remaining`. `None` in reports
     /// that do not go through an aggregator.
--- a/crates/merlinreel-policy/src/quota/account.rs
+++ b/crates/merlinreel-policy/src/quota/account.rs
@@ -38,7 +38,7 @@
     pub replication: ReplicationState,
     /// Units sent to the counter service, and the call in flight.
     pub counter: CounterState,
-    /// Demand, subscribers and the latest estimate.
+    /// State of aggregation: the customer's demand, the limiters that are sent estimates, and the latest estimate.
     pub aggregation: AggregationState,
     /// Expiry checks since the last call of [`super::table::QuotaTable::mark_dirty`] for this account.
     pub idle_checks: u32,
--- a/crates/merlinreel-policy/src/quota/aggregation.rs
+++ b/crates/merlinreel-policy/src/quota/aggregation.rs
@@ -20,8 +20,8 @@
 /// While demand does not exceed the plan's rate, all requests are admitted as long as the bucket holds its capacity
 /// divided by this.
 const FULL_ADMISSION_DIVISOR: f64 = 3.0;
-/// Number of unanswered reports after which an aggregator is considered down. Some messages are lost, and with two
-/// aggregators too much would be counted for a customer.
+/// Number of unanswered reports after which an aggregator is considered down. A few lost messages must not lead a
+/// limiter to another aggregator: with two of them, too much would be counted for a customer.
 const MAX_UNANSWERED_REPORTS: u32 = 5;
 /// Relative change of the admission probability above which an estimate is published. Smaller changes are within the
 /// random variation of usage.
--- a/crates/merlinreel-policy/src/quota/aggregator_batch.rs
+++ b/crates/merlinreel-policy/src/quota/aggregator_batch.rs
@@ -19,7 +19,7 @@
 /// Relayed estimates per message, in addition to its own rows. As each limiter reads tens of messages per second, the
 /// estimates of some thirty customers then reach each limiter about once a second.
 const RELAYED_PER_MESSAGE: usize = 2;
-/// Rows with a demand or an estimate are half as long again as rows with a total only.
+/// Rows with a demand or an estimate are 1.5 times as long as rows with a total only.
 const LONG_ROWS_PER_MESSAGE: usize = ROWS_PER_MESSAGE * 2 / 3;
 /// Multiple of its even share of the fleet's messages that a limiter may send while its own inbox takes few estimates
 /// (see [`ESTIMATE_INBOX_DIVISOR`]). Few limiters aggregate for customers with high demand, and they have to notify
--- a/crates/merlinreel-policy/src/request_table.rs
+++ b/crates/merlinreel-policy/src/request_table.rs
@@ -16,7 +16,7 @@
     pub sent_at: Duration,
     /// No result has been received yet.
     pub in_flight: bool,
-    /// No cancellation must be requested any more: one was, or the streamed response has started.
+    /// Cancellation must not be requested any more: it already was, or the streamed response has started.
     pub cancelled: bool,
     /// The response is late: the attempt no longer counts against the server's concurrency limit.
     pub overdue: bool,
--- a/crates/merlinreel-policy/src/server/tests/starting_server.rs
+++ b/crates/merlinreel-policy/src/server/tests/starting_server.rs
@@ -29,9 +29,9 @@
 const WORK_SECONDS: f64 = 0.04;
 /// Simulated time between two batches of each limiter.
 const STEP_SECONDS: f64 = 0.005;
-/// Begin of a run, in seconds of simulated time; the other servers have full capacity from then on.
+/// Start of a run, in seconds of simulated time; the other servers have full capacity from then on.
 const BEGIN: f64 = 1.0;
-/// Start of the last server and begin of the burst, in seconds of simulated time.
+/// Start of the last server and of the burst, in seconds of simulated time.
 const STARTED_AT: f64 = 6.0;
 /// End of a run, in seconds of simulated time.
 const END: f64 = 16.0;
--- a/crates/merlinreel-simulator-adapter/src/encoding.rs
+++ b/crates/merlinreel-simulator-adapter/src/encoding.rs
@@ -25,7 +25,7 @@
     text
 }
 
-/// Decodes hexadecimal digits; `None` if the text is not two digits for each byte. [`ABSENT`] is no bytes.
+/// Decodes hexadecimal digits; `None` if the text is not two digits for each byte. [`ABSENT`] stands for no bytes.
 pub fn decode_hex(text: &str) -> Option<Vec<u8>> {
     if text == ABSENT {
         return Some(Vec::new());
--- a/crates/merlinreel-simulator-adapter/src/events.rs
+++ b/crates/merlinreel-simulator-adapter/src/events.rs
@@ -39,7 +39,7 @@
 }
 
 impl EventKind {
-    /// The kind of event that a message of this name is; `None` if it is no event.
+    /// The kind of event that a message of this name carries; `None` if it does not carry an event.
     pub fn from_message(name: &str) -> Option<EventKind> {
         match name {
             message::ENDPOINT_UPDATE => Some(EventKind::EndpointUpdate),
--- a/crates/merlinreel-testkit/src/scale/membership/fleet/knowledge.rs
+++ b/crates/merlinreel-testkit/src/scale/membership/fleet/knowledge.rs
@@ -28,7 +28,7 @@
     }
 }
 
-/// Mean and least share over all limiters.
+/// Share of the other limiters, or of their records, that a limiter knows: mean and minimum over all limiters.
 struct Shares {
     mean: f64,
     least: f64,
--- a/crates/merlinreel-testkit/src/scale/report.rs
+++ b/crates/merlinreel-testkit/src/scale/report.rs
@@ -36,7 +36,7 @@
 
 /// Emits the data points of one size, with the fields that they have in common.
 pub struct Report<'a> {
-    /// The request that is being measured, with the seed and the number of runs.
+    /// The requested measurement, with its seed and number of runs.
     pub request: &'a MeasureRequest,
     /// The quantity that is varied.
     pub variable: Variable,
--- a/crates/merlinreel/src/config/limits.rs
+++ b/crates/merlinreel/src/config/limits.rs
@@ -128,7 +128,7 @@
     pub immediate_timeout: Duration,
     /// A call without a response for this long after its wait counts as silent; another one is started in parallel.
     pub response_grace: Duration,
-    /// Maximum number of calls that are open at once.
+    /// Maximum number of calls to the discovery agent that are open at once.
     pub max_open_calls: usize,
     /// Delay before a failed call is repeated.
     pub retry_delay: Duration,
@@ -178,7 +178,7 @@
     pub call_timeout: Duration,
 }
 
-/// Descriptors for other uses than client and server connections: standard streams, poller, listeners, peer socket and
+/// Descriptors for uses other than client and server connections: standard streams, poller, listeners, peer socket and
 /// discovery.
 const RESERVED_DESCRIPTORS: usize = 24;
 /// Memory of the program and the policy module, in MiB.
--- a/crates/merlinreel/tests/sockets/main.rs
+++ b/crates/merlinreel/tests/sockets/main.rs
@@ -200,8 +200,8 @@
     assert!(server.requests.try_recv().is_err());
 }
 
-/// A connection that never carries a complete request is ended, within 3 s by the protocol, whatever `X-Remaining` says.
-/// Otherwise such clients could hold connections. The 3 s are not measured here; the test checks that an idle connection
+/// A connection that never carries a complete request is closed whatever `X-Remaining` says; the protocol requires this
+/// within 3 s. Otherwise such clients could hold connections. The 3 s are not measured here; the test checks that an idle connection
 /// that has carried two requests is still open afterwards.
 #[test_case("" => None ; "no bytes")]
 #[test_case("POST /pay?key=7 HTTP/1.1\r\nHost:" => None ; "partial head")]
