--- a/crates/merlinreel/src/upstream/exchange.rs
+++ b/crates/merlinreel/src/upstream/exchange.rs
@@ -147,7 +147,8 @@
                 response = &mut response => return response.map_err(|error| {
                     let stage = if observer.bytes_written() < range.end { "before" } else { "after" };
                     log!(
-                        "server at {}: attempt failed {stage} its last byte was written: {error}; the server can have run the request only if that byte was written",
+                        "server at {}: attempt failed {stage} its last byte was written: {error}; \
+                         the server can have run the request only if that byte was written",
                         self.address
                     );
                     AttemptOutcome::ConnectionLost
