--- a/crates/merlinreel/src/client/stream.rs
+++ b/crates/merlinreel/src/client/stream.rs
@@ -11,8 +11,8 @@
 use super::framing::HeadScanner;
 use crate::admission::AdmissionPermits;
 use crate::config::limits::Limits;
-use crate::hold_up::HoldUpMonitor;
 use crate::net::observed_stream::{IoObserver, ObservedStream};
+use crate::stall::StallMonitor;
 use bytes::{Buf, Bytes, BytesMut};
 use std::io::{self, IoSlice};
 use std::pin::Pin;
@@ -30,7 +30,7 @@
 
 /// A lingering close: the limiter's side is shut down and the client's side is not closed yet.
 struct LingeringClose {
-    /// Ends the wait if there is no unread data in the socket buffer.
+    /// Ends the wait if there is no unread data in the socket receive buffer.
     timeout: Pin<Box<Sleep>>,
     /// Ends the wait in any case.
     timeout_with_unread: Pin<Box<Sleep>>,
@@ -47,7 +47,7 @@
     /// Number of bytes at the start of `buffer` that were received in reads of the HTTP library. The rest was read ahead.
     requested: usize,
     arrival_times: ArrivalTimes,
-    stall_monitor: Arc<HoldUpMonitor>,
+    stall_monitor: Arc<StallMonitor>,
     /// Maximum number of bytes read ahead.
     max_read_ahead: usize,
     /// Number of bytes read ahead that need no reservation in the memory for request bodies.
@@ -56,9 +56,9 @@
     reserved: Option<OwnedSemaphorePermit>,
     /// Set once more data arrived than may be read ahead. The excess is dropped, and the HTTP library gets nothing after it.
     overflowed: bool,
-    /// How long a close waits for the client to close its side if there is no unread data in the socket buffer.
+    /// How long a close waits for the client to close its side if there is no unread data in the socket receive buffer.
     linger_timeout: Duration,
-    /// How long a close waits for the client if there is unread data in the socket buffer.
+    /// How long a close waits for the client if there is unread data in the socket receive buffer.
     linger_timeout_with_unread: Duration,
     lingering: Option<LingeringClose>,
 }
@@ -70,7 +70,7 @@
         client_connection: Arc<ClientConnection>,
         limits: &Limits,
         permits: AdmissionPermits,
-        stall_monitor: Arc<HoldUpMonitor>,
+        stall_monitor: Arc<StallMonitor>,
     ) -> ClientStream {
         ClientStream {
             stream: ObservedStream::new(stream, client_connection.clone()),
--- a/crates/merlinreel/src/lib.rs
+++ b/crates/merlinreel/src/lib.rs
@@ -9,11 +9,11 @@
 pub mod config;
 pub mod endpoints;
 pub mod event_loop;
-pub mod hold_up;
 pub mod mesh;
 pub mod messages;
 pub mod net;
 pub mod peers;
+pub mod stall;
 pub mod startup;
 mod sync;
 pub mod telemetry;
@@ -24,10 +24,10 @@
 use client::ClientListener;
 use config::GatewayConfig;
 use event_loop::{Clock, EventLoop};
-use hold_up::HoldUpMonitor;
 use mesh::MeshTasks;
 use messages::{ActiveSettings, Queue};
 use net::late_deadline::timeout_caught_up;
+use stall::StallMonitor;
 use startup::admin_status::GatewayStatus;
 use startup::background_tasks::BackgroundTasks;
 use startup::sockets::Sockets;
@@ -61,14 +61,14 @@
     let (settings_sender, active_settings) = ActiveSettings::channel(&config.settings);
     let cached_endpoints = config.cached_endpoints.take();
     let cached_version = cached_endpoints.as_ref().map(|update| update.version);
-    let stall_monitor = HoldUpMonitor::new(metrics.clone());
+    let stall_monitor = StallMonitor::new(metrics.clone());
     let event_loop = new_event_loop(&config, &sockets, clock, &queue, &metrics, &stall_monitor)
         .with_settings_sender(settings_sender);
     let mut event_loop = tokio::spawn(event_loop.run(cached_endpoints, events));
 
     let mut tasks = BackgroundTasks::default();
     let first_list = tasks.watch_endpoints(&config, reloads.discovery, cached_version, &queue);
-    tasks.receive_peer_messages(&sockets.peer_sender, &queue);
+    tasks.receive_peer_messages(&sockets.peer_socket, &queue);
     tasks.forward_settings(reloads.settings, &queue);
     sockets.log_address(&config);
     let limits = config.limits.clone();
@@ -105,7 +105,7 @@
     clock: Clock,
     queue: &Queue,
     metrics: &Arc<Metrics>,
-    stall_monitor: &Arc<HoldUpMonitor>,
+    stall_monitor: &Arc<StallMonitor>,
 ) -> EventLoop {
     let upstreams = UpstreamPool::new(
         config.limits.clone(),
@@ -114,11 +114,11 @@
         metrics.clone(),
     );
     let limiter = config.settings.limiter(config.seed);
-    let peer_sender = sockets.peer_sender.clone();
+    let peer_socket = sockets.peer_socket.clone();
     EventLoop::new(
         limiter,
         upstreams,
-        peer_sender,
+        peer_socket,
         clock,
         metrics.clone(),
         stall_monitor.clone(),
