--- a/crates/merlinreel-testkit/src/scripted_server.rs
+++ b/crates/merlinreel-testkit/src/scripted_server.rs
@@ -71,7 +71,7 @@
     /// The text that is sent as each piece.
     pub piece: &'static str,
     /// The pause before each piece.
-    pub every: Duration,
+    pub interval: Duration,
     /// The number of pieces.
     pub pieces: usize,
 }
@@ -215,7 +215,7 @@
     stream.set_nodelay(true)?;
     stream.write_all(trickle.head.as_bytes())?;
     for _ in 0..trickle.pieces {
-        thread::sleep(trickle.every);
+        thread::sleep(trickle.interval);
         stream.write_all(trickle.piece.as_bytes())?;
     }
     Ok(())
@@ -230,7 +230,7 @@
     let (release, released) = channel::<()>();
     let released = Mutex::new(released);
     let server = ScriptedServer::start(move |message| {
-        if message.first.starts_with("POST") {
+        if message.start_line.starts_with("POST") {
             let _ = released.lock().expect("a lock that is not poisoned").recv();
         }
         ok_response()
