--- a/crates/merlinreel-testkit/tests/scale_configuration.rs
+++ b/crates/merlinreel-testkit/tests/scale_configuration.rs
@@ -93,7 +93,11 @@
             .map(|error| error.to_string())
     };
     assert_eq!((error_text(4_096, 1), error_text(1, 4_096)), (None, None));
-    let expected = |list: &str| Some(format!("setting {list}.count: 4097 is too many"));
+    let expected = |list: &str| {
+        Some(format!(
+            "setting {list}.count: 4097 items, but a list has at most 4096"
+        ))
+    };
     assert_eq!(error_text(4_097, 1), expected("classes"));
     assert_eq!(error_text(1, 4_097), expected("packages"));
 }
